--- a/bench/callers.py
+++ b/bench/callers.py
@@ -124,7 +124,7 @@
     keyed = configurations.FanOut.KEYED
     shards = {}
     for rule in configuration.classes:
-        groups = selectors.reach_groups(configuration, rule.name)
+        groups = selectors.list_reachable_groups(configuration, rule.name)
         per_group = (
             1 if rule.fan_out is keyed else sizes[group.name]
             for group in groups
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -138,9 +138,9 @@
     """Time encoding and decoding, and measure the sizes."""
     encoded = manifests.encode(configuration)
     assert isinstance(encoded, manifests.Encoded)
-    kept = encoded.manifest.placed
+    kept = encoded.manifest.stored_parts
     targets = sum(len(group.targets) for group in configuration.groups)
-    parts = [len(text.encode()) for text in encoded.texts.values()]
+    parts = [len(text.encode()) for text in encoded.part_texts.values()]
     return {
         'codec': f'{targets} targets in {len(kept)} parts',
         'encode_ms': time_ms(lambda: manifests.encode(configuration)),
@@ -148,7 +148,7 @@
             lambda: manifests.encode(configuration, (), kept)
         ),
         'decode_ms': time_ms(
-            lambda: manifests.decode(encoded.text, encoded.texts)
+            lambda: manifests.decode(encoded.text, encoded.part_texts)
         ),
         'manifest_bytes': len(encoded.text.encode()),
         'manifest_bytes_per_part': len(encoded.text.encode()) / len(kept),
@@ -191,8 +191,8 @@
 def make(platform: store.Store, change: changes.Change) -> transactions.Outcome:
     """Make one change."""
     bits = int.from_bytes(os.urandom(9)) & ((1 << request_ids.RANDOM_BITS) - 1)
-    change_id = request_ids.mint(time.time(), bits)
-    request = proposals.Request(change_id, 'bench', change, force=True)
+    change_id = request_ids.make_request_id(time.time(), bits)
+    request = proposals.ChangeRequest(change_id, 'bench', change, force=True)
     return editor.make_change(platform, request, time.time())
 
 
@@ -202,14 +202,14 @@
         platform = open_store(url, stack)
         fill(platform, case.configuration)
         # The trail is filled first, so that each change archives an entry.
-        for turn in range(proposals.KEPT_CHANGES):
+        for turn in range(proposals.MAX_KEPT_ENTRIES):
             make(platform, label(turn + 1000))
         platform.calls.clear()
         walls, work = [], []
         for turn in range(ROUNDS):
             wall, processor = time.monotonic(), time.process_time()
             told = make(platform, case.make(turn))
-            assert isinstance(told, proposals.Accepted), told
+            assert isinstance(told, proposals.ChangeAccepted), told
             walls.append((time.monotonic() - wall) * 1000)
             work.append((time.process_time() - processor) * 1000)
         return {
@@ -228,7 +228,7 @@
     """Store a configuration as it is, without a change."""
     encoded = manifests.encode(configuration)
     assert isinstance(encoded, manifests.Encoded)
-    for key, text in encoded.texts.items():
+    for key, text in encoded.part_texts.items():
         platform.swap(key, text, 0)
     platform.swap(manifests.MANIFEST_KEY, encoded.text, 0)
 
@@ -264,7 +264,7 @@
     for turn in range(ROUNDS):
         change = changes.LabelGroup('service-0', ((f'o{number}', f't{turn}'),))
         began = time.monotonic()
-        if isinstance(make(platform, change), proposals.Accepted):
+        if isinstance(make(platform, change), proposals.ChangeAccepted):
             times.append((time.monotonic() - began) * 1000)
     return times
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -138,7 +138,7 @@
 
     def _ask(self, due: float) -> None:
         number = self._draws.getrandbits(request_ids.RANDOM_BITS)
-        request_id = request_ids.mint(time.time(), number)
+        request_id = request_ids.make_request_id(time.time(), number)
         token = len(self._asked)
         self._asked.append(due)
         claim = messages.Claim(token, request_id, due + DEADLINE_S)
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -22,7 +22,7 @@
 import urllib3
 
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     configurations,
     manifests,
     trees,
@@ -91,7 +91,7 @@
             assert standin.poll() is None
             time.sleep(0.05)
         self.store = store.Store(f'http://127.0.0.1:{self._port}')
-        self._entries: tuple[audits.Entry, ...] = ()
+        self._entries: tuple[audit_log.Entry, ...] = ()
         self._number = 0
         self.revision = 0
         self.change()
@@ -105,7 +105,7 @@
         self.revision += 1
         field = ('groups', 'g0', 'labels', 'n')
         edit = trees.Edit(field, str(self.revision - 1), str(self.revision))
-        entry = audits.Entry(
+        entry = audit_log.Entry(
             f'018f0000-0000-7000-8000-{self.revision:012}',
             self.revision,
             'bench',
@@ -118,7 +118,7 @@
         built = build(self._plan, self.revision)
         encoded = manifests.encode(built, self._entries)
         assert isinstance(encoded, manifests.Encoded)
-        for key, text in encoded.texts.items():
+        for key, text in encoded.part_texts.items():
             with contextlib.suppress(store.StoreConflict):
                 self.store.swap(key, text, 0)
         written = self.store.swap(
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -91,7 +91,7 @@
 
 
 def _is_ready(host: addresses.Address) -> bool:
-    url = f'http://{addresses.write(host)}/readyz'
+    url = f'http://{addresses.format_address(host)}/readyz'
     try:
         return urllib3.request('GET', url, retries=False).status == HTTP_OK
     except urllib3.exceptions.HTTPError:
--- a/bench/mixes.py
+++ b/bench/mixes.py
@@ -65,7 +65,7 @@
         bits = numbers.getrandbits(request_ids.RANDOM_BITS)
         body = {
             'class': rule.name,
-            'request_id': request_ids.mint(time.time(), bits),
+            'request_id': request_ids.make_request_id(time.time(), bits),
             'deadline_ms': rule.deadline_ms,
             'query': {'text': text, 'limit': LIMIT},
         }
--- a/bench/model.py
+++ b/bench/model.py
@@ -14,7 +14,7 @@
 from typing import Final, NamedTuple
 
 from bench import lines, shapes, targets
-from fuchsiahaven.core import identities
+from fuchsiahaven.core import request_identities
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import desks, events, states
 
@@ -28,7 +28,7 @@
 PART_BYTES: Final = 780
 SIGNATURE: Final = 'signed'
 #: Names the query that ends its targets.
-DEADLY_ID: Final = identities.identify('deadly')
+DEADLY_ID: Final = request_identities.identify('deadly')
 #: How long it may still reach targets once it has ended three.
 IN_TOUCH_S: Final = 4.0
 
--- a/bench/silent_partners.py
+++ b/bench/silent_partners.py
@@ -33,13 +33,13 @@
     network = networks.Network(hosts, seed, rules)
     settle(network)
     figures: dict[str, float] = {}
-    network.cut = lambda one, other: other == 'h5'
+    network.is_cut = lambda one, other: other == 'h5'
     figures['unreachable_suspicions'] = count(network, 120)
-    network.cut = lambda one, other: False
+    network.is_cut = lambda one, other: False
     settle(network)
-    network.loss = 0.3
+    network.loss_fraction = 0.3
     figures['loss_suspicions'] = count(network, 120)
-    network.loss = 0
+    network.loss_fraction = 0
     settle(network)
     draws = random.Random(seed)
     figures['pause_suspicions'] = 0
@@ -69,7 +69,7 @@
 def settle(network: networks.Network) -> float:
     """Wait until all agree; give the seconds."""
     began = network.now
-    while not network.agree():
+    while not network.has_converged():
         network.run(0.25)
     seconds = network.now - began
     network.run(20)
--- a/fuchsiahaven/core/addresses.py
+++ b/fuchsiahaven/core/addresses.py
@@ -29,7 +29,7 @@
     return Address(str(number), int(port))
 
 
-def write(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Write an address as `parse` reads it."""
     host = f'[{address.host}]' if ':' in address.host else address.host
     return f'{host}:{address.port}'
--- a/fuchsiahaven/core/uptimes.py
+++ b/fuchsiahaven/core/boot_clock.py
@@ -3,7 +3,7 @@
 import time
 
 
-def read() -> float:
+def read_clock() -> float:
     """Read the seconds that have passed since some moment before the start.
 
     The steady clock stands still while a machine is suspended, so what is
--- a/fuchsiahaven/core/configuration/audits.py
+++ b/fuchsiahaven/core/configuration/audit_log.py
@@ -18,49 +18,49 @@
     change_id: str
     revision: int
     operator: str
-    epoch: float
-    what: str
+    epoch_s: float
+    description: str
     edits: tuple[trees.Edit, ...]
-    follows: int
-    undoes: str | None = None
+    previous_revision: int
+    undone_change_id: str | None = None
 
 
-def write_row(entry: Entry) -> dict[str, Any]:
+def encode_entry(entry: Entry) -> dict[str, Any]:
     """Write an entry as it stands in the manifest and the archive."""
     row: dict[str, Any] = {
         'id': entry.change_id,
         'revision': entry.revision,
         'operator': entry.operator,
-        'epoch': entry.epoch,
-        'what': entry.what,
-        'follows': entry.follows,
+        'epoch': entry.epoch_s,
+        'what': entry.description,
+        'follows': entry.previous_revision,
         'edits': [
             [list(edit.field), edit.before, edit.after] for edit in entry.edits
         ],
     }
-    if entry.undoes is not None:
-        row['undoes'] = entry.undoes
+    if entry.undone_change_id is not None:
+        row['undoes'] = entry.undone_change_id
     return row
 
 
-def read_row(row: Mapping[str, Any]) -> Entry:
+def decode_entry(row: Mapping[str, Any]) -> Entry:
     """Read an entry out of a row of valid shape."""
     return Entry(
         change_id=row['id'],
         revision=row['revision'],
         operator=row['operator'],
-        epoch=row['epoch'],
-        what=row['what'],
+        epoch_s=row['epoch'],
+        description=row['what'],
         edits=tuple(
             trees.Edit(tuple(field), before, after)
             for field, before, after in row['edits']
         ),
-        follows=row['follows'],
-        undoes=row.get('undoes'),
+        previous_revision=row['follows'],
+        undone_change_id=row.get('undoes'),
     )
 
 
-def find_change(entries: Iterable[Entry], change_id: str) -> Entry | None:
+def find_by_change_id(entries: Iterable[Entry], change_id: str) -> Entry | None:
     """Return the entry of a change, or None."""
     for entry in entries:
         if entry.change_id == change_id:
@@ -68,23 +68,23 @@
     return None
 
 
-def find_latest(
+def find_latest_overlap(
     entries: Iterable[Entry],
-    fields: Iterable[trees.Field],
+    fields: Iterable[trees.FieldPath],
 ) -> Entry | None:
     """Return the newest entry that touched any of the fields, or None."""
-    wanted = tuple(fields)
-    touching = (entry for entry in entries if _touches(entry, wanted))
-    return max(touching, key=_revision, default=None)
+    paths = tuple(fields)
+    overlapping = (entry for entry in entries if _overlaps_any(entry, paths))
+    return max(overlapping, key=_get_revision, default=None)
 
 
-def _touches(entry: Entry, fields: tuple[trees.Field, ...]) -> bool:
+def _overlaps_any(entry: Entry, fields: tuple[trees.FieldPath, ...]) -> bool:
     return any(
-        trees.overlap(edit.field, field)
+        trees.overlaps(edit.field, field)
         for edit in entry.edits
         for field in fields
     )
 
 
-def _revision(entry: Entry) -> int:
+def _get_revision(entry: Entry) -> int:
     return entry.revision
--- a/fuchsiahaven/core/configuration/writes.py
+++ b/fuchsiahaven/core/configuration/change_writes.py
@@ -12,18 +12,18 @@
 from fuchsiahaven.core.configuration import (
     changes,
     configurations,
-    shapes,
+    tree_validation,
     trees,
 )
 from fuchsiahaven.core.customers import customers
 
 SOURCE: Final = 'changes'
 #: The source of failures that no other change can be the reason for.
-SHAPE_SOURCE: Final = 'shapes'
+VALIDATION_SOURCE: Final = 'shapes'
 
 #: A field and the value to write there; None takes the field away.
-Write = tuple[trees.Field, object]
-Writes = tuple[Write, ...]
+FieldWrite = tuple[trees.FieldPath, object]
+FieldWrites = tuple[FieldWrite, ...]
 
 
 def apply_change(
@@ -36,44 +36,48 @@
     it would restore has another value by now.
     """
     before = trees.build_tree(configuration)
-    writes = _plan(before, change)
+    writes = _plan_writes(before, change)
     if isinstance(writes, errors.Failure):
         return writes
     tree = before
     for field, value in writes:
-        tree = trees.write_field(tree, field, value)
-    touched = {place[:2] for place, _ in writes}
-    fault = shapes.find_fault(tree, touched, before)
+        tree = trees.set_field(tree, field, value)
+    changed_fields = {path[:2] for path, _ in writes}
+    fault = tree_validation.find_fault(tree, changed_fields, before)
     if fault is not None:
         return errors.make_failure(
-            errors.Kind.INVALID_CHANGE, SHAPE_SOURCE, fault
+            errors.Kind.INVALID_CHANGE, VALIDATION_SOURCE, fault
         )
     return trees.build_configuration(tree, configuration.revision)
 
 
-def _plan(tree: trees.Tree, change: changes.Change) -> Writes | errors.Failure:
+def _plan_writes(
+    tree: trees.Tree, change: changes.Change
+) -> FieldWrites | errors.Failure:
     """List what a change writes to which fields of a tree."""
     match change:
-        case changes.Replace(wanted):
-            return _plan_replace(tree, _keep_leaving(tree, wanted))
-        case changes.Recover(wanted):
-            return _plan_replace(tree, wanted)
-        case changes.Restore(_, edits):
-            return _plan_restore(tree, edits)
+        case changes.ReplaceConfiguration(new_configuration):
+            return _plan_replace(tree, _keep_leaving(tree, new_configuration))
+        case changes.RecoverConfiguration(new_configuration):
+            return _plan_replace(tree, new_configuration)
+        case changes.UndoChange(_, edits):
+            return _plan_undo(tree, edits)
         case changes.CreateGroup(group):
             return _plan_create(tree, group)
         case changes.SetSelector(_, fields):
             return _plan_row(tree, change, fields, {'data_centres': []})
         case changes.SetClass(name, fields):
-            plain = trees.build_class(configurations.RequestClass(name))
-            return _plan_row(tree, change, fields, plain)
+            class_defaults = trees.encode_class(
+                configurations.RequestClass(name)
+            )
+            return _plan_row(tree, change, fields, class_defaults)
         case changes.SetCustomer(name, fields):
-            empty = trees.build_customer(customers.Customer(name))
-            return _plan_row(tree, change, fields, empty)
-    subject = changes.find_subject(change)
-    row = trees.read_field(tree, subject)
+            customer_defaults = trees.encode_customer(customers.Customer(name))
+            return _plan_row(tree, change, fields, customer_defaults)
+    subject = changes.get_subject(change)
+    row = trees.find_field(tree, subject)
     if not isinstance(row, Mapping):
-        return _refuse(f'there is no {changes.name_subject(subject)}')
+        return _make_failure(f'there is no {changes.name_subject(subject)}')
     match change:
         case changes.LabelGroup(_, labels, removed):
             return _plan_labels(subject, row, labels, removed)
@@ -93,84 +97,100 @@
 def _plan_create(
     tree: trees.Tree,
     group: configurations.Group,
-) -> Writes | errors.Failure:
+) -> FieldWrites | errors.Failure:
     if group.name in tree['groups']:
-        return _refuse(f'group {group.name} exists already')
-    twice = _find_twice(target.name for target in group.targets)
-    if twice is not None:
-        return _refuse(f'target {twice} is named twice')
-    return ((('groups', group.name), trees.build_group(group)),)
+        return _make_failure(f'group {group.name} exists already')
+    duplicate = _find_duplicate(target.name for target in group.targets)
+    if duplicate is not None:
+        return _make_failure(f'target {duplicate} is named twice')
+    return ((('groups', group.name), trees.encode_group(group)),)
 
 
 def _plan_row(
     tree: trees.Tree,
     change: changes.Change,
-    fields: changes.Pairs,
+    fields: changes.FieldValues,
     defaults: Mapping[str, Any],
-) -> Writes:
+) -> FieldWrites:
     # A row that exists is written field by field, so that two operators may
     # set different fields of one row. A new one needs the row as a whole.
-    subject = changes.find_subject(change)
-    if trees.read_field(tree, subject) is None:
+    subject = changes.get_subject(change)
+    if trees.find_field(tree, subject) is None:
         row = {**defaults, **dict(fields)}
-        told = {key: it for key, it in row.items() if it is not None}
-        return ((subject, told),)
+        present = {key: it for key, it in row.items() if it is not None}
+        return ((subject, present),)
     return tuple(((*subject, key), value) for key, value in fields)
 
 
 def _plan_labels(
-    subject: trees.Field,
+    subject: trees.FieldPath,
     row: trees.Tree,
     labels: tuple[tuple[str, str], ...],
     removed: tuple[str, ...],
-) -> Writes | errors.Failure:
+) -> FieldWrites | errors.Failure:
     for key in removed:
         if key not in row['labels']:
-            return _refuse(
+            return _make_failure(
                 f'{changes.name_subject(subject)} has no label {key}'
             )
-    kept = {k: row['labels'][k] for k in row['labels'] if k not in removed}
-    return (((*subject, 'labels'), {**kept, **dict(labels)}),)
+    kept_labels = {
+        k: row['labels'][k] for k in row['labels'] if k not in removed
+    }
+    return (((*subject, 'labels'), {**kept_labels, **dict(labels)}),)
 
 
 def _plan_targets(
-    subject: trees.Field,
+    subject: trees.FieldPath,
     row: trees.Tree,
     change: changes.AddTargets | changes.RemoveTargets | changes.MarkLeaving,
-) -> Writes | errors.Failure:
-    known: Mapping[str, Any] = row['targets']
+) -> FieldWrites | errors.Failure:
+    targets: Mapping[str, Any] = row['targets']
     leaving: Mapping[str, Any] = row['leaving']
     if isinstance(change, changes.AddTargets):
-        added = {t.name: [t.data_centre, t.address] for t in change.targets}
-        here = next((name for name in added if name in known), None)
-        if here is not None:
-            return _refuse(
-                f'{changes.name_subject(subject)} has target {here} already'
+        added = {
+            target.name: [target.data_centre, target.address]
+            for target in change.targets
+        }
+        present = next((name for name in added if name in targets), None)
+        if present is not None:
+            return _make_failure(
+                f'{changes.name_subject(subject)} has target {present} already'
             )
-        return (((*subject, 'targets'), {**known, **added}),)
-    gone = next((name for name in change.targets if name not in known), None)
-    if gone is not None:
-        return _refuse(f'{changes.name_subject(subject)} has no target {gone}')
-    named = frozenset(change.targets)
-    staying = {name: True for name in leaving if name not in named}
+        return (((*subject, 'targets'), {**targets, **added}),)
+    missing = next(
+        (name for name in change.targets if name not in targets), None
+    )
+    if missing is not None:
+        return _make_failure(
+            f'{changes.name_subject(subject)} has no target {missing}'
+        )
+    named_targets = frozenset(change.targets)
+    other_leaving = {
+        name: True for name in leaving if name not in named_targets
+    }
     if isinstance(change, changes.MarkLeaving):
-        marks = dict.fromkeys(named, True) if change.leaving else {}
-        return (((*subject, 'leaving'), {**staying, **marks}),)
-    kept = {name: known[name] for name in known if name not in named}
-    return (((*subject, 'targets'), kept), ((*subject, 'leaving'), staying))
+        marked = dict.fromkeys(named_targets, True) if change.leaving else {}
+        return (((*subject, 'leaving'), {**other_leaving, **marked}),)
+    kept_targets = {
+        name: targets[name] for name in targets if name not in named_targets
+    }
+    return (
+        ((*subject, 'targets'), kept_targets),
+        ((*subject, 'leaving'), other_leaving),
+    )
 
 
 def _plan_keys(
-    subject: trees.Field,
+    subject: trees.FieldPath,
     row: trees.Tree,
     change: changes.AddKeys | changes.RemoveKeys,
-) -> Writes | errors.Failure:
+) -> FieldWrites | errors.Failure:
     digests = change.digests
     if isinstance(change, changes.AddKeys):
         return tuple(((*subject, 'keys', digest), True) for digest in digests)
     unknown = [digest for digest in digests if digest not in row['keys']]
     if unknown:
-        return _refuse(
+        return _make_failure(
             f'{changes.name_subject(subject)} has no key of digest {unknown[0]}'
         )
     return tuple(((*subject, 'keys', digest), None) for digest in digests)
@@ -178,34 +198,36 @@
 
 def _plan_replace(
     tree: trees.Tree,
-    wanted: configurations.Configuration,
-) -> Writes:
-    edits = trees.find_edits(tree, trees.build_tree(wanted))
+    new_configuration: configurations.Configuration,
+) -> FieldWrites:
+    edits = trees.find_edits(tree, trees.build_tree(new_configuration))
     return tuple((edit.field, edit.after) for edit in edits)
 
 
 def _keep_leaving(
     tree: trees.Tree,
-    wanted: configurations.Configuration,
+    new_configuration: configurations.Configuration,
 ) -> configurations.Configuration:
     groups: list[configurations.Group] = []
-    for group in wanted.groups:
-        marked = trees.read_field(tree, ('groups', group.name, 'leaving'))
-        names = {target.name for target in group.targets}
-        kept = names.intersection(marked if isinstance(marked, Mapping) else ())
-        groups.append(group._replace(leaving=group.leaving | kept))
-    return wanted._replace(groups=tuple(groups))
+    for group in new_configuration.groups:
+        old_leaving = trees.find_field(tree, ('groups', group.name, 'leaving'))
+        target_names = {target.name for target in group.targets}
+        kept_leaving = target_names.intersection(
+            old_leaving if isinstance(old_leaving, Mapping) else ()
+        )
+        groups.append(group._replace(leaving=group.leaving | kept_leaving))
+    return new_configuration._replace(groups=tuple(groups))
 
 
-def _plan_restore(
+def _plan_undo(
     tree: trees.Tree,
     edits: tuple[trees.Edit, ...],
-) -> Writes | errors.Failure:
+) -> FieldWrites | errors.Failure:
     for edit in edits:
-        parent = trees.read_field(tree, edit.field[:-1])
+        parent = trees.find_field(tree, edit.field[:-1])
         # Writing an old value over a newer one would take back, unseen,
         # a change that somebody else was told is accepted.
-        if parent is None or trees.read_field(tree, edit.field) != edit.after:
+        if parent is None or trees.find_field(tree, edit.field) != edit.after:
             return errors.make_failure(
                 errors.Kind.CONFLICT,
                 SOURCE,
@@ -214,10 +236,10 @@
     return tuple((each.field, each.before) for each in edits)
 
 
-def _find_twice(names: Iterable[str]) -> str | None:
+def _find_duplicate(names: Iterable[str]) -> str | None:
     counts = collections.Counter(names)
     return next((name for name, count in counts.items() if count > 1), None)
 
 
-def _refuse(detail: str) -> errors.Failure:
+def _make_failure(detail: str) -> errors.Failure:
     return errors.make_failure(errors.Kind.INVALID_CHANGE, SOURCE, detail)
--- a/fuchsiahaven/core/configuration/changes.py
+++ b/fuchsiahaven/core/configuration/changes.py
@@ -4,7 +4,7 @@
 
 from fuchsiahaven.core.configuration import configurations, trees
 
-Pairs = tuple[tuple[str, Any], ...]
+FieldValues = tuple[tuple[str, Any], ...]
 
 
 class CreateGroup(NamedTuple):
@@ -25,7 +25,7 @@
     """Set `slots`, `connections` or `connect_ms` of a group."""
 
     group: str
-    caps: Pairs
+    caps: FieldValues
 
 
 class DeleteGroup(NamedTuple):
@@ -68,7 +68,7 @@
     """
 
     selector: str
-    fields: Pairs
+    fields: FieldValues
 
 
 class DeleteSelector(NamedTuple):
@@ -81,7 +81,7 @@
     """Create a class of request, or set some fields of its policy."""
 
     request_class: str
-    fields: Pairs
+    fields: FieldValues
 
 
 class DeleteClass(NamedTuple):
@@ -98,7 +98,7 @@
     """
 
     customer: str
-    fields: Pairs = ()
+    fields: FieldValues = ()
 
 
 class AddKeys(NamedTuple):
@@ -121,7 +121,7 @@
     customer: str
 
 
-class Replace(NamedTuple):
+class ReplaceConfiguration(NamedTuple):
     """Put a whole description in place of everything.
 
     Targets that stay keep their mark of leaving: a description says what
@@ -131,13 +131,13 @@
     configuration: configurations.Configuration
 
 
-class Recover(NamedTuple):
+class RecoverConfiguration(NamedTuple):
     """Put what hosts have in force in place of an older copy."""
 
     configuration: configurations.Configuration
 
 
-class Restore(NamedTuple):
+class UndoChange(NamedTuple):
     """Take back the edits of an accepted change, as a new change."""
 
     change_id: str
@@ -160,13 +160,13 @@
     | AddKeys
     | RemoveKeys
     | DeleteCustomer
-    | Replace
-    | Recover
-    | Restore
+    | ReplaceConfiguration
+    | RecoverConfiguration
+    | UndoChange
 )
 
 
-def find_subject(change: Change) -> trees.Field:
+def get_subject(change: Change) -> trees.FieldPath:
     """Return the field that contains all that a change may touch."""
     match change:
         case CreateGroup(group):
@@ -177,22 +177,22 @@
             return ('classes', change.request_class)
         case SetCustomer() | AddKeys() | RemoveKeys() | DeleteCustomer():
             return ('customers', change.customer)
-        case Replace() | Recover() | Restore():
+        case ReplaceConfiguration() | RecoverConfiguration() | UndoChange():
             return ()
     return ('groups', change.group)
 
 
-def describe(change: Change) -> str:
+def describe_change(change: Change) -> str:
     """Say in a few words what a change does, for the audit trail."""
     match change:
         case CreateGroup(group):
             return f'create group {group.name}'
         case LabelGroup(group, labels, removed):
-            words = [f'{key}={value}' for key, value in labels]
-            words += [f'{key}-' for key in removed]
-            return 'label group {0}: {1}'.format(group, ', '.join(words))
+            label_texts = [f'{key}={value}' for key, value in labels]
+            label_texts += [f'{key}-' for key in removed]
+            return 'label group {0}: {1}'.format(group, ', '.join(label_texts))
         case SetCaps(group, caps):
-            return f'set group {group}: {_list_pairs(caps)}'
+            return f'set group {group}: {_format_fields(caps)}'
         case DeleteGroup(group):
             return f'delete group {group}'
         case AddTargets(group, targets):
@@ -202,35 +202,35 @@
         case MarkLeaving(group, targets, leaving):
             state = 'leaving' if leaving else 'not leaving'
             return f'mark {len(targets)} targets of {group} as {state}'
-    return _describe_rule(change)
+    return _describe_other(change)
 
 
-def name_subject(subject: trees.Field) -> str:
+def name_subject(subject: trees.FieldPath) -> str:
     """Name a group, selector, class or customer as an operator knows it."""
-    kinds = {
+    kind_names = {
         'groups': 'group',
         'selectors': 'selector',
         'classes': 'class',
         'customers': 'customer',
     }
-    return f'{kinds[subject[0]]} {subject[1]}'
+    return f'{kind_names[subject[0]]} {subject[1]}'
 
 
-def _describe_rule(change: Change) -> str:
+def _describe_other(change: Change) -> str:
     match change:
         case SetSelector(name, fields):
-            return f'set selector {name}: {_list_pairs(fields)}'
+            return f'set selector {name}: {_format_fields(fields)}'
         case DeleteSelector(name):
             return f'delete selector {name}'
         case SetClass(name, fields):
-            return f'set class {name}: {_list_pairs(fields)}'
+            return f'set class {name}: {_format_fields(fields)}'
         case DeleteClass(name):
             return f'delete class {name}'
         case SetCustomer() | AddKeys() | RemoveKeys() | DeleteCustomer():
             return _describe_customer(change)
-        case Restore(change_id):
+        case UndoChange(change_id):
             return f'undo {change_id}'
-        case Recover():
+        case RecoverConfiguration():
             return 'recover what hosts have in force'
     return 'apply a description'
 
@@ -240,7 +240,7 @@
 ) -> str:
     match change:
         case SetCustomer(name, fields):
-            return f'set customer {name}: {_list_pairs(fields)}'
+            return f'set customer {name}: {_format_fields(fields)}'
         case AddKeys(name, digests):
             return f'add {len(digests)} keys to customer {name}'
         case RemoveKeys(name, digests):
@@ -248,9 +248,9 @@
     return f'delete customer {change.customer}'
 
 
-def _list_pairs(pairs: Pairs) -> str:
-    return ', '.join(f'{key}={_write(told)}' for key, told in pairs)
+def _format_fields(fields: FieldValues) -> str:
+    return ', '.join(f'{key}={_format_value(value)}' for key, value in fields)
 
 
-def _write(told: object) -> str:
-    return ','.join(told) if isinstance(told, list) else str(told)
+def _format_value(value: object) -> str:
+    return ','.join(value) if isinstance(value, list) else str(value)
--- a/fuchsiahaven/core/configuration/checks.py
+++ b/fuchsiahaven/core/configuration/checks.py
@@ -13,11 +13,11 @@
 from fuchsiahaven.core.customers import customers
 
 #: An at-most-once request may reach one group: each one it reaches runs it.
-ONE_GROUP: Final = 1
+MAX_AT_MOST_ONCE_GROUPS: Final = 1
 
 
 #: How many live targets each group has in each data centre.
-Live = Mapping[str, Mapping[str, int]]
+LiveCounts = Mapping[str, Mapping[str, int]]
 
 
 class Problem(NamedTuple):
@@ -30,19 +30,23 @@
 def find_new_problems(
     before: configurations.Configuration,
     after: configurations.Configuration,
-    kept: parts.Parts,
+    stored_parts: parts.Parts,
 ) -> tuple[Problem, ...]:
     """List the problems that a change brings in, in a steady order.
 
     Targets that were not read count by what `kept` says of their parts.
     """
-    old = frozenset(find_problems(before, kept))
-    new = [found for found in find_problems(after, kept) if found not in old]
+    old = frozenset(find_problems(before, stored_parts))
+    new = [
+        problem
+        for problem in find_problems(after, stored_parts)
+        if problem not in old
+    ]
     # A new class has no selector yet; only losing the last one is news.
-    lost = _list_served(before) - _list_served(after)
-    for policy in after.classes:
-        if policy.name in lost:
-            text = f'class {policy.name} is left without a selector'
+    unselected = _list_selected_classes(before) - _list_selected_classes(after)
+    for request_class in after.classes:
+        if request_class.name in unselected:
+            text = f'class {request_class.name} is left without a selector'
             new.append(Problem(text, forceable=True))
     if before.customers and not after.customers:
         text = 'no customer is left: no class asks for a key any more'
@@ -52,20 +56,20 @@
 
 def find_problems(
     configuration: configurations.Configuration,
-    kept: parts.Parts,
+    stored_parts: parts.Parts,
 ) -> Iterator[Problem]:
     """Find what is wrong with a configuration of valid shape."""
     yield from _check_targets(configuration.groups)
-    for one, other in customers.find_shared(configuration.customers):
+    for one, other in customers.find_shared_keys(configuration.customers):
         yield Problem(f'customers {one} and {other} hold one key')
-    for policy in configuration.classes:
-        if policy.repeat is configurations.Repeat.AT_MOST_ONCE:
-            yield from _check_policy(policy)
-            yield from _check_runs(configuration, policy)
-    live = _count_live(configuration, kept)
-    names = {each.name for each in configuration.classes}
+    for request_class in configuration.classes:
+        if request_class.repeat is configurations.Repeat.AT_MOST_ONCE:
+            yield from _check_at_most_once(request_class)
+            yield from _check_single_group(configuration, request_class)
+    live = _count_live(configuration, stored_parts)
+    class_names = {known_class.name for known_class in configuration.classes}
     for selector in configuration.selectors:
-        if selector.request_class not in names:
+        if selector.request_class not in class_names:
             yield Problem(
                 f'selector {selector.name}: '
                 f'there is no class {selector.request_class}'
@@ -73,7 +77,7 @@
         yield from _check_selector(selector, configuration.groups, live)
 
 
-def _list_served(
+def _list_selected_classes(
     configuration: configurations.Configuration,
 ) -> set[str]:
     return {selector.request_class for selector in configuration.selectors}
@@ -82,42 +86,42 @@
 def _check_selector(
     selector: configurations.Selector,
     groups: tuple[configurations.Group, ...],
-    live: Live,
+    live: LiveCounts,
 ) -> Iterator[Problem]:
     expression = selectors.parse(selector.expression)
-    if isinstance(expression, selectors.Fault):
+    if isinstance(expression, selectors.SyntaxFault):
         yield Problem(
             f'selector {selector.name}: {expression.text} '
-            f'at offset {expression.position} of {selector.expression!r}'
+            f'at offset {expression.offset} of {selector.expression!r}'
         )
         return
-    reached = [
+    matched = [
         group.name
         for group in groups
         if selectors.matches(expression, dict(group.labels))
     ]
-    if not reached:
+    if not matched:
         text = f'selector {selector.name} reaches no group'
         yield Problem(text, forceable=True)
-    everywhere = {centre for counts in live.values() for centre in counts}
-    for lender in selector.data_centres:
-        if lender not in everywhere:
-            text = f'selector {selector.name}: no target is in {lender}'
+    all_centres = {centre for counts in live.values() for centre in counts}
+    for fallback in selector.data_centres:
+        if fallback not in all_centres:
+            text = f'selector {selector.name}: no target is in {fallback}'
             yield Problem(text, forceable=True)
-    for name in reached:
-        yield from _check_reach(selector, name, live[name], everywhere)
+    for name in matched:
+        yield from _check_data_centres(selector, name, live[name], all_centres)
 
 
-def _check_reach(
+def _check_data_centres(
     selector: configurations.Selector,
     group: str,
     live: Mapping[str, int],
-    everywhere: set[str],
+    all_centres: set[str],
 ) -> Iterator[Problem]:
     """Find data centres whose callers could get nothing from a group."""
-    if any(lender in live for lender in selector.data_centres):
+    if any(fallback in live for fallback in selector.data_centres):
         return
-    for centre in sorted(everywhere - live.keys()):
+    for centre in sorted(all_centres - live.keys()):
         text = (
             f'selector {selector.name} reaches group {group}, '
             f'which has no live target in {centre}'
@@ -134,50 +138,59 @@
     the connections that it takes.
     """
     targets = [target for group in groups for target in group.targets]
-    for name in _find_twice(target.name for target in targets):
+    for name in _find_duplicates(target.name for target in targets):
         yield Problem(f'target {name} is in two groups')
-    for address in _find_twice(target.address for target in targets):
+    for address in _find_duplicates(target.address for target in targets):
         yield Problem(f'two targets have the address {address}')
 
 
-def _check_policy(policy: configurations.RequestClass) -> Iterator[Problem]:
+def _check_at_most_once(
+    request_class: configurations.RequestClass,
+) -> Iterator[Problem]:
     """Find policies that would run a request twice, or a part of it."""
-    head = f'class {policy.name} runs at most once, so'
-    if policy.fan_out is not configurations.FanOut.KEYED:
-        yield Problem(f'{head} fan_out must be keyed')
-    if policy.needs is not configurations.Needs.COMPLETE:
-        yield Problem(f'{head} needs must be complete')
-    if policy.hedge_share:
-        yield Problem(f'{head} hedge_share must be 0')
+    prefix = f'class {request_class.name} runs at most once, so'
+    if request_class.fan_out is not configurations.FanOut.KEYED:
+        yield Problem(f'{prefix} fan_out must be keyed')
+    if request_class.needs is not configurations.Needs.COMPLETE:
+        yield Problem(f'{prefix} needs must be complete')
+    if request_class.hedge_share:
+        yield Problem(f'{prefix} hedge_share must be 0')
 
 
-def _check_runs(
+def _check_single_group(
     configuration: configurations.Configuration,
-    policy: configurations.RequestClass,
+    request_class: configurations.RequestClass,
 ) -> Iterator[Problem]:
-    reached = selectors.reach_groups(configuration, policy.name)
-    if len(reached) > ONE_GROUP:
+    reached = selectors.list_reachable_groups(configuration, request_class.name)
+    if len(reached) > MAX_AT_MOST_ONCE_GROUPS:
         names = ', '.join(group.name for group in reached)
         yield Problem(
-            f'class {policy.name} runs at most once, so it may reach '
+            f'class {request_class.name} runs at most once, so it may reach '
             f'one group, not {names}'
         )
 
 
 def _count_live(
-    configuration: configurations.Configuration, kept: parts.Parts
-) -> Live:
+    configuration: configurations.Configuration, stored_parts: parts.Parts
+) -> LiveCounts:
     live: dict[str, dict[str, int]] = {
         group.name: {} for group in configuration.groups
     }
-    unread = ((place, part) for place, part in kept.items() if part.unread)
-    for place, part in (*unread, *parts.split(configuration)):
+    unread_parts = (
+        (part_id, part)
+        for part_id, part in stored_parts.items()
+        if part.unread_count
+    )
+    for part_id, part in (
+        *unread_parts,
+        *parts.split_configuration(configuration),
+    ):
         count = parts.count_live(part)
-        if count and place[0] in live:
-            live[place[0]][place[1]] = count
+        if count and part_id[0] in live:
+            live[part_id[0]][part_id[1]] = count
     return live
 
 
-def _find_twice(names: Iterable[str]) -> list[str]:
+def _find_duplicates(names: Iterable[str]) -> list[str]:
     counts = collections.Counter(names)
     return sorted(name for name, count in counts.items() if count > 1)
--- a/fuchsiahaven/core/configuration/manifest_schemas.py
+++ b/fuchsiahaven/core/configuration/manifest_schemas.py
@@ -10,42 +10,44 @@
 from fuchsiahaven.core.customers import customers
 
 #: Names of groups, selectors and classes.
-NAME: Final = r'^[a-z0-9]([-a-z0-9.]{0,61}[a-z0-9])?\Z'
+NAME_PATTERN: Final = r'^[a-z0-9]([-a-z0-9.]{0,61}[a-z0-9])?\Z'
 #: Names of targets carry their instance and number: `socios-web-03/1`.
-TARGET: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,125}[A-Za-z0-9])?\Z'
+TARGET_PATTERN: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,125}[A-Za-z0-9])?\Z'
 #: Data centres carry their place's own name, in its own letters.
-DATA_CENTRE: Final = r'^\w([\w.-]{0,61}\w)?\Z'
+DATA_CENTRE_PATTERN: Final = r'^\w([\w.-]{0,61}\w)?\Z'
 #: Labels follow the usual form: an optional prefix, then a short name.
-LABEL: Final = (
+LABEL_KEY_PATTERN: Final = (
     r'^([a-z0-9]([-a-z0-9.]{0,251}[a-z0-9])?/)?'
     r'[A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?\Z'
 )
 #: Keys stand in the manifest as their digests.
-KEY_DIGEST: Final = r'^[0-9a-f]{32}\Z'
-LABEL_VALUE: Final = r'^([A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?)?\Z'
+KEY_DIGEST_PATTERN: Final = r'^[0-9a-f]{32}\Z'
+LABEL_VALUE_PATTERN: Final = (
+    r'^([A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?)?\Z'
+)
 
 #: A longer expression would cost every host on every new revision.
-MAX_EXPRESSION: Final = 1024
-MAX_TEXT: Final = 256
+MAX_EXPRESSION_LENGTH: Final = 1024
+MAX_TEXT_LENGTH: Final = 256
 MAX_MS: Final = 600_000
 MAX_SLOTS: Final = 10_000
 MAX_CONNECTIONS: Final = 100_000
 MAX_TARGETS: Final = 1_000_000
 
 Schema = Mapping[str, Any]
-Check = Callable[[object], object]
+Validator = Callable[[object], object]
 
-_TEXT: Final[Schema] = {'type': 'string', 'maxLength': MAX_TEXT}
+_SHORT_TEXT: Final[Schema] = {'type': 'string', 'maxLength': MAX_TEXT_LENGTH}
 _REVISION: Final[Schema] = {'type': 'integer', 'minimum': 0}
-_SHARE: Final[Schema] = {'type': 'number', 'minimum': 0, 'maximum': 1}
-_CENTRE: Final[Schema] = {'type': 'string', 'pattern': DATA_CENTRE}
+_FRACTION: Final[Schema] = {'type': 'number', 'minimum': 0, 'maximum': 1}
+_DATA_CENTRE: Final[Schema] = {'type': 'string', 'pattern': DATA_CENTRE_PATTERN}
 
 
-def _bound(low: float, high: float, kind: str = 'integer') -> Schema:
+def _number_between(low: float, high: float, kind: str = 'integer') -> Schema:
     return {'type': kind, 'minimum': low, 'maximum': high}
 
 
-def _name(pattern: str, row: Schema) -> Schema:
+def _mapping_of(pattern: str, row: Schema) -> Schema:
     """Describe a mapping from names of one form to rows."""
     return {
         'type': 'object',
@@ -54,7 +56,7 @@
     }
 
 
-def _row(required: Schema, optional: Schema | None = None) -> Schema:
+def _object_of(required: Schema, optional: Schema | None = None) -> Schema:
     """Describe an object of exactly these fields.
 
     A field that this program does not know would be lost when the manifest is
@@ -69,76 +71,78 @@
     }
 
 
-_TARGETS: Final = _name(TARGET, _TEXT)
+_TARGETS: Final = _mapping_of(TARGET_PATTERN, _SHORT_TEXT)
 _CAPS: Final[Schema] = {
-    'slots': _bound(1, MAX_SLOTS),
-    'connections': _bound(1, MAX_CONNECTIONS),
-    'connect_ms': _bound(0, MAX_MS, 'number'),
+    'slots': _number_between(1, MAX_SLOTS),
+    'connections': _number_between(1, MAX_CONNECTIONS),
+    'connect_ms': _number_between(0, MAX_MS, 'number'),
 }
-_LABELS: Final = _name(LABEL, {'type': 'string', 'pattern': LABEL_VALUE})
-_MARKS: Final[Schema] = {
+_LABELS: Final = _mapping_of(
+    LABEL_KEY_PATTERN, {'type': 'string', 'pattern': LABEL_VALUE_PATTERN}
+)
+_LEAVING: Final[Schema] = {
     'leaving': {'type': 'array', 'items': {'type': 'string'}}
 }
-_STORED: Final = _row(
+_STORED_PART: Final = _object_of(
     {
-        'count': _bound(1, MAX_TARGETS),
+        'count': _number_between(1, MAX_TARGETS),
         'digest': {'type': 'string', 'pattern': r'^[0-9a-f]{20}\Z'},
         'since': _REVISION,
     },
-    _MARKS,
+    _LEAVING,
 )
-_INLINE: Final = _row({'targets': _TARGETS}, _MARKS)
-_GROUP_ROW: Final = _row(
+_INLINE_PART: Final = _object_of({'targets': _TARGETS}, _LEAVING)
+_GROUP: Final = _object_of(
     {
         'labels': _LABELS,
-        'parts': _name(
-            DATA_CENTRE,
-            {'anyOf': [_INLINE, _STORED]},
+        'parts': _mapping_of(
+            DATA_CENTRE_PATTERN,
+            {'anyOf': [_INLINE_PART, _STORED_PART]},
         ),
         **_CAPS,
     }
 )
-_SELECTOR: Final = _row(
+_SELECTOR: Final = _object_of(
     {
-        'class': {'type': 'string', 'pattern': NAME},
-        'expression': {'type': 'string', 'maxLength': MAX_EXPRESSION},
+        'class': {'type': 'string', 'pattern': NAME_PATTERN},
+        'expression': {'type': 'string', 'maxLength': MAX_EXPRESSION_LENGTH},
         'data_centres': {
             'type': 'array',
-            'items': _CENTRE,
+            'items': _DATA_CENTRE,
             'uniqueItems': True,
         },
     }
 )
-_PRIORITY: Final = _bound(0, 3)
-_CLASS: Final = _row(
+_PRIORITY: Final = _number_between(0, 3)
+_CLASS: Final = _object_of(
     {
-        'deadline_ms': _bound(1, MAX_MS),
+        'deadline_ms': _number_between(1, MAX_MS),
         'needs': {'enum': ['complete', 'partial']},
         'repeat': {'enum': ['idempotent', 'at_most_once']},
         'fan_out': {'enum': ['all', 'keyed']},
         'priority': _PRIORITY,
-        'hedge_share': _SHARE,
-        'retry_share': _SHARE,
+        'hedge_share': _FRACTION,
+        'retry_share': _FRACTION,
     },
     {'public': {'type': 'boolean'}},
 )
-_FIGURE: Final = _bound(0, customers.LARGEST_WHOLE, 'number')
-_CUSTOMER: Final = _row(
+_QUANTITY: Final = _number_between(0, customers.MAX_EXACT_INTEGER, 'number')
+_CUSTOMER: Final = _object_of(
     {
-        'keys': _name(KEY_DIGEST, {'const': True}),
-        'rate': _FIGURE,
-        'burst': _FIGURE,
+        'keys': _mapping_of(KEY_DIGEST_PATTERN, {'const': True}),
+        'rate': _QUANTITY,
+        'burst': _QUANTITY,
     },
     {'priority': _PRIORITY},
 )
 #: Names of customers, which targets are shown, are those of other things.
-_CUSTOMERS: Final = _name(NAME, _CUSTOMER)
-_ENTRY: Final = _row(
+_CUSTOMERS: Final = _mapping_of(NAME_PATTERN, _CUSTOMER)
+_AUDIT_ENTRY: Final = _object_of(
     {
-        'id': _TEXT,
+        'id': _SHORT_TEXT,
         'revision': _REVISION,
         'follows': _REVISION,
-        'operator': _TEXT,
+        'operator': _SHORT_TEXT,
         'epoch': {'type': 'number'},
         'what': {'type': 'string'},
         'edits': {
@@ -155,57 +159,57 @@
             },
         },
     },
-    {'undoes': _TEXT},
+    {'undoes': _SHORT_TEXT},
 )
 _FORMAT: Final[Schema] = {'format': _REVISION}
-_RULES: Final[Schema] = {
-    'selectors': _name(NAME, _SELECTOR),
-    'classes': _name(NAME, _CLASS),
+_SELECTORS_AND_CLASSES: Final[Schema] = {
+    'selectors': _mapping_of(NAME_PATTERN, _SELECTOR),
+    'classes': _mapping_of(NAME_PATTERN, _CLASS),
 }
-MANIFEST: Final = _row(
+MANIFEST: Final = _object_of(
     {
         **_FORMAT,
         'revision': _REVISION,
-        'groups': _name(NAME, _GROUP_ROW),
-        **_RULES,
-        'changes': {'type': 'array', 'items': _ENTRY},
+        'groups': _mapping_of(NAME_PATTERN, _GROUP),
+        **_SELECTORS_AND_CLASSES,
+        'changes': {'type': 'array', 'items': _AUDIT_ENTRY},
     },
     # None at all could be taken for "no keys needed" or "no key is valid".
     {'customers': {**_CUSTOMERS, 'minProperties': 1}},
 )
-PART: Final = _row(
+PART: Final = _object_of(
     {
         **_FORMAT,
-        'group': {'type': 'string', 'pattern': NAME},
-        'data_centre': _CENTRE,
+        'group': {'type': 'string', 'pattern': NAME_PATTERN},
+        'data_centre': _DATA_CENTRE,
         'since': _REVISION,
         'targets': _TARGETS,
     }
 )
-ARCHIVED: Final = _row({**_FORMAT, 'entry': _ENTRY})
+ARCHIVED_ENTRY: Final = _object_of({**_FORMAT, 'entry': _AUDIT_ENTRY})
 #: The tree of fields that changes edit; see `trees`.
-TREE: Final = _row(
+FIELD_TREE: Final = _object_of(
     {
-        'groups': _name(
-            NAME,
-            _row(
+        'groups': _mapping_of(
+            NAME_PATTERN,
+            _object_of(
                 {
                     'labels': _LABELS,
-                    'leaving': _name(TARGET, {'const': True}),
-                    'targets': _name(
-                        TARGET,
+                    'leaving': _mapping_of(TARGET_PATTERN, {'const': True}),
+                    'targets': _mapping_of(
+                        TARGET_PATTERN,
                         {
                             'type': 'array',
                             'minItems': 2,
                             'maxItems': 2,
-                            'items': [_CENTRE, _TEXT],
+                            'items': [_DATA_CENTRE, _SHORT_TEXT],
                         },
                     ),
                     **_CAPS,
                 }
             ),
         ),
-        **_RULES,
+        **_SELECTORS_AND_CLASSES,
     },
     {'customers': _CUSTOMERS},
 )
@@ -221,7 +225,7 @@
 
 
 @functools.cache
-def _compile(schema: str) -> Check:
+def _compile(schema: str) -> Validator:
     # Compiling takes milliseconds, so it waits until a check is needed.
-    check: Check = fastjsonschema.compile(json.loads(schema))
-    return check
+    validator: Validator = fastjsonschema.compile(json.loads(schema))
+    return validator
--- a/fuchsiahaven/core/configuration/manifests.py
+++ b/fuchsiahaven/core/configuration/manifests.py
@@ -10,21 +10,21 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     configurations,
     manifest_schemas,
     parts,
-    texts,
+    stored_json,
     trees,
 )
 from fuchsiahaven.core.customers import customers
 
 MANIFEST_KEY: Final = 'configuration/manifest'
 #: What one value of the platform's service holds, in bytes of UTF-8.
-MAX_BYTES: Final = 1_000_000
+MAX_VALUE_BYTES: Final = 1_000_000
 SOURCE: Final = 'manifests'
 
-Places = Collection[parts.Place]
+PartIds = Collection[parts.PartId]
 
 
 class Manifest(NamedTuple):
@@ -34,15 +34,15 @@
     """
 
     configuration: configurations.Configuration
-    changes: tuple[audits.Entry, ...] = ()
-    placed: parts.Parts = {}
+    entries: tuple[audit_log.Entry, ...] = ()
+    stored_parts: parts.Parts = {}
 
 
 class Encoded(NamedTuple):
     """Hold the texts to store: the parts by key, then the manifest's."""
 
     text: str
-    texts: Mapping[str, str]
+    part_texts: Mapping[str, str]
     manifest: Manifest
 
 
@@ -50,8 +50,8 @@
     """Hold a manifest whose parts under `keys` are still to be read."""
 
     revision: int
-    changes: tuple[audits.Entry, ...]
-    keys: tuple[str, ...]
+    entries: tuple[audit_log.Entry, ...]
+    part_keys: tuple[str, ...]
     row: Mapping[str, Any]
 
 
@@ -60,8 +60,8 @@
 
 def encode(
     configuration: configurations.Configuration,
-    changes: tuple[audits.Entry, ...] = (),
-    kept: parts.Parts | None = None,
+    entries: tuple[audit_log.Entry, ...] = (),
+    stored_parts: parts.Parts | None = None,
 ) -> Encoded | errors.Failure:
     """Write the texts that store a configuration.
 
@@ -69,142 +69,151 @@
     they stand and are not among the texts. TOO_LARGE where a value would not
     fit.
     """
-    known = kept or {}
-    names = {group.name for group in configuration.groups}
-    settled = {
-        place: part
-        for place, part in known.items()
-        if part.unread and place[0] in names
+    known_parts = stored_parts or {}
+    group_names = {group.name for group in configuration.groups}
+    all_parts = {
+        part_id: part
+        for part_id, part in known_parts.items()
+        if part.unread_count and part_id[0] in group_names
     }
-    written: dict[str, str] = {}
-    for place, part in parts.split(configuration):
+    part_texts: dict[str, str] = {}
+    for part_id, part in parts.split_configuration(configuration):
         # Writing the targets that were read in place of those that were not
         # would drop the latter without a trace.
-        assert place not in settled, place
-        placed, text = _settle(place, part, known, configuration.revision)
-        settled[place] = placed
-        if placed.key is not None and text is not None:
-            written[placed.key] = text
-    text = _write(configuration, changes, settled)
-    manifest = Manifest(configuration, changes, settled)
-    return _bound_sizes(Encoded(text, written, manifest))
-
-
-def read_head(text: str) -> Head | errors.Failure:
+        assert part_id not in all_parts, part_id
+        stored_part, text = _choose_storage(
+            part_id, part, known_parts, configuration.revision
+        )
+        all_parts[part_id] = stored_part
+        if stored_part.key is not None and text is not None:
+            part_texts[stored_part.key] = text
+    text = _encode_manifest(configuration, entries, all_parts)
+    manifest = Manifest(configuration, entries, all_parts)
+    return _check_sizes(Encoded(text, part_texts, manifest))
+
+
+def decode_head(text: str) -> Head | errors.Failure:
     """Read a manifest up to its large parts.
 
     UNKNOWN_FORMAT where a newer program wrote it, INVALID_CONFIGURATION where
     it is not a manifest.
     """
-    row = texts.read(text, manifest_schemas.MANIFEST)
+    row = stored_json.decode(text, manifest_schemas.MANIFEST)
     if isinstance(row, errors.Failure):
         return row
     fault = _find_shared_key(row)
     if fault is not None:
-        return texts.refuse(fault)
-    keys = tuple(part.key for _, part in walk(row) if part.key is not None)
-    changes = tuple(audits.read_row(entry) for entry in row['changes'])
-    return Head(row['revision'], changes, keys, row)
+        return stored_json.make_failure(fault)
+    keys = tuple(
+        part.key for _, part in iterate_parts(row) if part.key is not None
+    )
+    entries = tuple(audit_log.decode_entry(entry) for entry in row['changes'])
+    return Head(row['revision'], entries, keys, row)
 
 
-def list_keys(head: Head, wanted: Places | None) -> tuple[str, ...]:
+def list_part_keys(head: Head, wanted_ids: PartIds | None) -> tuple[str, ...]:
     """List the keys of the parts of some places; None means all."""
-    if wanted is None:
-        return head.keys
+    if wanted_ids is None:
+        return head.part_keys
     return tuple(
         part.key
-        for place, part in walk(head.row)
-        if part.key is not None and place in wanted
+        for part_id, part in iterate_parts(head.row)
+        if part.key is not None and part_id in wanted_ids
     )
 
 
 def assemble(
     head: Head,
-    found: Mapping[str, str],
-    wanted: Places | None = None,
+    part_texts: Mapping[str, str],
+    wanted_ids: PartIds | None = None,
 ) -> Manifest | errors.Failure:
     """Join a manifest with the texts of its large parts, by key.
 
     Parts of places that are not wanted stay unread; None means that all are
     wanted. INVALID_CONFIGURATION where one is missing or not the one named.
     """
-    joined: dict[parts.Place, parts.Part] = {}
-    for place, part in walk(head.row):
-        if wanted is None or place in wanted:
-            read = parts.read_text(place, part, found.get(part.key or ''))
-            if isinstance(read, errors.Failure):
-                return read
-            joined[place] = read
+    known_parts: dict[parts.PartId, parts.Part] = {}
+    for part_id, part in iterate_parts(head.row):
+        if wanted_ids is None or part_id in wanted_ids:
+            decoded = parts.decode_part_text(
+                part_id, part, part_texts.get(part.key or '')
+            )
+            if isinstance(decoded, errors.Failure):
+                return decoded
+            known_parts[part_id] = decoded
         else:
-            joined[place] = part
+            known_parts[part_id] = part
     groups = {
-        name: _build_tree(row, name, joined)
+        name: _build_group_tree(row, name, known_parts)
         for name, row in head.row['groups'].items()
     }
     configuration = trees.build_configuration(
         {**head.row, 'groups': groups}, head.revision
     )
-    return Manifest(configuration, head.changes, joined)
+    return Manifest(configuration, head.entries, known_parts)
 
 
 def decode(
     text: str,
-    found: Mapping[str, str] | None = None,
+    part_texts: Mapping[str, str] | None = None,
 ) -> Manifest | errors.Failure:
     """Read a manifest whose parts are at hand."""
-    head = read_head(text)
+    head = decode_head(text)
     if isinstance(head, errors.Failure):
         return head
-    return assemble(head, found or {})
+    return assemble(head, part_texts or {})
 
 
-def write_archived(entry: audits.Entry) -> str:
+def encode_archived_entry(entry: audit_log.Entry) -> str:
     """Write an audit entry as it is kept under a key of its own."""
-    row = {'format': texts.PLAIN, 'entry': audits.write_row(entry)}
-    return texts.dump(row)
+    row = {
+        'format': stored_json.BASE_FORMAT,
+        'entry': audit_log.encode_entry(entry),
+    }
+    return stored_json.encode(row)
 
 
-def read_archived(text: str) -> audits.Entry | errors.Failure:
+def decode_archived_entry(text: str) -> audit_log.Entry | errors.Failure:
     """Read an archived audit entry."""
-    row = texts.read(text, manifest_schemas.ARCHIVED)
+    row = stored_json.decode(text, manifest_schemas.ARCHIVED_ENTRY)
     if isinstance(row, errors.Failure):
         return row
-    return audits.read_row(row['entry'])
+    return audit_log.decode_entry(row['entry'])
 
 
-def name_archive(revision: int) -> str:
+def make_archive_key(revision: int) -> str:
     """Name the key that keeps the audit entry of a revision."""
     return f'audit/{revision}'
 
 
-def walk(
+def iterate_parts(
     row: Mapping[str, Any],
-) -> Iterator[tuple[parts.Place, parts.Part]]:
+) -> Iterator[tuple[parts.PartId, parts.Part]]:
     """Yield each place of a manifest's row with its part, in order."""
-    for group, found in sorted(row['groups'].items()):
-        for centre, stored in sorted(found['parts'].items()):
-            place = group, centre
-            yield place, parts.read_row(place, stored)
+    for group, group_row in sorted(row['groups'].items()):
+        for centre, part_row in sorted(group_row['parts'].items()):
+            part_id = group, centre
+            yield part_id, parts.decode_part(part_id, part_row)
 
 
-def _settle(
-    place: parts.Place,
+def _choose_storage(
+    part_id: parts.PartId,
     part: parts.Part,
-    known: parts.Parts,
+    known_parts: parts.Parts,
     revision: int,
 ) -> tuple[parts.Part, str | None]:
-    kept = known.get(place)
-    if kept is not None and kept.targets == part.targets:
-        return kept._replace(leaving=part.leaving), None
-    return parts.settle(place, part, revision)
+    stored_part = known_parts.get(part_id)
+    if stored_part is not None and stored_part.targets == part.targets:
+        return stored_part._replace(leaving=part.leaving), None
+    return parts.choose_storage(part_id, part, revision)
 
 
-def _write(
+def _encode_manifest(
     configuration: configurations.Configuration,
-    changes: tuple[audits.Entry, ...],
-    settled: parts.Parts,
+    entries: tuple[audit_log.Entry, ...],
+    all_parts: parts.Parts,
 ) -> str:
-    tree = trees.build_rows(configuration)
+    tree = trees.build_stored_tree(configuration)
     groups = {
         name: {
             'labels': row['labels'],
@@ -213,15 +222,15 @@
         }
         for name, row in tree['groups'].items()
     }
-    for (group, centre), part in settled.items():
-        groups[group]['parts'][centre] = parts.write_row(part)
-    return texts.dump(
+    for (group, centre), part in all_parts.items():
+        groups[group]['parts'][centre] = parts.encode_part(part)
+    return stored_json.encode(
         {
             **tree,
             'format': _choose_format(configuration),
             'revision': configuration.revision,
             'groups': groups,
-            'changes': [audits.write_row(entry) for entry in changes],
+            'changes': [audit_log.encode_entry(entry) for entry in entries],
         }
     )
 
@@ -231,45 +240,55 @@
 
     A program that knows no customers would take in everybody.
     """
-    public = any(policy.public for policy in configuration.classes)
-    return texts.FORMAT if configuration.customers or public else texts.PLAIN
+    public = any(
+        request_class.public for request_class in configuration.classes
+    )
+    return (
+        stored_json.MAX_FORMAT
+        if configuration.customers or public
+        else stored_json.BASE_FORMAT
+    )
 
 
 def _find_shared_key(row: Mapping[str, Any]) -> str | None:
     """Say which customers hold one key, or None."""
     rows = row.get('customers', {})
     return customers.find_fault(
-        trees.read_customer(name, told) for name, told in rows.items()
+        trees.decode_customer(name, customer_row)
+        for name, customer_row in rows.items()
     )
 
 
-def _build_tree(
-    row: Mapping[str, Any], name: str, joined: parts.Parts
+def _build_group_tree(
+    row: Mapping[str, Any], name: str, known_parts: parts.Parts
 ) -> Mapping[str, Any]:
-    read = [joined[name, centre] for centre in row['parts']]
+    group_parts = [known_parts[name, centre] for centre in row['parts']]
     return {
         **row,
         'targets': {
             target.name: [target.data_centre, target.address]
-            for part in read
+            for part in group_parts
             for target in part.targets
         },
         'leaving': {
             target: True
-            for part in read
-            if not part.unread
+            for part in group_parts
+            if not part.unread_count
             for target in part.leaving
         },
     }
 
 
-def _bound_sizes(encoded: Encoded) -> Encoded | errors.Failure:
-    for key, text in (*encoded.texts.items(), (MANIFEST_KEY, encoded.text)):
+def _check_sizes(encoded: Encoded) -> Encoded | errors.Failure:
+    for key, text in (
+        *encoded.part_texts.items(),
+        (MANIFEST_KEY, encoded.text),
+    ):
         size = len(text.encode())
-        if size > MAX_BYTES:
+        if size > MAX_VALUE_BYTES:
             return errors.make_failure(
                 errors.Kind.TOO_LARGE,
                 SOURCE,
-                f'{key} takes {size} bytes; a value holds {MAX_BYTES}',
+                f'{key} takes {size} bytes; a value holds {MAX_VALUE_BYTES}',
             )
     return encoded
--- a/fuchsiahaven/core/configuration/parts.py
+++ b/fuchsiahaven/core/configuration/parts.py
@@ -18,19 +18,19 @@
 from fuchsiahaven.core.configuration import (
     configurations,
     manifest_schemas,
-    texts,
+    stored_json,
     trees,
 )
 
-PREFIX: Final = 'configuration/groups/'
+KEY_PREFIX: Final = 'configuration/groups/'
 #: A part whose text takes more than this gets a key of its own.
-INLINE_BYTES: Final = 2048
+MAX_INLINE_BYTES: Final = 2048
 #: 80 bits of SHA-256: no two parts share a digest. The manifest, which every
 #: watcher reads with every change, has one for each part, so it is short.
-DIGEST_LENGTH: Final = 20
+DIGEST_DIGITS: Final = 20
 
 #: A group's name and a data centre.
-Place = tuple[str, str]
+PartId = tuple[str, str]
 Targets = tuple[configurations.Target, ...]
 
 
@@ -44,69 +44,73 @@
 
     targets: Targets
     leaving: frozenset[str] = frozenset()
-    since: int = 0
+    revision: int = 0
     key: str | None = None
-    unread: int = 0
+    unread_count: int = 0
 
 
-Parts = Mapping[Place, Part]
+Parts = Mapping[PartId, Part]
 
 
-def split(
+def split_configuration(
     configuration: configurations.Configuration,
-) -> Iterator[tuple[Place, Part]]:
+) -> Iterator[tuple[PartId, Part]]:
     """Split a configuration into parts that have no place to stand yet."""
     for group in configuration.groups:
         by_centre: dict[str, list[configurations.Target]] = {}
         for target in group.targets:
             by_centre.setdefault(target.data_centre, []).append(target)
-        for centre, found in sorted(by_centre.items()):
-            leaving = group.leaving.intersection(it.name for it in found)
-            targets = trees.sort_targets(found)
+        for centre, centre_targets in sorted(by_centre.items()):
+            leaving = group.leaving.intersection(
+                it.name for it in centre_targets
+            )
+            targets = trees.sort_targets(centre_targets)
             yield (group.name, centre), Part(targets, leaving)
 
 
-def settle(place: Place, part: Part, revision: int) -> tuple[Part, str | None]:
+def choose_storage(
+    part_id: PartId, part: Part, revision: int
+) -> tuple[Part, str | None]:
     """Decide where a part stands; return it with its text if that is apart."""
-    text = texts.dump(
+    text = stored_json.encode(
         {
-            'format': texts.PLAIN,
-            'group': place[0],
-            'data_centre': place[1],
+            'format': stored_json.BASE_FORMAT,
+            'group': part_id[0],
+            'data_centre': part_id[1],
             'since': revision,
-            'targets': _write_targets(part.targets),
+            'targets': _encode_targets(part.targets),
         }
     )
-    if len(text.encode()) <= INLINE_BYTES:
+    if len(text.encode()) <= MAX_INLINE_BYTES:
         return part, None
-    key = name_key(place[0], _digest(text))
-    return part._replace(since=revision, key=key), text
+    key = make_key(part_id[0], _compute_digest(text))
+    return part._replace(revision=revision, key=key), text
 
 
-def write_row(part: Part) -> Mapping[str, object]:
+def encode_part(part: Part) -> Mapping[str, object]:
     """Write what the manifest holds of a part."""
-    marks = {'leaving': sorted(part.leaving)} if part.leaving else {}
+    leaving_field = {'leaving': sorted(part.leaving)} if part.leaving else {}
     if part.key is None:
-        return {'targets': _write_targets(part.targets), **marks}
+        return {'targets': _encode_targets(part.targets), **leaving_field}
     return {
-        'count': part.unread or len(part.targets),
+        'count': part.unread_count or len(part.targets),
         'digest': part.key.rpartition('/')[2],
-        'since': part.since,
-        **marks,
+        'since': part.revision,
+        **leaving_field,
     }
 
 
-def read_row(place: Place, row: Mapping[str, Any]) -> Part:
+def decode_part(part_id: PartId, row: Mapping[str, Any]) -> Part:
     """Read what the manifest holds of a part; one apart stays unread."""
     leaving = frozenset(row.get('leaving', ()))
     if 'digest' not in row:
-        return Part(_read_targets(row['targets'], place[1]), leaving)
-    key = name_key(place[0], row['digest'])
+        return Part(_decode_targets(row['targets'], part_id[1]), leaving)
+    key = make_key(part_id[0], row['digest'])
     return Part((), leaving, row['since'], key, row['count'])
 
 
-def read_text(
-    place: Place, part: Part, text: str | None
+def decode_part_text(
+    part_id: PartId, part: Part, text: str | None
 ) -> Part | errors.Failure:
     """Read the targets of a part that stands apart.
 
@@ -116,20 +120,24 @@
     """
     if part.key is None:
         return part
-    if text is None or part.key != name_key(place[0], _digest(text)):
-        return texts.refuse(f'{part.key} is missing or is not the part it was')
-    row = texts.read(text, manifest_schemas.PART)
+    if text is None or part.key != make_key(part_id[0], _compute_digest(text)):
+        return stored_json.make_failure(
+            f'{part.key} is missing or is not the part it was'
+        )
+    row = stored_json.decode(text, manifest_schemas.PART)
     if isinstance(row, errors.Failure):
         return row
-    if (row['group'], row['data_centre']) != place:
-        return texts.refuse(f'{part.key} is a part of another group')
-    targets = _read_targets(row['targets'], place[1])
-    return part._replace(targets=targets, unread=0)
+    if (row['group'], row['data_centre']) != part_id:
+        return stored_json.make_failure(
+            f'{part.key} is a part of another group'
+        )
+    targets = _decode_targets(row['targets'], part_id[1])
+    return part._replace(targets=targets, unread_count=0)
 
 
-def read_since(text: str) -> int | errors.Failure:
+def decode_revision(text: str) -> int | errors.Failure:
     """Return the revision that wrote a part's text."""
-    row = texts.read(text, manifest_schemas.PART)
+    row = stored_json.decode(text, manifest_schemas.PART)
     if isinstance(row, errors.Failure):
         return row
     return int(row['since'])
@@ -137,24 +145,24 @@
 
 def count_live(part: Part) -> int:
     """Count the targets that may get new work."""
-    return (part.unread or len(part.targets)) - len(part.leaving)
+    return (part.unread_count or len(part.targets)) - len(part.leaving)
 
 
-def name_key(group: str, digest: str) -> str:
+def make_key(group: str, digest: str) -> str:
     """Name the key of a part."""
-    return f'{PREFIX}{group}/{digest}'
+    return f'{KEY_PREFIX}{group}/{digest}'
 
 
-def _write_targets(targets: Targets) -> Mapping[str, str]:
+def _encode_targets(targets: Targets) -> Mapping[str, str]:
     return {target.name: target.address for target in targets}
 
 
-def _read_targets(row: Mapping[str, str], centre: str) -> Targets:
+def _decode_targets(row: Mapping[str, str], centre: str) -> Targets:
     return tuple(
         configurations.Target(name, address, centre)
         for name, address in sorted(row.items())
     )
 
 
-def _digest(text: str) -> str:
-    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_LENGTH]
+def _compute_digest(text: str) -> str:
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
--- a/fuchsiahaven/core/configuration/patches.py
+++ b/fuchsiahaven/core/configuration/patches.py
@@ -30,12 +30,12 @@
 NO_STAMP: Final = Stamp(0, '')
 
 
-class Stamped(NamedTuple):
+class StampedConfiguration(NamedTuple):
     """Hold a configuration with its stamp and the digest of each group."""
 
     configuration: configurations.Configuration
     stamp: Stamp
-    groups: Mapping[str, str]
+    group_digests: Mapping[str, str]
 
 
 class Removed(NamedTuple):
@@ -72,63 +72,80 @@
     customers.Customer,
 )
 
-NOTHING: Final = Stamped(configurations.EMPTY, NO_STAMP, {})
+EMPTY: Final = StampedConfiguration(configurations.EMPTY, NO_STAMP, {})
 
 
-def stamp(
-    configuration: configurations.Configuration, known: Stamped = NOTHING
-) -> Stamped:
+def stamp_configuration(
+    configuration: configurations.Configuration,
+    previous: StampedConfiguration = EMPTY,
+) -> StampedConfiguration:
     """Work out the stamp; groups that `known` holds too are not hashed."""
-    before = _by_name(known.configuration.groups)
-    groups = {
-        group.name: known.groups[group.name]
-        if before.get(group.name) is group
-        else _digest_group(group)
+    previous_groups = _index_by_name(previous.configuration.groups)
+    group_digests = {
+        group.name: previous.group_digests[group.name]
+        if previous_groups.get(group.name) is group
+        else _compute_group_digest(group)
         for group in configuration.groups
     }
-    parts = [
+    lines = [
         str(configuration.revision),
-        *(f'{name} {groups[name]}' for name in sorted(groups)),
-        *sorted(_write(selector) for selector in configuration.selectors),
-        *sorted(_write_class(policy) for policy in configuration.classes),
-        *sorted(_write(customer) for customer in configuration.customers),
+        *(f'{name} {group_digests[name]}' for name in sorted(group_digests)),
+        *sorted(_serialize(selector) for selector in configuration.selectors),
+        *sorted(
+            _serialize_class(request_class)
+            for request_class in configuration.classes
+        ),
+        *sorted(_serialize(customer) for customer in configuration.customers),
     ]
-    own = Stamp(configuration.revision, _digest('\n'.join(parts)))
-    return Stamped(configuration, own, groups)
+    new_stamp = Stamp(configuration.revision, _compute_digest('\n'.join(lines)))
+    return StampedConfiguration(configuration, new_stamp, group_digests)
 
 
-def diff(old: Stamped, new: Stamped, change_id: str = '') -> Patch:
+def diff(
+    old: StampedConfiguration, new: StampedConfiguration, change_id: str = ''
+) -> Patch:
     """Build the patch that leads from `old` to `new`."""
     before, after = old.configuration, new.configuration
-    was = _by_name(before.groups)
-    touched = tuple(
+    old_groups = _index_by_name(before.groups)
+    changed_groups = tuple(
         group
         for group in after.groups
-        if old.groups.get(group.name) != new.groups[group.name]
+        if old.group_digests.get(group.name) != new.group_digests[group.name]
+    )
+    group_pairs = tuple(
+        (old_groups.get(group.name, group), group) for group in changed_groups
     )
-    pairs = tuple((was.get(group.name, group), group) for group in touched)
     changed = configurations.Configuration(
         new.stamp.revision,
-        tuple(_keep_changed(was.get(group.name), group) for group in touched),
-        _changed(before.selectors, after.selectors),
-        _changed(before.classes, after.classes),
-        _changed(before.customers, after.customers),
+        tuple(
+            _drop_unchanged_targets(old_groups.get(group.name), group)
+            for group in changed_groups
+        ),
+        _list_changed(before.selectors, after.selectors),
+        _list_changed(before.classes, after.classes),
+        _list_changed(before.customers, after.customers),
     )
     removed = Removed(
-        _removed(before.groups, after.groups),
-        _removed(before.selectors, after.selectors),
-        _removed(before.classes, after.classes),
+        _list_removed_names(before.groups, after.groups),
+        _list_removed_names(before.selectors, after.selectors),
+        _list_removed_names(before.classes, after.classes),
         tuple(
-            (group.name, gone)
-            for old_group, group in pairs
-            if (gone := _removed(old_group.targets, group.targets))
+            (group.name, removed_names)
+            for old_group, group in group_pairs
+            if (
+                removed_names := _list_removed_names(
+                    old_group.targets, group.targets
+                )
+            )
         ),
-        _removed(before.customers, after.customers),
+        _list_removed_names(before.customers, after.customers),
     )
     return Patch(old.stamp, new.stamp, changed, removed, change_id)
 
 
-def apply(patch: Patch, base: Stamped) -> Stamped | None:
+def apply_patch(
+    patch: Patch, base: StampedConfiguration
+) -> StampedConfiguration | None:
     """Apply a patch; None unless it fits and gives what it promises.
 
     A forged or damaged patch would otherwise put into force what nobody
@@ -137,79 +154,91 @@
     if patch.base != base.stamp:
         return None
     old, changed, removed = base.configuration, patch.changed, patch.removed
-    gone = dict(removed.targets)
-    groups = _by_name(old.groups)
+    removed_targets = dict(removed.targets)
+    groups = _index_by_name(old.groups)
     for group in changed.groups:
-        before = groups.get(group.name, group)
+        old_group = groups.get(group.name, group)
         targets = _merge(
-            before.targets, group.targets, gone.get(group.name, ())
+            old_group.targets,
+            group.targets,
+            removed_targets.get(group.name, ()),
         )
         groups[group.name] = group._replace(targets=trees.sort_targets(targets))
     configuration = configurations.Configuration(
         patch.stamp.revision,
-        _without(groups, removed.groups),
+        _drop_named(groups, removed.groups),
         _merge(old.selectors, changed.selectors, removed.selectors),
         _merge(old.classes, changed.classes, removed.classes),
         _merge(old.customers, changed.customers, removed.customers),
     )
     if customers.find_fault(configuration.customers) is not None:
         return None
-    patched = stamp(configuration, base)
+    patched = stamp_configuration(configuration, base)
     return patched if patched.stamp == patch.stamp else None
 
 
-def _keep_changed(
+def _drop_unchanged_targets(
     old: configurations.Group | None, new: configurations.Group
 ) -> configurations.Group:
-    before = old.targets if old else ()
-    return new._replace(targets=_changed(before, new.targets))
+    old_targets = old.targets if old else ()
+    return new._replace(targets=_list_changed(old_targets, new.targets))
 
 
-def _by_name(items: Iterable[_Item]) -> dict[str, _Item]:
+def _index_by_name(items: Iterable[_Item]) -> dict[str, _Item]:
     return {item.name: item for item in items}
 
 
-def _changed(
+def _list_changed(
     before: tuple[_Item, ...], after: tuple[_Item, ...]
 ) -> tuple[_Item, ...]:
-    old = _by_name(before)
-    return tuple(item for item in after if old.get(item.name) != item)
+    old_by_name = _index_by_name(before)
+    return tuple(item for item in after if old_by_name.get(item.name) != item)
 
 
-def _removed(
+def _list_removed_names(
     before: tuple[_Item, ...], after: tuple[_Item, ...]
 ) -> tuple[str, ...]:
-    kept = {item.name for item in after}
-    return tuple(item.name for item in before if item.name not in kept)
+    kept_names = {item.name for item in after}
+    return tuple(item.name for item in before if item.name not in kept_names)
 
 
 def _merge(
-    old: tuple[_Item, ...], changed: tuple[_Item, ...], gone: tuple[str, ...]
+    old: tuple[_Item, ...],
+    changed: tuple[_Item, ...],
+    removed_names: tuple[str, ...],
 ) -> tuple[_Item, ...]:
-    return _without({**_by_name(old), **_by_name(changed)}, gone)
+    return _drop_named(
+        {**_index_by_name(old), **_index_by_name(changed)}, removed_names
+    )
 
 
-def _without(
-    items: Mapping[str, _Item], gone: tuple[str, ...]
+def _drop_named(
+    items: Mapping[str, _Item], removed_names: tuple[str, ...]
 ) -> tuple[_Item, ...]:
     # Every host holds the same order, whichever way a revision came to it.
-    dropped = frozenset(gone)
-    return tuple(items[name] for name in sorted(items) if name not in dropped)
+    removed_set = frozenset(removed_names)
+    return tuple(
+        items[name] for name in sorted(items) if name not in removed_set
+    )
 
 
-def _digest_group(group: configurations.Group) -> str:
-    targets = sorted(_write(target) for target in group.targets)
-    return _digest('\n'.join((_write(group._replace(targets=())), *targets)))
+def _compute_group_digest(group: configurations.Group) -> str:
+    targets = sorted(_serialize(target) for target in group.targets)
+    return _compute_digest(
+        '\n'.join((_serialize(group._replace(targets=())), *targets))
+    )
 
 
-def _write_class(policy: configurations.RequestClass) -> str:
+def _serialize_class(request_class: configurations.RequestClass) -> str:
     # The stamp of what programs without customers know must be theirs.
-    return _write(policy if policy.public else policy[:-1])
+    return _serialize(
+        request_class if request_class.public else request_class[:-1]
+    )
 
 
-def _write(item: object) -> str:
+def _serialize(item: object) -> str:
     return json.dumps(item, default=sorted, separators=(',', ':'))
 
 
-def _digest(text: str) -> str:
+def _compute_digest(text: str) -> str:
     return hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).hexdigest()
--- a/fuchsiahaven/core/configuration/proposals.py
+++ b/fuchsiahaven/core/configuration/proposals.py
@@ -5,30 +5,30 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
+    change_writes,
     changes,
     checks,
     configurations,
     manifests,
     selectors,
     trees,
-    writes,
 )
 
 #: The manifest carries at most this many of the last changes.
-KEPT_CHANGES: Final = 16
+MAX_KEPT_ENTRIES: Final = 16
 #: The last changes take at most this many bytes of the manifest, but the
 #: newest is always in it.
-KEPT_BYTES: Final = 16_384
+MAX_KEPT_ENTRIES_BYTES: Final = 16_384
 #: One change takes at most this much, so that the manifest holds it.
 MAX_ENTRY_BYTES: Final = 600_000
 #: Messages show at most this many edits, and this much of each value.
-SHOWN_EDITS: Final = 5
-SHOWN_LENGTH: Final = 60
+MAX_SHOWN_EDITS: Final = 5
+MAX_SHOWN_LENGTH: Final = 60
 SOURCE: Final = 'changes'
 
 
-class Request(NamedTuple):
+class ChangeRequest(NamedTuple):
     """Ask for one change.
 
     `base` is the revision that the operator has seen; None means the one
@@ -39,71 +39,92 @@
     change_id: str
     operator: str
     change: changes.Change
-    base: int | None = None
+    base_revision: int | None = None
     force: bool = False
-    floor: int = 0
+    min_revision: int = 0
 
 
-class Accepted(NamedTuple):
+class ChangeAccepted(NamedTuple):
     """Say that a change is accepted; its entry names the revision."""
 
-    entry: audits.Entry
+    entry: audit_log.Entry
 
 
-class Unchanged(NamedTuple):
+class NothingChanged(NamedTuple):
     """Say that everything is as asked for already; nothing was written."""
 
     revision: int
 
 
-class Prepared(NamedTuple):
+class PreparedChange(NamedTuple):
     """Hold what is to be stored: old entries first, then parts, manifest.
 
     `archived` are the entries that the new manifest no longer carries.
     """
 
-    entry: audits.Entry
+    entry: audit_log.Entry
     encoded: manifests.Encoded
-    archived: tuple[audits.Entry, ...]
+    archived_entries: tuple[audit_log.Entry, ...]
 
 
-def prepare(
+def prepare_change(
     manifest: manifests.Manifest,
-    request: Request,
-    epoch: float,
-    older: tuple[audits.Entry, ...] = (),
-) -> Prepared | Unchanged | errors.Failure:
+    request: ChangeRequest,
+    epoch_s: float,
+    archived_entries: tuple[audit_log.Entry, ...] = (),
+) -> PreparedChange | NothingChanged | errors.Failure:
     """Work out the manifest that accepts a change.
 
     `older` are archived entries above the request's base. CONFLICT names the
     change that took hold first, INVALID_CHANGE lists every problem at once.
     """
     before = manifest.configuration
-    base = before.revision if request.base is None else request.base
-    since = tuple(
-        entry for entry in (*older, *manifest.changes) if entry.revision > base
+    base_revision = (
+        before.revision
+        if request.base_revision is None
+        else request.base_revision
     )
-    after = writes.apply_change(before, request.change)
+    newer_entries = tuple(
+        entry
+        for entry in (*archived_entries, *manifest.entries)
+        if entry.revision > base_revision
+    )
+    after = change_writes.apply_change(before, request.change)
     if isinstance(after, errors.Failure):
-        return _explain(after, request, (*older, *manifest.changes), base)
-    found = trees.find_edits(trees.build_tree(before), trees.build_tree(after))
-    edits = tuple(found)
+        return _explain_failure(
+            after,
+            request,
+            (*archived_entries, *manifest.entries),
+            base_revision,
+        )
+    found_edits = trees.find_edits(
+        trees.build_tree(before), trees.build_tree(after)
+    )
+    edits = tuple(found_edits)
     # A recovery is about the revision too, which has to pass that of hosts.
-    if not edits and not isinstance(request.change, changes.Recover):
-        return Unchanged(before.revision)
-    rival = audits.find_latest(since, (edit.field for edit in edits))
-    if rival is not None:
-        return _refuse(errors.Kind.CONFLICT, describe_rival(rival))
-    barred = _list_barred(manifest, after, request)
-    if barred:
-        return _refuse(errors.Kind.INVALID_CHANGE, _list_problems(barred))
-    entry = _write_entry(request, before, edits, epoch)
-    reach = list_reach(before, after)[:SHOWN_EDITS]
-    entry = entry._replace(what='; '.join((entry.what, *reach)))
-    return _build(manifest, after, entry)
-
-
-def list_reach(
+    if not edits and not isinstance(
+        request.change, changes.RecoverConfiguration
+    ):
+        return NothingChanged(before.revision)
+    conflicting = audit_log.find_latest_overlap(
+        newer_entries, (edit.field for edit in edits)
+    )
+    if conflicting is not None:
+        return _make_failure(errors.Kind.CONFLICT, describe_entry(conflicting))
+    blocking = _list_blocking_problems(manifest, after, request)
+    if blocking:
+        return _make_failure(
+            errors.Kind.INVALID_CHANGE, _format_problems(blocking)
+        )
+    entry = _build_entry(request, before, edits, epoch_s)
+    reach_changes = list_reach_changes(before, after)[:MAX_SHOWN_EDITS]
+    entry = entry._replace(
+        description='; '.join((entry.description, *reach_changes))
+    )
+    return _build_prepared(manifest, after, entry)
+
+
+def list_reach_changes(
     before: configurations.Configuration,
     after: configurations.Configuration,
 ) -> list[str]:
@@ -113,139 +134,161 @@
     would show it: answers stay complete over what is still reached.
     """
     lines: list[str] = []
-    known = {policy.name for policy in before.classes}
-    for policy in after.classes:
-        was, now = _reach(before, policy.name), _reach(after, policy.name)
-        if policy.name in known and was != now:
-            words = [f'+{name}' for name in sorted(now - was)]
-            words += [f'-{name}' for name in sorted(was - now)]
-            lines.append('{0} reaches {1}'.format(policy.name, ' '.join(words)))
+    old_names = {request_class.name for request_class in before.classes}
+    for request_class in after.classes:
+        old_groups, new_groups = (
+            _list_reached_groups(before, request_class.name),
+            _list_reached_groups(after, request_class.name),
+        )
+        if request_class.name in old_names and old_groups != new_groups:
+            group_texts = [
+                f'+{name}' for name in sorted(new_groups - old_groups)
+            ]
+            group_texts += [
+                f'-{name}' for name in sorted(old_groups - new_groups)
+            ]
+            lines.append(
+                '{0} reaches {1}'.format(
+                    request_class.name, ' '.join(group_texts)
+                )
+            )
     return lines
 
 
-def _reach(
+def _list_reached_groups(
     configuration: configurations.Configuration, class_name: str
 ) -> set[str]:
-    groups = selectors.reach_groups(configuration, class_name)
+    groups = selectors.list_reachable_groups(configuration, class_name)
     return {group.name for group in groups}
 
 
-def describe_rival(entry: audits.Entry) -> str:
+def describe_entry(entry: audit_log.Entry) -> str:
     """Show the change that took hold first, with what it changed."""
-    edits = '; '.join(
+    edit_texts = '; '.join(
         '{0}: {1} -> {2}'.format(
-            ' '.join(edit.field), _show(edit.before), _show(edit.after)
+            ' '.join(edit.field),
+            _format_value(edit.before),
+            _format_value(edit.after),
         )
-        for edit in entry.edits[:SHOWN_EDITS]
+        for edit in entry.edits[:MAX_SHOWN_EDITS]
     )
     return (
         f'revision {entry.revision} by {entry.operator} '
-        f'({entry.change_id}): {entry.what}; {edits}'
+        f'({entry.change_id}): {entry.description}; {edit_texts}'
     )
 
 
-def _explain(
+def _explain_failure(
     failure: errors.Failure,
-    request: Request,
-    entries: tuple[audits.Entry, ...],
-    base: int,
+    request: ChangeRequest,
+    entries: tuple[audit_log.Entry, ...],
+    base_revision: int,
 ) -> errors.Failure:
     """Name the other operator's change where that is why this one fails."""
-    if failure.source == writes.SHAPE_SOURCE:
+    if failure.source == change_writes.VALIDATION_SOURCE:
         return failure
     change = request.change
-    if isinstance(change, changes.Restore):
-        rival = audits.find_latest(
+    if isinstance(change, changes.UndoChange):
+        conflicting = audit_log.find_latest_overlap(
             (entry for entry in entries if entry.change_id != change.change_id),
             (edit.field for edit in change.edits),
         )
     else:
-        rival = audits.find_latest(
-            (entry for entry in entries if entry.revision > base),
-            (changes.find_subject(change),),
+        conflicting = audit_log.find_latest_overlap(
+            (entry for entry in entries if entry.revision > base_revision),
+            (changes.get_subject(change),),
         )
-    if rival is None:
+    if conflicting is None:
         return failure
-    detail = f'{failure.detail}; {describe_rival(rival)}'
-    return _refuse(errors.Kind.CONFLICT, detail)
+    detail = f'{failure.detail}; {describe_entry(conflicting)}'
+    return _make_failure(errors.Kind.CONFLICT, detail)
 
 
-def _write_entry(
-    request: Request,
+def _build_entry(
+    request: ChangeRequest,
     before: configurations.Configuration,
     edits: tuple[trees.Edit, ...],
-    epoch: float,
-) -> audits.Entry:
+    epoch_s: float,
+) -> audit_log.Entry:
     change = request.change
-    undoes = None
-    if isinstance(change, changes.Restore):
-        undoes = change.change_id
-    return audits.Entry(
+    undone_change_id = None
+    if isinstance(change, changes.UndoChange):
+        undone_change_id = change.change_id
+    return audit_log.Entry(
         request.change_id,
-        max(before.revision, request.floor) + 1,
+        max(before.revision, request.min_revision) + 1,
         request.operator,
-        epoch,
-        changes.describe(change),
+        epoch_s,
+        changes.describe_change(change),
         edits,
         before.revision,
-        undoes,
+        undone_change_id,
     )
 
 
-def _build(
+def _build_prepared(
     manifest: manifests.Manifest,
     after: configurations.Configuration,
-    entry: audits.Entry,
-) -> Prepared | errors.Failure:
-    sizes = [_measure(each) for each in (*manifest.changes, entry)]
+    entry: audit_log.Entry,
+) -> PreparedChange | errors.Failure:
+    sizes = [_measure_entry(each) for each in (*manifest.entries, entry)]
     if sizes[-1] > MAX_ENTRY_BYTES:
-        return _refuse(
+        return _make_failure(
             errors.Kind.TOO_LARGE,
             f'the change takes {sizes[-1]} bytes of {MAX_ENTRY_BYTES}: '
             'make it in several steps',
         )
-    first = 0
-    while first < len(manifest.changes) and (
-        len(sizes) - first > KEPT_CHANGES or sum(sizes[first:]) > KEPT_BYTES
+    archived_count = 0
+    while archived_count < len(manifest.entries) and (
+        len(sizes) - archived_count > MAX_KEPT_ENTRIES
+        or sum(sizes[archived_count:]) > MAX_KEPT_ENTRIES_BYTES
     ):
-        first += 1
-    kept = (*manifest.changes[first:], entry)
+        archived_count += 1
+    kept_entries = (*manifest.entries[archived_count:], entry)
     encoded = manifests.encode(
-        after._replace(revision=entry.revision), kept, manifest.placed
+        after._replace(revision=entry.revision),
+        kept_entries,
+        manifest.stored_parts,
     )
     if isinstance(encoded, errors.Failure):
         return encoded
-    return Prepared(entry, encoded, manifest.changes[:first])
+    return PreparedChange(entry, encoded, manifest.entries[:archived_count])
 
 
-def _measure(entry: audits.Entry) -> int:
-    return len(manifests.write_archived(entry).encode())
+def _measure_entry(entry: audit_log.Entry) -> int:
+    return len(manifests.encode_archived_entry(entry).encode())
 
 
-def _list_barred(
+def _list_blocking_problems(
     manifest: manifests.Manifest,
     after: configurations.Configuration,
-    request: Request,
+    request: ChangeRequest,
 ) -> list[checks.Problem]:
-    found = checks.find_new_problems(
-        manifest.configuration, after, manifest.placed
+    problems = checks.find_new_problems(
+        manifest.configuration, after, manifest.stored_parts
     )
     # What hosts have in force was accepted, by force or not, once before.
-    force = request.force or isinstance(request.change, changes.Recover)
-    return [it for it in found if not (force and it.forceable)]
+    force = request.force or isinstance(
+        request.change, changes.RecoverConfiguration
+    )
+    return [it for it in problems if not (force and it.forceable)]
 
 
-def _list_problems(problems: list[checks.Problem]) -> str:
+def _format_problems(problems: list[checks.Problem]) -> str:
     lines = [problem.text for problem in problems]
     if all(problem.forceable for problem in problems):
         lines.append('if this is meant, use --force')
     return '; '.join(lines)
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     text = 'nothing' if value is None else json.dumps(value, ensure_ascii=False)
-    return text if len(text) <= SHOWN_LENGTH else f'{text[:SHOWN_LENGTH]}...'
+    return (
+        text
+        if len(text) <= MAX_SHOWN_LENGTH
+        else f'{text[:MAX_SHOWN_LENGTH]}...'
+    )
 
 
-def _refuse(kind: errors.Kind, detail: str) -> errors.Failure:
+def _make_failure(kind: errors.Kind, detail: str) -> errors.Failure:
     return errors.make_failure(kind, SOURCE, detail)
--- a/fuchsiahaven/core/configuration/needs.py
+++ b/fuchsiahaven/core/configuration/read_sets.py
@@ -10,27 +10,31 @@
 from fuchsiahaven.core.configuration import changes, manifests, parts, trees
 
 
-def list_places(
+def list_needed_parts(
     change: changes.Change, head: manifests.Head
-) -> manifests.Places | None:
+) -> manifests.PartIds | None:
     """List the places whose targets a change has to see; None means all."""
     match change:
-        case changes.Replace() | changes.Recover():
+        case changes.ReplaceConfiguration() | changes.RecoverConfiguration():
             return None
-        case changes.Restore(_, edits):
-            return _join(_list_edit(edit, head) for edit in edits)
-        case changes.CreateGroup(made):
-            return _list_visible({it.data_centre for it in made.targets}, head)
+        case changes.UndoChange(_, edits):
+            return _unite(_list_needed_for_undo(edit, head) for edit in edits)
+        case changes.CreateGroup(new_group):
+            return _list_visible_parts(
+                {it.data_centre for it in new_group.targets}, head
+            )
         case changes.AddTargets(group, targets):
-            visible = _list_visible({it.data_centre for it in targets}, head)
-            return visible | _list_group(group, head)
+            visible = _list_visible_parts(
+                {it.data_centre for it in targets}, head
+            )
+            return visible | _list_group_parts(group, head)
         case changes.DeleteGroup(group):
-            return _list_group(group, head)
+            return _list_group_parts(group, head)
         case changes.RemoveTargets() | changes.MarkLeaving():
-            places = _list_group(change.group, head)
+            group_parts = _list_group_parts(change.group, head)
             if change.data_centre:
-                return places & {(change.group, change.data_centre)}
-            return places
+                return group_parts & {(change.group, change.data_centre)}
+            return group_parts
         case changes.SetSelector(_, fields):
             # Data centres that lend to each other come to see each other's
             # targets, so that names and addresses have to be compared.
@@ -38,20 +42,20 @@
     return frozenset()
 
 
-def _list_edit(
+def _list_needed_for_undo(
     edit: trees.Edit, head: manifests.Head
-) -> manifests.Places | None:
+) -> manifests.PartIds | None:
     """List what has to be seen to take one edit back."""
     row = edit.before
     match edit.field:
         case ('selectors', _, 'data_centres'):
             return None if row else frozenset()
         case ('selectors', _):
-            lends = isinstance(row, Mapping) and row['data_centres']
-            return None if lends else frozenset()
+            has_fallbacks = isinstance(row, Mapping) and row['data_centres']
+            return None if has_fallbacks else frozenset()
         case ('groups', group) | ('groups', group, 'targets' | 'leaving', _):
-            visible = _list_visible(_list_centres(row), head)
-            return visible | _list_group(group, head)
+            visible = _list_visible_parts(_list_centres(row), head)
+            return visible | _list_group_parts(group, head)
     return frozenset()
 
 
@@ -62,36 +66,42 @@
     return {str(row[0])} if isinstance(row, list) else set()
 
 
-def _list_group(group: str, head: manifests.Head) -> frozenset[parts.Place]:
+def _list_group_parts(
+    group: str, head: manifests.Head
+) -> frozenset[parts.PartId]:
     # Names are unique in a group, over all its data centres.
-    places = (place for place, _ in manifests.walk(head.row))
-    return frozenset(place for place in places if place[0] == group)
+    part_ids = (part_id for part_id, _ in manifests.iterate_parts(head.row))
+    return frozenset(part_id for part_id in part_ids if part_id[0] == group)
 
 
-def _list_visible(
+def _list_visible_parts(
     centres: Collection[str], head: manifests.Head
-) -> frozenset[parts.Place]:
+) -> frozenset[parts.PartId]:
     """List the places that some host sees together with these data centres.
 
     A host knows the targets of its own data centre and of those that a
     selector names; two of one name or address there would be taken for one.
     """
-    lenders: set[str] = set()
+    fallbacks: set[str] = set()
     for row in head.row['selectors'].values():
-        lenders.update(row['data_centres'])
-    places = frozenset(place for place, _ in manifests.walk(head.row))
-    if lenders.intersection(centres):
-        return places
-    seen = lenders.union(centres) if centres else frozenset()
-    return frozenset(place for place in places if place[1] in seen)
-
-
-def _join(
-    found: Iterable[manifests.Places | None],
-) -> manifests.Places | None:
-    joined: set[parts.Place] = set()
-    for places in found:
-        if places is None:
+        fallbacks.update(row['data_centres'])
+    part_ids = frozenset(
+        part_id for part_id, _ in manifests.iterate_parts(head.row)
+    )
+    if fallbacks.intersection(centres):
+        return part_ids
+    visible_centres = fallbacks.union(centres) if centres else frozenset()
+    return frozenset(
+        part_id for part_id in part_ids if part_id[1] in visible_centres
+    )
+
+
+def _unite(
+    id_sets: Iterable[manifests.PartIds | None],
+) -> manifests.PartIds | None:
+    united: set[parts.PartId] = set()
+    for part_ids in id_sets:
+        if part_ids is None:
             return None
-        joined.update(places)
-    return frozenset(joined)
+        united.update(part_ids)
+    return frozenset(united)
--- a/fuchsiahaven/core/configuration/revision_messages.py
+++ b/fuchsiahaven/core/configuration/revision_messages.py
@@ -19,19 +19,19 @@
     DAMAGED = 'damaged'
 
 
-class Change(NamedTuple):
+class RevisionChange(NamedTuple):
     """Name the change that made a revision out of the one it follows."""
 
     revision: int
     change_id: str
-    follows: int
+    previous_revision: int
 
 
 #: When a call left whose age is not asked for.
-NO_TIME: Final = -math.inf
+UNKNOWN_TIME: Final = -math.inf
 
 
-class Found(NamedTuple):
+class ManifestRead(NamedTuple):
     """Bring what the platform holds; `left` is when it was asked.
 
     `store_revision` is the platform's number of the manifest, `changes` are
@@ -41,126 +41,126 @@
 
     store_revision: int
     configuration: configurations.Configuration | None = None
-    changes: tuple[Change, ...] = ()
-    watched: bool = False
-    left: float = NO_TIME
+    changes: tuple[RevisionChange, ...] = ()
+    by_watch: bool = False
+    sent_at: float = UNKNOWN_TIME
 
 
-class Checked(NamedTuple):
+class StoreRevisionRead(NamedTuple):
     """Bring the platform's number of the manifest; 0 where there is none.
 
     `left` is when it was asked.
     """
 
     store_revision: int
-    left: float = NO_TIME
+    sent_at: float = UNKNOWN_TIME
 
 
-class Quiet(NamedTuple):
+class WatchEnded(NamedTuple):
     """Bring the end of a watch that saw no change."""
 
 
-class Failed(NamedTuple):
+class PlatformCallFailed(NamedTuple):
     """Bring a failed call of the platform.
 
     `reached` tells a manifest that cannot be used from no answer at all.
     """
 
-    watched: bool
+    by_watch: bool
     detail: str
-    reached: bool = False
+    answered: bool = False
 
 
-class Heard(NamedTuple):
+class StampReceived(NamedTuple):
     """Bring the stamp that a member has in force."""
 
     member: str
     stamp: patches.Stamp
 
 
-class Pushed(NamedTuple):
+class PatchReceived(NamedTuple):
     """Bring a patch that a member sent."""
 
     member: str
     patch: patches.Patch
 
 
-class Pulled(NamedTuple):
+class PullAnswered(NamedTuple):
     """Bring what a member answered to a pull; empty: nothing newer."""
 
     member: str
     patches: tuple[patches.Patch, ...]
 
 
-class Unreached(NamedTuple):
+class MemberUnreachable(NamedTuple):
     """Bring a member that could not be reached; `push` is what it missed."""
 
     member: str
-    push: patches.Patch | None = None
+    missed_patch: patches.Patch | None = None
 
 
-class Listed(NamedTuple):
+class MembersListed(NamedTuple):
     """Bring the live members of the data centre, this host included."""
 
     members: tuple[str, ...]
 
 
-class Urged(NamedTuple):
+class CheckRequested(NamedTuple):
     """Ask that the platform be asked at once.
 
     `whole` asks that its number alone be not believed this time.
     """
 
-    whole: bool = False
+    read_manifest: bool = False
 
 
 class Ticked(NamedTuple):
     """Bring the passing of time."""
 
 
-class Read(NamedTuple):
+class ReadManifest(NamedTuple):
     """Ask the edge to read the manifest and its parts."""
 
 
-class Check(NamedTuple):
+class ReadStoreRevision(NamedTuple):
     """Ask the edge for the platform's number of the manifest."""
 
 
-class Watch(NamedTuple):
+class WatchManifest(NamedTuple):
     """Ask the edge to wait for a number above one; both end within bounds."""
 
-    above: int
+    above_revision: int
     wait_s: float
 
 
-class Push(NamedTuple):
+class PushPatch(NamedTuple):
     """Ask the edge to send a patch to members."""
 
     members: tuple[str, ...]
     patch: patches.Patch
 
 
-class Pull(NamedTuple):
+class PullPatches(NamedTuple):
     """Ask the edge to fetch what a member has above a stamp."""
 
     member: str
-    above: patches.Stamp
+    above_stamp: patches.Stamp
 
 
-class Configure(NamedTuple):
+class PutInForce(NamedTuple):
     """Tell this host's other tasks what is in force from now on."""
 
-    stamped: patches.Stamped
+    stamped: patches.StampedConfiguration
 
 
-class Confirm(NamedTuple):
+class ConfirmInForce(NamedTuple):
     """Tell that the platform held just what is in force after a time."""
 
     stamp: patches.Stamp
-    left: float
+    sent_at: float
 
 
-class Report(NamedTuple):
+class ReportFault(NamedTuple):
     """Tell the operator of a fault; `text` is empty once it has ended."""
 
     fault: Fault
@@ -168,16 +168,25 @@
 
 
 Event = (
-    Found
-    | Checked
-    | Quiet
-    | Failed
-    | Heard
-    | Pushed
-    | Pulled
-    | Unreached
-    | Listed
-    | Urged
+    ManifestRead
+    | StoreRevisionRead
+    | WatchEnded
+    | PlatformCallFailed
+    | StampReceived
+    | PatchReceived
+    | PullAnswered
+    | MemberUnreachable
+    | MembersListed
+    | CheckRequested
     | Ticked
 )
-Action = Read | Check | Watch | Push | Pull | Configure | Confirm | Report
+Action = (
+    ReadManifest
+    | ReadStoreRevision
+    | WatchManifest
+    | PushPatch
+    | PullPatches
+    | PutInForce
+    | ConfirmInForce
+    | ReportFault
+)
--- a/fuchsiahaven/core/configuration/revisions.py
+++ b/fuchsiahaven/core/configuration/revisions.py
@@ -16,22 +16,22 @@
 
 #: The key under which hosts are ranked; the first two watch.
 RANK_KEY: Final = 'configuration'
-WATCHERS: Final = 2
+WATCHER_COUNT: Final = 2
 #: A revision that the parent did not send needs the word of two members: one
 #: that runs wild cannot then bring a revision into force that nobody wrote.
-VOUCHERS: Final = 2
+CLAIM_QUORUM: Final = 2
 #: Patches kept for members that fell a little behind.
-KEPT_PATCHES: Final = 32
-KEPT_CLAIMS: Final = 16
+MAX_KEPT_PATCHES: Final = 32
+MAX_KEPT_CLAIMS: Final = 16
 #: Both watchers can be cut off from the platform while others reach it; a
 #: change then waits for the next check of any of them. In a data centre of so
 #: many hosts somebody checks twice a second; where there are fewer, each
 #: checks more often, at most so many times as often.
-FULL_CENTRE: Final = 110
-MOST_OFTEN: Final = 12
+FULL_RATE_HOSTS: Final = 110
+MAX_CHECK_SPEEDUP: Final = 12
 
 
-class Rules(NamedTuple):
+class Timings(NamedTuple):
     """Hold the times of this decision, in seconds.
 
     `check_s` lies between a host's checks of the platform, on average, where
@@ -41,15 +41,15 @@
     the growing pause after calls of the platform that failed.
     """
 
-    watch_s: float = 10.0
-    check_s: float = 60.0
+    watch_timeout_s: float = 10.0
+    check_interval_s: float = 60.0
     hold_s: float = 0.25
-    start_s: float = 1.0
-    retry_s: float = 0.25
-    retry_limit_s: float = 2.0
+    start_delay_s: float = 1.0
+    min_retry_delay_s: float = 0.25
+    max_retry_delay_s: float = 2.0
 
 
-class Held(NamedTuple):
+class HeldPatch(NamedTuple):
     """Hold a patch that was found before the tree brought it.
 
     The tree has until a time; then the first of the order is handed the
@@ -58,18 +58,18 @@
     """
 
     patch: patches.Patch
-    until: float
-    handed: bool = False
+    deadline: float
+    sent_to_first: bool = False
 
 
-class Pulling(NamedTuple):
+class PendingPull(NamedTuple):
     """Hold whom a pull asks; what comes must be `wanted` unless None."""
 
     member: str
-    wanted: patches.Stamp | None
+    expected_stamp: patches.Stamp | None
 
 
-class Agreed(NamedTuple):
+class StoredStamp(NamedTuple):
     """Name what the platform held under a number of its own."""
 
     store_revision: int
@@ -85,176 +85,230 @@
     """
 
     name: str
-    rules: Rules
-    ask_at: float
-    watch_at: float
-    in_force: patches.Stamped = patches.NOTHING
+    timings: Timings
+    next_check_at: float
+    next_watch_at: float
+    in_force: patches.StampedConfiguration = patches.EMPTY
     change_id: str = ''
     store_revision: int = 0
-    order: tuple[str, ...] = ()
-    kept: tuple[patches.Patch, ...] = ()
-    claims: tuple[messages.Heard, ...] = ()
-    held: Held | None = None
-    pulling: Pulling | None = None
-    asking: bool = False
-    watching: bool = False
-    failures: int = 0
+    ranking: tuple[str, ...] = ()
+    kept_patches: tuple[patches.Patch, ...] = ()
+    claims: tuple[messages.StampReceived, ...] = ()
+    held_patch: HeldPatch | None = None
+    pending_pull: PendingPull | None = None
+    is_checking: bool = False
+    is_watching: bool = False
+    failure_count: int = 0
     faults: tuple[tuple[messages.Fault, str], ...] = ()
-    agreed: Agreed | None = None
+    last_read: StoredStamp | None = None
 
 
-Draws = Callable[[], float]
-Step = tuple[State, tuple[messages.Action, ...]]
+DrawFraction = Callable[[], float]
+Transition = tuple[State, tuple[messages.Action, ...]]
 
 
-def start(name: str, now: float, rules: Rules, alone: bool = False) -> State:
+def start(
+    name: str, now: float, timings: Timings, alone: bool = False
+) -> State:
     """Begin with nothing in force.
 
     A host with other members to ask gives them a moment: reading everything
     from the platform costs it a call for each large part.
     """
-    ask_at = now if alone else now + rules.start_s
-    return State(name, rules, ask_at, ask_at, order=(name,))
+    first_check_at = now if alone else now + timings.start_delay_s
+    return State(name, timings, first_check_at, first_check_at, ranking=(name,))
 
 
 def is_watcher(state: State) -> bool:
     """Tell whether this host is one of the two that watch."""
-    return state.name in state.order[:WATCHERS]
+    return state.name in state.ranking[:WATCHER_COUNT]
 
 
-def find_patches(
-    state: State, above: patches.Stamp
+def list_patches(
+    state: State, above_stamp: patches.Stamp
 ) -> tuple[patches.Patch, ...]:
     """List the patches that lead a member from a stamp to what is in force.
 
     Empty where it is not behind; one whole configuration where the chain
     does not reach back to it.
     """
-    if above.revision >= state.in_force.stamp.revision:
+    if above_stamp.revision >= state.in_force.stamp.revision:
         return ()
-    bases = tuple(patch.base for patch in state.kept)
-    if above in bases:
-        return state.kept[bases.index(above) :]
-    return (patches.diff(patches.NOTHING, state.in_force, state.change_id),)
+    base_stamps = tuple(patch.base for patch in state.kept_patches)
+    if above_stamp in base_stamps:
+        return state.kept_patches[base_stamps.index(above_stamp) :]
+    return (patches.diff(patches.EMPTY, state.in_force, state.change_id),)
 
 
-def handle(
-    state: State, event: messages.Event, now: float, draws: Draws
-) -> Step:
+def handle_event(
+    state: State, event: messages.Event, now: float, draw_fraction: DrawFraction
+) -> Transition:
     """Take one event in and say what is to be done."""
     match event:
-        case messages.Found():
-            return _judge_platform(state, event, now, draws)
-        case messages.Checked():
-            return _compare_numbers(state, event, now, draws)
-        case messages.Quiet():
-            return _reach(state._replace(watching=False, watch_at=now), now)
-        case messages.Failed():
-            return _back_off(state, event, now, draws)
-        case messages.Heard():
-            return _weigh_claim(state, event, now)
-        case messages.Pushed():
-            return _judge_push(state, event, now)
-        case messages.Pulled():
-            return _judge_pull(state, event)
-        case messages.Unreached():
-            return _go_around(state, event)
-        case messages.Listed():
-            order = rendezvous.rank(RANK_KEY, (*event.members, state.name))
-            return state._replace(order=order), ()
-        case messages.Urged():
-            return _hurry(state, event, now), ()
+        case messages.ManifestRead():
+            return _handle_manifest(state, event, now, draw_fraction)
+        case messages.StoreRevisionRead():
+            return _handle_store_revision(state, event, now, draw_fraction)
+        case messages.WatchEnded():
+            return _record_answer(
+                state._replace(is_watching=False, next_watch_at=now), now
+            )
+        case messages.PlatformCallFailed():
+            return _handle_failure(state, event, now, draw_fraction)
+        case messages.StampReceived():
+            return _handle_claim(state, event, now)
+        case messages.PatchReceived():
+            return _handle_patch(state, event, now)
+        case messages.PullAnswered():
+            return _handle_pull_answer(state, event)
+        case messages.MemberUnreachable():
+            return _handle_unreachable(state, event)
+        case messages.MembersListed():
+            ranking = rendezvous.rank(RANK_KEY, (*event.members, state.name))
+            return state._replace(ranking=ranking), ()
+        case messages.CheckRequested():
+            return _schedule_check_now(state, event, now), ()
         case messages.Ticked():
-            return _tick(state, now, draws)
+            return _handle_tick(state, now, draw_fraction)
 
 
-def _hurry(state: State, urged: messages.Urged, now: float) -> State:
+def _schedule_check_now(
+    state: State, requested: messages.CheckRequested, now: float
+) -> State:
     # Since this host was last in touch the platform may have come back older
     # and reached the same number again with other changes.
-    agreed = None if urged.whole else state.agreed
-    return state._replace(ask_at=min(state.ask_at, now), agreed=agreed)
+    last_read = None if requested.read_manifest else state.last_read
+    return state._replace(
+        next_check_at=min(state.next_check_at, now), last_read=last_read
+    )
 
 
-def _tick(state: State, now: float, draws: Draws) -> Step:
+def _handle_tick(
+    state: State, now: float, draw_fraction: DrawFraction
+) -> Transition:
     actions: list[messages.Action] = []
-    held = state.held
-    if held and not held.handed and now >= held.until:
-        actions.append(messages.Push(state.order[:1], held.patch))
-        state = state._replace(held=held._replace(handed=True))
-    if now >= state.ask_at and not state.asking:
+    held_patch = state.held_patch
+    if (
+        held_patch
+        and not held_patch.sent_to_first
+        and now >= held_patch.deadline
+    ):
+        actions.append(messages.PushPatch(state.ranking[:1], held_patch.patch))
+        state = state._replace(
+            held_patch=held_patch._replace(sent_to_first=True)
+        )
+    if now >= state.next_check_at and not state.is_checking:
         # The number alone is asked for where it can tell: the manifest of a
         # large system would otherwise be read by every host each minute.
         actions.append(
-            messages.Check() if state.store_revision else messages.Read()
+            messages.ReadStoreRevision()
+            if state.store_revision
+            else messages.ReadManifest()
         )
-        state = state._replace(asking=True)
-    if is_watcher(state) and now >= state.watch_at and not state.watching:
+        state = state._replace(is_checking=True)
+    if (
+        is_watcher(state)
+        and now >= state.next_watch_at
+        and not state.is_watching
+    ):
         actions.append(
-            messages.Watch(state.store_revision, state.rules.watch_s)
+            messages.WatchManifest(
+                state.store_revision, state.timings.watch_timeout_s
+            )
         )
-        state = state._replace(watching=True)
+        state = state._replace(is_watching=True)
     return state, tuple(actions)
 
 
-def _judge_platform(
-    state: State, found: messages.Found, now: float, draws: Draws
-) -> Step:
-    state = _close(state, found.watched, now, draws)
-    state, cleared = _reach(state, now)
-    state = state._replace(store_revision=found.store_revision)
-    step = _join(cleared, _judge_found(state, found, now, draws))
-    return _agree(step, found)
-
-
-def _judge_found(
-    state: State, found: messages.Found, now: float, draws: Draws
-) -> Step:
-    ours = state.in_force
-    if found.configuration is None:
-        return _note_older(state, 0)
-    if found.configuration.revision < ours.stamp.revision:
-        return _note_older(state, found.configuration.revision)
-    changes = {it.revision: it for it in found.changes}
+def _handle_manifest(
+    state: State,
+    read: messages.ManifestRead,
+    now: float,
+    draw_fraction: DrawFraction,
+) -> Transition:
+    state = _record_call_end(state, read.by_watch, now, draw_fraction)
+    state, fault_reports = _record_answer(state, now)
+    state = state._replace(store_revision=read.store_revision)
+    transition = _prepend_actions(
+        fault_reports, _evaluate_manifest(state, read, now, draw_fraction)
+    )
+    return _record_last_read(transition, read)
+
+
+def _evaluate_manifest(
+    state: State,
+    read: messages.ManifestRead,
+    now: float,
+    draw_fraction: DrawFraction,
+) -> Transition:
+    in_force = state.in_force
+    if read.configuration is None:
+        return _record_older(state, 0)
+    if read.configuration.revision < in_force.stamp.revision:
+        return _record_older(state, read.configuration.revision)
+    changes = {it.revision: it for it in read.changes}
     if _is_forked(state, changes):
-        text = f'revision {ours.stamp.revision} is another change there'
-        return _note(state, messages.Fault.PLATFORM_FORKED, text)
-    offered = patches.stamp(found.configuration, ours)
-    if offered.stamp.revision == ours.stamp.revision:
-        return _note_unvouched(_compare(state, 'platform', offered.stamp))
-    made_by = changes.get(offered.stamp.revision)
-    patch = patches.diff(ours, offered, made_by.change_id if made_by else '')
-    state, cleared = _settle(state)
-    step = _spread(_take(state, patch, offered), patch, now, draws)
-    return _join(cleared, step)
-
-
-def _agree(step: Step, found: messages.Found) -> Step:
+        text = f'revision {in_force.stamp.revision} is another change there'
+        return _record_fault(state, messages.Fault.PLATFORM_FORKED, text)
+    stamped = patches.stamp_configuration(read.configuration, in_force)
+    if stamped.stamp.revision == in_force.stamp.revision:
+        return _record_unvouched(
+            _compare_content(state, 'platform', stamped.stamp)
+        )
+    last_change = changes.get(stamped.stamp.revision)
+    patch = patches.diff(
+        in_force, stamped, last_change.change_id if last_change else ''
+    )
+    state, fault_reports = _clear_disputes(state)
+    transition = _forward_patch(
+        _put_in_force(state, patch, stamped), patch, now, draw_fraction
+    )
+    return _prepend_actions(fault_reports, transition)
+
+
+def _record_last_read(
+    transition: Transition, read: messages.ManifestRead
+) -> Transition:
     """Note what the platform holds, to tell whether that is in force here.
 
     One that came back older, or forked, says nothing of what it had accepted
     before.
     """
-    state, actions = step
-    if found.left == messages.NO_TIME or found.configuration is None:
-        return state._replace(agreed=None), actions
-    there = patches.stamp(found.configuration, state.in_force).stamp
-    agreed = Agreed(found.store_revision, there)
-    return _confirm((state._replace(agreed=agreed), actions), found.left)
-
-
-def _confirm(step: Step, left: float) -> Step:
-    state, actions = step
-    if left == messages.NO_TIME:
-        return step
-    if state.agreed is None:
+    state, actions = transition
+    if read.sent_at == messages.UNKNOWN_TIME or read.configuration is None:
+        return state._replace(last_read=None), actions
+    stored_stamp = patches.stamp_configuration(
+        read.configuration, state.in_force
+    ).stamp
+    last_read = StoredStamp(read.store_revision, stored_stamp)
+    return _confirm_if_current(
+        (state._replace(last_read=last_read), actions), read.sent_at
+    )
+
+
+def _confirm_if_current(transition: Transition, sent_at: float) -> Transition:
+    state, actions = transition
+    if sent_at == messages.UNKNOWN_TIME:
+        return transition
+    if state.last_read is None:
         # It was not read since proofs are asked for.
-        return state._replace(asking=True), (*actions, messages.Read())
-    if state.agreed != Agreed(state.store_revision, state.in_force.stamp):
-        return step
-    return state, (*actions, messages.Confirm(state.in_force.stamp, left))
+        return state._replace(is_checking=True), (
+            *actions,
+            messages.ReadManifest(),
+        )
+    if state.last_read != StoredStamp(
+        state.store_revision, state.in_force.stamp
+    ):
+        return transition
+    return state, (
+        *actions,
+        messages.ConfirmInForce(state.in_force.stamp, sent_at),
+    )
 
 
-def _is_forked(state: State, changes: Mapping[int, messages.Change]) -> bool:
+def _is_forked(
+    state: State, changes: Mapping[int, messages.RevisionChange]
+) -> bool:
     """Tell whether the platform's history leaves out what is in force.
 
     A platform restored from an old copy takes new changes under numbers that
@@ -262,257 +316,331 @@
     accepted changes without a word. A gap in the numbers above ours shows
     that operators have since recovered what was in force.
     """
-    ours = state.in_force.stamp.revision
-    there = changes.get(ours)
-    if there is None or there.change_id == state.change_id:
+    own_revision = state.in_force.stamp.revision
+    stored_change = changes.get(own_revision)
+    if stored_change is None or stored_change.change_id == state.change_id:
         return False
     recovered = any(
-        it.revision > ours and it.follows < it.revision - 1
+        it.revision > own_revision and it.previous_revision < it.revision - 1
         for it in changes.values()
     )
     return bool(state.change_id) and not recovered
 
 
-def _compare_numbers(
-    state: State, checked: messages.Checked, now: float, draws: Draws
-) -> Step:
-    state, cleared = _reach(_close(state, False, now, draws), now)
-    if checked.store_revision == state.store_revision:
-        step = _join(cleared, _note_unvouched((state, ())))
-        return _confirm(step, checked.left)
+def _handle_store_revision(
+    state: State,
+    read: messages.StoreRevisionRead,
+    now: float,
+    draw_fraction: DrawFraction,
+) -> Transition:
+    state, fault_reports = _record_answer(
+        _record_call_end(state, False, now, draw_fraction), now
+    )
+    if read.store_revision == state.store_revision:
+        transition = _prepend_actions(
+            fault_reports, _record_unvouched((state, ()))
+        )
+        return _confirm_if_current(transition, read.sent_at)
     # Another number, higher or lower, may stand for another configuration.
-    return state._replace(asking=True), (*cleared, messages.Read())
+    return state._replace(is_checking=True), (
+        *fault_reports,
+        messages.ReadManifest(),
+    )
 
 
-def _back_off(
-    state: State, failed: messages.Failed, now: float, draws: Draws
-) -> Step:
-    rules = state.rules
-    pause = min(
-        rules.retry_limit_s, rules.retry_s * 2 ** min(state.failures, 9)
+def _handle_failure(
+    state: State,
+    failed: messages.PlatformCallFailed,
+    now: float,
+    draw_fraction: DrawFraction,
+) -> Transition:
+    timings = state.timings
+    delay = min(
+        timings.max_retry_delay_s,
+        timings.min_retry_delay_s * 2 ** min(state.failure_count, 9),
     )
-    again = now + pause * (0.5 + draws())
-    state = state._replace(failures=state.failures + 1)
-    if failed.watched:
-        state = state._replace(watching=False, watch_at=again)
+    retry_at = now + delay * (0.5 + draw_fraction())
+    state = state._replace(failure_count=state.failure_count + 1)
+    if failed.by_watch:
+        state = state._replace(is_watching=False, next_watch_at=retry_at)
     else:
         # With something in force there is no haste: a platform that comes
         # back would be met by every host at once.
-        wait = (
-            again
-            if state.in_force is patches.NOTHING
-            else _plan_check(state, now, draws)
+        next_check_at = (
+            retry_at
+            if state.in_force is patches.EMPTY
+            else _choose_next_check(state, now, draw_fraction)
         )
-        state = state._replace(asking=False, ask_at=wait)
+        state = state._replace(is_checking=False, next_check_at=next_check_at)
     fault = messages.Fault.PLATFORM_DOWN
-    if failed.reached:
+    if failed.answered:
         fault = messages.Fault.UNREADABLE
-    return _note(state, fault, failed.detail)
+    return _record_fault(state, fault, failed.detail)
 
 
-def _weigh_claim(state: State, heard: messages.Heard, now: float) -> Step:
-    ours = state.in_force.stamp
-    if heard.stamp.revision == ours.revision:
-        return _compare(state, heard.member, heard.stamp)
-    if heard.stamp.revision < ours.revision:
+def _handle_claim(
+    state: State, claim: messages.StampReceived, now: float
+) -> Transition:
+    own_stamp = state.in_force.stamp
+    if claim.stamp.revision == own_stamp.revision:
+        return _compare_content(state, claim.member, claim.stamp)
+    if claim.stamp.revision < own_stamp.revision:
         return state, ()
-    others = (it for it in state.claims if it.member != heard.member)
-    state = state._replace(claims=(*others, heard)[-KEPT_CLAIMS:])
+    others = (it for it in state.claims if it.member != claim.member)
+    state = state._replace(claims=(*others, claim)[-MAX_KEPT_CLAIMS:])
     if is_watcher(state) and not _has_fault(
         state, messages.Fault.PLATFORM_DOWN
     ):
         # A watcher believes the platform, and asks it now, not in a minute.
-        state = state._replace(ask_at=min(state.ask_at, now))
-    return _start_pull(state, heard)
+        state = state._replace(next_check_at=min(state.next_check_at, now))
+    return _start_pull(state, claim)
 
 
-def _start_pull(state: State, heard: messages.Heard) -> Step:
-    if state.pulling:
+def _start_pull(state: State, claim: messages.StampReceived) -> Transition:
+    if state.pending_pull:
         return state, ()
-    vouchers = sum(it.stamp == heard.stamp for it in state.claims)
-    needed = min(VOUCHERS, len(state.order) - 1)
-    if vouchers < needed:
+    matching_claims = sum(it.stamp == claim.stamp for it in state.claims)
+    quorum = min(CLAIM_QUORUM, len(state.ranking) - 1)
+    if matching_claims < quorum:
         return state, ()
-    pulling = Pulling(heard.member, heard.stamp)
-    above = state.in_force.stamp
-    pull = messages.Pull(heard.member, above)
-    return state._replace(pulling=pulling), (pull,)
+    pending_pull = PendingPull(claim.member, claim.stamp)
+    own_stamp = state.in_force.stamp
+    pull = messages.PullPatches(claim.member, own_stamp)
+    return state._replace(pending_pull=pending_pull), (pull,)
 
 
-def _judge_push(state: State, pushed: messages.Pushed, now: float) -> Step:
-    patch, ours = pushed.patch, state.in_force.stamp
+def _handle_patch(
+    state: State, received: messages.PatchReceived, now: float
+) -> Transition:
+    patch, own_stamp = received.patch, state.in_force.stamp
     # A watcher goes around the other one while that is dead unnoticed.
-    elders = {
-        *state.order[:WATCHERS],
-        *rendezvous.find_ancestors(state.order, state.name),
+    ancestors = {
+        *state.ranking[:WATCHER_COUNT],
+        *rendezvous.list_ancestors(state.ranking, state.name),
     }
-    if state.held and pushed.member in elders and patch.stamp == ours:
-        return _send_below(state, state.held.patch)
-    if patch.stamp.revision <= ours.revision or pushed.member not in elders:
-        return _weigh_claim(
-            state, messages.Heard(pushed.member, patch.stamp), now
+    if (
+        state.held_patch
+        and received.member in ancestors
+        and patch.stamp == own_stamp
+    ):
+        return _push_to_children(state, state.held_patch.patch)
+    if (
+        patch.stamp.revision <= own_stamp.revision
+        or received.member not in ancestors
+    ):
+        return _handle_claim(
+            state, messages.StampReceived(received.member, patch.stamp), now
         )
-    if patch.base in {ours, patches.NO_STAMP}:
-        return _apply(state, pushed.member, patch)
-    if state.pulling:
+    if patch.base in {own_stamp, patches.NO_STAMP}:
+        return _apply_patch(state, received.member, patch)
+    if state.pending_pull:
         return state, ()
-    pulling = Pulling(pushed.member, None)
-    pull = messages.Pull(pushed.member, ours)
-    return state._replace(pulling=pulling), (pull,)
+    pending_pull = PendingPull(received.member, None)
+    pull = messages.PullPatches(received.member, own_stamp)
+    return state._replace(pending_pull=pending_pull), (pull,)
 
 
-def _judge_pull(state: State, pulled: messages.Pulled) -> Step:
-    asked, state = state.pulling, state._replace(pulling=None)
-    if asked is None or asked.member != pulled.member:
+def _handle_pull_answer(
+    state: State, answer: messages.PullAnswered
+) -> Transition:
+    pending_pull, state = state.pending_pull, state._replace(pending_pull=None)
+    if pending_pull is None or pending_pull.member != answer.member:
         return state, ()
-    chain = pulled.patches
-    if asked.wanted and state.in_force is not patches.NOTHING:
+    chain = answer.patches
+    if pending_pull.expected_stamp and state.in_force is not patches.EMPTY:
         # Vouched for is one stamp; what the member has above it is not.
         stamps = tuple(patch.stamp for patch in chain)
-        if asked.wanted not in stamps:
+        if pending_pull.expected_stamp not in stamps:
             return state, ()
-        chain = chain[: stamps.index(asked.wanted) + 1]
+        chain = chain[: stamps.index(pending_pull.expected_stamp) + 1]
     actions: tuple[messages.Action, ...] = ()
     for patch in chain:
         if patch.stamp.revision > state.in_force.stamp.revision:
-            state, more = _apply(state, pulled.member, patch)
-            actions = (*actions, *more)
+            state, new_actions = _apply_patch(state, answer.member, patch)
+            actions = (*actions, *new_actions)
     return state, actions
 
 
-def _apply(state: State, member: str, patch: patches.Patch) -> Step:
-    whole = patch.base == patches.NO_STAMP
-    base = patches.NOTHING if whole else state.in_force
-    patched = patches.apply(patch, base)
+def _apply_patch(state: State, member: str, patch: patches.Patch) -> Transition:
+    is_whole = patch.base == patches.NO_STAMP
+    base = patches.EMPTY if is_whole else state.in_force
+    patched = patches.apply_patch(patch, base)
     if patched is None:
         text = f'{member} sent revision {patch.stamp.revision} damaged'
-        return _note(state, messages.Fault.DAMAGED, text)
-    state, cleared = _settle(state)
-    state, taken = _take(state, patch, patched)
-    return _join((*cleared, *taken), _send_below(state, patch))
+        return _record_fault(state, messages.Fault.DAMAGED, text)
+    state, fault_reports = _clear_disputes(state)
+    state, configure_actions = _put_in_force(state, patch, patched)
+    return _prepend_actions(
+        (*fault_reports, *configure_actions), _push_to_children(state, patch)
+    )
 
 
-def _take(state: State, patch: patches.Patch, stamped: patches.Stamped) -> Step:
+def _put_in_force(
+    state: State, patch: patches.Patch, stamped: patches.StampedConfiguration
+) -> Transition:
     # Every way in has compared the numbers; this is the last line of defence
     # of the promise that an accepted configuration never reverts.
     assert stamped.stamp.revision > state.in_force.stamp.revision
-    kept = (*state.kept, patch)[-KEPT_PATCHES:]
+    kept_patches = (*state.kept_patches, patch)[-MAX_KEPT_PATCHES:]
     if patch.base == patches.NO_STAMP:
-        kept = ()
+        kept_patches = ()
     claims = tuple(
-        heard
-        for heard in state.claims
-        if heard.stamp.revision > stamped.stamp.revision
+        claim
+        for claim in state.claims
+        if claim.stamp.revision > stamped.stamp.revision
     )
-    taken = state._replace(
-        in_force=stamped, change_id=patch.change_id, kept=kept, claims=claims
+    updated = state._replace(
+        in_force=stamped,
+        change_id=patch.change_id,
+        kept_patches=kept_patches,
+        claims=claims,
     )
-    return taken, (messages.Configure(stamped),)
+    return updated, (messages.PutInForce(stamped),)
 
 
-def _spread(step: Step, patch: patches.Patch, now: float, draws: Draws) -> Step:
-    state, actions = step
-    if state.order[0] == state.name:
-        return _join(actions, _send_below(state, patch))
-    until = now + state.rules.hold_s * (1 + draws())
-    return state._replace(held=Held(patch, until)), actions
+def _forward_patch(
+    transition: Transition,
+    patch: patches.Patch,
+    now: float,
+    draw_fraction: DrawFraction,
+) -> Transition:
+    state, actions = transition
+    if state.ranking[0] == state.name:
+        return _prepend_actions(actions, _push_to_children(state, patch))
+    deadline = now + state.timings.hold_s * (1 + draw_fraction())
+    return state._replace(held_patch=HeldPatch(patch, deadline)), actions
 
 
-def _send_below(state: State, patch: patches.Patch) -> Step:
-    children = rendezvous.find_children(state.order, state.name)
-    pushes = (messages.Push(children, patch),) if children else ()
-    return state._replace(held=None), pushes
+def _push_to_children(state: State, patch: patches.Patch) -> Transition:
+    children = rendezvous.list_children(state.ranking, state.name)
+    pushes = (messages.PushPatch(children, patch),) if children else ()
+    return state._replace(held_patch=None), pushes
 
 
-def _go_around(state: State, lost: messages.Unreached) -> Step:
-    if lost.push is None:
-        return state._replace(pulling=None), ()
+def _handle_unreachable(
+    state: State, unreachable: messages.MemberUnreachable
+) -> Transition:
+    if unreachable.missed_patch is None:
+        return state._replace(pending_pull=None), ()
     # Whoever stands below the lost member would wait for gossip otherwise.
-    below = rendezvous.find_children(state.order, lost.member)
-    others = tuple(name for name in below if name != state.name)
-    pushes = (messages.Push(others, lost.push),) if others else ()
-    if state.held and state.held.patch.stamp == lost.push.stamp:
+    children = rendezvous.list_children(state.ranking, unreachable.member)
+    others = tuple(name for name in children if name != state.name)
+    pushes = (
+        (messages.PushPatch(others, unreachable.missed_patch),)
+        if others
+        else ()
+    )
+    if (
+        state.held_patch
+        and state.held_patch.patch.stamp == unreachable.missed_patch.stamp
+    ):
         # No push will come from above, so those below are ours to serve.
-        return _join(pushes, _send_below(state, state.held.patch))
+        return _prepend_actions(
+            pushes, _push_to_children(state, state.held_patch.patch)
+        )
     return state, pushes
 
 
-def _close(state: State, watched: bool, now: float, draws: Draws) -> State:
-    state = state._replace(failures=0)
-    if watched:
-        return state._replace(watching=False, watch_at=now)
-    ask_at = _plan_check(state, now, draws)
-    return state._replace(asking=False, ask_at=ask_at)
+def _record_call_end(
+    state: State, by_watch: bool, now: float, draw_fraction: DrawFraction
+) -> State:
+    state = state._replace(failure_count=0)
+    if by_watch:
+        return state._replace(is_watching=False, next_watch_at=now)
+    next_check_at = _choose_next_check(state, now, draw_fraction)
+    return state._replace(is_checking=False, next_check_at=next_check_at)
 
 
-def _plan_check(state: State, now: float, draws: Draws) -> float:
+def _choose_next_check(
+    state: State, now: float, draw_fraction: DrawFraction
+) -> float:
     """Spread checks, so that hosts started together do not check together."""
-    share = max(1 / MOST_OFTEN, min(1.0, len(state.order) / FULL_CENTRE))
-    return now + state.rules.check_s * share * (0.5 + draws())
+    interval_fraction = max(
+        1 / MAX_CHECK_SPEEDUP, min(1.0, len(state.ranking) / FULL_RATE_HOSTS)
+    )
+    return now + state.timings.check_interval_s * interval_fraction * (
+        0.5 + draw_fraction()
+    )
 
 
-def _compare(state: State, source: str, stamp: patches.Stamp) -> Step:
+def _compare_content(
+    state: State, source: str, stamp: patches.Stamp
+) -> Transition:
     if stamp == state.in_force.stamp:
         return state, ()
     text = f'{source} has another content for revision {stamp.revision}'
-    return _note(state, messages.Fault.CONTENT_DIFFERS, text)
+    return _record_fault(state, messages.Fault.CONTENT_DIFFERS, text)
 
 
-def _note_older(state: State, revision: int) -> Step:
-    ours = state.in_force.stamp.revision
-    if not ours:
+def _record_older(state: State, revision: int) -> Transition:
+    own_revision = state.in_force.stamp.revision
+    if not own_revision:
         return state, ()
-    text = f'platform has revision {revision}, in force stays {ours}'
-    return _note(state, messages.Fault.PLATFORM_OLDER, text)
+    text = f'platform has revision {revision}, in force stays {own_revision}'
+    return _record_fault(state, messages.Fault.PLATFORM_OLDER, text)
 
 
-def _note(state: State, fault: messages.Fault, text: str) -> Step:
-    known = _has_fault(state, fault)
+def _record_fault(state: State, fault: messages.Fault, text: str) -> Transition:
+    was_recorded = _has_fault(state, fault)
     others = (it for it in state.faults if it[0] is not fault)
-    noted = state._replace(faults=(*others, (fault, text)))
+    updated = state._replace(faults=(*others, (fault, text)))
     # A fault that goes on is told once; its status shows the latest text.
-    return noted, () if known else (messages.Report(fault, text),)
+    return updated, () if was_recorded else (messages.ReportFault(fault, text),)
 
 
 def _has_fault(state: State, fault: messages.Fault) -> bool:
-    return any(noted is fault for noted, _ in state.faults)
+    return any(recorded is fault for recorded, _ in state.faults)
 
 
-def _note_unvouched(step: Step) -> Step:
+def _record_unvouched(transition: Transition) -> Transition:
     """Report members that claim a revision which the platform lacks."""
-    state, actions = step
-    ours = state.in_force.stamp.revision
-    wild = tuple(it for it in state.claims if it.stamp.revision > ours)
-    if not wild:
-        return step
-    text = f'{wild[-1].member} claims revision {wild[-1].stamp.revision}'
-    return _join(actions, _note(state, messages.Fault.UNVOUCHED, text))
+    state, actions = transition
+    own_revision = state.in_force.stamp.revision
+    unvouched = tuple(
+        it for it in state.claims if it.stamp.revision > own_revision
+    )
+    if not unvouched:
+        return transition
+    text = (
+        f'{unvouched[-1].member} claims revision {unvouched[-1].stamp.revision}'
+    )
+    return _prepend_actions(
+        actions, _record_fault(state, messages.Fault.UNVOUCHED, text)
+    )
 
 
-def _reach(state: State, now: float) -> Step:
+def _record_answer(state: State, now: float) -> Transition:
     """Note that the platform answers.
 
     After an outage a watcher asks at once: a platform that came back with an
     old copy has a lower number, for which a watch would wait in silence.
     """
     if is_watcher(state) and _has_fault(state, messages.Fault.PLATFORM_DOWN):
-        state = state._replace(ask_at=now)
-    return _clear(state, (messages.Fault.PLATFORM_DOWN,))
+        state = state._replace(next_check_at=now)
+    return _clear_faults(state, (messages.Fault.PLATFORM_DOWN,))
 
 
-def _settle(state: State) -> Step:
+def _clear_disputes(state: State) -> Transition:
     """Note that a higher revision leaves the disputes of the last behind."""
-    return _clear(state, set(messages.Fault) - {messages.Fault.PLATFORM_DOWN})
+    return _clear_faults(
+        state, set(messages.Fault) - {messages.Fault.PLATFORM_DOWN}
+    )
 
 
-def _clear(state: State, ended: Iterable[messages.Fault]) -> Step:
-    gone = frozenset(ended)
-    kept = tuple(it for it in state.faults if it[0] not in gone)
+def _clear_faults(
+    state: State, ended_faults: Iterable[messages.Fault]
+) -> Transition:
+    ended_set = frozenset(ended_faults)
+    remaining = tuple(it for it in state.faults if it[0] not in ended_set)
     reports = tuple(
-        messages.Report(fault, '') for fault, _ in state.faults if fault in gone
+        messages.ReportFault(fault, '')
+        for fault, _ in state.faults
+        if fault in ended_set
     )
-    return state._replace(faults=kept), reports
+    return state._replace(faults=remaining), reports
 
 
-def _join(first: tuple[messages.Action, ...], step: Step) -> Step:
-    return step[0], (*first, *step[1])
+def _prepend_actions(
+    actions: tuple[messages.Action, ...], transition: Transition
+) -> Transition:
+    return transition[0], (*actions, *transition[1])
--- a/fuchsiahaven/core/configuration/selectors.py
+++ b/fuchsiahaven/core/configuration/selectors.py
@@ -11,9 +11,9 @@
 
 from fuchsiahaven.core.configuration import configurations
 
-MAX_EXPRESSION: Final = 4096
-MAX_NAME: Final = 63
-MAX_PREFIX: Final = 253
+MAX_EXPRESSION_LENGTH: Final = 4096
+MAX_NAME_LENGTH: Final = 63
+MAX_PREFIX_LENGTH: Final = 253
 
 _NAME: Final = re.compile('[A-Za-z0-9]([-A-Za-z0-9_.]*[A-Za-z0-9])?')
 _PREFIX: Final = re.compile(
@@ -21,9 +21,9 @@
 )
 # A word runs up to the next character that the syntax uses.
 _TOKEN: Final = re.compile(r'\s*(==|!=|[=!,()]|[^\s=!,()]+|\Z)')
-_EQUALS: Final = frozenset(('=', '=='))
-_SEPARATORS: Final = frozenset((',', ')'))
-_SETS: Final = frozenset(('in', 'notin'))
+_EQUAL_OPERATORS: Final = frozenset(('=', '=='))
+_VALUE_SEPARATORS: Final = frozenset((',', ')'))
+_SET_OPERATORS: Final = frozenset(('in', 'notin'))
 _SYMBOLS: Final = frozenset(('=', '==', '!=', '!', ',', '(', ')', ''))
 
 
@@ -62,14 +62,14 @@
     requirements: tuple[Requirement, ...]
 
 
-class Fault(NamedTuple):
+class SyntaxFault(NamedTuple):
     """Say what is wrong with a text and at which offset."""
 
-    position: int
+    offset: int
     text: str
 
 
-class Reached(NamedTuple):
+class ReachableGroup(NamedTuple):
     """Hold a group that a class may reach, and from where else.
 
     `data_centres` are the other data centres that may serve when the own
@@ -81,58 +81,58 @@
 
 
 class _Token(NamedTuple):
-    position: int
+    offset: int
     text: str
 
 
 class _Parsed(NamedTuple):
     requirement: Requirement
-    after: int
+    next_index: int
 
 
-def parse(text: str) -> Expression | Fault:
+def parse(text: str) -> Expression | SyntaxFault:
     """Parse an expression; a fault names the offset of the first error."""
-    if len(text) > MAX_EXPRESSION:
-        return Fault(MAX_EXPRESSION, 'the expression is too long')
-    tokens = _split(text)
+    if len(text) > MAX_EXPRESSION_LENGTH:
+        return SyntaxFault(MAX_EXPRESSION_LENGTH, 'the expression is too long')
+    tokens = _tokenize(text)
     if not tokens[0].text:
         return Expression(())
     requirements: list[Requirement] = []
     index = 0
     while True:
         parsed = _parse_requirement(tokens, index)
-        if isinstance(parsed, Fault):
+        if isinstance(parsed, SyntaxFault):
             return parsed
         requirements.append(parsed.requirement)
-        token = tokens[parsed.after]
+        token = tokens[parsed.next_index]
         if not token.text:
             return Expression(tuple(requirements))
         if token.text != ',':
-            return Fault(token.position, 'expected a comma or the end')
-        index = parsed.after + 1
+            return SyntaxFault(token.offset, 'expected a comma or the end')
+        index = parsed.next_index + 1
 
 
 def matches(expression: Expression, labels: Mapping[str, str]) -> bool:
     """Tell whether the labels meet every requirement."""
     return all(
-        _holds(requirement, labels) for requirement in expression.requirements
+        _is_met(requirement, labels) for requirement in expression.requirements
     )
 
 
-def reach(
+def list_reachable(
     configuration: configurations.Configuration, class_name: str
-) -> tuple[Reached, ...]:
+) -> tuple[ReachableGroup, ...]:
     """List the groups that any selector of the class matches, by name.
 
     The result depends on the configuration alone, so a caller keeps it for
     as long as the revision is in force.
     """
-    chosen: dict[str, Reached] = {}
+    reachable: dict[str, ReachableGroup] = {}
     for selector in configuration.selectors:
         if selector.request_class != class_name:
             continue
         expression = parse(selector.expression)
-        if isinstance(expression, Fault):
+        if isinstance(expression, SyntaxFault):
             # Skipping this one selector would leave its groups out of the
             # answer, which would still be told as complete. Changes with
             # such an expression are refused; one can still arrive from a
@@ -140,51 +140,58 @@
             return ()
         for group in configuration.groups:
             if matches(expression, dict(group.labels)):
-                _add(chosen, group, selector.data_centres)
-    return tuple(chosen[name] for name in sorted(chosen))
+                _add_reachable(reachable, group, selector.data_centres)
+    return tuple(reachable[name] for name in sorted(reachable))
 
 
-def reach_groups(
+def list_reachable_groups(
     configuration: configurations.Configuration, class_name: str
 ) -> tuple[configurations.Group, ...]:
     """List only the groups of `reach`."""
-    return tuple(reached.group for reached in reach(configuration, class_name))
+    return tuple(
+        reachable.group
+        for reachable in list_reachable(configuration, class_name)
+    )
 
 
-def check_key(key: str) -> Fault | None:
+def find_key_fault(key: str) -> SyntaxFault | None:
     """Check a label key: a name, or a DNS prefix, a slash and a name."""
     prefix, slash, name = key.rpartition('/')
     start = len(prefix) + len(slash)
-    if slash and not _fits(_PREFIX, prefix, MAX_PREFIX):
-        return Fault(0, 'the key has a malformed prefix')
-    if not _fits(_NAME, name, MAX_NAME):
-        return Fault(start, 'the key has a malformed name')
+    if slash and not _is_valid_name(_PREFIX, prefix, MAX_PREFIX_LENGTH):
+        return SyntaxFault(0, 'the key has a malformed prefix')
+    if not _is_valid_name(_NAME, name, MAX_NAME_LENGTH):
+        return SyntaxFault(start, 'the key has a malformed name')
     return None
 
 
-def check_value(text: str) -> Fault | None:
+def find_value_fault(text: str) -> SyntaxFault | None:
     """Check a label value, which may be empty."""
-    if text and not _fits(_NAME, text, MAX_NAME):
-        return Fault(0, 'the value is malformed')
+    if text and not _is_valid_name(_NAME, text, MAX_NAME_LENGTH):
+        return SyntaxFault(0, 'the value is malformed')
     return None
 
 
-def _fits(pattern: re.Pattern[str], text: str, limit: int) -> bool:
-    return len(text) <= limit and pattern.fullmatch(text) is not None
+def _is_valid_name(
+    pattern: re.Pattern[str], text: str, max_length: int
+) -> bool:
+    return len(text) <= max_length and pattern.fullmatch(text) is not None
 
 
-def _add(
-    chosen: dict[str, Reached],
+def _add_reachable(
+    reachable: dict[str, ReachableGroup],
     group: configurations.Group,
     data_centres: tuple[str, ...],
 ) -> None:
-    before = chosen.get(group.name)
-    known = before.data_centres if before else ()
-    added = tuple(name for name in data_centres if name not in known)
-    chosen[group.name] = Reached(group, known + added)
+    before = reachable.get(group.name)
+    known_centres = before.data_centres if before else ()
+    added_centres = tuple(
+        name for name in data_centres if name not in known_centres
+    )
+    reachable[group.name] = ReachableGroup(group, known_centres + added_centres)
 
 
-def _holds(requirement: Requirement, labels: Mapping[str, str]) -> bool:
+def _is_met(requirement: Requirement, labels: Mapping[str, str]) -> bool:
     match requirement:
         case Exists(key):
             return key in labels
@@ -196,84 +203,88 @@
             return labels.get(key) not in values
 
 
-def _split(text: str) -> list[_Token]:
+def _tokenize(text: str) -> list[_Token]:
     # The pattern matches at every offset, and the end is an empty token.
     tokens: list[_Token] = []
     offset = 0
     while True:
-        found = _TOKEN.match(text, offset)
-        assert found is not None
-        tokens.append(_Token(found.start(1), found.group(1)))
-        if not found.group(1):
+        match = _TOKEN.match(text, offset)
+        assert match is not None
+        tokens.append(_Token(match.start(1), match.group(1)))
+        if not match.group(1):
             return tokens
-        offset = found.end()
+        offset = match.end()
 
 
-def _parse_requirement(tokens: list[_Token], index: int) -> _Parsed | Fault:
+def _parse_requirement(
+    tokens: list[_Token], index: int
+) -> _Parsed | SyntaxFault:
     if tokens[index].text == '!':
-        key = _read_key(tokens[index + 1])
-        if isinstance(key, Fault):
+        key = _parse_key(tokens[index + 1])
+        if isinstance(key, SyntaxFault):
             return key
         return _Parsed(Absent(key), index + 2)
-    key = _read_key(tokens[index])
-    if isinstance(key, Fault):
+    key = _parse_key(tokens[index])
+    if isinstance(key, SyntaxFault):
         return key
     operator = tokens[index + 1].text
-    if operator in _EQUALS or operator == '!=':
+    if operator in _EQUAL_OPERATORS or operator == '!=':
         return _parse_equality(tokens, index + 1, key)
-    if operator in _SETS:
+    if operator in _SET_OPERATORS:
         return _parse_set(tokens, index + 1, key)
     return _Parsed(Exists(key), index + 1)
 
 
 def _parse_equality(
     tokens: list[_Token], index: int, key: str
-) -> _Parsed | Fault:
-    value = _read_value(tokens[index + 1])
-    if isinstance(value, Fault):
+) -> _Parsed | SyntaxFault:
+    value = _parse_value(tokens[index + 1])
+    if isinstance(value, SyntaxFault):
         return value
-    after = index + 2 if value else index + 1
+    next_index = index + 2 if value else index + 1
     values = frozenset((value,))
-    if tokens[index].text in _EQUALS:
-        return _Parsed(OneOf(key, values), after)
-    return _Parsed(NoneOf(key, values), after)
+    if tokens[index].text in _EQUAL_OPERATORS:
+        return _Parsed(OneOf(key, values), next_index)
+    return _Parsed(NoneOf(key, values), next_index)
 
 
-def _parse_set(tokens: list[_Token], index: int, key: str) -> _Parsed | Fault:
+def _parse_set(
+    tokens: list[_Token], index: int, key: str
+) -> _Parsed | SyntaxFault:
     opening = tokens[index + 1]
     if opening.text != '(':
-        return Fault(opening.position, 'expected an opening bracket')
+        return SyntaxFault(opening.offset, 'expected an opening bracket')
     values: set[str] = set()
-    after = index + 1
-    while tokens[after].text != ')':
-        value = _read_value(tokens[after + 1])
-        if isinstance(value, Fault):
+    next_index = index + 1
+    while tokens[next_index].text != ')':
+        value = _parse_value(tokens[next_index + 1])
+        if isinstance(value, SyntaxFault):
             return value
         values.add(value)
-        after += 2 if value else 1
-        if tokens[after].text not in _SEPARATORS:
-            return Fault(
-                tokens[after].position, 'expected a comma or a bracket'
+        next_index += 2 if value else 1
+        if tokens[next_index].text not in _VALUE_SEPARATORS:
+            return SyntaxFault(
+                tokens[next_index].offset, 'expected a comma or a bracket'
             )
     if tokens[index].text == 'in':
-        return _Parsed(OneOf(key, frozenset(values)), after + 1)
-    return _Parsed(NoneOf(key, frozenset(values)), after + 1)
+        return _Parsed(OneOf(key, frozenset(values)), next_index + 1)
+    return _Parsed(NoneOf(key, frozenset(values)), next_index + 1)
 
 
-def _read_key(token: _Token) -> str | Fault:
+def _parse_key(token: _Token) -> str | SyntaxFault:
     if token.text in _SYMBOLS:
-        return Fault(token.position, 'expected a label key')
-    fault = check_key(token.text)
+        return SyntaxFault(token.offset, 'expected a label key')
+    fault = find_key_fault(token.text)
     if fault is not None:
-        return fault._replace(position=token.position + fault.position)
+        return fault._replace(offset=token.offset + fault.offset)
     return token.text
 
 
-def _read_value(token: _Token) -> str | Fault:
+def _parse_value(token: _Token) -> str | SyntaxFault:
     # A missing value is the empty one, as in `tier=` and `tier in ()`.
     if token.text in _SYMBOLS:
         return ''
-    fault = check_value(token.text)
+    fault = find_value_fault(token.text)
     if fault is not None:
-        return fault._replace(position=token.position)
+        return fault._replace(offset=token.offset)
     return token.text
--- a/fuchsiahaven/core/configuration/store_calls.py
+++ b/fuchsiahaven/core/configuration/store_calls.py
@@ -9,13 +9,13 @@
 from typing import NamedTuple, TypeVar
 
 
-class Read(NamedTuple):
+class ReadKey(NamedTuple):
     """Ask for the value of a key; answered by `Found` or `Missing`."""
 
     key: str
 
 
-class Swap(NamedTuple):
+class CompareAndSwap(NamedTuple):
     """Ask to write a key that is at `revision` (0: that does not exist).
 
     Answered by `Written` or `Conflict`.
@@ -26,69 +26,76 @@
     revision: int
 
 
-class List(NamedTuple):
+class ListKeys(NamedTuple):
     """Ask for the keys that begin with a prefix; answered by `Listed`."""
 
     prefix: str
 
 
-class Delete(NamedTuple):
+class DeleteKey(NamedTuple):
     """Ask to delete a key that is at `revision`; any answer will do."""
 
     key: str
     revision: int
 
 
-class Rest(NamedTuple):
+class Backoff(NamedTuple):
     """Ask to wait a random while before try `turn`; answered by `Rested`."""
 
-    turn: int
+    attempt: int
 
 
-class Rested(NamedTuple):
+class BackoffEnded(NamedTuple):
     """Answer a rest: it is over."""
 
 
-class Found(NamedTuple):
+class KeyFound(NamedTuple):
     """Answer a read: the value and the key's revision in the store."""
 
     value: str
     revision: int
 
 
-class Missing(NamedTuple):
+class KeyMissing(NamedTuple):
     """Answer a read: there is no such key."""
 
 
-class Listed(NamedTuple):
+class KeysListed(NamedTuple):
     """Answer a list: keys with their revisions in the store."""
 
     keys: tuple[tuple[str, int], ...]
 
 
-class Written(NamedTuple):
+class KeyWritten(NamedTuple):
     """Answer a write: it took effect."""
 
 
-class Conflict(NamedTuple):
+class WriteConflict(NamedTuple):
     """Answer a write: the key is at another revision; nothing was written."""
 
 
-class Failed(NamedTuple):
+class CallFailed(NamedTuple):
     """Answer any call: it gave nothing, and nothing was written."""
 
     text: str
 
 
-class Unclear(NamedTuple):
+class WriteUnclear(NamedTuple):
     """Answer a write: it may have taken effect, or may do so later."""
 
     text: str
 
 
-Call = Read | Swap | List | Delete | Rest
+Call = ReadKey | CompareAndSwap | ListKeys | DeleteKey | Backoff
 Result = (
-    Found | Missing | Listed | Written | Conflict | Failed | Unclear | Rested
+    KeyFound
+    | KeyMissing
+    | KeysListed
+    | KeyWritten
+    | WriteConflict
+    | CallFailed
+    | WriteUnclear
+    | BackoffEnded
 )
 _Outcome = TypeVar('_Outcome')
 Steps = Generator[Call, Result, _Outcome]
--- a/fuchsiahaven/core/configuration/transactions.py
+++ b/fuchsiahaven/core/configuration/transactions.py
@@ -5,57 +5,57 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     changes,
     manifests,
-    needs,
     parts,
     proposals,
-    readings,
+    read_sets,
     store_calls,
+    store_reads,
 )
 
 #: How often a change is made again after another one came first.
-TRIES: Final = 24
+MAX_ATTEMPTS: Final = 24
 #: How often a write is repeated whose answer was lost.
-WRITE_TRIES: Final = 4
+MAX_WRITE_ATTEMPTS: Final = 4
 #: At most this many parts that nobody names are removed with one change.
-MAX_SWEPT: Final = 8
+MAX_COLLECTED_PARTS: Final = 8
 SOURCE: Final = 'transactions'
 
 
-class _Lost(NamedTuple):
+class _Overtaken(NamedTuple):
     """Say that another change came first."""
 
 
-class _Pending(NamedTuple):
+class _PendingWrite(NamedTuple):
     """Say that the manifest's write, at a store revision, is unclear."""
 
-    revision: int
+    store_revision: int
     text: str
 
 
-class _Run(NamedTuple):
+class _Progress(NamedTuple):
     """Hold what is known from one try to the next."""
 
-    request: proposals.Request
-    highest: int = 0
-    pending: _Pending | None = None
+    request: proposals.ChangeRequest
+    highest_revision: int = 0
+    pending_write: _PendingWrite | None = None
 
 
-class _View(NamedTuple):
+class _ReadState(NamedTuple):
     """Hold what a try found."""
 
-    run: _Run
-    loaded: readings.Loaded
-    older: tuple[audits.Entry, ...]
+    progress: _Progress
+    loaded: store_reads.LoadedManifest
+    archived_entries: tuple[audit_log.Entry, ...]
 
 
-Outcome = proposals.Accepted | proposals.Unchanged | errors.Failure
+Outcome = proposals.ChangeAccepted | proposals.NothingChanged | errors.Failure
 
 
 def commit(
-    request: proposals.Request, epoch: float
+    request: proposals.ChangeRequest, epoch_s: float
 ) -> store_calls.Steps[Outcome]:
     """Make one change, until it is accepted, refused or cannot be told.
 
@@ -63,83 +63,106 @@
     twice, whatever answers are lost. OUTCOME_UNKNOWN where a write may have
     taken effect and the service no longer tells.
     """
-    run = _Run(request)
-    for turn in range(TRIES):
-        if turn:
+    progress = _Progress(request)
+    for attempt in range(MAX_ATTEMPTS):
+        if attempt:
             # Operators that all try again at once keep each other from it,
             # and the one with most to read would never come first.
-            yield store_calls.Rest(turn)
-        reached = yield from _try_once(run, epoch)
-        if not isinstance(reached, _Run):
-            return reached
-        run = reached
-    busy = errors.make_failure(
-        errors.Kind.CONFLICT, SOURCE, f'others came first {TRIES} times'
+            yield store_calls.Backoff(attempt)
+        result = yield from _attempt(progress, epoch_s)
+        if not isinstance(result, _Progress):
+            return result
+        progress = result
+    failure = errors.make_failure(
+        errors.Kind.CONFLICT, SOURCE, f'others came first {MAX_ATTEMPTS} times'
+    )
+    return _mark_outcome_unknown(failure, progress)
+
+
+def _attempt(
+    progress: _Progress, epoch_s: float
+) -> store_calls.Steps[_Progress | Outcome]:
+    read_state = yield from _read_state(progress)
+    if isinstance(read_state, errors.Failure):
+        return _mark_outcome_unknown(read_state, progress)
+    if isinstance(read_state, proposals.ChangeAccepted):
+        return read_state
+    progress, manifest, archived_entries = (
+        read_state.progress,
+        read_state.loaded.manifest,
+        read_state.archived_entries,
+    )
+    prepared = proposals.prepare_change(
+        manifest, progress.request, epoch_s, archived_entries
     )
-    return _doubt(busy, run)
-
-
-def _try_once(run: _Run, epoch: float) -> store_calls.Steps[_Run | Outcome]:
-    view = yield from _look(run)
-    if isinstance(view, errors.Failure):
-        return _doubt(view, run)
-    if isinstance(view, proposals.Accepted):
-        return view
-    run, manifest, older = view.run, view.loaded.manifest, view.older
-    prepared = proposals.prepare(manifest, run.request, epoch, older)
     if isinstance(prepared, errors.Failure):
-        return _doubt(prepared, run)
-    if isinstance(prepared, proposals.Unchanged):
+        return _mark_outcome_unknown(prepared, progress)
+    if isinstance(prepared, proposals.NothingChanged):
         return prepared
-    stored = yield from _store(prepared, view.loaded.revision)
+    stored = yield from _write_change(
+        prepared, read_state.loaded.store_revision
+    )
     match stored:
-        case proposals.Accepted():
-            yield from _sweep(manifest, prepared.encoded.manifest)
+        case proposals.ChangeAccepted():
+            yield from _collect_garbage(manifest, prepared.encoded.manifest)
         case errors.Failure():
-            return _doubt(stored, run)
-        case _Pending():
-            return run._replace(pending=stored)
-        case _Lost():
-            return run
+            return _mark_outcome_unknown(stored, progress)
+        case _PendingWrite():
+            return progress._replace(pending_write=stored)
+        case _Overtaken():
+            return progress
     return stored
 
 
-def _look(
-    run: _Run,
-) -> store_calls.Steps[_View | proposals.Accepted | errors.Failure]:
+def _read_state(
+    progress: _Progress,
+) -> store_calls.Steps[_ReadState | proposals.ChangeAccepted | errors.Failure]:
     """Read what there is, and whether this change is in it already."""
-    choose = functools.partial(needs.list_places, run.request.change)
-    loaded = yield from readings.load(choose)
+    select_parts = functools.partial(
+        read_sets.list_needed_parts, progress.request.change
+    )
+    loaded = yield from store_reads.load_manifest(select_parts)
     if isinstance(loaded, errors.Failure):
         return loaded
     manifest = loaded.manifest
-    here = manifest.configuration.revision
-    request = run.request
-    if request.base is None:
-        request = request._replace(base=here)
-    fault = _check_age(here, request, run.highest)
+    stored_revision = manifest.configuration.revision
+    request = progress.request
+    if request.base_revision is None:
+        request = request._replace(base_revision=stored_revision)
+    fault = _refuse_older_copy(
+        stored_revision, request, progress.highest_revision
+    )
     if fault is not None:
         return fault
-    older = yield from readings.read_archived(
-        manifest.changes, request.base or 0
+    archived_entries = yield from store_reads.read_archived_entries(
+        manifest.entries, request.base_revision or 0
     )
-    if isinstance(older, errors.Failure):
-        return older
-    own = audits.find_change((*older, *manifest.changes), request.change_id)
-    if own is not None:
-        return proposals.Accepted(own)
-    pending = run.pending
-    if pending is not None and pending.revision != loaded.revision:
+    if isinstance(archived_entries, errors.Failure):
+        return archived_entries
+    own_entry = audit_log.find_by_change_id(
+        (*archived_entries, *manifest.entries), request.change_id
+    )
+    if own_entry is not None:
+        return proposals.ChangeAccepted(own_entry)
+    pending_write = progress.pending_write
+    if (
+        pending_write is not None
+        and pending_write.store_revision != loaded.store_revision
+    ):
         # The manifest has been written since, without our change in it, so
         # the write on its old revision can never take effect.
-        pending = None
-    return _View(_Run(request, here, pending), loaded, older)
+        pending_write = None
+    return _ReadState(
+        _Progress(request, stored_revision, pending_write),
+        loaded,
+        archived_entries,
+    )
 
 
-def _check_age(
-    here: int,
-    request: proposals.Request,
-    highest: int,
+def _refuse_older_copy(
+    stored: int,
+    request: proposals.ChangeRequest,
+    highest_revision: int,
 ) -> errors.Failure | None:
     """Refuse to build on a copy older than what has been seen.
 
@@ -147,87 +170,93 @@
     change since would be taken back by the next one, and hosts would follow
     that one as soon as its revision passed theirs.
     """
-    seen = max(request.base or 0, highest)
-    if not isinstance(request.change, changes.Recover):
-        seen = max(seen, request.floor)
-    if here >= seen:
+    known = max(request.base_revision or 0, highest_revision)
+    if not isinstance(request.change, changes.RecoverConfiguration):
+        known = max(known, request.min_revision)
+    if stored >= known:
         return None
     return errors.make_failure(
         errors.Kind.OLDER_COPY,
         SOURCE,
-        f'the platform has revision {here}, but {seen} has been in force',
+        f'the platform has revision {stored}, but {known} has been in force',
     )
 
 
-def _store(
-    prepared: proposals.Prepared,
-    revision: int,
-) -> store_calls.Steps[proposals.Accepted | _Lost | _Pending | errors.Failure]:
+def _write_change(
+    prepared: proposals.PreparedChange,
+    store_revision: int,
+) -> store_calls.Steps[
+    proposals.ChangeAccepted | _Overtaken | _PendingWrite | errors.Failure
+]:
     """Store a prepared change: what it needs first, the manifest last.
 
     Until the manifest names it, nothing of the rest is seen by anybody.
     """
-    for entry in prepared.archived:
-        fault = yield from _archive(entry)
+    for entry in prepared.archived_entries:
+        fault = yield from _archive_entry(entry)
         if fault is not None:
             return fault
-    for key, text in prepared.encoded.texts.items():
+    for key, text in prepared.encoded.part_texts.items():
         # The key is made from its text, so that it exists is as good.
-        created = yield from _create(key, text)
+        created = yield from _create_key(key, text)
         if isinstance(created, errors.Failure):
             return created
-    written = yield store_calls.Swap(
-        manifests.MANIFEST_KEY, prepared.encoded.text, revision
+    written = yield store_calls.CompareAndSwap(
+        manifests.MANIFEST_KEY, prepared.encoded.text, store_revision
     )
     match written:
-        case store_calls.Written():
-            return proposals.Accepted(prepared.entry)
-        case store_calls.Conflict():
-            return _Lost()
-        case store_calls.Unclear(reason):
-            return _Pending(revision, reason)
-    return readings.fail_platform(written)
-
-
-def _archive(entry: audits.Entry) -> store_calls.Steps[errors.Failure | None]:
+        case store_calls.KeyWritten():
+            return proposals.ChangeAccepted(prepared.entry)
+        case store_calls.WriteConflict():
+            return _Overtaken()
+        case store_calls.WriteUnclear(reason):
+            return _PendingWrite(store_revision, reason)
+    return store_reads.make_platform_failure(written)
+
+
+def _archive_entry(
+    entry: audit_log.Entry,
+) -> store_calls.Steps[errors.Failure | None]:
     """Keep an entry under a key of its own, before the manifest drops it."""
-    text = manifests.write_archived(entry)
-    written = yield from _create(manifests.name_archive(entry.revision), text)
-    if not isinstance(written, store_calls.Conflict):
+    text = manifests.encode_archived_entry(entry)
+    written = yield from _create_key(
+        manifests.make_archive_key(entry.revision), text
+    )
+    if not isinstance(written, store_calls.WriteConflict):
         return written
     # Another operator archived it first; or the service holds keys of two
     # histories, and going on would lose one of two accepted changes for good.
-    there = yield from readings.read_entry(entry.revision)
-    if there == entry:
+    archived = yield from store_reads.read_archived_entry(entry.revision)
+    if archived == entry:
         return None
-    if isinstance(there, errors.Failure):
-        return there
+    if isinstance(archived, errors.Failure):
+        return archived
     return errors.make_failure(
         errors.Kind.OLDER_COPY,
         SOURCE,
-        f'revision {entry.revision} is archived as {there.change_id}, '
+        f'revision {entry.revision} is archived as {archived.change_id}, '
         f'but the manifest has {entry.change_id}',
     )
 
 
-def _create(
+def _create_key(
     key: str, text: str
-) -> store_calls.Steps[store_calls.Conflict | errors.Failure | None]:
+) -> store_calls.Steps[store_calls.WriteConflict | errors.Failure | None]:
     """Create a key, once more where the answer is lost."""
-    written: store_calls.Result = store_calls.Unclear(key)
-    for _ in range(WRITE_TRIES):
-        written = yield store_calls.Swap(key, text, 0)
+    written: store_calls.Result = store_calls.WriteUnclear(key)
+    for _ in range(MAX_WRITE_ATTEMPTS):
+        written = yield store_calls.CompareAndSwap(key, text, 0)
         match written:
-            case store_calls.Written():
+            case store_calls.KeyWritten():
                 return None
-            case store_calls.Conflict():
+            case store_calls.WriteConflict():
                 return written
-            case store_calls.Failed():
+            case store_calls.CallFailed():
                 break
-    return readings.fail_platform(written)
+    return store_reads.make_platform_failure(written)
 
 
-def _sweep(
+def _collect_garbage(
     before: manifests.Manifest,
     after: manifests.Manifest,
 ) -> store_calls.Steps[None]:
@@ -235,46 +264,54 @@
 
     Whatever fails here is left for the next change to the same group.
     """
-    named = {part.key for part in after.placed.values()}
-    replaced = {
-        part.key: place[0]
-        for place, part in before.placed.items()
-        if part.key is not None and part.key not in named
+    named_keys = {part.key for part in after.stored_parts.values()}
+    replaced_keys = {
+        part.key: part_id[0]
+        for part_id, part in before.stored_parts.items()
+        if part.key is not None and part.key not in named_keys
     }
-    for group in sorted(set(replaced.values())):
-        listed = yield store_calls.List(f'{parts.PREFIX}{group}/')
-        if not isinstance(listed, store_calls.Listed):
+    for group in sorted(set(replaced_keys.values())):
+        listed = yield store_calls.ListKeys(f'{parts.KEY_PREFIX}{group}/')
+        if not isinstance(listed, store_calls.KeysListed):
             return
-        unnamed = [found for found in listed.keys if found[0] not in named]
-        for key, revision in unnamed[:MAX_SWEPT]:
-            dead = key in replaced
-            if not dead:
-                dead = yield from _is_dead(key, after.configuration.revision)
-            if dead:
-                yield store_calls.Delete(key, revision)
-
-
-def _is_dead(key: str, revision: int) -> store_calls.Steps[bool]:
+        unnamed_keys = [
+            listed_key
+            for listed_key in listed.keys
+            if listed_key[0] not in named_keys
+        ]
+        for key, revision in unnamed_keys[:MAX_COLLECTED_PARTS]:
+            is_dead = key in replaced_keys
+            if not is_dead:
+                is_dead = yield from _is_unreachable(
+                    key, after.configuration.revision
+                )
+            if is_dead:
+                yield store_calls.DeleteKey(key, revision)
+
+
+def _is_unreachable(key: str, revision: int) -> store_calls.Steps[bool]:
     """Tell whether a part that `revision` does not name never will be.
 
     A part waits for the one revision that wrote it. Deleting it while that
     one can still be accepted would leave a manifest without its targets.
     """
-    found = yield store_calls.Read(key)
-    if not isinstance(found, store_calls.Found):
+    answer = yield store_calls.ReadKey(key)
+    if not isinstance(answer, store_calls.KeyFound):
         return False
-    since = parts.read_since(found.value)
-    return isinstance(since, int) and since <= revision
+    part_revision = parts.decode_revision(answer.value)
+    return isinstance(part_revision, int) and part_revision <= revision
 
 
-def _doubt(failure: errors.Failure, run: _Run) -> errors.Failure:
+def _mark_outcome_unknown(
+    failure: errors.Failure, progress: _Progress
+) -> errors.Failure:
     """Own up that a change may still take effect after an unclear write."""
-    if run.pending is None:
+    if progress.pending_write is None:
         return failure
-    request = run.request
+    request = progress.request
     return errors.make_failure(
         errors.Kind.OUTCOME_UNKNOWN,
         SOURCE,
-        f'{run.pending.text}; then {failure.kind}: {failure.detail}; '
-        f'settle it by --change-id {request.change_id} --from {request.base}',
+        f'{progress.pending_write.text}; then {failure.kind}: {failure.detail}; '
+        f'settle it by --change-id {request.change_id} --from {request.base_revision}',
     )
--- a/fuchsiahaven/core/configuration/shapes.py
+++ b/fuchsiahaven/core/configuration/tree_validation.py
@@ -8,16 +8,16 @@
 from fuchsiahaven.core.configuration import manifest_schemas, selectors, trees
 from fuchsiahaven.core.customers import customers
 
-_NAME: Final = re.compile(manifest_schemas.NAME)
-_TARGET: Final = re.compile(manifest_schemas.TARGET)
-_CENTRE: Final = re.compile(manifest_schemas.DATA_CENTRE)
+_NAME_PATTERN: Final = re.compile(manifest_schemas.NAME_PATTERN)
+_TARGET_PATTERN: Final = re.compile(manifest_schemas.TARGET_PATTERN)
+_DATA_CENTRE_PATTERN: Final = re.compile(manifest_schemas.DATA_CENTRE_PATTERN)
 _NAME_HELP: Final = 'small letters, digits, "-" and "."; 63 at most'
 _TARGET_HELP: Final = 'letters, digits, "-", "_", "." and "/"; 127 at most'
 
 
 def find_fault(
     tree: trees.Tree,
-    touched: Collection[trees.Field],
+    changed_fields: Collection[trees.FieldPath],
     before: trees.Tree | None = None,
 ) -> str | None:
     """Say what is wrong with the rows at the touched fields, or None.
@@ -32,27 +32,31 @@
         'classes': {},
         'customers': {},
     }
-    for kind, name in sorted(touched):
+    for kind, name in sorted(changed_fields):
         row = tree[kind].get(name)
         if row is not None:
-            known = before[kind].get(name) if before else None
-            rows[kind][name] = _drop_known(row, known)
+            old_row = before[kind].get(name) if before else None
+            rows[kind][name] = _drop_unchanged_targets(row, old_row)
     fault = next(_check_rows(tree, rows), None)
     # The schema is what every reader holds a manifest to, so nothing that it
     # refuses may be written, whatever the checks above let through.
-    return fault or manifest_schemas.find_fault(manifest_schemas.TREE, rows)
+    return fault or manifest_schemas.find_fault(
+        manifest_schemas.FIELD_TREE, rows
+    )
 
 
-def _drop_known(row: trees.Tree, known: trees.Tree | None) -> trees.Tree:
-    if known is None or 'targets' not in row:
+def _drop_unchanged_targets(
+    row: trees.Tree, old_row: trees.Tree | None
+) -> trees.Tree:
+    if old_row is None or 'targets' not in row:
         return row
-    old = known['targets']
-    new = {
+    old_targets = old_row['targets']
+    changed_targets = {
         name: pair
         for name, pair in row['targets'].items()
-        if old.get(name) != pair
+        if old_targets.get(name) != pair
     }
-    return {**row, 'targets': new}
+    return {**row, 'targets': changed_targets}
 
 
 def _check_rows(
@@ -60,7 +64,7 @@
 ) -> Iterator[str]:
     names = [name for kind in rows.values() for name in kind]
     for name in names:
-        if not _NAME.match(name):
+        if not _NAME_PATTERN.match(name):
             yield f'{name!r} is no name: {_NAME_HELP}'
     for group, row in rows['groups'].items():
         yield from _check_labels(group, row['labels'])
@@ -69,28 +73,30 @@
             if target not in tree['groups'][group]['targets']:
                 yield f'group {group} has no target {target} to be leaving'
     for customer, row in rows['customers'].items():
-        yield from _check_figures(customer, row)
+        yield from _check_quantities(customer, row)
 
 
-def _check_figures(customer: str, row: trees.Tree) -> Iterator[str]:
-    for figure in ('rate', 'burst'):
+def _check_quantities(customer: str, row: trees.Tree) -> Iterator[str]:
+    for field in ('rate', 'burst'):
         # A schema lets through what is no number at all.
-        if not customers.is_figure(row.get(figure)):
-            yield f'customer {customer}: {figure} is no number of 0 or more'
+        if not customers.is_valid_quantity(row.get(field)):
+            yield f'customer {customer}: {field} is no number of 0 or more'
 
 
 def _check_labels(group: str, labels: Mapping[str, str]) -> Iterator[str]:
     for key, text in labels.items():
-        fault = selectors.check_key(key) or selectors.check_value(text)
+        fault = selectors.find_key_fault(key) or selectors.find_value_fault(
+            text
+        )
         if fault is not None:
             yield f'group {group}, label {key}={text}: {fault.text}'
 
 
 def _check_targets(targets: Mapping[str, tuple[str, str]]) -> Iterator[str]:
     for target, (centre, address) in targets.items():
-        if not _TARGET.match(target):
+        if not _TARGET_PATTERN.match(target):
             yield f'{target!r} is no name of a target: {_TARGET_HELP}'
-        if not _CENTRE.match(centre):
+        if not _DATA_CENTRE_PATTERN.match(centre):
             yield f'target {target}: {centre!r} is no name of a data centre'
         if addresses.parse(address) is None:
             yield f'target {target}: {address!r} is not IP:PORT'
--- a/fuchsiahaven/core/configuration/trees.py
+++ b/fuchsiahaven/core/configuration/trees.py
@@ -14,14 +14,14 @@
 #: The fields of a group that bound what its targets take.
 CAPS: Final = ('slots', 'connections', 'connect_ms')
 
-Field = tuple[str, ...]
+FieldPath = tuple[str, ...]
 Tree = Mapping[str, Any]
 
 
 class Edit(NamedTuple):
     """Hold what one change did to one field; None stands for absent."""
 
-    field: Field
+    field: FieldPath
     before: object
     after: object
 
@@ -29,19 +29,23 @@
 def build_tree(configuration: configurations.Configuration) -> Tree:
     """Write a configuration as nested mappings down to lists and scalars."""
     return {
-        'groups': {g.name: build_group(g) for g in configuration.groups},
+        'groups': {
+            group.name: encode_group(group) for group in configuration.groups
+        },
         'selectors': {
-            selector.name: _build_selector(selector)
+            selector.name: _encode_selector(selector)
             for selector in configuration.selectors
         },
-        'classes': {c.name: build_class(c) for c in configuration.classes},
+        'classes': {
+            item.name: encode_class(item) for item in configuration.classes
+        },
         'customers': {
-            c.name: build_customer(c) for c in configuration.customers
+            item.name: encode_customer(item) for item in configuration.customers
         },
     }
 
 
-def build_rows(configuration: configurations.Configuration) -> Tree:
+def build_stored_tree(configuration: configurations.Configuration) -> Tree:
     """Write a configuration as it is stored and sent.
 
     What programs without customers do not know is there only with customers.
@@ -60,7 +64,7 @@
     return configurations.Configuration(
         revision=revision,
         groups=tuple(
-            read_group(name, row) for name, row in _sort(tree['groups'])
+            decode_group(name, row) for name, row in _sort_rows(tree['groups'])
         ),
         selectors=tuple(
             configurations.Selector(
@@ -69,23 +73,23 @@
                 row['expression'],
                 tuple(row['data_centres']),
             )
-            for name, row in _sort(tree['selectors'])
+            for name, row in _sort_rows(tree['selectors'])
         ),
         classes=tuple(
-            read_class(name, row) for name, row in _sort(tree['classes'])
+            decode_class(name, row) for name, row in _sort_rows(tree['classes'])
         ),
         customers=tuple(
-            read_customer(name, row)
-            for name, row in _sort(tree.get('customers', {}))
+            decode_customer(name, row)
+            for name, row in _sort_rows(tree.get('customers', {}))
         ),
     )
 
 
-def read_group(name: str, row: Tree) -> configurations.Group:
+def decode_group(name: str, row: Tree) -> configurations.Group:
     """Read one group out of its tree."""
     return configurations.Group(
         name=name,
-        labels=tuple(_sort(row['labels'])),
+        labels=tuple(_sort_rows(row['labels'])),
         targets=sort_targets(
             configurations.Target(target, address, data_centre)
             for target, (data_centre, address) in row['targets'].items()
@@ -97,17 +101,17 @@
     )
 
 
-def read_class(name: str, row: Tree) -> configurations.RequestClass:
+def decode_class(name: str, row: Tree) -> configurations.RequestClass:
     """Read one class of request out of its tree."""
-    words = {
+    enum_fields = {
         'needs': configurations.Needs(row['needs']),
         'repeat': configurations.Repeat(row['repeat']),
         'fan_out': configurations.FanOut(row['fan_out']),
     }
-    return configurations.RequestClass(name, **{**row, **words})
+    return configurations.RequestClass(name, **{**row, **enum_fields})
 
 
-def read_customer(name: str, row: Tree) -> customers.Customer:
+def decode_customer(name: str, row: Tree) -> customers.Customer:
     """Read one customer out of its tree."""
     priority = row.get('priority')
     return customers.Customer(
@@ -124,50 +128,52 @@
     targets: Iterable[configurations.Target],
 ) -> tuple[configurations.Target, ...]:
     """Put targets in the order in which every host holds them."""
-    return tuple(sorted(targets, key=_order_target))
+    return tuple(sorted(targets, key=_get_sort_key))
 
 
-def find_edits(before: Tree, after: Tree, at: Field = ()) -> Iterator[Edit]:
+def find_edits(
+    before: Tree, after: Tree, path: FieldPath = ()
+) -> Iterator[Edit]:
     """Yield the fewest edits that lead from one tree to another."""
     for key in sorted(before.keys() | after.keys()):
         old, new = before.get(key), after.get(key)
         if old == new:
             continue
         if isinstance(old, Mapping) and isinstance(new, Mapping):
-            yield from find_edits(old, new, (*at, key))
+            yield from find_edits(old, new, (*path, key))
         else:
-            yield Edit((*at, key), old, new)
+            yield Edit((*path, key), old, new)
 
 
-def overlap(one: Field, other: Field) -> bool:
+def overlaps(one: FieldPath, other: FieldPath) -> bool:
     """Tell whether two fields are the same or one contains the other."""
     shorter = min(len(one), len(other))
     return one[:shorter] == other[:shorter]
 
 
-def read_field(tree: Tree, field: Field) -> object:
+def find_field(tree: Tree, field: FieldPath) -> object:
     """Return the value of a field, or None where there is none."""
-    found: object = tree
+    value: object = tree
     for key in field:
-        if not isinstance(found, Mapping):
+        if not isinstance(value, Mapping):
             return None
-        found = found.get(key)
-    return found
+        value = value.get(key)
+    return value
 
 
-def write_field(tree: Tree, field: Field, value: object) -> Tree:
+def set_field(tree: Tree, field: FieldPath, value: object) -> Tree:
     """Return a tree in which one field has another value, or is gone.
 
     Raise KeyError where the field's parent does not exist.
     """
     key, rest = field[0], field[1:]
     if rest:
-        value = write_field(tree[key], rest, value)
-    kept = {name: old for name, old in tree.items() if name != key}
-    return kept if value is None else {**kept, key: value}
+        value = set_field(tree[key], rest, value)
+    others = {name: old for name, old in tree.items() if name != key}
+    return others if value is None else {**others, key: value}
 
 
-def build_group(group: configurations.Group) -> Tree:
+def encode_group(group: configurations.Group) -> Tree:
     """Write one group as its tree."""
     return {
         'labels': dict(group.labels),
@@ -180,7 +186,7 @@
     }
 
 
-def _build_selector(selector: configurations.Selector) -> Tree:
+def _encode_selector(selector: configurations.Selector) -> Tree:
     return {
         'class': selector.request_class,
         'expression': selector.expression,
@@ -188,7 +194,7 @@
     }
 
 
-def build_class(request_class: configurations.RequestClass) -> Tree:
+def encode_class(request_class: configurations.RequestClass) -> Tree:
     """Write the policy of a class of request as its tree."""
     row = request_class._asdict()
     row.pop('name')
@@ -201,7 +207,7 @@
     }
 
 
-def build_customer(customer: customers.Customer) -> Tree:
+def encode_customer(customer: customers.Customer) -> Tree:
     """Write one customer as its tree."""
     row: dict[str, object] = {
         'keys': dict.fromkeys(customer.keys, True),
@@ -213,9 +219,9 @@
     return row
 
 
-def _sort(rows: Mapping[str, Any]) -> list[tuple[str, Any]]:
+def _sort_rows(rows: Mapping[str, Any]) -> list[tuple[str, Any]]:
     return sorted(rows.items())
 
 
-def _order_target(target: configurations.Target) -> tuple[str, str]:
+def _get_sort_key(target: configurations.Target) -> tuple[str, str]:
     return target.data_centre, target.name
--- a/fuchsiahaven/core/coverage.py
+++ b/fuchsiahaven/core/coverage.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 # Keys hash into 0..65535, so a range ends at most here.
-POSITIONS: Final = 65536
+KEY_SPACE_SIZE: Final = 65536
 
 
 class Reason(enum.StrEnum):
@@ -30,7 +30,7 @@
     shard: int
 
 
-class Covered(NamedTuple):
+class CoveredRange(NamedTuple):
     """Name one covered range of one group."""
 
     group: str
@@ -39,7 +39,7 @@
     high: int
 
 
-class Missing(NamedTuple):
+class MissingRange(NamedTuple):
     """Name one missing range of one group and why it is missing."""
 
     group: str
@@ -49,7 +49,7 @@
     reason: Reason
 
 
-class Wanted(NamedTuple):
+class WantedRange(NamedTuple):
     """Name one range that a query has to reach."""
 
     group: str
@@ -73,8 +73,8 @@
     """State coverage over all groups that a query had to reach."""
 
     shards: int
-    covered: tuple[Covered, ...]
-    missing: tuple[Missing, ...]
+    covered: tuple[CoveredRange, ...]
+    missing: tuple[MissingRange, ...]
 
     @property
     def complete(self) -> bool:
@@ -82,13 +82,13 @@
         return not self.missing and len(self.covered) == self.shards
 
 
-def want_group(group: str) -> Wanted:
+def make_group_range(group: str) -> WantedRange:
     """Name a whole group of which no shard map is known, as one shard."""
-    return Wanted(group, 0, 0, POSITIONS)
+    return WantedRange(group, 0, 0, KEY_SPACE_SIZE)
 
 
-def build(
-    wanted: Iterable[Wanted],
+def build_coverage(
+    wanted: Iterable[WantedRange],
     answered: Container[ShardKey],
     reasons: Mapping[ShardKey, Reason],
 ) -> Coverage:
@@ -97,36 +97,36 @@
     A shard that neither answered nor failed is missing because its time ran
     out: what nobody accounted for must never be told as covered.
     """
-    covered: list[Covered] = []
-    missing: list[Missing] = []
-    for part in sorted(set(wanted)):
-        key = ShardKey(part.group, part.shard)
+    covered: list[CoveredRange] = []
+    missing: list[MissingRange] = []
+    for wanted_range in sorted(set(wanted)):
+        key = ShardKey(wanted_range.group, wanted_range.shard)
         if key in answered:
-            covered.append(Covered(*part))
+            covered.append(CoveredRange(*wanted_range))
         else:
             reason = reasons.get(key, Reason.TIMED_OUT)
-            missing.append(Missing(*part, reason))
+            missing.append(MissingRange(*wanted_range, reason))
     shards = len(covered) + len(missing)
     return Coverage(shards, tuple(covered), tuple(missing))
 
 
-def join_covered(stated: Coverage) -> tuple[Span, ...]:
+def join_ranges(coverage: Coverage) -> tuple[Span, ...]:
     """Join adjacent covered shards and ranges of each group."""
-    by_group: dict[str, list[Covered]] = {}
-    for part in stated.covered:
-        by_group.setdefault(part.group, []).append(part)
+    by_group: dict[str, list[CoveredRange]] = {}
+    for covered in coverage.covered:
+        by_group.setdefault(covered.group, []).append(covered)
     return tuple(
         _make_span(group, by_group[group]) for group in sorted(by_group)
     )
 
 
-def _make_span(group: str, parts: list[Covered]) -> Span:
-    shards = [(covered.shard, covered.shard) for covered in parts]
-    ranges = [(covered.low, covered.high) for covered in parts]
-    return Span(group, _join(shards, gap=1), _join(ranges, gap=0))
+def _make_span(group: str, covered_ranges: list[CoveredRange]) -> Span:
+    shards = [(covered.shard, covered.shard) for covered in covered_ranges]
+    ranges = [(covered.low, covered.high) for covered in covered_ranges]
+    return Span(group, _join_pairs(shards, gap=1), _join_pairs(ranges, gap=0))
 
 
-def _join(
+def _join_pairs(
     pairs: list[tuple[int, int]], gap: int
 ) -> tuple[tuple[int, int], ...]:
     joined: list[tuple[int, int]] = []
--- a/fuchsiahaven/core/customers/verdicts.py
+++ b/fuchsiahaven/core/customers/authentication.py
@@ -9,10 +9,10 @@
 
 SOURCE: Final = 'customers'
 #: Digits after the point of the seconds that a caller is told to wait.
-WAIT_DIGITS: Final = 2
+RETRY_AFTER_DECIMALS: Final = 2
 
 
-class Reason(enum.StrEnum):
+class RefusalReason(enum.StrEnum):
     """Say why a request is of no customer."""
 
     NONE = 'no key was shown'
@@ -20,57 +20,57 @@
     UNKNOWN = 'no customer holds the key'
 
 
-class Shown(NamedTuple):
+class Credentials(NamedTuple):
     """Hold the digest of the key shown, and whether anything was shown."""
 
-    key: str = ''
-    anything: bool = False
+    key_digest: str = ''
+    present: bool = False
 
 
-Found = customers.Customer | errors.Failure | None
+Authenticated = customers.Customer | errors.Failure | None
 
 
-def find_customer(
-    holders: Mapping[str, customers.Customer],
-    shown: Shown,
-    wait: float,
+def authenticate(
+    customers_by_key: Mapping[str, customers.Customer],
+    credentials: Credentials,
+    wait_s: float,
     *,
     public: bool,
-) -> Found:
+) -> Authenticated:
     """Find whose request it is, or say why it is refused.
 
     `wait` is for how many seconds no key can be trusted. What is public asks
     for none, and does not turn away whoever shows one that is unknown.
     """
-    if wait:
-        return None if public else make_stale(wait)
-    customer = holders.get(shown.key)
+    if wait_s:
+        return None if public else make_stale_failure(wait_s)
+    customer = customers_by_key.get(credentials.key_digest)
     if customer is None and not public:
         return errors.make_failure(
-            errors.Kind.UNKNOWN_KEY, SOURCE, _explain(shown)
+            errors.Kind.UNKNOWN_KEY, SOURCE, _choose_reason(credentials)
         )
     return customer
 
 
-def make_stale(wait: float) -> errors.Failure:
+def make_stale_failure(wait_s: float) -> errors.Failure:
     """Refuse a request because no recent word of its key is at hand."""
     return errors.make_failure(
         errors.Kind.STALE_KEYS,
         SOURCE,
         'no recent word of which keys are valid',
-        retry_after=round(wait, WAIT_DIGITS),
+        retry_after=round(wait_s, RETRY_AFTER_DECIMALS),
     )
 
 
-def find_priority(customer: customers.Customer | None, usual: int) -> int:
+def get_priority(customer: customers.Customer | None, default: int) -> int:
     """Return how urgent a request is, 0 for the most urgent."""
     if customer is None or customer.priority is None:
-        return usual
+        return default
     return customer.priority
 
 
-def _explain(shown: Shown) -> str:
+def _choose_reason(credentials: Credentials) -> str:
     """Say why a request is of no customer, without what it shows."""
-    if shown.key:
-        return Reason.UNKNOWN
-    return Reason.UNUSABLE if shown.anything else Reason.NONE
+    if credentials.key_digest:
+        return RefusalReason.UNKNOWN
+    return RefusalReason.UNUSABLE if credentials.present else RefusalReason.NONE
--- a/fuchsiahaven/core/customers/customers.py
+++ b/fuchsiahaven/core/customers/customers.py
@@ -5,9 +5,9 @@
 from typing import Final, NamedTuple, TypeGuard
 
 #: JSON readers agree on whole numbers up to here.
-LARGEST_WHOLE: Final = 9_007_199_254_740_991
+MAX_EXACT_INTEGER: Final = 9_007_199_254_740_991
 #: Characters of a name, which goes on with each request.
-LONGEST_NAME: Final = 128
+MAX_NAME_LENGTH: Final = 128
 
 
 class Customer(NamedTuple):
@@ -25,21 +25,24 @@
     burst: float = 0.0
 
 
-def find_fault(found: Iterable[Customer]) -> str | None:
+def find_fault(customers: Iterable[Customer]) -> str | None:
     """Say why customers cannot be told apart, or None."""
-    known = tuple(found)
-    counts = collections.Counter(customer.name for customer in known)
+    checked = tuple(customers)
+    counts = collections.Counter(customer.name for customer in checked)
     for name, count in counts.items():
         if count > 1:
             return f'customer {name!r} is there twice'
-    return next((_name_holders(*pair) for pair in find_shared(known)), None)
+    return next(
+        (_describe_shared_key(*pair) for pair in find_shared_keys(checked)),
+        None,
+    )
 
 
-def find_shared(found: Iterable[Customer]) -> list[tuple[str, str]]:
+def find_shared_keys(customers: Iterable[Customer]) -> list[tuple[str, str]]:
     """List the pairs of customers that hold one key."""
     holders: dict[str, str] = {}
     pairs = []
-    for customer in found:
+    for customer in customers:
         for key in customer.keys:
             holder = holders.setdefault(key, customer.name)
             if holder != customer.name:
@@ -47,33 +50,33 @@
     return pairs
 
 
-def index(found: Iterable[Customer]) -> Mapping[str, Customer]:
+def index_by_key(customers: Iterable[Customer]) -> Mapping[str, Customer]:
     """Sort customers by the digests of their keys."""
-    return {key: customer for customer in found for key in customer.keys}
+    return {key: customer for customer in customers for key in customer.keys}
 
 
-def is_name(told: object) -> TypeGuard[str]:
+def is_valid_name(value: object) -> TypeGuard[str]:
     """Tell whether targets can be shown a name in a header field."""
-    if not isinstance(told, str) or not told or len(told) > LONGEST_NAME:
+    if not isinstance(value, str) or not value or len(value) > MAX_NAME_LENGTH:
         return False
-    return told.isprintable() and told == told.strip()
+    return value.isprintable() and value == value.strip()
 
 
-def is_priority(told: object) -> TypeGuard[int]:
+def is_valid_priority(value: object) -> TypeGuard[int]:
     """Tell whether this is a priority: a whole number of 0 or more."""
     # A truth value is a number in this language, but not in an entry.
-    if not isinstance(told, int) or isinstance(told, bool):
+    if not isinstance(value, int) or isinstance(value, bool):
         return False
-    return 0 <= told <= LARGEST_WHOLE
+    return 0 <= value <= MAX_EXACT_INTEGER
 
 
-def is_figure(told: object) -> TypeGuard[float]:
+def is_valid_quantity(value: object) -> TypeGuard[float]:
     """Tell whether this is a rate or a burst: a number of 0 or more."""
-    if not isinstance(told, (int, float)) or isinstance(told, bool):
+    if not isinstance(value, (int, float)) or isinstance(value, bool):
         return False
     # Neither infinity nor what is no number at all is in this range.
-    return 0 <= told <= LARGEST_WHOLE
+    return 0 <= value <= MAX_EXACT_INTEGER
 
 
-def _name_holders(one: str, other: str) -> str:
+def _describe_shared_key(one: str, other: str) -> str:
     return f'customers {one!r} and {other!r} hold one key'
