--- a/fuchsiahaven/core/customers/freshness.py
+++ b/fuchsiahaven/core/customers/freshness.py
@@ -10,27 +10,27 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core import uptimes
+from fuchsiahaven.core import boot_clock
 
 #: The era of a store that has not come back from a copy, as far as is known.
 NO_ERA: Final = -1
 
 #: Shares of the time within which a key that was taken away is dead. Kept back
 #: for clocks that do not go at the same rate:
-MARGIN_SHARE: Final = 0.02
+CLOCK_MARGIN_FRACTION: Final = 0.02
 #: how long the reader waits for changes, and pauses between two reads;
-WATCH_SHARE: Final = 0.05
-PAUSE_SHARE: Final = 0.08
+WATCH_FRACTION: Final = 0.05
+PAUSE_FRACTION: Final = 0.08
 #: by how much what another host knows has to be newer to be told at once;
-GAIN_SHARE: Final = 0.09
+MIN_GAIN_FRACTION: Final = 0.09
 #: and the age from which on a second way is tried beside the first.
-URGENT_SHARE: Final = 0.45
+URGENT_AGE_FRACTION: Final = 0.45
 #: How long after it came back from a copy the store may lack what operators
 #: had written, in seconds.
-REWRITTEN_S: Final = 4.6
+RESTORE_SETTLING_S: Final = 4.6
 #: What a caller is told to wait at least and at most, in seconds.
-LEAST_WAIT_S: Final = 0.25
-MOST_WAIT_S: Final = 2.0
+MIN_WAIT_S: Final = 0.25
+MAX_WAIT_S: Final = 2.0
 
 
 class Proof(NamedTuple):
@@ -40,7 +40,7 @@
     mostly it is before. `era` is the store's whose reads count as proofs.
     """
 
-    lead: float
+    lead_s: float
     era: int
 
 
@@ -53,98 +53,105 @@
 
     def __init__(
         self,
-        revoke: float | None = None,
-        clock: Callable[[], float] = uptimes.read,
+        revoke_s: float | None = None,
+        clock: Callable[[], float] = boot_clock.read_clock,
     ) -> None:
         """Start with nothing proved."""
-        self.revoke = revoke
-        self.confirmed = -math.inf
+        self.revoke_s = revoke_s
+        self.confirmed_at = -math.inf
         self._clock = clock
-        self._keyed = False
-        self._settled = NO_ERA
-        self._heard = NO_ERA
-        self._turned = -math.inf
+        self._has_customers = False
+        self._settled_era = NO_ERA
+        self._latest_era = NO_ERA
+        self._era_changed_at = -math.inf
 
     @property
-    def is_on(self) -> bool:
+    def is_enforced(self) -> bool:
         """Tell whether keys are in use that have to die in time."""
-        return self._keyed and self.revoke is not None
+        return self._has_customers and self.revoke_s is not None
 
     def read_clock(self) -> float:
         """Return the time by which ages are counted."""
         return self._clock()
 
-    def note_keyed(self, *, keyed: bool) -> None:
+    def record_customers(self, *, has_customers: bool) -> None:
         """Note whether the configuration in force has customers."""
-        self._keyed = keyed
+        self._has_customers = has_customers
 
-    def note_read(self, left: float, era: int) -> bool:
+    def record_read(self, sent_at: float, era: int) -> bool:
         """Take in a read of the store that left then; tell whether it counts.
 
         A store that came back from a copy may lack what it had acknowledged,
         until operators have written it again.
         """
-        self._note_era(era)
-        if era != self._settled and not self._is_rewritten(left, era):
+        self._record_era(era)
+        if era != self._settled_era and not self._is_settled(sent_at, era):
             return False
-        self._settled = max(self._settled, era)
-        self.confirmed = max(self.confirmed, left)
+        self._settled_era = max(self._settled_era, era)
+        self.confirmed_at = max(self.confirmed_at, sent_at)
         return True
 
-    def note_told(self, left: float, proof: Proof | None, era: int) -> None:
+    def record_proof(
+        self, sent_at: float, proof: Proof | None, era: int
+    ) -> None:
         """Take in what another host told to a question that left then."""
-        self._note_era(era)
-        if proof is not None and math.isfinite(proof.lead):
-            self._settled = max(self._settled, proof.era)
-            self.confirmed = max(self.confirmed, left + proof.lead)
+        self._record_era(era)
+        if proof is not None and math.isfinite(proof.lead_s):
+            self._settled_era = max(self._settled_era, proof.era)
+            self.confirmed_at = max(self.confirmed_at, sent_at + proof.lead_s)
 
-    def prove(self, arrived: float) -> Proof | None:
+    def make_proof(self, received_at: float) -> Proof | None:
         """Say what is proved to who asked then; None if there is nothing."""
-        if not self.is_on or math.isinf(self.confirmed):
+        if not self.is_enforced or math.isinf(self.confirmed_at):
             return None
-        return Proof(self.confirmed - arrived, self._settled)
+        return Proof(self.confirmed_at - received_at, self._settled_era)
 
-    def is_worth_telling(self, arrived: float, age: float | None) -> bool:
+    def is_proof_useful(self, received_at: float, age_s: float | None) -> bool:
         """Tell whether who asked then with knowledge so old gains enough."""
-        proof = self.prove(arrived)
-        if age is None or proof is None or self.revoke is None:
+        proof = self.make_proof(received_at)
+        if age_s is None or proof is None or self.revoke_s is None:
             return False
-        return proof.lead + age >= GAIN_SHARE * self.revoke
+        return proof.lead_s + age_s >= MIN_GAIN_FRACTION * self.revoke_s
 
-    def count_age(self) -> float:
+    def compute_age(self) -> float:
         """Count how many seconds old the knowledge is at most."""
-        return self._clock() - self.confirmed
+        return self._clock() - self.confirmed_at
 
-    def find_wait(self) -> float:
+    def compute_wait(self) -> float:
         """Say in how many seconds to come back; 0 where keys are known.
 
         A host that cannot prove how old its knowledge is must not take
         requests with keys. What has lasted for some time mostly lasts as long
         again.
         """
-        if self.revoke is None:
+        if self.revoke_s is None:
             return 0.0
-        over = self.count_age() - (1 - MARGIN_SHARE) * self.revoke
-        if over <= 0:
+        excess_s = (
+            self.compute_age() - (1 - CLOCK_MARGIN_FRACTION) * self.revoke_s
+        )
+        if excess_s <= 0:
             return 0.0
-        return min(MOST_WAIT_S, max(LEAST_WAIT_S, over))
+        return min(MAX_WAIT_S, max(MIN_WAIT_S, excess_s))
 
-    def count_calm(self) -> float:
+    def compute_urgent_delay(self) -> float:
         """Count the seconds until a second way is worth trying."""
-        if not self.is_on or self.revoke is None:
+        if not self.is_enforced or self.revoke_s is None:
             return math.inf
-        return URGENT_SHARE * self.revoke - self.count_age()
+        return URGENT_AGE_FRACTION * self.revoke_s - self.compute_age()
 
-    def limit(self, usual: float, share: float) -> float:
+    def limit_time(self, default_s: float, fraction: float) -> float:
         """Limit a time to a share of that within which keys have to die."""
-        if not self.is_on or self.revoke is None:
-            return usual
-        return min(usual, share * self.revoke)
-
-    def _is_rewritten(self, left: float, era: int) -> bool:
-        return era == self._heard and left >= self._turned + REWRITTEN_S
-
-    def _note_era(self, era: int) -> None:
-        if era > self._heard:
-            self._heard = era
-            self._turned = self._clock()
+        if not self.is_enforced or self.revoke_s is None:
+            return default_s
+        return min(default_s, fraction * self.revoke_s)
+
+    def _is_settled(self, sent_at: float, era: int) -> bool:
+        return (
+            era == self._latest_era
+            and sent_at >= self._era_changed_at + RESTORE_SETTLING_S
+        )
+
+    def _record_era(self, era: int) -> None:
+        if era > self._latest_era:
+            self._latest_era = era
+            self._era_changed_at = self._clock()
--- a/fuchsiahaven/core/errors.py
+++ b/fuchsiahaven/core/errors.py
@@ -44,13 +44,13 @@
     INTERNAL = 'internal'
 
 
-class Row(NamedTuple):
+class KindProperties(NamedTuple):
     """Hold how one kind is answered: HTTP status, text, default `ran`."""
 
     status: int
     text: str
     ran: Ran
-    retry: bool = False
+    retryable: bool = False
 
 
 class Failure(NamedTuple):
@@ -66,60 +66,85 @@
     retry_after: float | None = None
 
 
-TABLE: Final = {
-    Kind.BAD_REQUEST: Row(400, 'the request is not well formed', Ran.NO),
-    Kind.TOO_LARGE: Row(413, 'the request exceeds a size limit', Ran.NO),
-    Kind.SLOW_REQUEST: Row(408, 'the request arrived too slowly', Ran.NO),
-    Kind.NOT_FOUND: Row(404, 'there is nothing at this path', Ran.NO),
-    Kind.UNKNOWN_KEY: Row(401, 'no customer holds this key', Ran.NO),
-    Kind.OVER_QUOTA: Row(
-        429, "the customer's quota is used up", Ran.NO, retry=True
+KIND_PROPERTIES: Final = {
+    Kind.BAD_REQUEST: KindProperties(
+        400, 'the request is not well formed', Ran.NO
     ),
-    Kind.STALE_KEYS: Row(
-        503, 'this host cannot tell which keys are valid', Ran.NO, retry=True
+    Kind.TOO_LARGE: KindProperties(
+        413, 'the request exceeds a size limit', Ran.NO
     ),
-    Kind.UNKNOWN_CLASS: Row(422, 'the class is not configured', Ran.NO),
-    Kind.DEADLINE_UNREACHABLE: Row(
-        503, 'the deadline cannot be met', Ran.NO, retry=True
+    Kind.SLOW_REQUEST: KindProperties(
+        408, 'the request arrived too slowly', Ran.NO
     ),
-    Kind.OVERLOADED: Row(503, 'the host is overloaded', Ran.NO, retry=True),
-    Kind.STOPPING: Row(503, 'the host is stopping', Ran.NO, retry=True),
-    Kind.NOT_READY: Row(503, 'the host is not ready', Ran.NO, retry=True),
-    Kind.NO_ROUTE: Row(
-        503, 'no live searcher may be reached', Ran.NO, retry=True
+    Kind.NOT_FOUND: KindProperties(
+        404, 'there is nothing at this path', Ran.NO
     ),
-    Kind.NO_SNAPSHOT: Row(
-        503, 'no snapshot could be held', Ran.YES, retry=True
+    Kind.UNKNOWN_KEY: KindProperties(401, 'no customer holds this key', Ran.NO),
+    Kind.OVER_QUOTA: KindProperties(
+        429, "the customer's quota is used up", Ran.NO, retryable=True
     ),
-    Kind.QUARANTINED: Row(
-        503, 'targets have ended under this request', Ran.NO, retry=True
+    Kind.STALE_KEYS: KindProperties(
+        503,
+        'this host cannot tell which keys are valid',
+        Ran.NO,
+        retryable=True,
     ),
-    Kind.INCOMPLETE: Row(503, 'some shards are missing', Ran.YES, retry=True),
-    Kind.TIMED_OUT: Row(504, 'the deadline passed', Ran.YES, retry=True),
-    Kind.DUPLICATE_REQUEST: Row(
+    Kind.UNKNOWN_CLASS: KindProperties(
+        422, 'the class is not configured', Ran.NO
+    ),
+    Kind.DEADLINE_UNREACHABLE: KindProperties(
+        503, 'the deadline cannot be met', Ran.NO, retryable=True
+    ),
+    Kind.OVERLOADED: KindProperties(
+        503, 'the host is overloaded', Ran.NO, retryable=True
+    ),
+    Kind.STOPPING: KindProperties(
+        503, 'the host is stopping', Ran.NO, retryable=True
+    ),
+    Kind.NOT_READY: KindProperties(
+        503, 'the host is not ready', Ran.NO, retryable=True
+    ),
+    Kind.NO_ROUTE: KindProperties(
+        503, 'no live searcher may be reached', Ran.NO, retryable=True
+    ),
+    Kind.NO_SNAPSHOT: KindProperties(
+        503, 'no snapshot could be held', Ran.YES, retryable=True
+    ),
+    Kind.QUARANTINED: KindProperties(
+        503, 'targets have ended under this request', Ran.NO, retryable=True
+    ),
+    Kind.INCOMPLETE: KindProperties(
+        503, 'some shards are missing', Ran.YES, retryable=True
+    ),
+    Kind.TIMED_OUT: KindProperties(
+        504, 'the deadline passed', Ran.YES, retryable=True
+    ),
+    Kind.DUPLICATE_REQUEST: KindProperties(
         409, 'this request id has been claimed before', Ran.UNKNOWN
     ),
-    Kind.REQUEST_EXPIRED: Row(
+    Kind.REQUEST_EXPIRED: KindProperties(
         422, 'the time inside the request id is out of bounds', Ran.NO
     ),
-    Kind.PLATFORM_UNAVAILABLE: Row(
-        503, 'the platform cannot be reached', Ran.NO, retry=True
+    Kind.PLATFORM_UNAVAILABLE: KindProperties(
+        503, 'the platform cannot be reached', Ran.NO, retryable=True
     ),
-    Kind.OUTCOME_UNKNOWN: Row(
+    Kind.OUTCOME_UNKNOWN: KindProperties(
         504, 'the outcome of the request is unknown', Ran.UNKNOWN
     ),
-    Kind.INVALID_CHANGE: Row(422, 'the change is not valid', Ran.NO),
-    Kind.CONFLICT: Row(409, 'another change took hold first', Ran.NO),
-    Kind.INVALID_CONFIGURATION: Row(
+    Kind.INVALID_CHANGE: KindProperties(422, 'the change is not valid', Ran.NO),
+    Kind.CONFLICT: KindProperties(
+        409, 'another change took hold first', Ran.NO
+    ),
+    Kind.INVALID_CONFIGURATION: KindProperties(
         502, 'the stored configuration cannot be read', Ran.NO
     ),
-    Kind.UNKNOWN_FORMAT: Row(
+    Kind.UNKNOWN_FORMAT: KindProperties(
         502, 'the stored configuration has a newer format', Ran.NO
     ),
-    Kind.OLDER_COPY: Row(
+    Kind.OLDER_COPY: KindProperties(
         503, 'the platform holds an older configuration', Ran.NO
     ),
-    Kind.INTERNAL: Row(500, 'an internal error', Ran.UNKNOWN),
+    Kind.INTERNAL: KindProperties(500, 'an internal error', Ran.UNKNOWN),
 }
 
 
@@ -132,5 +157,5 @@
     ran: Ran | None = None,
 ) -> Failure:
     """Build a failure whose `ran` is the table's unless given."""
-    row = TABLE[kind]
-    return Failure(kind, source, detail, ran or row.ran, retry_after)
+    properties = KIND_PROPERTIES[kind]
+    return Failure(kind, source, detail, ran or properties.ran, retry_after)
--- a/fuchsiahaven/core/json_texts.py
+++ b/fuchsiahaven/core/json_texts.py
@@ -12,9 +12,9 @@
     infinities, which Python reads too, pass every check of bounds, since no
     comparison with NaN is true.
     """
-    plain = text if isinstance(text, str) else text.decode()
+    decoded = text if isinstance(text, str) else text.decode()
     try:
-        return _decode(plain)
+        return _decode(decoded)
     except RecursionError as error:
         raise ValueError('nested too deep') from error
 
--- a/fuchsiahaven/core/members/patch_rows.py
+++ b/fuchsiahaven/core/members/patch_rows.py
@@ -29,9 +29,9 @@
     'properties': {
         'base': gossip_rows.STAMP,
         'stamp': gossip_rows.STAMP,
-        'changed': schemas.TREE,
+        'changed': schemas.FIELD_TREE,
         'removed': _REMOVED,
-        'change_id': {'type': 'string', 'maxLength': schemas.MAX_TEXT},
+        'change_id': {'type': 'string', 'maxLength': schemas.MAX_TEXT_LENGTH},
     },
 }
 _SCHEMA: Final = {
@@ -71,7 +71,7 @@
 
 
 def _write_patch(patch: patches.Patch) -> Mapping[str, object]:
-    tree = trees.build_rows(patch.changed)
+    tree = trees.build_stored_tree(patch.changed)
     removed = patch.removed
     row = {
         'base': patch.base,
--- a/fuchsiahaven/core/policies.py
+++ b/fuchsiahaven/core/policies.py
@@ -3,60 +3,60 @@
 from typing import Final, NamedTuple
 
 
-class Measured(NamedTuple):
+class MeasuredRouting(NamedTuple):
     """Choose the replica that this host's own figures favour."""
 
 
-class InTurn(NamedTuple):
+class RoundRobinRouting(NamedTuple):
     """Choose the replicas of a shard one after another."""
 
 
-class Adaptive(NamedTuple):
+class AdaptiveLimit(NamedTuple):
     """Adapt what is in flight to each target, up to its seats."""
 
 
-class Fixed(NamedTuple):
+class FixedLimit(NamedTuple):
     """Keep up to `in_flight` sub-requests in flight to each target."""
 
-    in_flight: int = 8
+    max_in_flight: int = 8
 
 
-class Budgeted(NamedTuple):
+class BudgetedAttempts(NamedTuple):
     """Hedge and retry within a share of first tries."""
 
 
-class OneTry(NamedTuple):
+class SingleAttempt(NamedTuple):
     """Ask for each part once, and wait for it until the deadline."""
 
 
-class ByDeadline(NamedTuple):
+class DeadlineAdmission(NamedTuple):
     """Queue by priority and refuse what cannot be answered in time."""
 
 
-class Bounded(NamedTuple):
+class BoundedAdmission(NamedTuple):
     """Run up to `queries` at once and refuse the others."""
 
-    queries: int = 64
+    max_queries: int = 64
 
 
 class Policy(NamedTuple):
     """Hold one bundle."""
 
     name: str
-    routing: Measured | InTurn = Measured()
-    limiting: Adaptive | Fixed = Adaptive()
-    repeating: Budgeted | OneTry = Budgeted()
-    admitting: ByDeadline | Bounded = ByDeadline()
+    routing: MeasuredRouting | RoundRobinRouting = MeasuredRouting()
+    limit: AdaptiveLimit | FixedLimit = AdaptiveLimit()
+    attempts: BudgetedAttempts | SingleAttempt = BudgetedAttempts()
+    admission: DeadlineAdmission | BoundedAdmission = DeadlineAdmission()
 
 
 STANDARD: Final = Policy('standard')
 #: What the measurements compare with.
 BASELINE: Final = Policy(
     'baseline',
-    InTurn(),
-    Fixed(),
-    OneTry(),
-    Bounded(),
+    RoundRobinRouting(),
+    FixedLimit(),
+    SingleAttempt(),
+    BoundedAdmission(),
 )
 
 POLICIES: Final = {policy.name: policy for policy in (STANDARD, BASELINE)}
--- a/fuchsiahaven/core/queries/crashes.py
+++ b/fuchsiahaven/core/queries/crashes.py
@@ -3,7 +3,7 @@
 import json
 from typing import Final
 
-from fuchsiahaven.core import identities, policies, suspects
+from fuchsiahaven.core import policies, request_identities, suspects
 from fuchsiahaven.core.queries import queries, states, tables
 from fuchsiahaven.core.targets import messages
 
@@ -12,20 +12,20 @@
 LOOK_S: Final = 0.05
 
 
-def name_query(query: messages.Query) -> identities.Identity:
+def name_query(query: messages.Query) -> request_identities.Identity:
     """Name what a query asks for; it is the same under each request id."""
     asked = json.dumps([dict(query.terms), query.key], sort_keys=True)
-    return identities.identify(query.class_name, asked.encode())
+    return request_identities.identify(query.class_name, asked.encode())
 
 
 def find_gate(
     state: states.State, query: messages.Query, now: float
-) -> suspects.Gate:
+) -> suspects.SendPermission:
     """Say how the parts of a query may be sent now."""
-    once = isinstance(state.policy.repeating, policies.OneTry)
+    once = isinstance(state.policy.attempts, policies.SingleAttempt)
     if once or not _has_crashes(state):
-        return suspects.Gate.OPEN
-    return state.tables.suspects.find_gate(name_query(query), now)
+        return suspects.SendPermission.UNRESTRICTED
+    return state.tables.suspects.get_permission(name_query(query), now)
 
 
 def note_loss(
@@ -57,10 +57,10 @@
             loss.sent,
             loss.lost,
         )
-        known.note_crash(loss.identity, crash, now)
+        known.record_crash(loss.identity, crash, now)
     for lost in losses:
         known.end_trial(lost.identity, lost.part)
-    known.forget_old(now)
+    known.expire_suspects(now)
     return [waiting.part for waiting in losses]
 
 
@@ -86,7 +86,7 @@
     for action in actions:
         if isinstance(action, messages.Send):
             identity = name_query(run.query)
-            state.tables.suspects.begin_trial(identity, action.part, now)
+            state.tables.suspects.start_trial(identity, action.part, now)
 
 
 def note_answer(
@@ -96,7 +96,7 @@
     if _has_crashes(state):
         identity = name_query(run.query)
         known = state.tables.suspects
-        known.note_success(identity, _name_service(part), part)
+        known.record_success(identity, _name_service(part), part)
 
 
 def end_trial(
--- a/fuchsiahaven/core/queries/gather.py
+++ b/fuchsiahaven/core/queries/gather.py
@@ -208,15 +208,15 @@
     None where it is not to be sent any more.
     """
     match crashes.find_gate(state, run.query, now):
-        case suspects.Gate.CLOSED:
+        case suspects.SendPermission.BLOCKED:
             part = run.parts[part_id]
             reason = coverage.Reason.QUARANTINED
             run.parts[part_id] = part._replace(reason=reason)
             return None
-        case suspects.Gate.HELD:
+        case suspects.SendPermission.AFTER_TRIAL:
             repeats.put_off(state, run, part_id, now)
             return []
-        case suspects.Gate.TRIAL:
+        case suspects.SendPermission.TRIAL:
             if scatter.is_full(state, run, part_id, now):
                 # What waits at a target would leave after the trial too.
                 repeats.put_off(state, run, part_id, now)
--- a/fuchsiahaven/core/queries/outcomes.py
+++ b/fuchsiahaven/core/queries/outcomes.py
@@ -56,8 +56,8 @@
             reasons[part_id] = part.reason
         else:
             continue
-        wanted.append(coverage.Wanted(*part_id, part.low, part.high))
-    return coverage.build(wanted, answered, reasons)
+        wanted.append(coverage.WantedRange(*part_id, part.low, part.high))
+    return coverage.build_coverage(wanted, answered, reasons)
 
 
 def _merge(run: queries.Run) -> queries.Rows:
--- a/fuchsiahaven/core/queries/records.py
+++ b/fuchsiahaven/core/queries/records.py
@@ -78,10 +78,10 @@
 
 
 def _read_coverage(row: Mapping[str, Any]) -> coverage.Coverage:
-    missing = (coverage.Missing._make(part) for part in row['missing'])
+    missing = (coverage.MissingRange._make(part) for part in row['missing'])
     return coverage.Coverage(
         row['shards'],
-        tuple(coverage.Covered._make(part) for part in row['covered']),
+        tuple(coverage.CoveredRange._make(part) for part in row['covered']),
         tuple(
             part._replace(reason=coverage.Reason(part.reason))
             for part in missing
--- a/fuchsiahaven/core/queries/repeats.py
+++ b/fuchsiahaven/core/queries/repeats.py
@@ -55,7 +55,7 @@
     free: bool,
 ) -> list[messages.Action] | None:
     """Ask another replica; None where none is left or the budget is spent."""
-    if isinstance(state.policy.repeating, policies.OneTry):
+    if isinstance(state.policy.attempts, policies.SingleAttempt):
         return None
     if run.parts[part_id].attempt - run.first_attempt >= MAX_ATTEMPTS:
         return None
@@ -83,7 +83,7 @@
     for one: giving it up at once would lose coverage in each burst.
     """
     part = run.parts[part_id]
-    if isinstance(state.policy.repeating, policies.OneTry):
+    if isinstance(state.policy.attempts, policies.SingleAttempt):
         return False
     if part.may_have_run or part.reason is not coverage.Reason.OVERLOADED:
         return False
@@ -113,7 +113,10 @@
     run = state.tables.runs.get(due.number)
     if run is None:
         return []
-    if crashes.find_gate(state, run.query, now) is not suspects.Gate.OPEN:
+    if (
+        crashes.find_gate(state, run.query, now)
+        is not suspects.SendPermission.UNRESTRICTED
+    ):
         return []
     kind = tables.ClassGroup(run.policy.name, due.group)
     slow = [
@@ -141,7 +144,9 @@
     kind: tables.ClassGroup,
     now: float,
 ) -> None:
-    if run.at_most_once or isinstance(state.policy.repeating, policies.OneTry):
+    if run.at_most_once or isinstance(
+        state.policy.attempts, policies.SingleAttempt
+    ):
         return
     window = state.tables.windows.get(kind, hedges.EMPTY)
     delay = hedges.hedge_delay(window)
--- a/fuchsiahaven/core/queries/replies.py
+++ b/fuchsiahaven/core/queries/replies.py
@@ -72,7 +72,7 @@
         kind,
         SOURCE,
         event.detail,
-        retry_after=RETRY_S if errors.TABLE[kind].retry else None,
+        retry_after=RETRY_S if errors.KIND_PROPERTIES[kind].retryable else None,
         ran=ran,
     )
     return reply(state, event.token, failure, now)
--- a/fuchsiahaven/core/queries/scatter.py
+++ b/fuchsiahaven/core/queries/scatter.py
@@ -96,10 +96,10 @@
     limit = state.tables.limits.get(name)
     if limit is None:
         return False
-    match state.policy.limiting:
-        case policies.Fixed(in_flight):
+    match state.policy.limit:
+        case policies.FixedLimit(in_flight):
             return stats.in_flight < in_flight
-        case policies.Adaptive():
+        case policies.AdaptiveLimit():
             return limits.may_send(limit, stats.in_flight, now)
 
 
@@ -142,7 +142,10 @@
         run = state.tables.runs.get(waiter.number)
         if run is None or not _still_waits(run, waiter, name):
             continue
-        if crashes.find_gate(state, run.query, now) is suspects.Gate.OPEN:
+        if (
+            crashes.find_gate(state, run.query, now)
+            is suspects.SendPermission.UNRESTRICTED
+        ):
             actions.append(
                 send(state, run, waiter.part_id, name, now, waiter.purpose)
             )
@@ -163,10 +166,10 @@
 ) -> str:
     known = state.tables
     match state.policy.routing:
-        case policies.InTurn():
+        case policies.RoundRobinRouting():
             known.turns[part_id] += 1
             return free[known.turns[part_id] % len(free)]
-        case policies.Measured():
+        case policies.MeasuredRouting():
             draws = (state.draw(), state.draw())
             connect_ms = known.group_of[free[0]].connect_ms
             # What must not run twice is no trial for a target that failed.
--- a/fuchsiahaven/core/queries/starts.py
+++ b/fuchsiahaven/core/queries/starts.py
@@ -88,7 +88,10 @@
     due = tables.RunDue(run.number)
     states.set_timer(state, scatter.answer_time(run), due)
     actions: list[messages.Action] = []
-    if crashes.find_gate(state, run.query, now) is not suspects.Gate.OPEN:
+    if (
+        crashes.find_gate(state, run.query, now)
+        is not suspects.SendPermission.UNRESTRICTED
+    ):
         # One part is tried first, the others wait for what comes of it.
         for waiting in run.parts:
             retry = tables.RetryDue(run.number, waiting)
@@ -127,7 +130,7 @@
     if pin is None:
         # Nothing is known of the group: it still counts as one missing
         # part, or an answer without it would be told as complete.
-        whole = coverage.want_group(group)
+        whole = coverage.make_group_range(group)
         part_id = queries.PartId(group, whole.shard)
         return {part_id: queries.Part(whole.low, whole.high, ())}
     shards = pin.shards
--- a/fuchsiahaven/core/queries/submissions.py
+++ b/fuchsiahaven/core/queries/submissions.py
@@ -39,10 +39,10 @@
         return [messages.Reply(event.token, obstacle)]
     event = _cap_deadline(policy, event)
     state.tables.waiting[event.token] = event
-    match state.policy.admitting:
-        case policies.Bounded(queries):
+    match state.policy.admission:
+        case policies.BoundedAdmission(queries):
             return _admit_bounded(state, event, policy, queries, now)
-        case policies.ByDeadline():
+        case policies.DeadlineAdmission():
             query = event.query
             entry = queues.Entry(
                 event.token,
@@ -162,10 +162,13 @@
     state: states.State, query: messages.Query, now: float
 ) -> errors.Failure | None:
     """Refuse a query that is not to be sent now."""
-    if crashes.find_gate(state, query, now) is not suspects.Gate.CLOSED:
+    if (
+        crashes.find_gate(state, query, now)
+        is not suspects.SendPermission.BLOCKED
+    ):
         return None
     identity = crashes.name_query(query)
-    wait = state.tables.suspects.count_wait(identity, now)
+    wait = state.tables.suspects.compute_wait(identity, now)
     return errors.make_failure(
         errors.Kind.QUARANTINED, SOURCE, identity.digest, retry_after=wait
     )
--- a/fuchsiahaven/core/queries/tables.py
+++ b/fuchsiahaven/core/queries/tables.py
@@ -9,7 +9,7 @@
 import itertools
 from typing import NamedTuple
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.configuration import configurations, selectors
 from fuchsiahaven.core.queries import admission, budgets, hedges, queries
 from fuchsiahaven.core.targets import (
@@ -144,7 +144,7 @@
 class Loss(NamedTuple):
     """Hold a sub-request that was lost with its connection."""
 
-    identity: identities.Identity
+    identity: request_identities.Identity
     part: messages.PartKey
     sent: float
     lost: float
@@ -240,7 +240,7 @@
     budgets: dict[ClassGroup, budgets.Budget]
     known: dict[str, snapshots.Known]
     in_use: 'collections.Counter[str]'
-    reached: dict[str, tuple[selectors.Reached, ...]]
+    reached: dict[str, tuple[selectors.ReachableGroup, ...]]
     views: dict[tuple[str, tuple[str, ...]], View]
     losses: dict[str, list[Loss]]
     suspects: suspects.Suspects
--- a/fuchsiahaven/core/queries/views.py
+++ b/fuchsiahaven/core/queries/views.py
@@ -9,11 +9,11 @@
 
 def reach(
     state: states.State, class_name: str
-) -> tuple[selectors.Reached, ...]:
+) -> tuple[selectors.ReachableGroup, ...]:
     """List the groups that a class reaches under the configuration."""
     reached = state.tables.reached.get(class_name)
     if reached is None:
-        reached = selectors.reach(state.configuration, class_name)
+        reached = selectors.list_reachable(state.configuration, class_name)
         state.tables.reached[class_name] = reached
     return reached
 
@@ -41,7 +41,7 @@
 
 def pin(
     state: states.State,
-    reached: selectors.Reached,
+    reached: selectors.ReachableGroup,
     position: int | None,
     newer_than: int,
 ) -> snapshots.Pin | None:
@@ -62,7 +62,7 @@
 
 def _choose(
     state: states.State,
-    reached: selectors.Reached,
+    reached: selectors.ReachableGroup,
     position: int | None,
     newer_than: int,
 ) -> snapshots.Pin | None:
@@ -77,7 +77,9 @@
     return near
 
 
-def _view(state: states.State, reached: selectors.Reached) -> tables.View:
+def _view(
+    state: states.State, reached: selectors.ReachableGroup
+) -> tables.View:
     key = (reached.group.name, reached.data_centres)
     found = state.tables.views.get(key)
     if found is None:
@@ -86,7 +88,9 @@
     return found
 
 
-def _build(state: states.State, reached: selectors.Reached) -> tables.View:
+def _build(
+    state: states.State, reached: selectors.ReachableGroup
+) -> tables.View:
     known = state.tables.known.get(reached.group.name)
     if known is None:
         return tables.View((), ())
--- a/fuchsiahaven/core/rates.py
+++ b/fuchsiahaven/core/rates.py
@@ -15,19 +15,19 @@
 
     rate: Rate
     tokens: float
-    at: float
+    updated_at: float
 
 
-def fill_bucket(rate: Rate, now: float) -> Bucket:
+def make_full_bucket(rate: Rate, now: float) -> Bucket:
     """Start with a full bucket."""
     return Bucket(rate, rate.burst, now)
 
 
 def take_token(bucket: Bucket, now: float) -> tuple[Bucket, float]:
     """Take one token; give 0 where taken, else the seconds to wait."""
-    gained = max(0.0, now - bucket.at) * bucket.rate.per_second
+    gained = max(0.0, now - bucket.updated_at) * bucket.rate.per_second
     tokens = min(bucket.rate.burst, bucket.tokens + gained)
     if tokens >= 1:
-        return bucket._replace(tokens=tokens - 1, at=now), 0.0
-    wait = (1 - tokens) / bucket.rate.per_second
-    return bucket._replace(tokens=tokens, at=now), wait
+        return bucket._replace(tokens=tokens - 1, updated_at=now), 0.0
+    wait_s = (1 - tokens) / bucket.rate.per_second
+    return bucket._replace(tokens=tokens, updated_at=now), wait_s
--- a/fuchsiahaven/core/identities.py
+++ b/fuchsiahaven/core/request_identities.py
@@ -4,11 +4,11 @@
 from typing import Final, NamedTuple
 
 #: Keeps these digests apart from all others of the same bytes.
-_KEY: Final = b'fuchsiahaven request'
-_BYTES: Final = 16
+_HASH_KEY: Final = b'fuchsiahaven request'
+_DIGEST_BYTES: Final = 16
 #: How digests are written.
-DIGITS: Final = 2 * _BYTES
-HEX: Final = '0123456789abcdef'
+DIGEST_DIGITS: Final = 2 * _DIGEST_BYTES
+HEX_DIGITS: Final = '0123456789abcdef'
 
 
 class Identity(NamedTuple):
@@ -22,10 +22,10 @@
 UNKNOWN: Final = Identity('', '')
 
 
-def identify(customer: str, *asked: bytes) -> Identity:
+def identify(customer: str, *pieces: bytes) -> Identity:
     """Name what a customer asks for, given in pieces."""
-    digest = hashlib.blake2b(digest_size=_BYTES, key=_KEY)
-    for piece in (customer.encode(), *asked):
+    digest = hashlib.blake2b(digest_size=_DIGEST_BYTES, key=_HASH_KEY)
+    for piece in (customer.encode(), *pieces):
         # Its length before each piece keeps ('ab', 'c') and ('a', 'bc') apart.
         digest.update(b'%d ' % len(piece))
         digest.update(piece)
--- a/fuchsiahaven/core/request_ids.py
+++ b/fuchsiahaven/core/request_ids.py
@@ -16,21 +16,21 @@
 _MILLISECONDS: Final = 1000
 
 
-def mint(epoch: float, bits: int) -> str:
+def make_request_id(epoch_s: float, bits: int) -> str:
     """Make a request id from the wall-clock time and `RANDOM_BITS` bits.
 
     RFC 9562, section 5.7.
     """
     middle = (bits >> _LOW_BITS) & ((1 << _MIDDLE_BITS) - 1)
     low = bits & ((1 << _LOW_BITS) - 1)
-    whole = int(epoch * _MILLISECONDS) << _TIME_SHIFT
-    whole |= VERSION << _VERSION_SHIFT
-    whole |= middle << _MIDDLE_SHIFT
-    whole |= VARIANT << _LOW_BITS
-    return str(uuid.UUID(int=whole | low))
+    value = int(epoch_s * _MILLISECONDS) << _TIME_SHIFT
+    value |= VERSION << _VERSION_SHIFT
+    value |= middle << _MIDDLE_SHIFT
+    value |= VARIANT << _LOW_BITS
+    return str(uuid.UUID(int=value | low))
 
 
-def read_epoch(request_id: str) -> float | None:
+def parse_epoch(request_id: str) -> float | None:
     """Read the wall-clock time inside an id; None if it is no version 7.
 
     Only the usual form is read: were braces or capitals let through, one id
@@ -40,7 +40,7 @@
         parsed = uuid.UUID(request_id)
     except ValueError:
         return None
-    usual = str(parsed) == request_id
-    if not usual or parsed.version != VERSION:
+    is_canonical = str(parsed) == request_id
+    if not is_canonical or parsed.version != VERSION:
         return None
     return (parsed.int >> _TIME_SHIFT) / _MILLISECONDS
--- a/fuchsiahaven/core/suspects.py
+++ b/fuchsiahaven/core/suspects.py
@@ -12,53 +12,53 @@
 from collections.abc import Hashable, Iterable
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core import identities, offers, rates
+from fuchsiahaven.core import rates, request_identities, trial_offers
 
 #: Moments at which targets ended that make a quarantine.
-MOST_CRASHES: Final = 3
+MIN_QUARANTINE_CRASHES: Final = 3
 #: Moments after which a trial may quarantine, and no host sends beside it.
-TELLING_CRASHES: Final = 2
+MIN_EXCLUSIVE_CRASHES: Final = 2
 #: How long a request is left alone before the trial that may quarantine it.
 #: What ends many targets by chance is mostly over by then.
-PAUSE_S: Final = 1.0
+TRIAL_DELAY_S: Final = 1.0
 #: How long a quarantine lasts, doubled with each trial that failed since.
-QUARANTINE_S: Final = 120.0
-LONGEST_S: Final = 600.0
+MIN_QUARANTINE_S: Final = 120.0
+MAX_QUARANTINE_S: Final = 600.0
 #: How long other hosts leave a request alone that one of them tries.
-TRIAL_S: Final = 1.0
+TRIAL_TIMEOUT_S: Final = 1.0
 #: A request that ends its target is lost later than this: it takes a round trip
 #: to the farthest data centre, and time to run.
-LEAST_RUN_S: Final = 0.005
+MIN_RUN_S: Final = 0.005
 #: Waits that differ by less than this come of the way between hosts.
-PATIENCE_S: Final = 0.2
+WAIT_TOLERANCE_S: Final = 0.2
 #: How long a suspicion outlives the time in which nothing is sent. What ends
 #: its targets ends one of each shard where it is not known.
-REMEMBER_S: Final = 600.0
+SUSPICION_LIFETIME_S: Final = 600.0
 #: Requests that are remembered at most, of one customer and in all.
-MOST_OF_CUSTOMER: Final = 32
-MOST: Final = 512
+MAX_CUSTOMER_SUSPECTS: Final = 32
+MAX_SUSPECTS: Final = 512
 #: Targets and services named of each request: enough to look them up.
-MOST_NAMED: Final = 4
+MAX_NAMES: Final = 4
 #: First suspicions that are passed on. A rack that dies brings up many, nearly
 #: all of them of innocent requests.
-PASSED_A_SECOND: Final = 4
-PASSED_AT_ONCE: Final = 16
-PASSED_ON: Final = rates.Rate(PASSED_A_SECOND, PASSED_AT_ONCE)
+REPORTS_PER_S: Final = 4
+REPORT_BURST: Final = 16
+REPORT_RATE: Final = rates.Rate(REPORTS_PER_S, REPORT_BURST)
 #: Doublings of a quarantine after which it has long been the longest.
-MOST_DOUBLINGS: Final = 8
+MAX_DOUBLINGS: Final = 8
 
 
-class Gate(enum.Enum):
+class SendPermission(enum.Enum):
     """Say how a request may be sent.
 
     OPEN as any other, TRIAL to one target now, HELD once the trial that is
     under way has ended, CLOSED not for a while.
     """
 
-    OPEN = enum.auto()
+    UNRESTRICTED = enum.auto()
     TRIAL = enum.auto()
-    HELD = enum.auto()
-    CLOSED = enum.auto()
+    AFTER_TRIAL = enum.auto()
+    BLOCKED = enum.auto()
 
 
 class Crash(NamedTuple):
@@ -69,12 +69,12 @@
 
     service: str
     target: str
-    sending: Hashable
-    sent: float
-    lost: float
+    attempt: Hashable
+    sent_at: float
+    lost_at: float
 
 
-class News(NamedTuple):
+class SuspectReport(NamedTuple):
     """Tell what is known against a request.
 
     `crashes` counts the moments at which targets ended under it since it was
@@ -83,10 +83,10 @@
     where it ended. `host` tries it now or is about to; it may be empty.
     """
 
-    identity: identities.Identity
+    identity: request_identities.Identity
     clears: int
     crashes: int
-    wait: float
+    wait_s: float
     targets: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
     host: str = ''
@@ -109,11 +109,11 @@
     crashes: int = 0
     targets: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
-    seen: float = 0.0
-    until: float = 0.0
-    trial: Hashable | None = None
-    trial_ends: float = 0.0
-    told: bool = False
+    last_crash_at: float = 0.0
+    blocked_until: float = 0.0
+    trial_attempt: Hashable | None = None
+    trial_deadline: float = 0.0
+    announced: bool = False
 
     @property
     def rank(self) -> tuple[int, int]:
@@ -127,31 +127,37 @@
     def __init__(self) -> None:
         """Suspect nothing."""
         #: Numbers of what waits for the trial of a request.
-        self.waiting: dict[identities.Identity, set[int]] = {}
-        self.offers = offers.Offers(PASSED_ON)
-        self._known: dict[identities.Identity, Suspect] = {}
-        self._passing = rates.fill_bucket(PASSED_ON, 0.0)
-
-    def find_gate(self, identity: identities.Identity, now: float) -> Gate:
+        self.waiting_ids: dict[request_identities.Identity, set[int]] = {}
+        self.offers = trial_offers.Offers(REPORT_RATE)
+        self._suspects: dict[request_identities.Identity, Suspect] = {}
+        self._report_bucket = rates.make_full_bucket(REPORT_RATE, 0.0)
+
+    def get_permission(
+        self, identity: request_identities.Identity, now: float
+    ) -> SendPermission:
         """Say how a request may be sent now."""
-        known = self._known.get(identity)
-        if known is None or not known.crashes:
-            return Gate.OPEN
-        if now < known.until:
-            return Gate.CLOSED
-        tried = known.trial is not None and now < known.trial_ends
-        return Gate.HELD if tried else Gate.TRIAL
-
-    def count_wait(self, identity: identities.Identity, now: float) -> float:
+        suspect = self._suspects.get(identity)
+        if suspect is None or not suspect.crashes:
+            return SendPermission.UNRESTRICTED
+        if now < suspect.blocked_until:
+            return SendPermission.BLOCKED
+        in_trial = (
+            suspect.trial_attempt is not None and now < suspect.trial_deadline
+        )
+        return SendPermission.AFTER_TRIAL if in_trial else SendPermission.TRIAL
+
+    def compute_wait(
+        self, identity: request_identities.Identity, now: float
+    ) -> float:
         """Count the seconds for which a request is not to be sent."""
-        known = self._known.get(identity)
-        if known is None or not known.crashes:
+        suspect = self._suspects.get(identity)
+        if suspect is None or not suspect.crashes:
             return 0.0
-        return max(0.0, known.until - now)
+        return max(0.0, suspect.blocked_until - now)
 
-    def note_crash(
+    def record_crash(
         self,
-        identity: identities.Identity,
+        identity: request_identities.Identity,
         crash: Crash,
         now: float,
     ) -> bool:
@@ -159,249 +165,300 @@
 
         Returns whether this makes another moment.
         """
-        if identity == identities.UNKNOWN:
+        if identity == request_identities.UNKNOWN:
             return False
-        known = self._known.get(identity, Suspect())
-        another = _is_another(known, crash)
-        known = known._replace(
-            targets=_add_name(known.targets, crash.target),
-            services=_add_name(known.services, crash.service),
+        suspect = self._suspects.get(identity, Suspect())
+        is_new = _is_new_crash(suspect, crash)
+        suspect = suspect._replace(
+            targets=_add_name(suspect.targets, crash.target),
+            services=_add_name(suspect.services, crash.service),
         )
-        if another:
-            crashes = known.crashes + 1
-            known = known._replace(
+        if is_new:
+            crashes = suspect.crashes + 1
+            suspect = suspect._replace(
                 crashes=crashes,
-                seen=crash.lost,
-                until=now + _count_pause(crashes),
+                last_crash_at=crash.lost_at,
+                blocked_until=now + _compute_block(crashes),
             )
-        self._keep(identity, known)
-        return another
+        self._store(identity, suspect)
+        return is_new
 
-    def note_success(
-        self, identity: identities.Identity, service: str, trial: Hashable
+    def record_success(
+        self,
+        identity: request_identities.Identity,
+        service: str,
+        attempt: Hashable,
     ) -> bool:
         """Take in that a target has run a request; tell if that clears it.
 
         The answer of a service where no target ended says nothing of those
         where some did, unless it was the trial.
         """
-        known = self._known.get(identity)
-        if known is None or not known.crashes:
+        suspect = self._suspects.get(identity)
+        if suspect is None or not suspect.crashes:
             return False
-        if service not in known.services and trial != known.trial:
+        if service not in suspect.services and attempt != suspect.trial_attempt:
             return False
-        self._known[identity] = Suspect(
-            clears=known.clears + 1, seen=known.seen, told=known.told
+        self._suspects[identity] = Suspect(
+            clears=suspect.clears + 1,
+            last_crash_at=suspect.last_crash_at,
+            announced=suspect.announced,
         )
         return True
 
-    def offer_trial(self, identity: identities.Identity, now: float) -> bool:
+    def offer_trial(
+        self, identity: request_identities.Identity, now: float
+    ) -> bool:
         """Offer to try a request; tell whether other hosts are to know."""
-        known = self._known[identity]
-        first = known.crashes < TELLING_CRASHES
-        tells = self.offers.make(identity, now, first=first)
-        self._known[identity] = known._replace(told=known.told or tells)
-        return tells
-
-    def begin_trial(
-        self, identity: identities.Identity, trial: Hashable, now: float
+        suspect = self._suspects[identity]
+        first_crash = suspect.crashes < MIN_EXCLUSIVE_CRASHES
+        announces = self.offers.make_offer(
+            identity, now, first_crash=first_crash
+        )
+        self._suspects[identity] = suspect._replace(
+            announced=suspect.announced or announces
+        )
+        return announces
+
+    def start_trial(
+        self,
+        identity: request_identities.Identity,
+        attempt: Hashable,
+        now: float,
     ) -> bool:
         """Take in that a request is sent to one target.
 
         Tells whether other hosts are to know, so that none tries it beside
         this one.
         """
-        known = self._known[identity]
-        offered = self.offers.is_own(identity, now)
-        self.offers.withdraw(identity)
-        self._known[identity] = known._replace(
-            trial=trial, trial_ends=now + TRIAL_S
+        suspect = self._suspects[identity]
+        offered = self.offers.has_own_offer(identity, now)
+        self.offers.withdraw_own_offer(identity)
+        self._suspects[identity] = suspect._replace(
+            trial_attempt=attempt, trial_deadline=now + TRIAL_TIMEOUT_S
         )
-        return known.crashes >= TELLING_CRASHES and not offered
+        return suspect.crashes >= MIN_EXCLUSIVE_CRASHES and not offered
 
-    def end_trial(self, identity: identities.Identity, trial: Hashable) -> bool:
+    def end_trial(
+        self, identity: request_identities.Identity, attempt: Hashable
+    ) -> bool:
         """Take in that a sending has ended; tell whether it was the trial."""
-        known = self._known.get(identity)
-        if known is None or known.trial is None or known.trial != trial:
+        suspect = self._suspects.get(identity)
+        if (
+            suspect is None
+            or suspect.trial_attempt is None
+            or suspect.trial_attempt != attempt
+        ):
             return False
-        self._known[identity] = known._replace(trial=None)
+        self._suspects[identity] = suspect._replace(trial_attempt=None)
         return True
 
-    def is_news(self, news: News, now: float) -> bool:
+    def is_new_report(self, report: SuspectReport, now: float) -> bool:
         """Tell whether what another host tells is not known here."""
-        known = self._known.get(news.identity, Suspect())
-        if news.rank != known.rank:
-            return news.rank > known.rank
-        if is_first_trial(news):
-            return self.offers.is_new(news.identity, news.host, now)
+        suspect = self._suspects.get(report.identity, Suspect())
+        if report.rank != suspect.rank:
+            return report.rank > suspect.rank
+        if is_first_trial(report):
+            return self.offers.is_new(report.identity, report.host, now)
         # Another host may be trying the request.
-        until = now + min(news.wait, TRIAL_S)
-        return news.crashes > 0 and until > known.until + PATIENCE_S
+        blocked_until = now + min(report.wait_s, TRIAL_TIMEOUT_S)
+        return (
+            report.crashes > 0
+            and blocked_until > suspect.blocked_until + WAIT_TOLERANCE_S
+        )
 
-    def merge(self, news: News, now: float, own: str) -> bool:
+    def merge_report(
+        self, report: SuspectReport, now: float, own_host: str
+    ) -> bool:
         """Take in what another host tells; return whether it is new here.
 
         `own` is this host's name.
         """
-        if not self.is_news(news, now):
+        if not self.is_new_report(report, now):
             return False
-        known = self._known.get(news.identity, Suspect())
-        if is_first_trial(news):
-            self.offers.hear(news.identity, news.host, now)
-            if news.host == own:
+        suspect = self._suspects.get(report.identity, Suspect())
+        if is_first_trial(report):
+            self.offers.record_offer(report.identity, report.host, now)
+            if report.host == own_host:
                 # What it told has come round to it.
                 return False
-        tries = known.trial is not None
-        tries = tries or self.offers.is_own(news.identity, now)
-        if tries and _goes_first(known, news, own):
+        in_trial = suspect.trial_attempt is not None
+        in_trial = in_trial or self.offers.has_own_offer(report.identity, now)
+        if in_trial and _wins_trial(suspect, report, own_host):
             return False
-        self.offers.withdraw(news.identity)
-        if is_first_trial(news):
-            self.offers.leave_to(news.identity, news.host, now)
-            if news.rank == known.rank:
+        self.offers.withdraw_own_offer(report.identity)
+        if is_first_trial(report):
+            self.offers.defer_to(report.identity, report.host, now)
+            if report.rank == suspect.rank:
                 return False
-        wait = min(news.wait, _count_pause(news.crashes))
-        if news.rank == known.rank:
-            until = now + min(news.wait, TRIAL_S)
-            self._keep(news.identity, known._replace(until=until))
+        wait_s = min(report.wait_s, _compute_block(report.crashes))
+        if report.rank == suspect.rank:
+            blocked_until = now + min(report.wait_s, TRIAL_TIMEOUT_S)
+            self._store(
+                report.identity, suspect._replace(blocked_until=blocked_until)
+            )
             return True
-        merged = known._replace(
-            clears=news.clears,
-            crashes=news.crashes,
-            targets=news.targets[:MOST_NAMED],
-            services=news.services[:MOST_NAMED],
-            seen=now,
-            until=now + wait,
-            told=True,
+        merged = suspect._replace(
+            clears=report.clears,
+            crashes=report.crashes,
+            targets=report.targets[:MAX_NAMES],
+            services=report.services[:MAX_NAMES],
+            last_crash_at=now,
+            blocked_until=now + wait_s,
+            announced=True,
         )
-        self._keep(news.identity, merged)
+        self._store(report.identity, merged)
         return True
 
-    def pass_on(self, identity: identities.Identity, now: float) -> bool:
+    def admit_report(
+        self, identity: request_identities.Identity, now: float
+    ) -> bool:
         """Tell whether other hosts are to be told what is known now."""
-        known = self._known[identity]
-        if known.crashes == 1:
-            taken = rates.take_token(self._passing, now)
-            self._passing = taken[0]
+        suspect = self._suspects[identity]
+        if suspect.crashes == 1:
+            taken = rates.take_token(self._report_bucket, now)
+            self._report_bucket = taken[0]
             if taken[1]:
                 return False
-        elif not known.crashes and not known.told:
+        elif not suspect.crashes and not suspect.announced:
             return False
-        self._known[identity] = known._replace(told=True)
+        self._suspects[identity] = suspect._replace(announced=True)
         return True
 
-    def tell(self, identity: identities.Identity, now: float) -> News | None:
+    def make_report(
+        self, identity: request_identities.Identity, now: float
+    ) -> SuspectReport | None:
         """Tell what is known against a request, if anything."""
-        known = self._known.get(identity)
-        if known is None:
+        suspect = self._suspects.get(identity)
+        if suspect is None:
             return None
-        return News(
+        return SuspectReport(
             identity,
-            known.clears,
-            known.crashes,
-            max(0.0, known.until - now),
-            known.targets,
-            known.services,
+            suspect.clears,
+            suspect.crashes,
+            max(0.0, suspect.blocked_until - now),
+            suspect.targets,
+            suspect.services,
         )
 
-    def list_all(self, now: float) -> list[News]:
+    def list_reports(self, now: float) -> list[SuspectReport]:
         """List the requests that something speaks against, the worst first."""
-        found = [self.tell(identity, now) for identity in self._known]
-        known = [news for news in found if news is not None and news.crashes]
-        return sorted(known, key=lambda it: -it.crashes)
-
-    def forget_old(self, now: float) -> None:
+        reports = [
+            self.make_report(identity, now) for identity in self._suspects
+        ]
+        suspected = [
+            report
+            for report in reports
+            if report is not None and report.crashes
+        ]
+        return sorted(suspected, key=lambda it: -it.crashes)
+
+    def expire_suspects(self, now: float) -> None:
         """Forget suspicions that have expired."""
-        self.offers.forget_old(now)
-        self._known = {
-            identity: known
-            for identity, known in self._known.items()
-            if now < max(known.until, known.seen) + REMEMBER_S
+        self.offers.expire_offers(now)
+        self._suspects = {
+            identity: suspect
+            for identity, suspect in self._suspects.items()
+            if now
+            < max(suspect.blocked_until, suspect.last_crash_at)
+            + SUSPICION_LIFETIME_S
         }
 
-    def _keep(self, identity: identities.Identity, known: Suspect) -> None:
-        if identity not in self._known:
-            _make_room(self._known, identity.customer)
-        self._known[identity] = known
+    def _store(
+        self, identity: request_identities.Identity, suspect: Suspect
+    ) -> None:
+        if identity not in self._suspects:
+            _evict_one(self._suspects, identity.customer)
+        self._suspects[identity] = suspect
 
 
-def _goes_first(known: Suspect, news: News, own: str) -> bool:
+def _wins_trial(suspect: Suspect, report: SuspectReport, own_host: str) -> bool:
     """Tell whether this host's own trial stands beside another host's.
 
     Hosts that are asked at the same moment begin at the same moment. Were
     each of them to give way, they would do so again at each next try.
     """
-    if news.rank != known.rank:
+    if report.rank != suspect.rank:
         return False
-    return offers.goes_first(news.identity, own, news.host)
+    return trial_offers.wins_trial(report.identity, own_host, report.host)
 
 
-def _make_room(
-    table: dict[identities.Identity, Suspect], customer: str
+def _evict_one(
+    suspects: dict[request_identities.Identity, Suspect], customer: str
 ) -> None:
     """Forget one request of whoever has most, or has too many."""
-    counts = collections.Counter(it.customer for it in table)
-    if counts[customer] < MOST_OF_CUSTOMER:
-        if len(table) < MOST:
+    counts = collections.Counter(it.customer for it in suspects)
+    if counts[customer] < MAX_CUSTOMER_SUSPECTS:
+        if len(suspects) < MAX_SUSPECTS:
             return
         customer = counts.most_common(1)[0][0]
-    own = [it for it in table if it.customer == customer]
-    least = min(own, key=lambda it: (table[it].crashes, table[it].seen))
-    table.pop(least)
+    candidates = [it for it in suspects if it.customer == customer]
+    evicted = min(
+        candidates,
+        key=lambda it: (suspects[it].crashes, suspects[it].last_crash_at),
+    )
+    suspects.pop(evicted)
 
 
-def _is_another(known: Suspect, crash: Crash) -> bool:
+def _is_new_crash(suspect: Suspect, crash: Crash) -> bool:
     """Tell whether a target ended at another moment than those before it.
 
     What was sent before the last moment belongs to it, and so does what was
     lost at once: its target had ended before the request arrived there. A trial
     goes over a connection that was open since.
     """
-    if not known.crashes or crash.sending == known.trial:
+    if not suspect.crashes or crash.attempt == suspect.trial_attempt:
         return True
-    return crash.sent >= known.seen and crash.lost - crash.sent >= LEAST_RUN_S
+    return (
+        crash.sent_at >= suspect.last_crash_at
+        and crash.lost_at - crash.sent_at >= MIN_RUN_S
+    )
 
 
-def pick_quarantined(found: Iterable[News]) -> list[News]:
+def select_quarantined(reports: Iterable[SuspectReport]) -> list[SuspectReport]:
     """Pick the requests that are in quarantine."""
-    return [it for it in found if it.crashes >= MOST_CRASHES and it.wait]
+    return [
+        it
+        for it in reports
+        if it.crashes >= MIN_QUARANTINE_CRASHES and it.wait_s
+    ]
 
 
-def name_state(news: News) -> str:
+def get_state_name(report: SuspectReport) -> str:
     """Name what is held against a request."""
-    if news.crashes >= MOST_CRASHES:
+    if report.crashes >= MIN_QUARANTINE_CRASHES:
         return 'quarantined'
-    return 'suspect' if news.crashes else 'cleared'
+    return 'suspect' if report.crashes else 'cleared'
 
 
-def is_first_trial(news: News) -> bool:
+def is_first_trial(report: SuspectReport) -> bool:
     """Tell whether a host tries a request after the first moment.
 
     Most of these are innocent, and none is refused for it.
     """
-    return bool(news.host) and 0 < news.crashes < TELLING_CRASHES
+    return bool(report.host) and 0 < report.crashes < MIN_EXCLUSIVE_CRASHES
 
 
-def count_told_wait(crashes: int) -> float:
+def compute_announced_wait(crashes: int) -> float:
     """Count the seconds for which a trial keeps other hosts from sending."""
-    return TRIAL_S if crashes >= TELLING_CRASHES else 0.0
+    return TRIAL_TIMEOUT_S if crashes >= MIN_EXCLUSIVE_CRASHES else 0.0
 
 
-def count_quarantine(crashes: int) -> float:
+def compute_quarantine(crashes: int) -> float:
     """Count the seconds of a quarantine after so many crashes."""
-    doublings = max(0, crashes - MOST_CRASHES)
-    doublings = min(MOST_DOUBLINGS, doublings)
-    return float(min(LONGEST_S, QUARANTINE_S * 2**doublings))
+    doublings = max(0, crashes - MIN_QUARANTINE_CRASHES)
+    doublings = min(MAX_DOUBLINGS, doublings)
+    return float(min(MAX_QUARANTINE_S, MIN_QUARANTINE_S * 2**doublings))
 
 
-def _count_pause(crashes: int) -> float:
+def _compute_block(crashes: int) -> float:
     """Count the seconds in which nothing is sent after so many crashes."""
-    if crashes >= MOST_CRASHES:
-        return count_quarantine(crashes)
-    return PAUSE_S if crashes == MOST_CRASHES - 1 else 0.0
+    if crashes >= MIN_QUARANTINE_CRASHES:
+        return compute_quarantine(crashes)
+    return TRIAL_DELAY_S if crashes == MIN_QUARANTINE_CRASHES - 1 else 0.0
 
 
 def _add_name(names: tuple[str, ...], name: str) -> tuple[str, ...]:
-    if name in names or len(names) >= MOST_NAMED:
+    if name in names or len(names) >= MAX_NAMES:
         return names
     return (*names, name)
--- a/fuchsiahaven/core/targets/shardmaps.py
+++ b/fuchsiahaven/core/targets/shardmaps.py
@@ -13,7 +13,7 @@
 
 from fuchsiahaven.core import coverage
 
-POSITIONS: Final = coverage.POSITIONS
+POSITIONS: Final = coverage.KEY_SPACE_SIZE
 
 _Entry = TypeVar('_Entry')
 
--- a/fuchsiahaven/edge/answers.py
+++ b/fuchsiahaven/edge/answers.py
@@ -34,7 +34,7 @@
 
 def write_failure(request_id: str | None, failure: errors.Failure) -> Written:
     """Write a failure by the table of errors."""
-    row = errors.TABLE[failure.kind]
+    row = errors.KIND_PROPERTIES[failure.kind]
     error: dict[str, Any] = {
         'kind': failure.kind.value,
         'text': row.text,
@@ -65,7 +65,7 @@
                     'shards': span.shards,
                     'ranges': span.ranges,
                 }
-                for span in coverage.join_covered(stated)
+                for span in coverage.join_ranges(stated)
             ],
             'missing': [
                 {
--- a/fuchsiahaven/edge/callers.py
+++ b/fuchsiahaven/edge/callers.py
@@ -8,7 +8,7 @@
 from typing import Any, Final, Protocol
 
 from fuchsiahaven.core import errors, request_ids
-from fuchsiahaven.core.customers import verdicts
+from fuchsiahaven.core.customers import authentication
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import answers, doors, loop, ports, requests
 
@@ -35,7 +35,7 @@
         """Hand a query over; its one reply goes to the queue."""
 
     def admit(
-        self, query: messages.Query, shown: verdicts.Shown
+        self, query: messages.Query, shown: authentication.Credentials
     ) -> messages.Query | errors.Failure:
         """Name the customer of a query, or say why it is refused."""
 
@@ -151,4 +151,4 @@
 
 def _mint() -> str:
     bits = random.SystemRandom().getrandbits(request_ids.RANDOM_BITS)
-    return request_ids.mint(time.time(), bits)
+    return request_ids.make_request_id(time.time(), bits)
--- a/fuchsiahaven/edge/claims.py
+++ b/fuchsiahaven/edge/claims.py
@@ -78,7 +78,7 @@
 
     def take(self, action: Action) -> None:
         """Take an action of the dispatch loop; it never blocks."""
-        time_epoch = request_ids.read_epoch(action.request_id)
+        time_epoch = request_ids.parse_epoch(action.request_id)
         match action:
             case messages.Claim():
                 self._claim(action, time_epoch)
@@ -167,7 +167,7 @@
 def _belongs(request_id: str, key: str, now_epoch: float) -> bool:
     # A host that finds another key for an id would let it run twice, and so
     # would one whose clock is so far behind that the key has gone.
-    time_epoch = request_ids.read_epoch(request_id)
+    time_epoch = request_ids.parse_epoch(request_id)
     if time_epoch is None or now_epoch >= claims.needed_until(time_epoch):
         return False
     return claims.find_key(request_id, time_epoch) == key
--- a/fuchsiahaven/edge/control.py
+++ b/fuchsiahaven/edge/control.py
@@ -13,7 +13,7 @@
     revision_messages,
     revisions,
 )
-from fuchsiahaven.core.customers import freshness, questions
+from fuchsiahaven.core.customers import freshness, proof_exchange
 from fuchsiahaven.core.members import (
     member_messages,
     member_tables,
@@ -50,7 +50,7 @@
     take_claims: Callable[[bytes], bytes | None]
     note_members: Callable[[claim_members.Listed], None]
     door: doors.Door
-    list_quarantined: Callable[[], tuple[suspects.News, ...]] = tuple
+    list_quarantined: Callable[[], tuple[suspects.SuspectReport, ...]] = tuple
 
 
 class Control:
@@ -68,7 +68,9 @@
         self.take_claims = links.take_claims
         self._chosen = chosen
         self._links = links
-        seeds = tuple(addresses.write(seed) for seed in chosen.peers.seeds)
+        seeds = tuple(
+            addresses.format_address(seed) for seed in chosen.peers.seeds
+        )
         rules = openings.read_rules(chosen)
         now = time.monotonic()
         state = membership.start(
@@ -79,7 +81,7 @@
             revisions.start(
                 own.name,
                 now,
-                revisions.Rules(watch_s=chosen.platform.watch_s),
+                revisions.Timings(watch_timeout_s=chosen.platform.watch_s),
                 alone=not state.seeds,
             ),
             chosen.host.data_centre,
@@ -92,7 +94,9 @@
             caller,
             lambda: self.revisions.state,
             self._find_address,
-            lambda whole: self.revisions.post(revision_messages.Urged(whole)),
+            lambda whole: self.revisions.post(
+                revision_messages.CheckRequested(whole)
+            ),
         )
 
     def start(self, stack: contextlib.ExitStack) -> None:
@@ -113,7 +117,7 @@
             stack,
         )
         stack.callback(self.revisions.stop)
-        if self._links.door.freshness.revoke is not None:
+        if self._links.door.freshness.revoke_s is not None:
             openings.start_thread(self._proofs.run, proofs.PART, stack)
             stack.callback(self._proofs.stop)
         openings.start_thread(self._lister.run, listings.PART, stack)
@@ -136,18 +140,20 @@
     def prove(self) -> bytes | None:
         """Tell how old the knowledge of keys is; None if nothing is proved."""
         told = self._links.door.prove()
-        return None if told is None else questions.write(told)
+        return None if told is None else proof_exchange.encode_answer(told)
 
     def take_patches(self, parcel: patch_rows.Parcel) -> patches.Stamp:
         """Take patches that were pushed; return what is in force."""
         self.gossip.post(member_messages.Noticed(parcel.sender))
         for patch in parcel.patches:
-            self.revisions.post(revision_messages.Pushed(parcel.sender, patch))
+            self.revisions.post(
+                revision_messages.PatchReceived(parcel.sender, patch)
+            )
         return self.revisions.state.in_force.stamp
 
     def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
         """List what leads from a stamp to what is in force."""
-        return revisions.find_patches(self.revisions.state, above)
+        return revisions.list_patches(self.revisions.state, above)
 
     def describe(self) -> Mapping[str, object]:
         """Describe this host for an operator."""
@@ -170,7 +176,9 @@
             **({'quarantined': held} if held else {}),
         }
 
-    def _take_configuration(self, stamped: patches.Stamped) -> None:
+    def _take_configuration(
+        self, stamped: patches.StampedConfiguration
+    ) -> None:
         self._links.door.note(stamped)
         self._links.post(messages.Configured(stamped.configuration))
         self.gossip.post(member_messages.Enforced(stamped.stamp))
@@ -182,10 +190,10 @@
             case member_messages.Listed(live, staying):
                 self._links.post(messages.MembersChanged(live, self.name))
                 self._links.note_members(self._list_staying(staying))
-                self.revisions.post(revision_messages.Listed(staying))
+                self.revisions.post(revision_messages.MembersListed(staying))
                 self._lister.members = len(live)
             case member_messages.Heard():
-                self.revisions.post(revision_messages.Heard(*told))
+                self.revisions.post(revision_messages.StampReceived(*told))
 
     def _take_listing(self, listing: hostlist.Listing) -> None:
         self._links.post(listing.targets)
@@ -215,11 +223,11 @@
 
 
 def _describe_keys(known: freshness.Freshness) -> Mapping[str, object]:
-    if not known.is_on:
+    if not known.is_enforced:
         return {}
-    age = known.count_age()
+    age = known.compute_age()
     told = round(age, 2) if math.isfinite(age) else None
-    return {'keys': {'age_s': told, 'bound_s': known.revoke}}
+    return {'keys': {'age_s': told, 'bound_s': known.revoke_s}}
 
 
 def start(
@@ -243,12 +251,12 @@
     return control
 
 
-def _describe_held(news: suspects.News) -> Mapping[str, object]:
+def _describe_held(news: suspects.SuspectReport) -> Mapping[str, object]:
     """Describe a query that is refused as it ends its targets."""
     return {
         'digest': news.identity.digest,
         'request_class': news.identity.customer,
         'crashes': news.crashes,
-        'wait': round(news.wait, 1),
+        'wait': round(news.wait_s, 1),
         'targets': list(news.targets),
     }
--- a/fuchsiahaven/edge/doors.py
+++ b/fuchsiahaven/edge/doors.py
@@ -6,11 +6,11 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import patches, revision_messages
 from fuchsiahaven.core.customers import (
+    authentication,
     customers,
     freshness,
     keys,
-    questions,
-    verdicts,
+    proof_exchange,
 )
 from fuchsiahaven.core.targets import messages
 
@@ -37,58 +37,60 @@
         self.freshness = known
         self._table: Table | None = None
 
-    def note(self, stamped: patches.Stamped) -> None:
+    def note(self, stamped: patches.StampedConfiguration) -> None:
         """Take in the configuration in force.
 
         This comes before the dispatch is told, which refuses until then.
         """
         configuration = stamped.configuration
         known = configuration.customers
-        self.freshness.note_keyed(keyed=bool(known))
+        self.freshness.record_customers(has_customers=bool(known))
         self._table = Table(
             stamped.stamp,
             known,
-            customers.index(known),
+            customers.index_by_key(known),
             frozenset(it.name for it in configuration.classes if it.public),
         )
 
     def read_clock(self) -> float:
         """Return the time of a call that proves something, if any does."""
-        if self.freshness.is_on:
+        if self.freshness.is_enforced:
             return self.freshness.read_clock()
-        return revision_messages.NO_TIME
+        return revision_messages.UNKNOWN_TIME
 
     def note_read(self, stamp: patches.Stamp, left: float) -> None:
         """Take in that the platform, asked then, held what has this stamp."""
         if self._find_stamp() == stamp:
-            self.freshness.note_read(left, freshness.NO_ERA)
+            self.freshness.record_read(left, freshness.NO_ERA)
 
-    def note_told(self, left: float, told: questions.Told) -> bool:
+    def note_told(self, left: float, told: proof_exchange.ProofAnswer) -> bool:
         """Take in what another host proved to a question that left then.
 
         False where it has another configuration, or proves nothing newer.
         """
         if self._find_stamp() != patches.Stamp(told.revision, told.digest):
             return False
-        before = self.freshness.confirmed
-        self.freshness.note_told(left, told.proof, freshness.NO_ERA)
-        return self.freshness.confirmed > before
+        before = self.freshness.confirmed_at
+        self.freshness.record_proof(left, told.proof, freshness.NO_ERA)
+        return self.freshness.confirmed_at > before
 
-    def prove(self) -> questions.Told | None:
+    def prove(self) -> proof_exchange.ProofAnswer | None:
         """Say what is proved to who asks now; None if there is nothing."""
-        proof = self.freshness.prove(self.freshness.read_clock())
+        proof = self.freshness.make_proof(self.freshness.read_clock())
         # Read before the proof, it could lack what the proof speaks of.
         stamp = self._find_stamp()
         if proof is None or stamp is None:
             return None
-        return questions.Told(proof, *stamp)
+        return proof_exchange.ProofAnswer(proof, *stamp)
 
     def find_wait(self) -> float:
         """Say for how long keys cannot be trusted here; 0 where they can."""
-        return self.freshness.find_wait() if self.freshness.is_on else 0.0
+        return (
+            self.freshness.compute_wait() if self.freshness.is_enforced else 0.0
+        )
 
     def admit(
-        self, query: messages.Query, shown: verdicts.Shown
+        self, query: messages.Query, shown: authentication.Credentials
     ) -> messages.Query | errors.Failure:
         """Name the customer of a query, or say why it is refused.
 
@@ -97,12 +99,12 @@
         """
         # The age comes first: the table may only be newer than it says.
         # It is asked for without customers too, since they may come just then.
-        wait = self.freshness.find_wait()
+        wait = self.freshness.compute_wait()
         table = self._table
         if table is None or not table.known:
             return query
         public = query.class_name in table.public
-        found = verdicts.find_customer(
+        found = authentication.authenticate(
             table.holders, shown, wait, public=public
         )
         if isinstance(found, errors.Failure):
@@ -118,7 +120,9 @@
         return None if table is None else table.stamp
 
 
-def read_shown(told: str) -> verdicts.Shown:
+def read_shown(told: str) -> authentication.Credentials:
     """Read what a caller shows as its key, empty where that is nothing."""
     fields = told.split(FIELD_END) if told else []
-    return verdicts.Shown(keys.read_shown(fields, SCHEME), bool(told))
+    return authentication.Credentials(
+        keys.parse_credentials(fields, SCHEME), bool(told)
+    )
--- a/fuchsiahaven/edge/editor.py
+++ b/fuchsiahaven/edge/editor.py
@@ -13,8 +13,8 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
     proposals,
-    readings,
     store_calls,
+    store_reads,
     transactions,
 )
 from fuchsiahaven.edge import store
@@ -27,8 +27,8 @@
 LONGEST_REST_S: Final = 0.5
 
 _Outcome = TypeVar('_Outcome')
-_Write = store_calls.Swap | store_calls.Delete
-_StoreCall = store_calls.Read | store_calls.List | _Write
+_Write = store_calls.CompareAndSwap | store_calls.DeleteKey
+_StoreCall = store_calls.ReadKey | store_calls.ListKeys | _Write
 
 
 class Patience(NamedTuple):
@@ -46,15 +46,15 @@
 def read_configuration(
     platform: store.Store,
     patience: Patience = PATIENCE,
-    choose: readings.Choose = readings.choose_all,
-) -> readings.Loaded | errors.Failure:
+    choose: store_reads.PartSelector = store_reads.select_all_parts,
+) -> store_reads.LoadedManifest | errors.Failure:
     """Read the configuration, with the targets of the chosen places."""
-    return run_steps(readings.load(choose), platform, patience)
+    return run_steps(store_reads.load_manifest(choose), platform, patience)
 
 
 def make_change(
     platform: store.Store,
-    request: proposals.Request,
+    request: proposals.ChangeRequest,
     epoch: float,
     patience: Patience = PATIENCE,
 ) -> transactions.Outcome:
@@ -86,10 +86,10 @@
     patience: Patience,
     end: float,
 ) -> store_calls.Result:
-    if isinstance(call, store_calls.Rest):
-        longest = min(FIRST_REST_S * 2**call.turn, LONGEST_REST_S)
+    if isinstance(call, store_calls.Backoff):
+        longest = min(FIRST_REST_S * 2**call.attempt, LONGEST_REST_S)
         patience.sleep(longest * patience.draw())
-        return store_calls.Rested()
+        return store_calls.BackoffEnded()
     wait_s = FIRST_WAIT_S
     while True:
         try:
@@ -100,21 +100,21 @@
         except store.StoreUnavailable as error:
             reason = str(error)
         if patience.clock() + wait_s > end:
-            return store_calls.Failed(reason)
+            return store_calls.CallFailed(reason)
         patience.sleep(wait_s)
         wait_s = min(2 * wait_s, LONGEST_WAIT_S)
 
 
 def _call(platform: store.Store, call: _StoreCall) -> store_calls.Result:
     match call:
-        case store_calls.Read(key):
+        case store_calls.ReadKey(key):
             found = platform.read(key)
             if found is None:
-                return store_calls.Missing()
-            return store_calls.Found(found.value, found.revision)
-        case store_calls.List(prefix):
+                return store_calls.KeyMissing()
+            return store_calls.KeyFound(found.value, found.revision)
+        case store_calls.ListKeys(prefix):
             keys = platform.list_keys(prefix)
-            return store_calls.Listed(
+            return store_calls.KeysListed(
                 tuple((each.key, each.revision) for each in keys)
             )
     return _write(platform, call)
@@ -126,12 +126,12 @@
 ) -> store_calls.Result:
     try:
         match call:
-            case store_calls.Swap(key, value, revision):
+            case store_calls.CompareAndSwap(key, value, revision):
                 platform.swap(key, value, revision)
-            case store_calls.Delete(key, revision):
+            case store_calls.DeleteKey(key, revision):
                 platform.delete(key, revision)
     except store.StoreConflict:
-        return store_calls.Conflict()
+        return store_calls.WriteConflict()
     except store.StoreUnclear as error:
-        return store_calls.Unclear(str(error))
-    return store_calls.Written()
+        return store_calls.WriteUnclear(str(error))
+    return store_calls.KeyWritten()
--- a/fuchsiahaven/edge/loop.py
+++ b/fuchsiahaven/edge/loop.py
@@ -59,7 +59,7 @@
     in_flight: int
     connections: int
     counts: collections.Counter[tables.Count]
-    quarantined: tuple[suspects.News, ...] = ()
+    quarantined: tuple[suspects.SuspectReport, ...] = ()
 
 
 class Settings(NamedTuple):
@@ -182,7 +182,7 @@
 
     def _sample(self, fleet: fleets.Fleet) -> Sample:
         known = self._state.tables
-        held = known.suspects.list_all(time.monotonic())
+        held = known.suspects.list_reports(time.monotonic())
         return Sample(
             dispatch.find_obstacle(self._state),
             self._state.configuration.revision,
@@ -191,7 +191,7 @@
             len(known.flying),
             fleet.count_links(),
             collections.Counter(known.counts),
-            tuple(suspects.pick_quarantined(held)),
+            tuple(suspects.select_quarantined(held)),
         )
 
     def _wait(self) -> float:
--- a/fuchsiahaven/edge/manifest_reader.py
+++ b/fuchsiahaven/edge/manifest_reader.py
@@ -3,13 +3,17 @@
 from collections.abc import Callable
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.core.configuration import audits, manifests, reaches
+from fuchsiahaven.core.configuration import (
+    audit_log,
+    manifest_filters,
+    manifests,
+)
 from fuchsiahaven.core.configuration import revision_messages as messages
 from fuchsiahaven.edge import store
 
 
 def _tell_no_time() -> float:
-    return messages.NO_TIME
+    return messages.UNKNOWN_TIME
 
 
 class Reader:
@@ -29,12 +33,14 @@
         try:
             entry = platform.read(manifests.MANIFEST_KEY)
         except store.StoreError as error:
-            return messages.Failed(watched=False, detail=str(error))
+            return messages.PlatformCallFailed(
+                by_watch=False, detail=str(error)
+            )
         if entry is None:
-            return messages.Found(0)
+            return messages.ManifestRead(0)
         loaded = self._load(platform, entry, watched=False)
-        if isinstance(loaded, messages.Found):
-            return loaded._replace(left=left)
+        if isinstance(loaded, messages.ManifestRead):
+            return loaded._replace(sent_at=left)
         return loaded
 
     def check(self, platform: store.Store) -> messages.Event:
@@ -43,13 +49,15 @@
         try:
             listed = platform.list_keys(manifests.MANIFEST_KEY)
         except store.StoreError as error:
-            return messages.Failed(watched=False, detail=str(error))
+            return messages.PlatformCallFailed(
+                by_watch=False, detail=str(error)
+            )
         numbers = {row.key: row.revision for row in listed}
         number = numbers.get(manifests.MANIFEST_KEY, 0)
-        return messages.Checked(number, left)
+        return messages.StoreRevisionRead(number, left)
 
     def watch(
-        self, platform: store.Store, asked: messages.Watch
+        self, platform: store.Store, asked: messages.WatchManifest
     ) -> messages.Event:
         """Wait for a change and read it.
 
@@ -58,32 +66,32 @@
         """
         try:
             entry = platform.watch(
-                manifests.MANIFEST_KEY, asked.above, asked.wait_s
+                manifests.MANIFEST_KEY, asked.above_revision, asked.wait_s
             )
         except store.StoreError as error:
-            return messages.Failed(watched=True, detail=str(error))
+            return messages.PlatformCallFailed(by_watch=True, detail=str(error))
         if entry is None:
-            return messages.Quiet()
+            return messages.WatchEnded()
         return self._load(platform, entry, watched=True)
 
     def _load(
         self, platform: store.Store, entry: store.Entry, *, watched: bool
-    ) -> messages.Found | messages.Failed:
-        head = manifests.read_head(entry.value)
+    ) -> messages.ManifestRead | messages.PlatformCallFailed:
+        head = manifests.decode_head(entry.value)
         if isinstance(head, errors.Failure):
             return _fail(head, watched)
-        head = reaches.narrow(head, self._data_centre)
+        head = manifest_filters.filter_by_data_centre(head, self._data_centre)
         try:
-            texts = self._read_parts(platform, head.keys)
+            texts = self._read_parts(platform, head.part_keys)
         except store.StoreError as error:
-            return messages.Failed(watched, str(error))
+            return messages.PlatformCallFailed(watched, str(error))
         manifest = manifests.assemble(head, texts)
         if isinstance(manifest, errors.Failure):
             return _fail(manifest, watched)
-        return messages.Found(
+        return messages.ManifestRead(
             entry.revision,
             manifest.configuration,
-            _list_changes(manifest.changes),
+            _list_changes(manifest.entries),
             watched,
         )
 
@@ -101,13 +109,17 @@
 
 
 def _list_changes(
-    entries: tuple[audits.Entry, ...],
-) -> tuple[messages.Change, ...]:
+    entries: tuple[audit_log.Entry, ...],
+) -> tuple[messages.RevisionChange, ...]:
     return tuple(
-        messages.Change(entry.revision, entry.change_id, entry.follows)
+        messages.RevisionChange(
+            entry.revision, entry.change_id, entry.previous_revision
+        )
         for entry in entries
     )
 
 
-def _fail(failure: errors.Failure, watched: bool) -> messages.Failed:
-    return messages.Failed(watched, failure.detail, reached=True)
+def _fail(
+    failure: errors.Failure, watched: bool
+) -> messages.PlatformCallFailed:
+    return messages.PlatformCallFailed(watched, failure.detail, answered=True)
--- a/fuchsiahaven/edge/openings.py
+++ b/fuchsiahaven/edge/openings.py
@@ -75,7 +75,7 @@
     identity = open_identity(platform, ssl.Purpose.SERVER_AUTH)
     scheme = 'https' if identity else 'http'
     urls = tuple(
-        f'{scheme}://{addresses.write(address)}'
+        f'{scheme}://{addresses.format_address(address)}'
         for address in platform.addresses
     )
     opened = store.Store(urls, limits, identity=identity)
@@ -102,7 +102,7 @@
     bound = bind_next(make, chosen.peers.address, count)
     name = chosen.host.name
     name = f'{name}/{bound.number}' if count > 1 else name
-    return Place(name, addresses.write(bound.address)), bound.server
+    return Place(name, addresses.format_address(bound.address)), bound.server
 
 
 def bind_next(
--- a/fuchsiahaven/edge/patch_calls.py
+++ b/fuchsiahaven/edge/patch_calls.py
@@ -31,29 +31,29 @@
 
     def push(
         self, member: str, patch: patches.Patch
-    ) -> messages.Unreached | messages.Heard:
+    ) -> messages.MemberUnreachable | messages.StampReceived:
         """Send a patch; give back what the member had in force."""
         body = patch_rows.write(patch_rows.Parcel(self._name, (patch,)))
         answer = self._call('POST', member, PATH, body, PUSH_S)
         stamp = None if answer is None else _read_stamp(answer)
         if stamp is None:
-            return messages.Unreached(member, patch)
-        return messages.Heard(member, stamp)
+            return messages.MemberUnreachable(member, patch)
+        return messages.StampReceived(member, stamp)
 
     def pull(
         self, member: str, above: patches.Stamp
-    ) -> messages.Unreached | messages.Pulled:
+    ) -> messages.MemberUnreachable | messages.PullAnswered:
         """Fetch what a member has above a stamp."""
         path = f'{PATH}?above={above.revision}&digest={above.digest}'
         answer = self._call('GET', member, path, b'', PULL_S)
         if answer is None:
-            return messages.Unreached(member)
+            return messages.MemberUnreachable(member)
         if not answer:
-            return messages.Pulled(member, ())
+            return messages.PullAnswered(member, ())
         parcel = patch_rows.read(answer)
         if parcel is None:
-            return messages.Unreached(member)
-        return messages.Pulled(member, parcel.patches)
+            return messages.MemberUnreachable(member)
+        return messages.PullAnswered(member, parcel.patches)
 
     def _call(
         self,
--- a/fuchsiahaven/edge/peers.py
+++ b/fuchsiahaven/edge/peers.py
@@ -93,7 +93,7 @@
         try:
             body = requests.read_body(environ)
         except requests.Refusal as refusal:
-            row = errors.TABLE[refusal.failure.kind]
+            row = errors.KIND_PROPERTIES[refusal.failure.kind]
             return http.HTTPStatus(row.status), b''
         match path:
             case '/v1/gossip':
--- a/fuchsiahaven/edge/proofs.py
+++ b/fuchsiahaven/edge/proofs.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from fuchsiahaven.core.configuration import revisions
-from fuchsiahaven.core.customers import freshness, questions
+from fuchsiahaven.core.customers import freshness, proof_exchange
 from fuchsiahaven.edge import doors, peer_calls
 from fuchsiahaven.operate import logs
 
@@ -53,30 +53,30 @@
         """Ask until stopped."""
         while not self._ended.wait(TICK_S):
             known = self._door.freshness
-            if known.is_on and known.revoke is not None:
-                self._turn(known, known.revoke)
+            if known.is_enforced and known.revoke_s is not None:
+                self._turn(known, known.revoke_s)
 
     def _turn(self, known: freshness.Freshness, revoke: float) -> None:
         now = known.read_clock()
         state = self._find_state()
         watches = revisions.is_watcher(state)
-        urgent = known.count_calm() <= 0
+        urgent = known.compute_urgent_delay() <= 0
         if now >= self._urge_at and (watches or urgent):
-            share = freshness.PAUSE_SHARE
+            share = freshness.PAUSE_FRACTION
             if not watches:
                 share = URGENT_PAUSE_SHARE * (0.5 + random.random())
             self._urge_at = now + share * revoke
             self._urge(urgent)
         if not watches and now >= self._ask_at:
-            pause = freshness.GAIN_SHARE * revoke
+            pause = freshness.MIN_GAIN_FRACTION * revoke
             self._ask_at = now + pause
             self._ask(known, state, pause)
 
     def _ask(
         self, known: freshness.Freshness, state: revisions.State, wait: float
     ) -> None:
-        member = questions.find_member(
-            state.order, state.name, revisions.WATCHERS, self._missed
+        member = proof_exchange.find_member_to_ask(
+            state.ranking, state.name, revisions.WATCHER_COUNT, self._missed
         )
         address = None if member is None else self._find_address(member)
         if address is None:
@@ -88,10 +88,10 @@
         )
         told = None
         if body:
-            told = questions.read(body, known.read_clock() - left)
+            told = proof_exchange.decode_answer(body, known.read_clock() - left)
         if told is not None and self._door.note_told(left, told):
             self._missed = 0
             return
         self._missed += 1
-        if known.count_calm() <= 0:
+        if known.compute_urgent_delay() <= 0:
             logs.info(PART, 'not confirmed', member=member)
--- a/fuchsiahaven/edge/revisions.py
+++ b/fuchsiahaven/edge/revisions.py
@@ -24,12 +24,12 @@
 
     def push(
         self, member: str, patch: patches.Patch
-    ) -> wording.Unreached | wording.Heard:
+    ) -> wording.MemberUnreachable | wording.StampReceived:
         """Send a patch; give back what the member has in force."""
 
     def pull(
         self, member: str, above: patches.Stamp
-    ) -> wording.Unreached | wording.Pulled:
+    ) -> wording.MemberUnreachable | wording.PullAnswered:
         """Fetch what a member has above a stamp."""
 
 
@@ -57,7 +57,7 @@
         state: revisions.State,
         data_centre: str,
         exchange: Exchange,
-        sink: Callable[[patches.Stamped], None],
+        sink: Callable[[patches.StampedConfiguration], None],
         door: doors.Door,
     ) -> None:
         """Prepare without starting; `run` is for a thread of its own."""
@@ -108,7 +108,7 @@
             return False
         now = time.monotonic()
         for happened in (event, wording.Ticked()):
-            state, actions = revisions.handle(
+            state, actions = revisions.handle_event(
                 self.state, happened, now, self._draws
             )
             self.state = state
@@ -119,37 +119,51 @@
     def _act(self, action: wording.Action, means: Means) -> None:
         reader, stores = self._reader, means.stores
         match action:
-            case wording.Read():
+            case wording.ReadManifest():
                 ask = functools.partial(reader.read, stores.asking)
-                self._ask(means.asking, ask, wording.Failed(False, 'read'))
-            case wording.Check():
+                self._ask(
+                    means.asking, ask, wording.PlatformCallFailed(False, 'read')
+                )
+            case wording.ReadStoreRevision():
                 ask = functools.partial(reader.check, stores.asking)
-                self._ask(means.asking, ask, wording.Failed(False, 'check'))
-            case wording.Watch():
+                self._ask(
+                    means.asking,
+                    ask,
+                    wording.PlatformCallFailed(False, 'check'),
+                )
+            case wording.WatchManifest():
                 ask = functools.partial(reader.watch, stores.watching, action)
-                self._ask(means.watching, ask, wording.Failed(True, 'watch'))
-            case wording.Push() | wording.Pull():
+                self._ask(
+                    means.watching,
+                    ask,
+                    wording.PlatformCallFailed(True, 'watch'),
+                )
+            case wording.PushPatch() | wording.PullPatches():
                 self._trade(action, means.peers)
-            case wording.Configure():
+            case wording.PutInForce():
                 self._sink(action.stamped)
                 stamp = action.stamped.stamp
                 logs.info(PART, 'in force', revision=stamp.revision)
-            case wording.Confirm(stamp, left):
+            case wording.ConfirmInForce(stamp, left):
                 self._door.note_read(stamp, left)
-            case wording.Report():
+            case wording.ReportFault():
                 _report(action)
 
     def _trade(
-        self, action: wording.Push | wording.Pull, peers: workers.Workers
+        self,
+        action: wording.PushPatch | wording.PullPatches,
+        peers: workers.Workers,
     ) -> None:
         exchange = self._exchange
-        if isinstance(action, wording.Pull):
+        if isinstance(action, wording.PullPatches):
             pull = functools.partial(exchange.pull, *action)
-            self._ask(peers, pull, wording.Unreached(action.member))
+            self._ask(peers, pull, wording.MemberUnreachable(action.member))
             return
         for member in action.members:
             push = functools.partial(exchange.push, member, action.patch)
-            self._ask(peers, push, wording.Unreached(member, action.patch))
+            self._ask(
+                peers, push, wording.MemberUnreachable(member, action.patch)
+            )
 
     def _ask(
         self,
@@ -180,7 +194,7 @@
     return contextlib.closing(workers.Workers(f'{PART}-{name}', count))
 
 
-def _report(report: wording.Report) -> None:
+def _report(report: wording.ReportFault) -> None:
     if report.text:
         logs.error(PART, report.text, fault=report.fault)
     else:
--- a/fuchsiahaven/edge/store.py
+++ b/fuchsiahaven/edge/store.py
@@ -154,8 +154,8 @@
         self.date_epoch: float | None = None
         self._limits = limits
         self._clock = clock
-        self._reads = rates.fill_bucket(limits.reads, clock())
-        self._writes = rates.fill_bucket(limits.writes, clock())
+        self._reads = rates.make_full_bucket(limits.reads, clock())
+        self._writes = rates.make_full_bucket(limits.writes, clock())
         urls = (base_urls,) if isinstance(base_urls, str) else base_urls
         self._places = places.Places(urls, identity)
 
--- a/fuchsiahaven/operate/command_class.py
+++ b/fuchsiahaven/operate/command_class.py
@@ -68,7 +68,7 @@
     policies: tuple[configurations.RequestClass, ...],
 ) -> int:
     return lookups.print_rows(
-        [{'class': it.name, **trees.build_class(it)} for it in policies],
+        [{'class': it.name, **trees.encode_class(it)} for it in policies],
         ('class',),
         as_json=arguments.json,
         revision=configuration.revision,
--- a/fuchsiahaven/operate/command_history.py
+++ b/fuchsiahaven/operate/command_history.py
@@ -9,10 +9,10 @@
 from typing import Final
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.core.configuration import audits
+from fuchsiahaven.core.configuration import audit_log
 from fuchsiahaven.operate import connections, exits, lookups, submissions
 
-Found = Iterable[audits.Entry | errors.Failure]
+Found = Iterable[audit_log.Entry | errors.Failure]
 
 LAST: Final = 20
 EPILOG: Final = """examples:
@@ -59,7 +59,7 @@
 
 
 def _list(found: Found, last: int, *, as_json: bool) -> int:
-    entries: list[audits.Entry] = []
+    entries: list[audit_log.Entry] = []
     code = exits.DONE
     for each in itertools.islice(found, last):
         if isinstance(each, errors.Failure):
@@ -69,15 +69,15 @@
         else:
             entries.append(each)
     if as_json:
-        rows = [audits.write_row(entry) for entry in entries]
+        rows = [audit_log.encode_entry(entry) for entry in entries]
         lookups.print_rows(rows, (), as_json=True)
         return code
     told = [
         {
             'revision': entry.revision,
-            'time': write_time(entry.epoch),
+            'time': write_time(entry.epoch_s),
             'operator': entry.operator,
-            'what': entry.what,
+            'what': entry.description,
             'change': entry.change_id,
         }
         for entry in entries
@@ -86,18 +86,18 @@
     return code
 
 
-def _show(entry: audits.Entry | errors.Failure, *, as_json: bool) -> int:
+def _show(entry: audit_log.Entry | errors.Failure, *, as_json: bool) -> int:
     if isinstance(entry, errors.Failure):
         submissions.show_failure(entry, as_json=as_json)
         return submissions.choose_exit(entry)
     if as_json:
-        print(json.dumps(audits.write_row(entry), ensure_ascii=False))
+        print(json.dumps(audit_log.encode_entry(entry), ensure_ascii=False))
         return exits.DONE
-    print(f'revision {entry.revision}, made from {entry.follows}')
+    print(f'revision {entry.revision}, made from {entry.previous_revision}')
     print(f'change   {entry.change_id}')
     print(f'operator {entry.operator}')
-    print(f'time     {write_time(entry.epoch)}')
-    print(f'what     {entry.what}')
+    print(f'time     {write_time(entry.epoch_s)}')
+    print(f'what     {entry.description}')
     print('\n'.join(submissions.write_edit(edit) for edit in entry.edits))
     return exits.DONE
 
--- a/fuchsiahaven/operate/command_plan.py
+++ b/fuchsiahaven/operate/command_plan.py
@@ -44,12 +44,16 @@
     return show_plan(arguments, change)
 
 
-def read_change(path: Path) -> changes.Replace | None:
+def read_change(path: Path) -> changes.ReplaceConfiguration | None:
     """Read a description; print every fault and return None if it has any."""
     reading = descriptions.read_file(path)
     for fault in reading.faults:
         print(descriptions.describe(fault), file=sys.stderr)
-    return None if reading.faults else changes.Replace(reading.configuration)
+    return (
+        None
+        if reading.faults
+        else changes.ReplaceConfiguration(reading.configuration)
+    )
 
 
 def show_plan(arguments: argparse.Namespace, change: changes.Change) -> int:
@@ -66,15 +70,17 @@
 ) -> int:
     request = submissions.build_request(arguments, change)
     # What has problems is shown too: they are easier to see in the difference.
-    told = proposals.prepare(
+    told = proposals.prepare_change(
         manifest, request._replace(force=True), time.time()
     )
-    refused = proposals.prepare(manifest, request, time.time())
+    refused = proposals.prepare_change(manifest, request, time.time())
     revision = manifest.configuration.revision
     if isinstance(told, errors.Failure):
         submissions.show_failure(told, as_json=arguments.json)
         return submissions.choose_exit(told)
-    edits = () if isinstance(told, proposals.Unchanged) else told.entry.edits
+    edits = (
+        () if isinstance(told, proposals.NothingChanged) else told.entry.edits
+    )
     problem = refused.detail if isinstance(refused, errors.Failure) else ''
     if arguments.json:
         rows = [[list(it.field), it.before, it.after] for it in edits]
--- a/fuchsiahaven/operate/command_query.py
+++ b/fuchsiahaven/operate/command_query.py
@@ -133,7 +133,7 @@
     terms: Mapping[str, str],
 ) -> dict[str, object]:
     bits = secrets.randbits(request_ids.RANDOM_BITS)
-    minted = request_ids.mint(time.time(), bits)
+    minted = request_ids.make_request_id(time.time(), bits)
     body = {
         'class': arguments.request_class,
         'request_id': arguments.request_id or minted,
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -66,7 +66,7 @@
             print(f'no host gave what is in force in {names}', file=sys.stderr)
             return exits.UNREACHABLE
         whole = join({**held, **dict.fromkeys(missing, older)})
-        change = changes.Recover(whole)
+        change = changes.RecoverConfiguration(whole)
         return submissions.submit_at(arguments, change, place, platform)
 
 
@@ -130,9 +130,9 @@
     if isinstance(told, exchanges.Silent):
         return None
     parcel = patch_rows.read(json.dumps(told.body).encode())
-    held: patches.Stamped | None = patches.NOTHING
+    held: patches.StampedConfiguration | None = patches.EMPTY
     for patch in parcel.patches if parcel else ():
-        held = patches.apply(patch, held) if held else None
+        held = patches.apply_patch(patch, held) if held else None
     if held is None or held.stamp.revision != revision:
         return None
     return held.configuration
--- a/fuchsiahaven/operate/command_status.py
+++ b/fuchsiahaven/operate/command_status.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.core.configuration import readings
+from fuchsiahaven.core.configuration import store_reads
 from fuchsiahaven.edge import editor
 from fuchsiahaven.operate import connections, exits, statuses, tables
 
@@ -37,7 +37,7 @@
             return exits.USAGE
         platform = connections.open_store(place, stack)
         loaded = editor.read_configuration(
-            platform, place.patience, readings.choose_none
+            platform, place.patience, store_reads.select_no_parts
         )
         found = statuses.survey(place, platform)
     accepted: int | None = None
--- a/fuchsiahaven/operate/command_undo.py
+++ b/fuchsiahaven/operate/command_undo.py
@@ -38,5 +38,5 @@
         if isinstance(entry, errors.Failure):
             submissions.show_failure(entry, as_json=arguments.json)
             return submissions.choose_exit(entry)
-        change = changes.Restore(entry.change_id, entry.edits)
+        change = changes.UndoChange(entry.change_id, entry.edits)
         return submissions.submit_at(arguments, change, place, platform)
--- a/fuchsiahaven/operate/command_watch.py
+++ b/fuchsiahaven/operate/command_watch.py
@@ -8,7 +8,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.core.configuration import audits, manifests, readings
+from fuchsiahaven.core.configuration import audit_log, manifests, store_reads
 from fuchsiahaven.edge import editor, store
 from fuchsiahaven.operate import (
     command_history,
@@ -50,7 +50,7 @@
             return exits.USAGE
         platform = connections.open_store(place, stack)
         loaded = editor.read_configuration(
-            platform, place.patience, readings.choose_none
+            platform, place.patience, store_reads.select_no_parts
         )
         if isinstance(loaded, errors.Failure):
             submissions.show_failure(loaded, as_json=arguments.json)
@@ -63,12 +63,12 @@
 
 def _follow(
     platform: store.Store,
-    loaded: readings.Loaded,
+    loaded: store_reads.LoadedManifest,
     end: float,
     *,
     as_json: bool,
 ) -> None:
-    seen = Seen(loaded.manifest.configuration.revision, loaded.revision)
+    seen = Seen(loaded.manifest.configuration.revision, loaded.store_revision)
     print(f'revision {seen.last}', file=sys.stderr, flush=True)
     while (left := end - time.monotonic()) > 0:
         try:
@@ -100,26 +100,26 @@
     platform: store.Store, text: str, last: int, *, as_json: bool
 ) -> int:
     """Print what was accepted above a revision; return the newest."""
-    head = manifests.read_head(text)
+    head = manifests.decode_head(text)
     if isinstance(head, errors.Failure):
         submissions.show_failure(head, as_json=False)
         return last
     if head.revision < last:
         print(f'! the platform went back from {last} to {head.revision}')
         return head.revision
-    steps = readings.read_archived(head.changes, last)
+    steps = store_reads.read_archived_entries(head.entries, last)
     older = editor.run_steps(steps, platform)
     if isinstance(older, errors.Failure):
         submissions.show_failure(older, as_json=False)
         older = ()
-    for entry in (*older, *head.changes):
+    for entry in (*older, *head.entries):
         if entry.revision > last:
             print(_write(entry, as_json=as_json), flush=True)
     return head.revision
 
 
-def _write(entry: audits.Entry, *, as_json: bool) -> str:
+def _write(entry: audit_log.Entry, *, as_json: bool) -> str:
     if as_json:
-        return json.dumps(audits.write_row(entry), ensure_ascii=False)
-    moment = command_history.write_time(entry.epoch)
-    return f'{entry.revision}  {moment}  {entry.operator}  {entry.what}'
+        return json.dumps(audit_log.encode_entry(entry), ensure_ascii=False)
+    moment = command_history.write_time(entry.epoch_s)
+    return f'{entry.revision}  {moment}  {entry.operator}  {entry.description}'
--- a/fuchsiahaven/operate/connections.py
+++ b/fuchsiahaven/operate/connections.py
@@ -90,7 +90,8 @@
     """Open the platform's service; the stack closes it."""
     scheme = 'https' if place.platform_identity else 'http'
     urls = tuple(
-        f'{scheme}://{addresses.write(address)}' for address in place.platform
+        f'{scheme}://{addresses.format_address(address)}'
+        for address in place.platform
     )
     opened = store.Store(urls, identity=place.platform_identity)
     stack.callback(opened.close)
--- a/fuchsiahaven/operate/descriptions.py
+++ b/fuchsiahaven/operate/descriptions.py
@@ -31,7 +31,11 @@
 from pathlib import Path
 from typing import Any, Final, NamedTuple
 
-from fuchsiahaven.core.configuration import configurations, shapes, trees
+from fuchsiahaven.core.configuration import (
+    configurations,
+    tree_validation,
+    trees,
+)
 from fuchsiahaven.core.customers import customers
 from fuchsiahaven.operate import secret_files, settings_reader, words
 
@@ -110,7 +114,7 @@
             rows['selectors'][name] = row
             return faults
         case ['class', name]:
-            plain = trees.build_class(configurations.RequestClass(name))
+            plain = trees.encode_class(configurations.RequestClass(name))
             fields, faults = _read_fields(head, section, words.POLICY)
             rows['classes'][name] = {**plain, **fields}
             return faults
@@ -122,7 +126,7 @@
 def _read_customer(
     head: str, section: Section, found: dict[str, Any], name: str
 ) -> list[Fault]:
-    plain = trees.build_customer(customers.Customer(name))
+    plain = trees.encode_customer(customers.Customer(name))
     fields, found_faults = _read_fields(head, section, CUSTOMER_FIELDS)
     # What stands under a name that is misspelt may be a key.
     faults = [it._replace(value='') for it in found_faults]
@@ -138,7 +142,7 @@
 def _read_group(
     head: str, section: Section, groups: dict[str, Any], name: str
 ) -> list[Fault]:
-    plain = trees.build_group(configurations.Group(name, (), ()))
+    plain = trees.encode_group(configurations.Group(name, (), ()))
     fields, faults = _read_fields(head, section, GROUP_FIELDS)
     texts = words.split_names(fields.pop('labels', ''))
     labels: dict[str, str] = {}
@@ -184,6 +188,6 @@
 def _check_shapes(rows: Rows) -> Iterator[Fault]:
     for kind, word in KINDS.items():
         for name in rows[kind]:
-            fault = shapes.find_fault(rows, [(kind, name)])
+            fault = tree_validation.find_fault(rows, [(kind, name)])
             if fault is not None:
                 yield Fault(f'{word} {name}', '', '', fault)
--- a/fuchsiahaven/operate/exchanges.py
+++ b/fuchsiahaven/operate/exchanges.py
@@ -41,7 +41,7 @@
 ) -> Told | Silent:
     """Ask once, never twice, and tell what came back; by TLS if asked to."""
     scheme = 'https' if context else 'http'
-    url = f'{scheme}://{addresses.write(address)}{path}'
+    url = f'{scheme}://{addresses.format_address(address)}{path}'
     # urllib3 repeats a request whose connection broke, unless told not to. A
     # refund asked for again by the library would show as two requests in the
     # host's log for one command.
--- a/fuchsiahaven/operate/lookups.py
+++ b/fuchsiahaven/operate/lookups.py
@@ -8,10 +8,10 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     configurations,
     manifests,
-    readings,
+    store_reads,
 )
 from fuchsiahaven.edge import editor, store
 from fuchsiahaven.operate import connections, exits, submissions, tables
@@ -68,7 +68,7 @@
 
 def find_entry(
     platform: store.Store, wanted: str, patience: editor.Patience
-) -> audits.Entry | errors.Failure:
+) -> audit_log.Entry | errors.Failure:
     """Find an accepted change by its id or revision, newest first.
 
     NOT_FOUND where it is not among the last `MAX_LOOKED` changes.
@@ -91,20 +91,22 @@
 
 def iterate_entries(
     platform: store.Store, patience: editor.Patience
-) -> Iterable[audits.Entry | errors.Failure]:
+) -> Iterable[audit_log.Entry | errors.Failure]:
     """Yield audit entries from the newest back, ending after a failure."""
-    loaded = editor.read_configuration(platform, patience, readings.choose_none)
+    loaded = editor.read_configuration(
+        platform, patience, store_reads.select_no_parts
+    )
     if isinstance(loaded, errors.Failure):
         yield loaded
         return
-    kept = loaded.manifest.changes
+    kept = loaded.manifest.entries
     yield from reversed(kept)
-    revision = kept[0].follows if kept else 0
+    revision = kept[0].previous_revision if kept else 0
     while revision:
         entry = editor.run_steps(
-            readings.read_entry(revision), platform, patience
+            store_reads.read_archived_entry(revision), platform, patience
         )
         yield entry
         if isinstance(entry, errors.Failure):
             return
-        revision = entry.follows
+        revision = entry.previous_revision
--- a/fuchsiahaven/operate/secret_files.py
+++ b/fuchsiahaven/operate/secret_files.py
@@ -28,7 +28,7 @@
     for number, line in enumerate(lines, 1):
         if not _is_key(line):
             raise argparse.ArgumentTypeError(
-                f'{name}, line {number}: a key is 1 to {keys.LONGEST_KEY} '
+                f'{name}, line {number}: a key is 1 to {keys.MAX_KEY_BYTES} '
                 'letters, digits and signs of ASCII without blanks'
             )
     return tuple(lines)
@@ -39,12 +39,12 @@
 
     Raises argparse.ArgumentTypeError.
     """
-    return tuple(keys.digest(key) for key in read_keys(name))
+    return tuple(keys.compute_digest(key) for key in read_keys(name))
 
 
 def is_digest(text: str) -> bool:
     """Tell whether a text is the digest of a key, and not a key."""
-    return re.match(manifest_schemas.KEY_DIGEST, text) is not None
+    return re.match(manifest_schemas.KEY_DIGEST_PATTERN, text) is not None
 
 
 def _read_text(name: str) -> str:
@@ -57,4 +57,4 @@
     # Blanks part a key from its scheme, so callers could not show it.
     if not line.isascii() or not line.isprintable() or ' ' in line:
         return False
-    return 0 < len(line) <= keys.LONGEST_KEY
+    return 0 < len(line) <= keys.MAX_KEY_BYTES
--- a/fuchsiahaven/operate/settings_reader.py
+++ b/fuchsiahaven/operate/settings_reader.py
@@ -275,7 +275,9 @@
         other = taken.setdefault(address, name)
         if other != name:
             wanted = f'another address than that of [{other}]'
-            yield Fault(name, 'address', addresses.write(address), wanted)
+            yield Fault(
+                name, 'address', addresses.format_address(address), wanted
+            )
 
 
 def _find_missing_files(complete: settings.Settings) -> Iterator[Fault]:
--- a/fuchsiahaven/operate/statuses.py
+++ b/fuchsiahaven/operate/statuses.py
@@ -55,7 +55,7 @@
     """
     expected, fault = _list_hosts(platform)
     for address in place.hosts:
-        text = addresses.write(address)
+        text = addresses.format_address(address)
         expected.setdefault(text, Seen(text))
     found: dict[str, Seen] = {}
     while expected.keys() > found.keys():
@@ -76,7 +76,9 @@
     expected, _ = _list_hosts(platform)
     by_centre = {seen.data_centre: seen for seen in expected.values()}
     few = list(by_centre.values())
-    few += [Seen(addresses.write(address)) for address in place.hosts[:1]]
+    few += [
+        Seen(addresses.format_address(address)) for address in place.hosts[:1]
+    ]
     told = _ask_all(place, few, QUICK_S)
     return max((seen.revision or 0 for seen, _ in told), default=0)
 
--- a/fuchsiahaven/operate/submissions.py
+++ b/fuchsiahaven/operate/submissions.py
@@ -13,7 +13,7 @@
 
 from fuchsiahaven.core import errors, request_ids
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     changes,
     proposals,
     transactions,
@@ -96,10 +96,10 @@
         return exits.USAGE
     request = build_request(arguments, change)
     highest = statuses.find_highest(place, platform)
-    request = request._replace(floor=highest)
+    request = request._replace(min_revision=highest)
     outcome = editor.make_change(platform, request, time.time(), place.patience)
     show(outcome, as_json=arguments.json)
-    if not isinstance(outcome, proposals.Accepted):
+    if not isinstance(outcome, proposals.ChangeAccepted):
         return choose_exit(outcome)
     if arguments.wait is None:
         return exits.DONE
@@ -109,11 +109,11 @@
 
 def build_request(
     arguments: argparse.Namespace, change: changes.Change
-) -> proposals.Request:
+) -> proposals.ChangeRequest:
     """Build the request for a change, with a new id unless one is given."""
     bits = secrets.randbits(request_ids.RANDOM_BITS)
-    return proposals.Request(
-        arguments.change_id or request_ids.mint(time.time(), bits),
+    return proposals.ChangeRequest(
+        arguments.change_id or request_ids.make_request_id(time.time(), bits),
         arguments.operator or getpass.getuser(),
         change,
         arguments.base,
@@ -124,14 +124,14 @@
 def show(outcome: transactions.Outcome, *, as_json: bool) -> None:
     """Print what became of a change."""
     match outcome:
-        case proposals.Accepted(entry):
+        case proposals.ChangeAccepted(entry):
             row: dict[str, Any] = {
                 'status': 'accepted',
-                'change': audits.write_row(entry),
+                'change': audit_log.encode_entry(entry),
             }
-            head = f'revision {entry.revision} accepted: {entry.what}'
+            head = f'revision {entry.revision} accepted: {entry.description}'
             lines = [head, f'change {entry.change_id}', *write_edits(entry)]
-        case proposals.Unchanged(revision):
+        case proposals.NothingChanged(revision):
             row = {'status': 'unchanged', 'revision': revision}
             lines = [f'nothing to change; revision {revision} stands']
         case errors.Failure():
@@ -142,7 +142,7 @@
 
 def show_failure(failure: errors.Failure, *, as_json: bool) -> None:
     """Print a failure: for a program on the output, else as an error."""
-    text = errors.TABLE[failure.kind].text
+    text = errors.KIND_PROPERTIES[failure.kind].text
     if as_json:
         row = {
             'kind': failure.kind,
@@ -162,7 +162,7 @@
     return exits.DONE
 
 
-def write_edits(entry: audits.Entry) -> list[str]:
+def write_edits(entry: audit_log.Entry) -> list[str]:
     """Write what a change did as lines for a person."""
     lines = [write_edit(edit) for edit in entry.edits[:SHOWN_EDITS]]
     more = len(entry.edits) - len(lines)
@@ -181,5 +181,5 @@
 
 def _shorten(told: object) -> str:
     text = json.dumps(told, ensure_ascii=False)
-    length = proposals.SHOWN_LENGTH
+    length = proposals.MAX_SHOWN_LENGTH
     return text if len(text) <= length else f'{text[:length]}...'
--- a/fuchsiahaven/platform/exchanges.py
+++ b/fuchsiahaven/platform/exchanges.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core import errors, identities
+from fuchsiahaven.core import errors, request_identities
 from fuchsiahaven.core.customers import keys
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import headers
@@ -23,8 +23,8 @@
 
 #: How callers show their keys, in any case.
 SCHEME: Final = 'token'
-LONGEST_KEY: Final = keys.LONGEST_KEY
-digest_key: Final = keys.digest
+LONGEST_KEY: Final = keys.MAX_KEY_BYTES
+digest_key: Final = keys.compute_digest
 
 #: Fields that concern one connection only, or that are written anew here.
 _OWN: Final = frozenset(
@@ -109,7 +109,7 @@
 
 def identify(request: events.Request) -> events.Request:
     """Give a request the identity that each host works out for it."""
-    identity = identities.identify(
+    identity = request_identities.identify(
         request.customer or _name_asker(request),
         request.method.encode('latin-1'),
         request.target.encode('latin-1'),
@@ -123,14 +123,16 @@
     shown = (*request.credentials, *request.fields)
     for name, told in shown:
         if name == headers.KEY:
-            return identities.identify('', told.encode('latin-1')).digest
+            return request_identities.identify(
+                '', told.encode('latin-1')
+            ).digest
     host = dict(request.fields).get('host', '')
     return host.partition(':')[0].lower()
 
 
 def _read_key(shown: events.Fields) -> str:
     """Read the digest of the one key that a caller shows, empty without."""
-    return keys.read_shown([told for _, told in shown], SCHEME)
+    return keys.parse_credentials([told for _, told in shown], SCHEME)
 
 
 def write_request(send: events.Send, now: float) -> events.Fields:
@@ -200,7 +202,7 @@
 
 def write_failure(failure: errors.Failure) -> Written:
     """Write a failure; a status that promises is used only if it is true."""
-    row = errors.TABLE[failure.kind]
+    row = errors.KIND_PROPERTIES[failure.kind]
     status = row.status
     if status in PROMISES and failure.ran is not errors.Ran.NO:
         status = HTTPStatus.BAD_GATEWAY
--- a/fuchsiahaven/platform/records.py
+++ b/fuchsiahaven/platform/records.py
@@ -112,7 +112,7 @@
     return f'{HOSTS}{host.name}', base64.b64encode(text.encode()).decode()
 
 
-def write_quarantine(news: suspects.News) -> tuple[str, str]:
+def write_quarantine(news: suspects.SuspectReport) -> tuple[str, str]:
     """Write the key and the value by which hosts learn of a quarantine."""
     text = json.dumps(suspect_codecs.write_news(news))
     key = f'{QUARANTINES}{news.identity.digest}'
@@ -225,7 +225,9 @@
     )
 
 
-def _read_quarantine(digest: str, row: Mapping[str, Any]) -> suspects.News:
+def _read_quarantine(
+    digest: str, row: Mapping[str, Any]
+) -> suspects.SuspectReport:
     news = suspect_codecs.read_news(row)
     if news.identity.digest != digest:
         raise ValueError('the entry of another request')
--- a/fuchsiahaven/platform/tenants.py
+++ b/fuchsiahaven/platform/tenants.py
@@ -6,8 +6,8 @@
 from fuchsiahaven.core.customers import customers, keys
 from fuchsiahaven.routing import configs
 
-LARGEST_WHOLE: Final = customers.LARGEST_WHOLE
-LONGEST_NAME: Final = customers.LONGEST_NAME
+LARGEST_WHOLE: Final = customers.MAX_EXACT_INTEGER
+LONGEST_NAME: Final = customers.MAX_NAME_LENGTH
 
 
 def read_customers(
@@ -41,7 +41,7 @@
     if not isinstance(told, dict):
         raise ValueError(f'customer {place} is no object')
     name = told.get('name')
-    if not customers.is_name(name):
+    if not customers.is_valid_name(name):
         raise ValueError(f'customer {place} has no name that can be sent')
     try:
         return configs.Customer(
@@ -68,14 +68,14 @@
     if not isinstance(key, str) or not key:
         raise ValueError('a key is no text')
     try:
-        return keys.digest(key)
+        return keys.compute_digest(key)
     except UnicodeEncodeError:
         # The error itself would tell the key.
         raise ValueError('a key is no text') from None
 
 
 def _read_priority(told: object) -> int:
-    if customers.is_priority(told):
+    if customers.is_valid_priority(told):
         return told
     raise ValueError('the priority is no whole number')
 
@@ -83,6 +83,6 @@
 def _read_figure(row: Mapping[str, Any], name: str) -> float:
     """Read a rate or a burst; one that is not told is no limit."""
     told = row.get(name, 0)
-    if customers.is_figure(told):
+    if customers.is_valid_quantity(told):
         return float(told)
     raise ValueError(f'{name} is no number of 0 or more')
--- a/fuchsiahaven/relay/askers.py
+++ b/fuchsiahaven/relay/askers.py
@@ -97,7 +97,7 @@
             self._tell(held[timer])
 
     def _is_worth_telling(self, held: Held) -> bool:
-        return self._keys.is_worth_telling(held.arrived, held.keys_age)
+        return self._keys.is_proof_useful(held.arrived, held.keys_age)
 
     def _has_news(self, cursor: facts.Cursor) -> bool:
         ledger, lost = self._find_state()
@@ -115,7 +115,7 @@
         report = changes.list_changes(
             ledger, held.cursor, now, known=held.known
         )
-        proof = self._keys.prove(held.arrived)
+        proof = self._keys.make_proof(held.arrived)
         held.tell(codecs.write_report(report._replace(lost=lost, proof=proof)))
 
 
--- a/fuchsiahaven/relay/confirmations.py
+++ b/fuchsiahaven/relay/confirmations.py
@@ -70,9 +70,9 @@
     async def _go_round(self) -> float:
         """Try once if that is needed; return how long to pause."""
         self._tell_change()
-        if self._keys.revoke is None:
+        if self._keys.revoke_s is None:
             return IDLE_S
-        calm = self._keys.count_calm()
+        calm = self._keys.compute_urgent_delay()
         if calm > 0:
             self._failures = 0
             return min(calm, LOOK_S)
@@ -102,7 +102,7 @@
             self._log.tell_request(
                 PART, 'not confirmed', good=False, error=str(error)
             )
-        return self._keys.count_calm() > 0
+        return self._keys.compute_urgent_delay() > 0
 
     async def _read_store(self) -> None:
         """Read the configuration alone.
@@ -120,7 +120,7 @@
         report = facts.Report(0, found, False, 0, era=era)
         if not self._news.take_configuration(report):
             raise calls.CallFailed(f'the store answers from its era {era}')
-        self._keys.note_read(left, era)
+        self._keys.record_read(left, era)
         self._news.askers.tell_fresher()
 
     async def _ask(self, address: str) -> None:
@@ -138,16 +138,16 @@
         report = codecs.read_report(done.body)
         if not self._news.take_configuration(report):
             raise calls.CallFailed(f'{address} tells of era {report.era}')
-        self._keys.note_told(left, report.proof, report.era)
+        self._keys.record_proof(left, report.proof, report.era)
         self._news.askers.tell_fresher()
 
     def _tell_change(self) -> None:
         """Log when requests with keys begin to be refused, and when it ends."""
-        stale = self._keys.is_on and self._keys.find_wait() > 0
+        stale = self._keys.is_enforced and self._keys.compute_wait() > 0
         if stale == (self._stale_since is not None):
             return
         now = self._keys.read_clock()
-        age = round(self._keys.count_age(), AGE_DIGITS)
+        age = round(self._keys.compute_age(), AGE_DIGITS)
         if self._stale_since is None:
             self._stale_since = now
             self._log.tell(
@@ -173,4 +173,4 @@
     if facts.find_configuration(ledger).version <= version:
         found = []
     report = facts.Report(0, tuple(found), False, 0, era=ledger.era)
-    return codecs.write_report(report._replace(proof=keys.prove(arrived)))
+    return codecs.write_report(report._replace(proof=keys.make_proof(arrived)))
--- a/fuchsiahaven/relay/lessons.py
+++ b/fuchsiahaven/relay/lessons.py
@@ -28,7 +28,7 @@
         self._runner = driven
         self._log = log
         self._find_obstacle = find_obstacle
-        self._quarantines: list[suspects.News] = []
+        self._quarantines: list[suspects.SuspectReport] = []
 
     def learn(self, merged: facts.Merged) -> None:
         """Take in what has changed."""
@@ -74,7 +74,7 @@
         fresh = [it for it in entered if it not in self._quarantines]
         self._quarantines = entered
         found = tuple(
-            it._replace(wait=suspects.count_quarantine(it.crashes))
+            it._replace(wait_s=suspects.compute_quarantine(it.crashes))
             for it in fresh
         )
         if found:
--- a/fuchsiahaven/relay/listings.py
+++ b/fuchsiahaven/relay/listings.py
@@ -40,7 +40,7 @@
         if not same or old:
             report = changes.list_changes(ledger, facts.START, now)
             # Whoever is given it has asked before it is old.
-            proof = self._keys.prove(uptime + FRESH_S)
+            proof = self._keys.make_proof(uptime + FRESH_S)
             body = codecs.write_report(report._replace(lost=lost, proof=proof))
             self._last = Written(ledger.cursor, lost, now, body, uptime)
         return self._last.body
--- a/fuchsiahaven/relay/meters.py
+++ b/fuchsiahaven/relay/meters.py
@@ -94,7 +94,7 @@
     """Read what the decisions, the connections and the news are like now."""
     now = time.monotonic()
     keys = driven.desk.controls.freshness
-    known_suspects = driven.desk.suspects.list_all(now)
+    known_suspects = driven.desk.suspects.list_reports(now)
     return Gauges(
         version=driven.desk.index.configuration.version,
         age=now - known.ledger.read,
@@ -103,8 +103,8 @@
         links=driven.fleet.count_links(),
         opened=driven.fleet.count_opened(),
         calls=known.store.calls + known.writer.store.calls,
-        quarantined=len(suspects.pick_quarantined(known_suspects)),
+        quarantined=len(suspects.select_quarantined(known_suspects)),
         era=-1 if known.eras.heard is None else known.eras.heard,
         forgotten=known.forgotten,
-        keys_age=keys.count_age() if keys.is_on else None,
+        keys_age=keys.compute_age() if keys.is_enforced else None,
     )
--- a/fuchsiahaven/relay/news.py
+++ b/fuchsiahaven/relay/news.py
@@ -140,7 +140,7 @@
             case sources.Store():
                 read = await self._read_store()
                 usual = GATHER_S * self.settings.pace
-                pause = self._keys.limit(usual, freshness.PAUSE_SHARE)
+                pause = self._keys.limit_time(usual, freshness.PAUSE_SHARE)
                 return pause if read else None
             case sources.Peer(address):
                 self.source = address
@@ -191,7 +191,7 @@
         # What was learned here may differ from what others know by now, and
         # they would tell only what changes for them.
         self._peers.forget_cursors()
-        self._keys.note_read(self._reader.left, report.era)
+        self._keys.record_read(self._reader.left, report.era)
         self._take(report, now, self._returned)
         self.askers.tell_fresher()
         return True
@@ -202,7 +202,7 @@
         report = await self._peers.ask(address, self.ledger, near=near)
         if report is None:
             return False
-        self._keys.note_told(left, report.proof, report.era)
+        self._keys.record_proof(left, report.proof, report.era)
         merged = self._take(report, time.monotonic(), None)
         self.askers.tell_fresher()
         if self._is_behind(report, merged):
--- a/fuchsiahaven/relay/notices.py
+++ b/fuchsiahaven/relay/notices.py
@@ -59,7 +59,7 @@
             task.cancel()
         self._peers.close()
 
-    def tell(self, found: suspects.News) -> None:
+    def tell(self, found: suspects.SuspectReport) -> None:
         """Tell of what this host found out."""
         hops = count_hops(len(self._desk.hosts))
         self._spread(suspect_codecs.Notice((found,), hops))
@@ -95,7 +95,9 @@
         if news:
             self._learn(events.Suspected(news))
 
-    async def _ask(self, host: places.Host) -> tuple[suspects.News, ...]:
+    async def _ask(
+        self, host: places.Host
+    ) -> tuple[suspects.SuspectReport, ...]:
         body = await self._call(host, store.Call('GET', PATH))
         if body is None:
             return ()
--- a/fuchsiahaven/relay/peer_news.py
+++ b/fuchsiahaven/relay/peer_news.py
@@ -51,8 +51,8 @@
             'after': codecs.write_cursor(cursor),
             'known': 0 if cursor.life else changes.digest(ledger),
         }
-        if self._keys.is_on:
-            asked[askers.KEYS_AGE] = f'{self._keys.count_age():.3f}'
+        if self._keys.is_enforced:
+            asked[askers.KEYS_AGE] = f'{self._keys.compute_age():.3f}'
         target = f'{FACTS_PATH}{urllib.parse.urlencode(asked)}'
         connect = calls.CONNECT_S if ledger.revision else START_CONNECT_S
         try:
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -74,7 +74,7 @@
             settings, self.runner, log, self.find_obstacle
         )
         self.keys = self.desk.controls.freshness
-        self.keys.revoke = settings.revoke
+        self.keys.revoke_s = settings.revoke
         self.news = news.News(
             settings, log, self._learn, self.runner.traffic, self.keys
         )
@@ -229,7 +229,7 @@
         self.lessons.settings = reading.settings
         self.desk.change_extra_load(reading.settings.extra_load)
         self.desk.warmups.terms = reading.settings.warm_up
-        self.keys.revoke = reading.settings.revoke
+        self.keys.revoke_s = reading.settings.revoke
         self._datagrams.reload(reading.settings)
         self.log.tell(PART, 'reloaded', settings=self.settings)
 
@@ -282,10 +282,10 @@
                     'targets', text, good=False, target=target, why=why
                 )
 
-    def _tell_suspicion(self, found: suspects.News) -> None:
+    def _tell_suspicion(self, found: suspects.SuspectReport) -> None:
         self.log.tell_request(
             notices.PART,
-            suspects.name_state(found),
+            suspects.get_state_name(found),
             good=False,
             **suspect_codecs.write_news(found),
         )
--- a/fuchsiahaven/relay/quarantines.py
+++ b/fuchsiahaven/relay/quarantines.py
@@ -52,7 +52,7 @@
         for task in tuple(self._tasks.values()):
             task.cancel()
 
-    def enter(self, found: suspects.News) -> None:
+    def enter(self, found: suspects.SuspectReport) -> None:
         """Enter what this host found out, if it belongs there."""
         if self._is_due(found):
             self._start(found, 0.0)
@@ -61,11 +61,11 @@
         """See that what the store has lost is entered again."""
         settings = self._news.settings
         spread = leases.count_spread(settings, self._desk.host_count)
-        known = self._desk.suspects.list_all(time.monotonic())
+        known = self._desk.suspects.list_reports(time.monotonic())
         for found in known[:MOST_ENTRIES]:
             self.keep(found, random.uniform(0, spread))
 
-    def keep(self, found: suspects.News, after: float = 0.0) -> None:
+    def keep(self, found: suspects.SuspectReport, after: float = 0.0) -> None:
         """See that what another host found out is entered.
 
         That host may be turned away by the store, or end before it has
@@ -79,22 +79,24 @@
         if self._is_due(found) and self._desk.host.name in ranked[:KEEPERS]:
             self._start(found, KEEP_AFTER_S + after)
 
-    def _is_due(self, found: suspects.News) -> bool:
+    def _is_due(self, found: suspects.SuspectReport) -> bool:
         """Tell whether an entry is due: what stands, or that it is over."""
         if found.crashes >= LEAST_CRASHES:
             return True
         return not found.crashes and self._find_entry(found) is not None
 
-    def _find_entry(self, found: suspects.News) -> suspects.News | None:
+    def _find_entry(
+        self, found: suspects.SuspectReport
+    ) -> suspects.SuspectReport | None:
         key = facts.Key(facts.Subject.QUARANTINE, found.identity.digest)
         fact = self._news.ledger.facts.get(key)
         if fact is None or fact.era != self._news.ledger.era:
             # What the store held in an earlier era it may have lost.
             return None
         known = fact.value
-        return known if isinstance(known, suspects.News) else None
+        return known if isinstance(known, suspects.SuspectReport) else None
 
-    def _start(self, found: suspects.News, after: float) -> None:
+    def _start(self, found: suspects.SuspectReport, after: float) -> None:
         digest = found.identity.digest
         before = self._tasks.pop(digest, None)
         if before is not None:
@@ -109,7 +111,7 @@
         if self._tasks.get(digest) is task:
             self._tasks.pop(digest)
 
-    async def _enter(self, found: suspects.News, after: float) -> None:
+    async def _enter(self, found: suspects.SuspectReport, after: float) -> None:
         await asyncio.sleep(after)
         tries = 0
         while tries < MOST_TRIES and not self._is_entered(found):
@@ -118,11 +120,11 @@
                 return
             await asyncio.sleep(AGAIN_S)
 
-    def _is_entered(self, found: suspects.News) -> bool:
+    def _is_entered(self, found: suspects.SuspectReport) -> bool:
         known = self._find_entry(found)
         return known is not None and known.rank >= found.rank
 
-    async def _write(self, found: suspects.News) -> bool:
+    async def _write(self, found: suspects.SuspectReport) -> bool:
         try:
             await self._write_entry(found)
         except (calls.CallFailed, records.Malformed) as error:
@@ -131,7 +133,7 @@
         self._log.tell(PART, 'entered', digest=found.identity.digest)
         return True
 
-    async def _write_entry(self, found: suspects.News) -> None:
+    async def _write_entry(self, found: suspects.SuspectReport) -> None:
         lease = await self._writer.open(LEASE_S)
         call = store.enter_quarantine(found, lease.number)
         await self._writer.write(call, lease)
--- a/fuchsiahaven/relay/questions.py
+++ b/fuchsiahaven/relay/questions.py
@@ -151,7 +151,7 @@
     def _take_notice(self, message: exchanges.Message) -> exchanges.Written:
         """Take in what another host knows against requests, or tell it."""
         if message.method == 'GET':
-            found = self._runner.desk.suspects.list_all(time.monotonic())
+            found = self._runner.desk.suspects.list_reports(time.monotonic())
             rows = tuple(found[: suspect_codecs.MOST_ROWS])
             told = suspect_codecs.write_notice(suspect_codecs.Notice(rows, 0))
             return exchanges.Written(HTTPStatus.OK, JSON, told)
@@ -162,7 +162,7 @@
             return _refuse(str(error), HTTPStatus.BAD_REQUEST)
         now = time.monotonic()
         known = self._runner.desk.suspects
-        fresh = tuple(it for it in notice.news if known.is_news(it, now))
+        fresh = tuple(it for it in notice.news if known.is_new_report(it, now))
         if fresh:
             self._runner.post(events.Suspected(fresh))
             self._notices.hand_on(notice._replace(news=fresh))
@@ -189,8 +189,8 @@
             'evacuated': self._evacuations.tell(),
             'quarantined': [
                 suspect_codecs.write_news(found)
-                for found in suspects.pick_quarantined(
-                    desk.suspects.list_all(now)
+                for found in suspects.select_quarantined(
+                    desk.suspects.list_reports(now)
                 )
             ],
             'cold': desk.warmups.list_cold(desk.directory, now),
@@ -215,10 +215,10 @@
         }
         if rooms.is_contended(desk.index):
             told['silent'] = sorted(desk.centres.list_silent())
-        if self._keys.is_on:
+        if self._keys.is_enforced:
             # Before anything is proved the age has no end.
-            told['keys_age'] = f'{self._keys.count_age():.2f}'
-            told['keys_stale'] = self._keys.find_wait() > 0
+            told['keys_age'] = f'{self._keys.compute_age():.2f}'
+            told['keys_stale'] = self._keys.compute_wait() > 0
         customers = desk.index.configuration.customers
         if customers is not None:
             told['customers'] = self._tell_customers(len(customers))
--- a/fuchsiahaven/relay/readers.py
+++ b/fuchsiahaven/relay/readers.py
@@ -67,7 +67,7 @@
 
     async def _watch(self, ledger: facts.Ledger) -> facts.Report | None:
         """Read what has changed; None if only a listing tells."""
-        wait = self._keys.limit(self._wait, freshness.WATCH_SHARE)
+        wait = self._keys.limit_time(self._wait, freshness.WATCH_SHARE)
         call = store.watch_everything(ledger.revision, wait)
         self.left = self._keys.read_clock()
         done = await self._store.call(call, wait + WATCH_ANSWER_S)
--- a/fuchsiahaven/routing/admission.py
+++ b/fuchsiahaven/routing/admission.py
@@ -126,14 +126,14 @@
 def _find_stale_wait(desk: states.Desk, ask: asks.Ask) -> float:
     if ask.assists or ask.route.public or not ask.request.customer:
         return 0.0
-    return desk.controls.freshness.find_wait()
+    return desk.controls.freshness.compute_wait()
 
 
 def _find_quarantine(
     desk: states.Desk, request: events.Request, now: float
 ) -> errors.Failure | None:
     """Refuse a request that is not to be sent now."""
-    wait = desk.suspects.count_wait(request.identity, now)
+    wait = desk.suspects.compute_wait(request.identity, now)
     if not wait:
         return None
     return errors.make_failure(
--- a/fuchsiahaven/routing/assists.py
+++ b/fuchsiahaven/routing/assists.py
@@ -69,7 +69,7 @@
     ask.told.update(settled, (BEGUN,))
     shares = _make_shares(ask, settled, first=first, over=over)
     silent = tuple(sorted(desk.centres.list_noticed()))
-    suspect = desk.suspects.tell(ask.request.identity, now)
+    suspect = desk.suspects.make_report(ask.request.identity, now)
     lag = desk.controls.lags.tell_own(now)
     actions: Actions = [
         events.Give(
--- a/fuchsiahaven/routing/codecs.py
+++ b/fuchsiahaven/routing/codecs.py
@@ -16,7 +16,6 @@
     suspect_codecs,
 )
 
-
 #: A proof is written in thousandths of a second, rounded to the safe side.
 THOUSANDTHS: Final = 1000
 
@@ -105,7 +104,7 @@
 
 
 def _write_proof(proof: facts.Proof) -> WrittenProof:
-    lead = math.floor(proof.lead * THOUSANDTHS) / THOUSANDTHS
+    lead = math.floor(proof.lead_s * THOUSANDTHS) / THOUSANDTHS
     return WrittenProof(lead=lead, era=proof.era)
 
 
@@ -129,7 +128,7 @@
     match known:
         case configs.Configuration():
             return _write_configuration(known)
-        case suspects.News():
+        case suspects.SuspectReport():
             return {**suspect_codecs.write_news(known)}
         case places.Host():
             written = known._asdict()
--- a/fuchsiahaven/routing/configs.py
+++ b/fuchsiahaven/routing/configs.py
@@ -153,7 +153,7 @@
         if isinstance(way, Gather) and is_wide(way)
         for shard in way.shards
     )
-    holders = customers.index(configuration.customers or ())
+    holders = customers.index_by_key(configuration.customers or ())
     priorities = _list_priorities(configuration)
     return Index(configuration, routes, services, wide, holders, priorities)
 
--- a/fuchsiahaven/routing/controls.py
+++ b/fuchsiahaven/routing/controls.py
@@ -16,4 +16,4 @@
 def make_controls(host: places.Host) -> Controls:
     """Make the parts of a host that has just started."""
     known = freshness.Freshness()
-    return Controls(known, quotas.Quotas(host, known.find_wait), lags.Lags())
+    return Controls(known, quotas.Quotas(host, known.compute_wait), lags.Lags())
--- a/fuchsiahaven/routing/crashes.py
+++ b/fuchsiahaven/routing/crashes.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
     asks,
     endings,
@@ -87,7 +87,7 @@
     actions: Actions = []
     own = desk.host.name
     for one in news.found:
-        if desk.suspects.merge(one, now, own):
+        if desk.suspects.merge_report(one, now, own):
             actions.extend(_describe(desk, one.identity, now, passed_on=False))
             actions.extend(_hold_back(desk, one.identity, now))
     return actions
@@ -95,12 +95,12 @@
 
 def note_success(
     desk: states.Desk,
-    identity: identities.Identity,
+    identity: request_identities.Identity,
     key: events.FlightKey,
     now: float,
 ) -> Actions:
     """Take in that a target has run a part of a request to its end."""
-    if not desk.suspects.note_success(identity, key.service, key):
+    if not desk.suspects.record_success(identity, key.service, key):
         return []
     _release(desk, identity, now)
     return _tell(desk, identity, now)
@@ -108,7 +108,7 @@
 
 def end_trial(
     desk: states.Desk,
-    identity: identities.Identity,
+    identity: request_identities.Identity,
     key: events.FlightKey,
     now: float,
 ) -> None:
@@ -130,7 +130,7 @@
             loss.sent,
             loss.lost,
         )
-        if desk.suspects.note_crash(loss.identity, crash, now):
+        if desk.suspects.record_crash(loss.identity, crash, now):
             actions.extend(_tell(desk, loss.identity, now))
             actions.extend(_hold_back(desk, loss.identity, now))
     return actions
@@ -149,26 +149,26 @@
 
 
 def _tell(
-    desk: states.Desk, identity: identities.Identity, now: float
+    desk: states.Desk, identity: request_identities.Identity, now: float
 ) -> Actions:
     """Tell the log, and other hosts if they are to know."""
-    passed_on = desk.suspects.pass_on(identity, now)
+    passed_on = desk.suspects.admit_report(identity, now)
     return _describe(desk, identity, now, passed_on=passed_on)
 
 
 def _describe(
     desk: states.Desk,
-    identity: identities.Identity,
+    identity: request_identities.Identity,
     now: float,
     *,
     passed_on: bool,
 ) -> Actions:
-    news = desk.suspects.tell(identity, now)
+    news = desk.suspects.make_report(identity, now)
     return [] if news is None else [events.Suspicion(news, passed_on)]
 
 
 def _hold_back(
-    desk: states.Desk, identity: identities.Identity, now: float
+    desk: states.Desk, identity: request_identities.Identity, now: float
 ) -> Actions:
     """Keep what has not left yet from leaving; look at what waits."""
     _release(desk, identity, now)
@@ -181,10 +181,10 @@
 
 
 def _release(
-    desk: states.Desk, identity: identities.Identity, now: float
+    desk: states.Desk, identity: request_identities.Identity, now: float
 ) -> None:
     """Have the parts that wait for a trial looked at."""
-    if identity in desk.suspects.waiting:
+    if identity in desk.suspects.waiting_ids:
         desk.set_timer(now, states.HeldDue(identity))
 
 
@@ -199,7 +199,7 @@
 
 def _go_on(
     desk: states.Desk,
-    identity: identities.Identity,
+    identity: request_identities.Identity,
     key: events.FlightKey,
     now: float,
 ) -> Actions:
@@ -213,7 +213,7 @@
     if key.service not in ask.open:
         return []
     gate = trials.find_gate(desk, ask, now)
-    if ask.gathers and gate is suspects.Gate.TRIAL:
+    if ask.gathers and gate is suspects.SendPermission.TRIAL:
         # The trial is chosen among all parts that are lost by then.
         trials.wait(desk, ask)
         due = states.HeldDue(identity)
--- a/fuchsiahaven/routing/customers.py
+++ b/fuchsiahaven/routing/customers.py
@@ -2,14 +2,14 @@
 
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core import errors, identities
-from fuchsiahaven.core.customers import verdicts
+from fuchsiahaven.core import errors, request_identities
+from fuchsiahaven.core.customers import authentication
 from fuchsiahaven.routing import configs, events, freshness
 
-SOURCE: Final = verdicts.SOURCE
+SOURCE: Final = authentication.SOURCE
 
-Reason = verdicts.Reason
-make_stale = verdicts.make_stale
+Reason = authentication.RefusalReason
+make_stale = authentication.make_stale_failure
 
 
 class Admitted(NamedTuple):
@@ -42,9 +42,9 @@
     """
     if index.configuration.customers is None:
         return Admitted(request, None)
-    shown = verdicts.Shown(request.key, bool(request.credentials))
-    found = verdicts.find_customer(
-        index.customers, shown, known.find_wait(), public=route.public
+    shown = authentication.Credentials(request.key, bool(request.credentials))
+    found = authentication.authenticate(
+        index.customers, shown, known.compute_wait(), public=route.public
     )
     if isinstance(found, errors.Failure):
         return found
@@ -59,7 +59,7 @@
     A host that helps with it gets no key, and must know it by the same name.
     """
     asker = customer.name if customer is not None else request.host
-    identity = identities.identify(
+    identity = request_identities.identify(
         asker,
         request.method.encode('latin-1'),
         request.target.encode('latin-1'),
@@ -76,4 +76,4 @@
     customer: configs.Customer | None, route: configs.Route
 ) -> int:
     """Return how urgent a request is, 0 for the most urgent."""
-    return verdicts.find_priority(customer, route.priority)
+    return authentication.get_priority(customer, route.priority)
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -50,7 +50,10 @@
     Only the hosts on duty hold connections to a chunk's targets, and they
     know best which of them answer just now.
     """
-    if trials.find_gate(desk, ask, now) is not suspects.Gate.OPEN:
+    if (
+        trials.find_gate(desk, ask, now)
+        is not suspects.SendPermission.UNRESTRICTED
+    ):
         return []
     shared: dict[places.Host, list[str]] = {}
     for service in slow:
@@ -325,7 +328,10 @@
     just started would open connections to all targets, which take as long to
     accept them as to answer, and more than they accept.
     """
-    if trials.find_gate(desk, ask, now) is not suspects.Gate.OPEN:
+    if (
+        trials.find_gate(desk, ask, now)
+        is not suspects.SendPermission.UNRESTRICTED
+    ):
         return _try_one(desk, ask, failed, now)
     wide = _is_handed_on(ask)
     own = []
@@ -357,7 +363,7 @@
     for service in failed:
         helper = None
         gate = trials.find_gate(desk, ask, now)
-        if _is_handed_on(ask) and gate is suspects.Gate.TRIAL:
+        if _is_handed_on(ask) and gate is suspects.SendPermission.TRIAL:
             if _may_hand_on(desk, ask, service, now):
                 helper = plans.find_second_helper(desk, ask, service, now)
         if helper is None:
--- a/fuchsiahaven/routing/desks.py
+++ b/fuchsiahaven/routing/desks.py
@@ -1,6 +1,6 @@
 """Decide what a host does with each event: `handle(desk, event, now)`."""
 
-from fuchsiahaven.core import errors, identities, rendezvous, suspects
+from fuchsiahaven.core import errors, rendezvous, request_identities, suspects
 from fuchsiahaven.routing import (
     admission,
     arrivals,
@@ -100,7 +100,7 @@
         return 'too few targets can be reached'
     if desk.index.configuration.customers is None:
         return ''
-    if desk.controls.freshness.find_wait():
+    if desk.controls.freshness.compute_wait():
         return 'no recent word of which keys are valid'
     return ''
 
@@ -116,7 +116,7 @@
 
 def _review(desk: states.Desk, now: float) -> Actions:
     desk.losses.forget_old(now)
-    desk.suspects.forget_old(now)
+    desk.suspects.expire_suspects(now)
     return [
         events.Belief(name, 'left out', 'the data centre is silent')
         for name in desk.centres.review(now)
@@ -221,8 +221,8 @@
 
 def _delegate_parts(desk: states.Desk, ask: asks.Ask, now: float) -> Actions:
     """Have other hosts gather what they are to; they ask nobody else."""
-    gate = desk.suspects.find_gate(ask.request.identity, now)
-    if ask.assists or gate is not suspects.Gate.OPEN:
+    gate = desk.suspects.get_permission(ask.request.identity, now)
+    if ask.assists or gate is not suspects.SendPermission.UNRESTRICTED:
         return []
     return [
         delegations.start(desk, ask, planned, now)
@@ -272,11 +272,11 @@
 
 
 def _resume(
-    desk: states.Desk, identity: identities.Identity, now: float
+    desk: states.Desk, identity: request_identities.Identity, now: float
 ) -> Actions:
     """Go on with what waited for the trial of a request."""
     actions: Actions = []
-    for number in sorted(desk.suspects.waiting.pop(identity, ())):
+    for number in sorted(desk.suspects.waiting_ids.pop(identity, ())):
         ask = desk.asks.get(number)
         if ask is not None:
             actions.extend(_resume_ask(desk, ask, now))
--- a/fuchsiahaven/routing/endings.py
+++ b/fuchsiahaven/routing/endings.py
@@ -77,7 +77,7 @@
     if not isinstance(outcome, errors.Failure):
         return outcome
     outcome = returns.advise(desk, outcome, ask.request, now)
-    wait = desk.suspects.count_wait(ask.request.identity, now)
+    wait = desk.suspects.compute_wait(ask.request.identity, now)
     if wait <= (outcome.retry_after or 0):
         return outcome
     return outcome._replace(retry_after=round(wait, WAIT_DIGITS))
--- a/fuchsiahaven/routing/events.py
+++ b/fuchsiahaven/routing/events.py
@@ -7,7 +7,7 @@
 import enum
 from typing import NamedTuple
 
-from fuchsiahaven.core import errors, identities, suspects
+from fuchsiahaven.core import errors, request_identities, suspects
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import configs, instances, places, quota_words
 
@@ -36,7 +36,7 @@
     arrived: float
     deadline: float
     away: float = 0.0
-    identity: identities.Identity = identities.UNKNOWN
+    identity: request_identities.Identity = request_identities.UNKNOWN
     key: str = ''
     credentials: Fields = ()
     customer: str = ''
@@ -131,7 +131,7 @@
 class Suspected(NamedTuple):
     """Bring what other hosts know against requests."""
 
-    found: tuple[suspects.News, ...]
+    found: tuple[suspects.SuspectReport, ...]
 
 
 class Ticked(NamedTuple):
@@ -217,7 +217,7 @@
     lost: tuple[PartOut, ...]
     last: bool
     silent: tuple[str, ...] = ()
-    suspect: suspects.News | None = None
+    suspect: suspects.SuspectReport | None = None
     lag: float = 0.0
 
 
@@ -393,7 +393,7 @@
     With `passed_on` other hosts are to be told as well.
     """
 
-    news: suspects.News
+    news: suspects.SuspectReport
     passed_on: bool
 
 
--- a/fuchsiahaven/routing/facts.py
+++ b/fuchsiahaven/routing/facts.py
@@ -24,7 +24,7 @@
     | instances.Instance
     | places.Host
     | places.Evacuation
-    | suspects.News
+    | suspects.SuspectReport
 )
 
 
@@ -209,10 +209,10 @@
     }
 
 
-def list_quarantines(ledger: Ledger) -> list[suspects.News]:
+def list_quarantines(ledger: Ledger) -> list[suspects.SuspectReport]:
     """List the requests that end the targets that run them."""
     return [
         fact.value
         for fact in ledger.facts.values()
-        if isinstance(fact.value, suspects.News)
+        if isinstance(fact.value, suspects.SuspectReport)
     ]
--- a/fuchsiahaven/routing/freshness.py
+++ b/fuchsiahaven/routing/freshness.py
@@ -5,14 +5,14 @@
 from fuchsiahaven.core.customers import freshness
 from fuchsiahaven.routing import configs
 
-MARGIN_SHARE: Final = freshness.MARGIN_SHARE
-WATCH_SHARE: Final = freshness.WATCH_SHARE
-PAUSE_SHARE: Final = freshness.PAUSE_SHARE
-GAIN_SHARE: Final = freshness.GAIN_SHARE
-URGENT_SHARE: Final = freshness.URGENT_SHARE
-REWRITTEN_S: Final = freshness.REWRITTEN_S
-LEAST_WAIT_S: Final = freshness.LEAST_WAIT_S
-MOST_WAIT_S: Final = freshness.MOST_WAIT_S
+MARGIN_SHARE: Final = freshness.CLOCK_MARGIN_FRACTION
+WATCH_SHARE: Final = freshness.WATCH_FRACTION
+PAUSE_SHARE: Final = freshness.PAUSE_FRACTION
+GAIN_SHARE: Final = freshness.MIN_GAIN_FRACTION
+URGENT_SHARE: Final = freshness.URGENT_AGE_FRACTION
+REWRITTEN_S: Final = freshness.RESTORE_SETTLING_S
+LEAST_WAIT_S: Final = freshness.MIN_WAIT_S
+MOST_WAIT_S: Final = freshness.MAX_WAIT_S
 
 
 class Freshness(freshness.Freshness):
@@ -20,4 +20,4 @@
 
     def note_configuration(self, configuration: configs.Configuration) -> None:
         """Note whether the configuration in force has customers."""
-        self.note_keyed(keyed=configuration.customers is not None)
+        self.record_customers(has_customers=configuration.customers is not None)
--- a/fuchsiahaven/routing/losses.py
+++ b/fuchsiahaven/routing/losses.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any, Final, NamedTuple
 
-from fuchsiahaven.core import identities
+from fuchsiahaven.core import request_identities
 from fuchsiahaven.routing import events, instances
 
 #: How long a loss is remembered, in seconds: a target's next start enters
@@ -38,7 +38,7 @@
     """Describe a sending that ended with its connection."""
 
     key: events.FlightKey
-    identity: identities.Identity
+    identity: request_identities.Identity
     request_id: str
     instance: instances.Instance
     purpose: events.Purpose
--- a/fuchsiahaven/routing/ranks.py
+++ b/fuchsiahaven/routing/ranks.py
@@ -95,6 +95,6 @@
             return born
         case configs.Configuration(version=version):
             return version
-        case suspects.News(clears=clears, crashes=crashes):
+        case suspects.SuspectReport(clears=clears, crashes=crashes):
             return clears * CRASHES_MOST + crashes
     return 0
--- a/fuchsiahaven/routing/states.py
+++ b/fuchsiahaven/routing/states.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.queries import hedges
 from fuchsiahaven.routing import (
     asks,
@@ -42,14 +42,14 @@
 class DoubtDue(NamedTuple):
     """Go on with a part whose target nobody could look at."""
 
-    identity: identities.Identity
+    identity: request_identities.Identity
     key: events.FlightKey
 
 
 class HeldDue(NamedTuple):
     """Look at the asks that wait for the trial of a request."""
 
-    identity: identities.Identity
+    identity: request_identities.Identity
 
 
 class QuotaDue(NamedTuple):
@@ -74,7 +74,7 @@
     data_centre: str = ''
     ends: float = float('inf')
     request_id: str = ''
-    identity: identities.Identity = identities.UNKNOWN
+    identity: request_identities.Identity = request_identities.UNKNOWN
 
 
 class Assistance(NamedTuple):
--- a/fuchsiahaven/routing/suspect_codecs.py
+++ b/fuchsiahaven/routing/suspect_codecs.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any, Final, NamedTuple, TypedDict
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 
 #: More hops than this would reach more hosts than there are.
 MOST_HOPS: Final = 12
@@ -35,25 +35,25 @@
 class Notice(NamedTuple):
     """Hold news, and how often it may still be handed on."""
 
-    news: tuple[suspects.News, ...]
+    news: tuple[suspects.SuspectReport, ...]
     hops: int
 
 
-def write_news(news: suspects.News) -> WrittenNews:
+def write_news(news: suspects.SuspectReport) -> WrittenNews:
     """Write what is known against one request."""
     return WrittenNews(
         customer=news.identity.customer,
         digest=news.identity.digest,
         clears=news.clears,
         crashes=news.crashes,
-        wait=round(news.wait, 3),
+        wait=round(news.wait_s, 3),
         targets=list(news.targets),
         services=list(news.services),
         host=news.host,
     )
 
 
-def read_news(row: Mapping[str, Any]) -> suspects.News:
+def read_news(row: Mapping[str, Any]) -> suspects.SuspectReport:
     """Read what is known against one request; raises ValueError."""
     try:
         return _read_news(row)
@@ -81,18 +81,20 @@
     return Notice(tuple(read_news(it) for it in rows), hops)
 
 
-def _read_news(row: Mapping[str, Any]) -> suspects.News:
+def _read_news(row: Mapping[str, Any]) -> suspects.SuspectReport:
     digest = _read_name(row['digest'])
-    if len(digest) != identities.DIGITS or set(digest) - set(identities.HEX):
+    if len(digest) != request_identities.DIGEST_DIGITS or set(digest) - set(
+        request_identities.HEX_DIGITS
+    ):
         raise ValueError('no digest')
     wait = row['wait']
     if not isinstance(wait, (int, float)) or not math.isfinite(wait):
         raise ValueError('no wait')
-    return suspects.News(
-        identities.Identity(_read_name(row['customer']), digest),
+    return suspects.SuspectReport(
+        request_identities.Identity(_read_name(row['customer']), digest),
         _read_count(row['clears'], LARGEST),
         _read_count(row['crashes'], LARGEST),
-        min(max(0.0, float(wait)), suspects.LONGEST_S),
+        min(max(0.0, float(wait)), suspects.MAX_QUARANTINE_S),
         _read_names(row['targets']),
         _read_names(row['services']),
         _read_name(row['host']),
@@ -113,6 +115,6 @@
 
 
 def _read_names(told: object) -> tuple[str, ...]:
-    if not isinstance(told, list) or len(told) > suspects.MOST_NAMED:
+    if not isinstance(told, list) or len(told) > suspects.MAX_NAMES:
         raise ValueError('no names')
     return tuple(_read_name(name) for name in told)
--- a/fuchsiahaven/routing/trials.py
+++ b/fuchsiahaven/routing/trials.py
@@ -1,17 +1,19 @@
 """Have one sending at a time show whether a request ends its targets."""
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import asks, events, states
 
 
-def find_gate(desk: states.Desk, ask: asks.Ask, now: float) -> suspects.Gate:
+def find_gate(
+    desk: states.Desk, ask: asks.Ask, now: float
+) -> suspects.SendPermission:
     """Say how the request of an ask may be sent."""
-    return desk.suspects.find_gate(ask.request.identity, now)
+    return desk.suspects.get_permission(ask.request.identity, now)
 
 
 def wait(desk: states.Desk, ask: asks.Ask) -> None:
     """Have the parts of an ask looked at after the trial of its request."""
-    waiting = desk.suspects.waiting.setdefault(ask.request.identity, set())
+    waiting = desk.suspects.waiting_ids.setdefault(ask.request.identity, set())
     waiting.add(ask.number)
 
 
@@ -21,21 +23,21 @@
     """Take in that a sending is the one trial of a suspect request."""
     identity = ask.request.identity
     # Whatever becomes of it, what waits for it is not to wait for ever.
-    desk.set_timer(now + suspects.TRIAL_S, states.HeldDue(identity))
-    if not desk.suspects.begin_trial(identity, key, now):
+    desk.set_timer(now + suspects.TRIAL_TIMEOUT_S, states.HeldDue(identity))
+    if not desk.suspects.start_trial(identity, key, now):
         return []
     return _announce(desk, identity, now)
 
 
 def _announce(
-    desk: states.Desk, identity: identities.Identity, now: float
+    desk: states.Desk, identity: request_identities.Identity, now: float
 ) -> list[events.Action]:
     """Tell other hosts that this one tries a suspect request."""
-    news = desk.suspects.tell(identity, now)
+    news = desk.suspects.make_report(identity, now)
     if news is None:
         return []
-    wait = suspects.count_told_wait(news.crashes)
-    news = news._replace(wait=wait, host=desk.host.name)
+    wait = suspects.compute_announced_wait(news.crashes)
+    news = news._replace(wait_s=wait, host=desk.host.name)
     return [events.Suspicion(news, passed_on=True)]
 
 
@@ -53,15 +55,15 @@
     latest = ask.request.arrived + ask.route.objective
     if not desk.hosts or now >= latest or not _is_new(ask):
         return None
-    if ask.number in desk.suspects.waiting.get(identity, ()):
+    if ask.number in desk.suspects.waiting_ids.get(identity, ()):
         return []
     actions: list[events.Action] = []
-    if not offered.count_delay(identity, patience, now):
+    if not offered.compute_delay(identity, patience, now):
         if not desk.suspects.offer_trial(identity, now):
             return None
         actions = _announce(desk, identity, now)
     wait(desk, ask)
-    due = now + offered.count_delay(identity, patience, now)
+    due = now + offered.compute_delay(identity, patience, now)
     desk.set_timer(min(due, latest), states.HeldDue(identity))
     return actions
 
--- a/fuchsiahaven/routing/tries.py
+++ b/fuchsiahaven/routing/tries.py
@@ -107,7 +107,7 @@
 
     A trial elsewhere would say nothing of them.
     """
-    news = desk.suspects.tell(ask.request.identity, now)
+    news = desk.suspects.make_report(ask.request.identity, now)
     ended = () if news is None else news.services
     unsent = list_unsent(ask)
     if not ended:
@@ -186,7 +186,10 @@
     desk: states.Desk, ask: asks.Ask, service: str, now: float
 ) -> bool:
     """Tell whether a part may be sent a second time before the first ends."""
-    if trials.find_gate(desk, ask, now) is not suspects.Gate.OPEN:
+    if (
+        trials.find_gate(desk, ask, now)
+        is not suspects.SendPermission.UNRESTRICTED
+    ):
         return False
     return repeats.may_repeat(desk, ask, service, now, kept=KEPT_FOR_RETRIES)
 
@@ -265,13 +268,13 @@
     purpose: events.Purpose,
 ) -> list[events.Action]:
     gate = trials.find_gate(desk, ask, now)
-    if gate is suspects.Gate.HELD:
+    if gate is suspects.SendPermission.AFTER_TRIAL:
         trials.wait(desk, ask)
         return []
-    if gate is suspects.Gate.CLOSED:
+    if gate is suspects.SendPermission.BLOCKED:
         _lose(desk, ask, service, now, coverage.Reason.QUARANTINED)
         return []
-    if gate is suspects.Gate.TRIAL:
+    if gate is suspects.SendPermission.TRIAL:
         left = trials.leave_to_others(desk, ask, find_delay(desk, ask), now)
         if left is not None:
             return left
@@ -279,7 +282,7 @@
     if send is None:
         _lose(desk, ask, service, now)
         return []
-    if gate is suspects.Gate.OPEN:
+    if gate is suspects.SendPermission.UNRESTRICTED:
         return [send]
     # Only a connection that is open now shows that the target has not ended
     # together with those before it.
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -151,7 +151,7 @@
     """Write a configuration as keys and values of the platform."""
     encoded = manifests.encode(configuration)
     assert isinstance(encoded, manifests.Encoded), encoded
-    return {**encoded.texts, manifests.MANIFEST_KEY: encoded.text}
+    return {**encoded.part_texts, manifests.MANIFEST_KEY: encoded.text}
 
 
 def list_hosts(layout: Layout) -> list[dict[str, object]]:
--- a/tests/core/configuration/test_checks.py
+++ b/tests/core/configuration/test_checks.py
@@ -11,18 +11,22 @@
 )
 
 Target = configurations.Target
-HERE = tuple(Target(f'h/{k}', f'10.0.0.1:{k + 1}', 'Odori') for k in range(2))
-THERE = tuple(Target(f't/{k}', f'10.0.0.2:{k + 1}', 'Kotoni') for k in range(2))
+ODORI_TARGETS = tuple(
+    Target(f'h/{k}', f'10.0.0.1:{k + 1}', 'Odori') for k in range(2)
+)
+KOTONI_TARGETS = tuple(
+    Target(f't/{k}', f'10.0.0.2:{k + 1}', 'Kotoni') for k in range(2)
+)
 START = configurations.Configuration(
     5,
     (
-        configurations.Group('far', (('at', 'far'),), THERE),
-        configurations.Group('wide', (('at', 'wide'),), HERE),
+        configurations.Group('far', (('at', 'far'),), KOTONI_TARGETS),
+        configurations.Group('wide', (('at', 'wide'),), ODORI_TARGETS),
     ),
     (configurations.Selector('s', 'c', 'at=far', ('Kotoni',)),),
     (configurations.RequestClass('c'),),
 )
-ONCE = (
+AT_MOST_ONCE_FIELDS = (
     ('repeat', 'at_most_once'),
     ('fan_out', 'keyed'),
     ('needs', 'complete'),
@@ -30,13 +34,13 @@
 )
 
 
-def refusal(
+def find_refusal(
     change: changes.Change, *, force: bool = False
 ) -> errors.Failure | None:
-    request = proposals.Request('id', 'ana', change, force=force)
+    request = proposals.ChangeRequest('id', 'ana', change, force=force)
     manifest = manifests.Manifest(START)
-    told = proposals.prepare(manifest, request, 0)
-    return told if isinstance(told, errors.Failure) else None
+    prepared = proposals.prepare_change(manifest, request, 0)
+    return prepared if isinstance(prepared, errors.Failure) else None
 
 
 def make_selector(expression: str, *data_centres: str) -> changes.Change:
@@ -59,15 +63,13 @@
         (changes.MarkLeaving('far', ('t/0', 't/1')), 'no target is in Kotoni'),
     ],
 )
-def test_what_may_be_meant_needs_force(
-    change: changes.Change, word: str
-) -> None:
-    fault = refusal(change)
+def test_risky_changes_need_force(change: changes.Change, word: str) -> None:
+    fault = find_refusal(change)
     assert fault is not None
     assert fault.kind is errors.Kind.INVALID_CHANGE
     assert word in fault.detail
     assert '--force' in fault.detail
-    assert refusal(change, force=True) is None
+    assert find_refusal(change, force=True) is None
 
 
 @pytest.mark.parametrize(
@@ -85,31 +87,43 @@
         (changes.AddTargets('far', (Target('n', 'host:1', 'X'),)), 'IP:PORT'),
         (changes.AddTargets('far', (Target('', '1.1.1.1:1', 'X'),)), 'name'),
         (changes.AddTargets('far', (Target('n', '1.1.1.1:1', ''),)), 'centre'),
-        (changes.AddTargets('far', (HERE[0],)), 'target h/0 is in two groups'),
         (
-            changes.AddTargets('far', (HERE[0]._replace(name='n'),)),
+            changes.AddTargets('far', (ODORI_TARGETS[0],)),
+            'target h/0 is in two groups',
+        ),
+        (
+            changes.AddTargets('far', (ODORI_TARGETS[0]._replace(name='n'),)),
             'two targets have the address 10.0.0.1:1',
         ),
         (changes.RemoveTargets('far', ('h/0',)), 'has no target h/0'),
         (changes.SetClass('c', (('priority', 4),)), 'priority'),
-        (changes.SetClass('c', ONCE[1:2]), ''),
-        (changes.SetClass('c', ONCE[:1]), 'fan_out must be keyed'),
-        (changes.SetClass('c', ONCE[:2]), 'needs must be complete'),
-        (changes.SetClass('c', ONCE[:3]), 'hedge_share must be 0'),
+        (changes.SetClass('c', AT_MOST_ONCE_FIELDS[1:2]), ''),
+        (
+            changes.SetClass('c', AT_MOST_ONCE_FIELDS[:1]),
+            'fan_out must be keyed',
+        ),
+        (
+            changes.SetClass('c', AT_MOST_ONCE_FIELDS[:2]),
+            'needs must be complete',
+        ),
+        (
+            changes.SetClass('c', AT_MOST_ONCE_FIELDS[:3]),
+            'hedge_share must be 0',
+        ),
         (changes.DeleteClass('c'), 'there is no class c'),
     ],
 )
-def test_what_cannot_be_meant_is_refused_even_with_force(
+def test_invalid_changes_are_refused_even_with_force(
     change: changes.Change, word: str
 ) -> None:
-    fault = refusal(change, force=True)
+    fault = find_refusal(change, force=True)
     assert (fault is None) == (not word)
     if fault is not None:
         assert fault.kind is errors.Kind.INVALID_CHANGE
         assert word in fault.detail
 
 
-def test_a_request_that_runs_at_most_once_reaches_one_group() -> None:
+def test_an_at_most_once_class_reaches_one_group() -> None:
     """Refuse to send a refund to two groups.
 
     Symptom: a pass is refunded twice. Sequence: a label added for another
@@ -117,37 +131,42 @@
     group runs the request once. Cause: the policy is checked without what
     its selectors reach.
     """
-    assert refusal(changes.SetClass('c', ONCE), force=True) is None
-    both = make_selector('at in (far, wide)')
+    assert (
+        find_refusal(changes.SetClass('c', AT_MOST_ONCE_FIELDS), force=True)
+        is None
+    )
+    selector = make_selector('at in (far, wide)')
     manifest = manifests.Manifest(START)
-    first = proposals.Request('a', 'ana', changes.SetClass('c', ONCE))
-    told = proposals.prepare(manifest, first, 0)
-    assert isinstance(told, proposals.Prepared)
-    second = proposals.Request('b', 'ana', both, force=True)
-    fault = proposals.prepare(told.encoded.manifest, second, 0)
+    first = proposals.ChangeRequest(
+        'a', 'ana', changes.SetClass('c', AT_MOST_ONCE_FIELDS)
+    )
+    prepared = proposals.prepare_change(manifest, first, 0)
+    assert isinstance(prepared, proposals.PreparedChange)
+    second = proposals.ChangeRequest('b', 'ana', selector, force=True)
+    fault = proposals.prepare_change(prepared.encoded.manifest, second, 0)
     assert isinstance(fault, errors.Failure)
     assert 'one group, not far, wide' in fault.detail
 
 
-def test_an_old_problem_does_not_bar_its_repair() -> None:
+def test_an_old_problem_does_not_block_its_repair() -> None:
     """Let a repair through that does not mend everything at once.
 
     Symptom: during an outage no change is accepted without force. Sequence:
     a data centre loses its last live target by force; then every other change
     is refused for it. Cause: all problems are held against every change.
     """
-    gone = changes.MarkLeaving('far', ('t/0', 't/1'))
-    request = proposals.Request('a', 'ana', gone, force=True)
-    told = proposals.prepare(manifests.Manifest(START), request, 0)
-    assert isinstance(told, proposals.Prepared)
+    drained = changes.MarkLeaving('far', ('t/0', 't/1'))
+    request = proposals.ChangeRequest('a', 'ana', drained, force=True)
+    prepared = proposals.prepare_change(manifests.Manifest(START), request, 0)
+    assert isinstance(prepared, proposals.PreparedChange)
     repair = changes.MarkLeaving('far', ('t/0',), leaving=False)
     for change in (repair, changes.LabelGroup('wide', (('x', 'y'),))):
-        later = proposals.Request('b', 'ana', change)
-        done = proposals.prepare(told.encoded.manifest, later, 0)
-        assert isinstance(done, proposals.Prepared)
+        later = proposals.ChangeRequest('b', 'ana', change)
+        repaired = proposals.prepare_change(prepared.encoded.manifest, later, 0)
+        assert isinstance(repaired, proposals.PreparedChange)
 
 
-def test_a_description_keeps_the_marks_of_leaving() -> None:
+def test_replacing_the_configuration_keeps_leaving_marks() -> None:
     """Apply a file without putting a drained target back to work.
 
     Symptom: a target that is being repaired gets requests. Sequence: an
@@ -155,9 +174,11 @@
     the description replaces the mark, which it cannot express.
     """
     drained = changes.MarkLeaving('far', ('t/0',))
-    request = proposals.Request('a', 'ana', drained, force=True)
-    told = proposals.prepare(manifests.Manifest(START), request, 0)
-    assert isinstance(told, proposals.Prepared)
-    again = proposals.Request('b', 'ana', changes.Replace(START), force=True)
-    done = proposals.prepare(told.encoded.manifest, again, 0)
-    assert done == proposals.Unchanged(6)
+    request = proposals.ChangeRequest('a', 'ana', drained, force=True)
+    prepared = proposals.prepare_change(manifests.Manifest(START), request, 0)
+    assert isinstance(prepared, proposals.PreparedChange)
+    second = proposals.ChangeRequest(
+        'b', 'ana', changes.ReplaceConfiguration(START), force=True
+    )
+    replaced = proposals.prepare_change(prepared.encoded.manifest, second, 0)
+    assert replaced == proposals.NothingChanged(6)
--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -14,18 +14,18 @@
     manifests,
     patches,
     proposals,
-    texts,
+    stored_json,
     trees,
 )
 from fuchsiahaven.core.customers import customers, keys
 from fuchsiahaven.core.members import patch_rows
 
-KEYS: Final = tuple(keys.digest(f'k-{it}') for it in range(6))
-CLASS: Final = configurations.RequestClass('c')
-SHOP: Final = customers.Customer('shop', KEYS[:1], 0, 2.5, 4.0)
-BANK: Final = customers.Customer('bank', KEYS[1:2])
-KEYED: Final = configurations.Configuration(
-    3, classes=(CLASS._replace(public=True),), customers=(BANK, SHOP)
+DIGESTS: Final = tuple(keys.compute_digest(f'k-{it}') for it in range(6))
+REQUEST_CLASS: Final = configurations.RequestClass('c')
+SHOP: Final = customers.Customer('shop', DIGESTS[:1], 0, 2.5, 4.0)
+BANK: Final = customers.Customer('bank', DIGESTS[1:2])
+WITH_CUSTOMERS: Final = configurations.Configuration(
+    3, classes=(REQUEST_CLASS._replace(public=True),), customers=(BANK, SHOP)
 )
 
 
@@ -37,7 +37,7 @@
     )
     names = draw(st.sets(st.sampled_from(('a', 'b', 'c'))))
     held = {
-        name: [key for at, key in enumerate(KEYS) if owners[at] == name]
+        name: [key for at, key in enumerate(DIGESTS) if owners[at] == name]
         for name in names
     }
     return tuple(
@@ -56,7 +56,7 @@
     st.integers(1, 9),
     st.just(()),
     st.just(()),
-    st.booleans().map(lambda it: (CLASS._replace(public=it),)),
+    st.booleans().map(lambda it: (REQUEST_CLASS._replace(public=it),)),
     draw_customers(),
 )
 
@@ -69,50 +69,57 @@
 
 
 @given(CONFIGURATIONS)
-def test_a_manifest_gives_its_customers_back(
+def test_customers_survive_encoding(
     configuration: configurations.Configuration,
 ) -> None:
     row = encode(configuration)
-    found = manifests.decode(json.dumps(row))
-    assert isinstance(found, manifests.Manifest)
-    assert found.configuration == configuration
-    known = bool(configuration.customers) or configuration.classes[0].public
-    wanted = texts.FORMAT if known else texts.PLAIN
-    assert row['format'] == wanted
+    decoded = manifests.decode(json.dumps(row))
+    assert isinstance(decoded, manifests.Manifest)
+    assert decoded.configuration == configuration
+    needs_format = (
+        bool(configuration.customers) or configuration.classes[0].public
+    )
+    expected = (
+        stored_json.MAX_FORMAT if needs_format else stored_json.BASE_FORMAT
+    )
+    assert row['format'] == expected
 
 
 @given(CONFIGURATIONS, CONFIGURATIONS)
-def test_a_patch_leads_to_the_same_customers(
+def test_a_patch_gives_the_same_customers(
     one: configurations.Configuration, other: configurations.Configuration
 ) -> None:
     """Guard against a key that goes on on hosts which got a patch."""
-    old, new = patches.stamp(one), patches.stamp(other)
+    old, new = (
+        patches.stamp_configuration(one),
+        patches.stamp_configuration(other),
+    )
     parcel = patch_rows.Parcel('h1', (patches.diff(old, new, 'id'),))
     read = patch_rows.read(patch_rows.write(parcel))
     assert read == parcel
-    patched = patches.apply(read.patches[0], old)
+    patched = patches.apply_patch(read.patches[0], old)
     assert patched is not None
     assert patched.configuration == other
 
 
-def test_without_customers_what_is_written_is_as_it_was() -> None:
+def test_without_customers_the_encoding_is_unchanged() -> None:
     """Guard against hosts of the release before that refuse a manifest."""
-    plain = configurations.Configuration(3, classes=(CLASS,))
+    plain = configurations.Configuration(3, classes=(REQUEST_CLASS,))
     row = encode(plain)
     assert row['format'] == 1
     assert 'customers' not in row
     assert 'public' not in row['classes']['c']
-    stamped = patches.stamp(plain)
+    stamped = patches.stamp_configuration(plain)
     # As the release before worked it out.
     assert stamped.stamp.digest == '4c1494c25b04f8798d7a'
-    emptied = patches.stamp(plain._replace(classes=()))
+    emptied = patches.stamp_configuration(plain._replace(classes=()))
     patch = patches.diff(stamped, emptied)
     written = patch_rows.write(patch_rows.Parcel('h1', (patch,)))
     assert b'customers' not in written
     assert b'public' not in written
 
 
-SPOILT: Final[tuple[tuple[str, object], ...]] = (
+INVALID_CUSTOMERS: Final[tuple[tuple[str, object], ...]] = (
     ('customers', {}),
     ('customers', None),
     ('customers', []),
@@ -133,81 +140,85 @@
     (
         'customers',
         {
-            name: {'keys': {KEYS[0]: True}, 'rate': 0, 'burst': 0}
+            name: {'keys': {DIGESTS[0]: True}, 'rate': 0, 'burst': 0}
             for name in ('a', 'b')
         },
     ),
 )
 
 
-@pytest.mark.parametrize(('field', 'told'), SPOILT)
-def test_a_spoilt_customer_refuses_the_manifest_whole(
+@pytest.mark.parametrize(('field', 'told'), INVALID_CUSTOMERS)
+def test_an_invalid_customer_refuses_the_whole_manifest(
     field: str, told: object
 ) -> None:
     """Guard against half of a version in force."""
-    found = manifests.decode(json.dumps({**encode(KEYED), field: told}))
-    assert isinstance(found, errors.Failure)
-    assert found.kind is errors.Kind.INVALID_CONFIGURATION
+    decoded = manifests.decode(
+        json.dumps({**encode(WITH_CUSTOMERS), field: told})
+    )
+    assert isinstance(decoded, errors.Failure)
+    assert decoded.kind is errors.Kind.INVALID_CONFIGURATION
 
 
 @pytest.mark.parametrize('figure', ['NaN', 'Infinity', '-Infinity', '1e999'])
-def test_a_rate_that_is_no_finite_number_is_refused(figure: str) -> None:
+def test_a_rate_that_is_not_finite_is_refused(figure: str) -> None:
     """Guard against a quota that no comparison finds exceeded."""
-    text = json.dumps(encode(KEYED)).replace('2.5', figure)
+    text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', figure)
     assert isinstance(manifests.decode(text), errors.Failure)
 
 
-def test_a_patch_that_has_two_customers_share_a_key_is_refused() -> None:
-    shared = KEYED._replace(customers=(BANK._replace(keys=SHOP.keys), SHOP))
-    patch = patches.diff(patches.NOTHING, patches.stamp(shared))
-    assert patches.apply(patch, patches.NOTHING) is None
+def test_a_patch_with_a_shared_key_is_refused() -> None:
+    shared = WITH_CUSTOMERS._replace(
+        customers=(BANK._replace(keys=SHOP.keys), SHOP)
+    )
+    patch = patches.diff(patches.EMPTY, patches.stamp_configuration(shared))
+    assert patches.apply_patch(patch, patches.EMPTY) is None
 
 
-def change(
+def prepare(
     manifest: manifests.Manifest, wanted: changes.Change, *, force: bool = False
-) -> proposals.Prepared | proposals.Unchanged | errors.Failure:
-    request = proposals.Request('id', 'ana', wanted, force=force)
-    return proposals.prepare(manifest, request, 1.0)
+) -> proposals.PreparedChange | proposals.NothingChanged | errors.Failure:
+    request = proposals.ChangeRequest('id', 'ana', wanted, force=force)
+    return proposals.prepare_change(manifest, request, 1.0)
 
 
-def make(*wanted: changes.Change) -> manifests.Manifest:
+def apply_changes(*wanted: changes.Change) -> manifests.Manifest:
     manifest = manifests.EMPTY
-    for one in wanted:
-        made = change(manifest, one)
-        assert isinstance(made, proposals.Prepared), made
-        manifest = made.encoded.manifest
+    for change in wanted:
+        prepared = prepare(manifest, change)
+        assert isinstance(prepared, proposals.PreparedChange), prepared
+        manifest = prepared.encoded.manifest
     return manifest
 
 
 def test_operators_set_customers_and_rotate_their_keys() -> None:
-    manifest = make(
+    manifest = apply_changes(
         changes.SetCustomer('shop', (('rate', 2.5), ('priority', 0))),
-        changes.AddKeys('shop', KEYS[:1]),
+        changes.AddKeys('shop', DIGESTS[:1]),
         changes.SetCustomer('shop', (('burst', 4.0),)),
-        changes.AddKeys('shop', KEYS[1:2]),
-        changes.RemoveKeys('shop', KEYS[:1]),
+        changes.AddKeys('shop', DIGESTS[1:2]),
+        changes.RemoveKeys('shop', DIGESTS[:1]),
         changes.SetCustomer('shop', (('priority', None),)),
     )
     (shop,) = manifest.configuration.customers
-    assert shop == customers.Customer('shop', KEYS[1:2], None, 2.5, 4.0)
-    assert [it.what for it in manifest.changes][1:3] == [
+    assert shop == customers.Customer('shop', DIGESTS[1:2], None, 2.5, 4.0)
+    assert [it.description for it in manifest.entries][1:3] == [
         'add 1 keys to customer shop',
         'set customer shop: burst=4.0',
     ]
-    removal = manifest.changes[4]
-    back = change(manifest, changes.Restore('id', removal.edits))
-    assert isinstance(back, proposals.Prepared)
-    (shop,) = back.encoded.manifest.configuration.customers
-    assert set(shop.keys) == set(KEYS[:2])
+    removal = manifest.entries[4]
+    undone = prepare(manifest, changes.UndoChange('id', removal.edits))
+    assert isinstance(undone, proposals.PreparedChange)
+    (shop,) = undone.encoded.manifest.configuration.customers
+    assert set(shop.keys) == set(DIGESTS[:2])
 
 
 @pytest.mark.parametrize(
     'wanted',
     [
-        changes.AddKeys('bank', KEYS[:1]),
+        changes.AddKeys('bank', DIGESTS[:1]),
         changes.AddKeys('shop', ('k-secret',)),
-        changes.AddKeys('other', KEYS[2:3]),
-        changes.RemoveKeys('bank', KEYS[:1]),
+        changes.AddKeys('other', DIGESTS[2:3]),
+        changes.RemoveKeys('bank', DIGESTS[:1]),
         changes.DeleteCustomer('other'),
         changes.SetCustomer('shop', (('rate', -1.0),)),
         changes.SetCustomer('shop', (('rate', float('nan')),)),
@@ -217,34 +228,34 @@
         changes.SetCustomer('line\nend'),
     ],
 )
-def test_a_change_that_spoils_customers_is_refused_whole(
+def test_an_invalid_customer_change_is_refused(
     wanted: changes.Change,
 ) -> None:
     """Guard against a change that is told as done and refused by hosts."""
-    manifest = make(
+    manifest = apply_changes(
         changes.SetCustomer('shop'),
-        changes.AddKeys('shop', KEYS[:1]),
+        changes.AddKeys('shop', DIGESTS[:1]),
         changes.SetCustomer('bank'),
     )
-    refused = change(manifest, wanted, force=True)
+    refused = prepare(manifest, wanted, force=True)
     assert isinstance(refused, errors.Failure)
     assert refused.kind is errors.Kind.INVALID_CHANGE
     assert 'k-secret' not in refused.detail
 
 
-def test_the_last_customer_goes_only_where_that_is_meant() -> None:
+def test_deleting_the_last_customer_needs_force() -> None:
     """Guard against classes that are open to all by a slip."""
-    manifest = make(changes.SetCustomer('shop'))
-    deleting = changes.DeleteCustomer('shop')
-    refused = change(manifest, deleting)
+    manifest = apply_changes(changes.SetCustomer('shop'))
+    deletion = changes.DeleteCustomer('shop')
+    refused = prepare(manifest, deletion)
     assert isinstance(refused, errors.Failure)
     assert 'no class asks for a key' in refused.detail
     assert isinstance(
-        change(manifest, deleting, force=True), proposals.Prepared
+        prepare(manifest, deletion, force=True), proposals.PreparedChange
     )
 
 
-def test_a_tree_names_keys_so_that_two_operators_may_add_some() -> None:
-    tree = trees.build_tree(KEYED)
-    field = ('customers', 'shop', 'keys', KEYS[0])
-    assert trees.read_field(tree, field) is True
+def test_each_key_is_a_field_of_its_own() -> None:
+    tree = trees.build_tree(WITH_CUSTOMERS)
+    field = ('customers', 'shop', 'keys', DIGESTS[0])
+    assert trees.find_field(tree, field) is True
--- a/tests/core/configuration/test_manifests.py
+++ b/tests/core/configuration/test_manifests.py
@@ -7,10 +7,10 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     configurations,
     manifests,
-    texts,
+    stored_json,
     trees,
 )
 
@@ -19,13 +19,13 @@
 
 @st.composite
 def draw_group(
-    draw: st.DrawFn, name: str, most: int = 90
+    draw: st.DrawFn, name: str, max_targets: int = 90
 ) -> configurations.Group:
     """Draw a group whose parts stand inside and outside the manifest."""
     counts = draw(
         st.dictionaries(
             st.sampled_from(['Quilicura', 'Maipú', 'Pudahuel']),
-            st.integers(1, most),
+            st.integers(1, max_targets),
         )
     )
     targets = trees.sort_targets(
@@ -65,28 +65,28 @@
     )
 
 
-ENTRY = audits.Entry(
+ENTRY = audit_log.Entry(
     'id-1',
     7,
     'ana',
     1.5,
     'label group',
     (trees.Edit(('groups', 'g', 'labels', 'a'), None, 'b'),),
-    follows=6,
-    undoes='id-0',
+    previous_revision=6,
+    undone_change_id='id-0',
 )
 
 
 @given(draw_configuration())
-def test_decoding_gives_back_what_was_encoded(
+def test_decoding_inverts_encoding(
     configuration: configurations.Configuration,
 ) -> None:
     encoded = manifests.encode(configuration, (ENTRY,))
     assert isinstance(encoded, manifests.Encoded)
-    decoded = manifests.decode(encoded.text, encoded.texts)
+    decoded = manifests.decode(encoded.text, encoded.part_texts)
     assert decoded == encoded.manifest
     assert decoded.configuration == configuration
-    assert decoded.changes == (ENTRY,)
+    assert decoded.entries == (ENTRY,)
 
 
 @given(draw_configuration())
@@ -103,37 +103,39 @@
     first = manifests.encode(configuration)
     assert isinstance(first, manifests.Encoded)
     later = configuration._replace(revision=configuration.revision + 1)
-    same = manifests.encode(later, (), first.manifest.placed)
+    same = manifests.encode(later, (), first.manifest.stored_parts)
     assert isinstance(same, manifests.Encoded)
-    assert not same.texts
+    assert not same.part_texts
     again = manifests.encode(later)
     assert isinstance(again, manifests.Encoded)
-    assert not again.texts.keys() & first.texts.keys()
+    assert not again.part_texts.keys() & first.part_texts.keys()
 
 
-def refusal(text: str, texts: dict[str, str] | None = None) -> errors.Kind:
-    decoded = manifests.decode(text, texts)
+def get_refusal(
+    text: str, part_texts: dict[str, str] | None = None
+) -> errors.Kind:
+    decoded = manifests.decode(text, part_texts)
     assert isinstance(decoded, errors.Failure)
     return decoded.kind
 
 
-def test_a_newer_format_is_refused_by_name() -> None:
+def test_a_newer_format_is_reported_as_such() -> None:
     """Refuse what a newer program wrote, instead of guessing at it.
 
     Symptom: an older program drops fields it does not know when it writes
     the manifest. Sequence: a newer program writes a field, an older one makes
     a change. Cause: the format was not compared first.
     """
-    newer = json.dumps({'format': texts.FORMAT + 1, 'surprise': True})
-    assert refusal(newer) is errors.Kind.UNKNOWN_FORMAT
+    newer = json.dumps({'format': stored_json.MAX_FORMAT + 1, 'surprise': True})
+    assert get_refusal(newer) is errors.Kind.UNKNOWN_FORMAT
     encoded = manifests.encode(configurations.EMPTY)
     assert isinstance(encoded, manifests.Encoded)
     row = json.loads(encoded.text)
     unknown = json.dumps({**row, 'surprise': True})
-    assert refusal(unknown) is errors.Kind.INVALID_CONFIGURATION
+    assert get_refusal(unknown) is errors.Kind.INVALID_CONFIGURATION
 
 
-def test_a_part_that_is_not_the_one_named_is_refused() -> None:
+def test_a_part_with_another_digest_is_refused() -> None:
     """Refuse to route by targets that no operator accepted.
 
     Symptom: requests reach targets of an old list. Sequence: the platform's
@@ -147,15 +149,19 @@
     group = configurations.Group('g', (), targets)
     encoded = manifests.encode(configurations.Configuration(1, (group,)))
     assert isinstance(encoded, manifests.Encoded)
-    (key,) = encoded.texts
-    assert refusal(encoded.text) is errors.Kind.INVALID_CONFIGURATION
-    spoilt = {key: encoded.texts[key].replace('10.0.0.1:1"', '10.0.0.2:1"')}
-    assert refusal(encoded.text, spoilt) is errors.Kind.INVALID_CONFIGURATION
+    (key,) = encoded.part_texts
+    assert get_refusal(encoded.text) is errors.Kind.INVALID_CONFIGURATION
+    altered = {
+        key: encoded.part_texts[key].replace('10.0.0.1:1"', '10.0.0.2:1"')
+    }
+    assert (
+        get_refusal(encoded.text, altered) is errors.Kind.INVALID_CONFIGURATION
+    )
 
 
 @given(st.text() | st.binary().map(lambda raw: raw.decode('latin-1')))
 def test_any_text_decodes_or_is_refused(text: str) -> None:
-    assert refusal(text) is errors.Kind.INVALID_CONFIGURATION
+    assert get_refusal(text) is errors.Kind.INVALID_CONFIGURATION
 
 
 def test_a_value_above_the_limit_is_refused_before_it_is_sent() -> None:
--- a/tests/core/configuration/test_patches.py
+++ b/tests/core/configuration/test_patches.py
@@ -38,18 +38,24 @@
 
 
 @given(CONFIGURATIONS, CONFIGURATIONS)
-def test_a_patch_leads_from_one_to_the_other(
+def test_a_patch_turns_one_configuration_into_another(
     one: configurations.Configuration, other: configurations.Configuration
 ) -> None:
     """Give the other's stamp, and nothing for any other base."""
-    old, new = patches.stamp(one), patches.stamp(other)
+    old, new = (
+        patches.stamp_configuration(one),
+        patches.stamp_configuration(other),
+    )
     patch = patches.diff(old, new)
-    patched = patches.apply(patch, old)
+    patched = patches.apply_patch(patch, old)
     assert patched is not None
-    assert patched.stamp == patches.stamp(patched.configuration).stamp
+    assert (
+        patched.stamp
+        == patches.stamp_configuration(patched.configuration).stamp
+    )
     assert patched.stamp == new.stamp
     if old.stamp != new.stamp:
-        assert patches.apply(patch, new) is None
+        assert patches.apply_patch(patch, new) is None
 
 
 @given(CONFIGURATIONS)
@@ -57,8 +63,8 @@
     one: configurations.Configuration,
 ) -> None:
     """Refuse a patch that does not give the content of its digest."""
-    patch = patches.diff(patches.NOTHING, patches.stamp(one))
+    patch = patches.diff(patches.EMPTY, patches.stamp_configuration(one))
     extra = configurations.Group('forged', (), ())
     changed = patch.changed._replace(groups=(*patch.changed.groups, extra))
     forged = patch._replace(changed=changed)
-    assert patches.apply(forged, patches.NOTHING) is None
+    assert patches.apply_patch(forged, patches.EMPTY) is None
--- a/tests/core/configuration/test_needs.py
+++ b/tests/core/configuration/test_read_sets.py
@@ -12,20 +12,20 @@
     manifests,
     parts,
     proposals,
-    readings,
     store_calls,
+    store_reads,
     transactions,
 )
 from tests.core import model_store
 
 Target = configurations.Target
-PLACES = ('Kotoni', 'Odori', 'Otaru')
+CENTRES = ('Kotoni', 'Odori', 'Otaru')
 
 
 def make_group(name: str, number: int) -> configurations.Group:
     targets = tuple(
-        Target(f'{name}/{place}', f'10.0.{number}.{k}:1', place)
-        for k, place in enumerate(PLACES)
+        Target(f'{name}/{centre}', f'10.0.{number}.{k}:1', centre)
+        for k, centre in enumerate(CENTRES)
     )
     return configurations.Group(name, (('name', name),), targets)
 
@@ -33,31 +33,34 @@
 @pytest.fixture
 def store() -> Iterator[model_store.ModelStore]:
     with mock.patch.object(parts, 'INLINE_BYTES', 0):
-        made = model_store.ModelStore()
-        policy = (configurations.RequestClass('c'),)
+        filled = model_store.ModelStore()
+        classes = (configurations.RequestClass('c'),)
         selector = configurations.Selector('s', 'c', 'name=g', ('Otaru',))
-        wanted = configurations.Configuration(
-            0, (make_group('g', 0), make_group('h', 1)), (selector,), policy
+        configuration = configurations.Configuration(
+            0, (make_group('g', 0), make_group('h', 1)), (selector,), classes
         )
-        told = run(made, changes.Replace(wanted))[0]
-        assert isinstance(told, proposals.Accepted)
-        yield made
+        outcome = run(filled, changes.ReplaceConfiguration(configuration))[0]
+        assert isinstance(outcome, proposals.ChangeAccepted)
+        yield filled
 
 
 def run(
     store: model_store.ModelStore, change: changes.Change
 ) -> tuple[transactions.Outcome, list[str]]:
     """Make a change; return what came of it and the parts that it read."""
-    request = proposals.Request(f'id-{store.revision}', 'ana', change)
-    steps, read = transactions.commit(request, 0), []
+    request = proposals.ChangeRequest(f'id-{store.revision}', 'ana', change)
+    steps, read_groups = transactions.commit(request, 0), []
     call = next(steps)
     while True:
-        if isinstance(call, store_calls.Read) and parts.PREFIX in call.key:
-            read.append(call.key.split('/')[2])
+        if (
+            isinstance(call, store_calls.ReadKey)
+            and parts.KEY_PREFIX in call.key
+        ):
+            read_groups.append(call.key.split('/')[2])
         try:
             call = steps.send(store.call(call))
         except StopIteration as stop:
-            return stop.value, read
+            return stop.value, read_groups
 
 
 @pytest.mark.parametrize(
@@ -77,7 +80,7 @@
         (changes.DeleteGroup('h'), 'hhh'),
     ],
 )
-def test_a_change_reads_only_the_targets_it_has_to_see(
+def test_a_change_reads_only_the_targets_it_needs(
     store: model_store.ModelStore, change: changes.Change, read: str
 ) -> None:
     """Keep a change as quick in a large system as in a small one.
@@ -86,19 +89,19 @@
     each try reads all targets, which takes longer than the time between two
     changes. Cause: the whole configuration is read for a label.
     """
-    before = store.finish(readings.load()).manifest.configuration
-    told, found = run(store, change)
-    assert isinstance(told, proposals.Accepted)
+    before = store.finish(store_reads.load_manifest()).manifest.configuration
+    outcome, reads = run(store, change)
+    assert isinstance(outcome, proposals.ChangeAccepted)
     # Reads of the same part are for the sweep of what was replaced.
-    assert sorted(found) == list(read)
-    stored = store.finish(readings.load()).manifest.configuration
-    wanted = proposals.prepare(
+    assert sorted(reads) == list(read)
+    stored = store.finish(store_reads.load_manifest()).manifest.configuration
+    expected = proposals.prepare_change(
         manifests.Manifest(before),
-        proposals.Request('x', 'ana', change),
+        proposals.ChangeRequest('x', 'ana', change),
         0,
     )
-    assert isinstance(wanted, proposals.Prepared)
-    assert stored == wanted.encoded.manifest.configuration
+    assert isinstance(expected, proposals.PreparedChange)
+    assert stored == expected.encoded.manifest.configuration
 
 
 def test_targets_that_one_host_sees_together_are_compared(
@@ -111,8 +114,8 @@
     falls back from one to the other sees both. Cause: only the part that is
     written is read.
     """
-    twin = Target('twin', '10.0.1.2:1', 'Odori')
-    fault, _ = run(store, changes.AddTargets('g', (twin,)))
+    duplicate = Target('twin', '10.0.1.2:1', 'Odori')
+    fault, _ = run(store, changes.AddTargets('g', (duplicate,)))
     assert isinstance(fault, errors.Failure)
     assert 'two targets have the address 10.0.1.2:1' in fault.detail
 
@@ -124,8 +127,10 @@
     change reads no targets, and every data centre looks empty. Cause: only
     targets that were read are counted.
     """
-    apart = changes.SetSelector('t', (('class', 'c'), ('expression', 'name=h')))
-    assert isinstance(run(store, apart)[0], proposals.Accepted)
+    selector = changes.SetSelector(
+        't', (('class', 'c'), ('expression', 'name=h'))
+    )
+    assert isinstance(run(store, selector)[0], proposals.ChangeAccepted)
     drained = changes.MarkLeaving('h', ('h/Odori',), data_centre='Odori')
     fault, _ = run(store, drained)
     assert isinstance(fault, errors.Failure)
--- a/tests/core/configuration/test_selectors.py
+++ b/tests/core/configuration/test_selectors.py
@@ -54,13 +54,13 @@
         ('shop/', 5),
         ('a/b/c', 0),
         ('x' * 64, 0),
-        ('a,' * 3000, selectors.MAX_EXPRESSION),
+        ('a,' * 3000, selectors.MAX_EXPRESSION_LENGTH),
     ],
 )
 def test_fault_names_the_first_error(text: str, position: int) -> None:
     fault = selectors.parse(text)
-    assert isinstance(fault, selectors.Fault)
-    assert fault.position == position
+    assert isinstance(fault, selectors.SyntaxFault)
+    assert fault.offset == position
 
 
 @given(
@@ -91,8 +91,8 @@
 )
 def test_any_text_parses_or_is_a_fault_inside_it(text: str) -> None:
     parsed = selectors.parse(text)
-    if isinstance(parsed, selectors.Fault):
-        assert 0 <= parsed.position <= len(text)
+    if isinstance(parsed, selectors.SyntaxFault):
+        assert 0 <= parsed.offset <= len(text)
     else:
         # Matching never fails, and space round a symbol changes nothing.
         selectors.matches(parsed, LABELS)
@@ -113,9 +113,9 @@
     none_of = selectors.parse(f'{key} notin ({listed})')
     assert isinstance(one_of, selectors.Expression)
     assert isinstance(none_of, selectors.Expression)
-    found = selectors.matches(one_of, labels)
-    assert found is (labels.get(key) in values)
-    assert found is not selectors.matches(none_of, labels)
+    matched = selectors.matches(one_of, labels)
+    assert matched is (labels.get(key) in values)
+    assert matched is not selectors.matches(none_of, labels)
 
 
 def make_configuration(*expressions: str) -> configurations.Configuration:
@@ -123,27 +123,27 @@
         configurations.Group(name, (('tier', tier),), ())
         for name, tier in (('b', 'gold'), ('a', 'gold'), ('c', 'silver'))
     )
-    chosen = tuple(
+    listed = tuple(
         configurations.Selector(
-            f's{place}', 'gate-lookup', text, (f'dc{place}',)
+            f's{number}', 'gate-lookup', text, (f'dc{number}',)
         )
-        for place, text in enumerate(expressions)
+        for number, text in enumerate(expressions)
     )
-    return configurations.Configuration(1, groups, chosen)
+    return configurations.Configuration(1, groups, listed)
 
 
 def test_reach_joins_the_selectors_of_a_class() -> None:
     configuration = make_configuration('tier=gold', 'tier')
-    reached = selectors.reach(configuration, 'gate-lookup')
-    assert [(entry.group.name, entry.data_centres) for entry in reached] == [
+    reachable = selectors.list_reachable(configuration, 'gate-lookup')
+    assert [(entry.group.name, entry.data_centres) for entry in reachable] == [
         ('a', ('dc0', 'dc1')),
         ('b', ('dc0', 'dc1')),
         ('c', ('dc1',)),
     ]
-    assert not selectors.reach_groups(configuration, 'refund')
+    assert not selectors.list_reachable_groups(configuration, 'refund')
 
 
-def test_a_selector_that_does_not_parse_reaches_nothing() -> None:
+def test_an_unparsable_selector_reaches_nothing() -> None:
     """Tell no short list as complete.
 
     Symptom: a complete class answers without the groups of one selector.
@@ -152,4 +152,4 @@
     Cause: a fault taken for "matches no group".
     """
     configuration = make_configuration('tier=gold', 'tier > 3')
-    assert not selectors.reach_groups(configuration, 'gate-lookup')
+    assert not selectors.list_reachable_groups(configuration, 'gate-lookup')
