--- a/tests/core/configuration/test_transactions.py
+++ b/tests/core/configuration/test_transactions.py
@@ -9,14 +9,14 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     changes,
     configurations,
     manifests,
     parts,
     proposals,
-    readings,
     store_calls,
+    store_reads,
     transactions,
     trees,
 )
@@ -26,7 +26,7 @@
 KEYS = ('tier', 'zone')
 TARGETS = ('a/1', 'a/2', 'b/1')
 MANIFEST = manifests.MANIFEST_KEY
-WHO = st.integers(0, 2)
+OPERATOR = st.integers(0, 2)
 
 
 def make_target(group: str, name: str) -> configurations.Target:
@@ -39,7 +39,7 @@
 def draw_change() -> st.SearchStrategy[changes.Change]:
     """Draw changes that touch few fields, so that they meet."""
     group = st.sampled_from(GROUPS)
-    key, word = st.sampled_from(KEYS), st.sampled_from('xyz')
+    key, value = st.sampled_from(KEYS), st.sampled_from('xyz')
     name = st.sampled_from(TARGETS)
     named = st.tuples(group, name).map(lambda pair: make_target(*pair))
     return st.one_of(
@@ -47,7 +47,7 @@
             lambda g: changes.CreateGroup(configurations.Group(g, (), ()))
         ),
         st.builds(
-            lambda g, k, w: changes.LabelGroup(g, ((k, w),)), group, key, word
+            lambda g, k, w: changes.LabelGroup(g, ((k, w),)), group, key, value
         ),
         named.map(lambda t: changes.AddTargets(t.name[:2], (t,))),
         named.map(lambda t: changes.RemoveTargets(t.name[:2], (t.name,))),
@@ -76,8 +76,8 @@
         super().__init__()
         self.store = model_store.ModelStore()
         self.running: dict[int, tuple[Any, Any, str]] = {}
-        self.told: dict[str, object] = {}
-        self.bases: dict[str, int] = {}
+        self.outcomes: dict[str, object] = {}
+        self.base_revisions: dict[str, int] = {}
         self.revision = 0
         self.patches = contextlib.ExitStack()
         # Small bounds, so that a few changes archive entries and move parts.
@@ -88,52 +88,52 @@
             self.patches.enter_context(mock.patch.object(module, bound, 2))
 
     @stateful.initialize()
-    def fill(self) -> None:
+    def create_groups(self) -> None:
         """Begin with groups that have targets, so that changes apply."""
         for group in GROUPS:
             targets = tuple(make_target(group, name) for name in TARGETS)
-            made = configurations.Group(group, (), targets)
-            self.start(0, changes.CreateGroup(made))
+            created = configurations.Group(group, (), targets)
+            self.start(0, changes.CreateGroup(created))
             self.finish(0)
 
-    @stateful.rule(who=WHO, change=draw_change())
+    @stateful.rule(who=OPERATOR, change=draw_change())
     def begin(self, who: int, change: changes.Change) -> None:
         self.start(who, change)
 
-    @stateful.rule(who=WHO, back=st.integers(0, 9))
+    @stateful.rule(who=OPERATOR, back=st.integers(0, 9))
     def undo(self, who: int, back: int) -> None:
         entries = self.read_entries()
         if entries:
             entry = entries[-1 - back % len(entries)]
-            self.start(who, changes.Restore(entry.change_id, entry.edits))
+            self.start(who, changes.UndoChange(entry.change_id, entry.edits))
 
-    @stateful.rule(who=WHO, calls=st.integers(1, 12))
+    @stateful.rule(who=OPERATOR, calls=st.integers(1, 12))
     def step(self, who: int, calls: int) -> None:
         for _ in range(calls):
             self.advance(who, model_store.Fate.DONE)
 
     @stateful.rule(
-        who=WHO,
+        who=OPERATOR,
         fate=st.sampled_from(model_store.Fate),
-        key=st.sampled_from(('audit/', parts.PREFIX, MANIFEST)),
+        key=st.sampled_from(('audit/', parts.KEY_PREFIX, MANIFEST)),
     )
     def disturb(self, who: int, fate: model_store.Fate, key: str) -> None:
         while who in self.running and not self.is_writing(who, key):
             self.advance(who, model_store.Fate.DONE)
         self.advance(who, fate)
 
-    @stateful.rule(who=WHO)
+    @stateful.rule(who=OPERATOR)
     def finish(self, who: int) -> None:
         while who in self.running:
             self.advance(who, model_store.Fate.DONE)
 
     @stateful.precondition(has_delayed)
-    @stateful.rule(who=WHO)
-    def cut(self, who: int) -> None:
+    @stateful.rule(who=OPERATOR)
+    def fail_call(self, who: int) -> None:
         self.advance(who, model_store.Fate.FAILED)
 
     @stateful.rule(index=st.integers(0, 5))
-    def land(self, index: int) -> None:
+    def deliver_delayed(self, index: int) -> None:
         if self.store.delayed:
             self.store.land(index % len(self.store.delayed))
 
@@ -145,81 +145,85 @@
 
     def teardown(self) -> None:
         with self.patches:
-            for who in list(self.running):
-                self.finish(who)
+            for operator in list(self.running):
+                self.finish(operator)
             while self.store.delayed:
                 self.store.land(0)
-            self.check_trail()
+            self.check_audit_log()
 
-    def check_trail(self) -> None:
+    def check_audit_log(self) -> None:
         entries = self.read_entries()
         ids = [entry.change_id for entry in entries]
         assert len(ids) == len(set(ids))
         numbers = range(1, len(ids) + 1)
         assert [entry.revision for entry in entries] == list(numbers)
-        for change_id, told in self.told.items():
-            if isinstance(told, proposals.Accepted):
-                assert told.entry in entries
-            elif not is_unknown(told):
+        for change_id, outcome in self.outcomes.items():
+            if isinstance(outcome, proposals.ChangeAccepted):
+                assert outcome.entry in entries
+            elif not is_unknown(outcome):
                 assert change_id not in ids
         self.check_edits(entries)
 
-    def check_edits(self, entries: list[audits.Entry]) -> None:
+    def check_edits(self, entries: list[audit_log.Entry]) -> None:
         tree = trees.build_tree(configurations.EMPTY)
         for entry in entries:
-            seen = self.bases[entry.change_id]
+            base_revision = self.base_revisions[entry.change_id]
             fields = [edit.field for edit in entry.edits]
-            between = entries[seen : entry.revision - 1]
-            assert audits.find_latest(between, fields) is None
+            between = entries[base_revision : entry.revision - 1]
+            assert audit_log.find_latest_overlap(between, fields) is None
             for edit in entry.edits:
-                assert trees.read_field(tree, edit.field) == edit.before
-                tree = trees.write_field(tree, edit.field, edit.after)
+                assert trees.find_field(tree, edit.field) == edit.before
+                tree = trees.set_field(tree, edit.field, edit.after)
         stored = self.load().manifest.configuration
         assert trees.build_configuration(tree, len(entries)) == stored
 
-    def start(self, who: int, change: changes.Change) -> None:
-        if who in self.running:
+    def start(self, operator: int, change: changes.Change) -> None:
+        if operator in self.running:
             return
-        change_id = f'id-{len(self.told)}'
-        self.told[change_id] = None
-        self.bases[change_id] = self.revision
-        request = proposals.Request(
-            change_id, f'op{who}', change, self.revision, force=True
+        change_id = f'id-{len(self.outcomes)}'
+        self.outcomes[change_id] = None
+        self.base_revisions[change_id] = self.revision
+        request = proposals.ChangeRequest(
+            change_id, f'op{operator}', change, self.revision, force=True
         )
         steps = transactions.commit(request, 0)
-        self.running[who] = (steps, next(steps), change_id)
+        self.running[operator] = (steps, next(steps), change_id)
 
-    def advance(self, who: int, fate: model_store.Fate) -> None:
-        if who not in self.running:
+    def advance(self, operator: int, fate: model_store.Fate) -> None:
+        if operator not in self.running:
             return
-        steps, call, change_id = self.running.pop(who)
+        steps, call, change_id = self.running.pop(operator)
         try:
             call = steps.send(self.store.call(call, fate))
         except StopIteration as stop:
-            self.told[change_id] = stop.value
+            self.outcomes[change_id] = stop.value
             return
-        self.running[who] = (steps, call, change_id)
+        self.running[operator] = (steps, call, change_id)
 
-    def is_writing(self, who: int, key: str) -> bool:
-        call = self.running[who][1]
-        return isinstance(call, store_calls.Swap) and call.key.startswith(key)
+    def is_writing(self, operator: int, key: str) -> bool:
+        call = self.running[operator][1]
+        return isinstance(
+            call, store_calls.CompareAndSwap
+        ) and call.key.startswith(key)
 
-    def load(self) -> readings.Loaded:
-        loaded = self.store.finish(readings.load())
-        assert isinstance(loaded, readings.Loaded)
+    def load(self) -> store_reads.LoadedManifest:
+        loaded = self.store.finish(store_reads.load_manifest())
+        assert isinstance(loaded, store_reads.LoadedManifest)
         return loaded
 
-    def read_entries(self) -> list[audits.Entry]:
+    def read_entries(self) -> list[audit_log.Entry]:
         manifest = self.load().manifest
-        older = self.store.finish(readings.read_archived(manifest.changes, 0))
+        older = self.store.finish(
+            store_reads.read_archived_entries(manifest.entries, 0)
+        )
         assert isinstance(older, tuple)
-        return [*older, *manifest.changes]
+        return [*older, *manifest.entries]
 
 
-def is_unknown(told: object) -> bool:
+def is_unknown(outcome: object) -> bool:
     return (
-        isinstance(told, errors.Failure)
-        and told.kind is errors.Kind.OUTCOME_UNKNOWN
+        isinstance(outcome, errors.Failure)
+        and outcome.kind is errors.Kind.OUTCOME_UNKNOWN
     )
 
 
--- a/tests/core/customers/test_customers.py
+++ b/tests/core/customers/test_customers.py
@@ -5,14 +5,14 @@
 SHOP = customers.Customer('shop', ('a', 'b'))
 
 
-def test_customers_that_can_be_told_apart_have_no_fault() -> None:
+def test_distinct_customers_have_no_fault() -> None:
     assert customers.find_fault(()) is None
     bank = customers.Customer('bank', ('c',))
     assert customers.find_fault((SHOP, bank)) is None
-    assert customers.index((SHOP, bank))['b'] == SHOP
+    assert customers.index_by_key((SHOP, bank))['b'] == SHOP
 
 
-def test_a_name_twice_and_a_key_of_two_are_faults() -> None:
+def test_duplicate_names_and_shared_keys_are_faults() -> None:
     """Guard against a key that is of whoever comes last."""
     twice = customers.find_fault((SHOP, SHOP._replace(keys=())))
     assert twice == "customer 'shop' is there twice"
@@ -21,10 +21,12 @@
     assert shared == "customers 'shop' and 'bank' hold one key"
 
 
-def test_figures_and_priorities_are_numbers_in_bounds() -> None:
+def test_quantities_and_priorities_are_bounded() -> None:
     good = (0, 0.5, 7, 1e9)
-    assert all(customers.is_figure(it) for it in good)
+    assert all(customers.is_valid_quantity(it) for it in good)
     bad = (-1, -0.1, float('nan'), float('inf'), True, '7', None, 1e300)
-    assert not any(customers.is_figure(it) for it in bad)
-    assert customers.is_priority(0)
-    assert not any(customers.is_priority(it) for it in (-1, 0.5, True, '0'))
+    assert not any(customers.is_valid_quantity(it) for it in bad)
+    assert customers.is_valid_priority(0)
+    assert not any(
+        customers.is_valid_priority(it) for it in (-1, 0.5, True, '0')
+    )
--- a/tests/core/members/test_membership.py
+++ b/tests/core/members/test_membership.py
@@ -15,10 +15,10 @@
 def settle(network: networks.Network) -> None:
     """Let time pass until all agree; fail where they do not."""
     end = network.now + SETTLE_S
-    while not network.agree() and network.now < end:
+    while not network.has_converged() and network.now < end:
         network.run(1)
     seen = {name: state.live for name, state in network.hosts.items()}
-    assert network.agree(), seen
+    assert network.has_converged(), seen
 
 
 def list_accused(network: networks.Network) -> set[str]:
@@ -61,7 +61,7 @@
     taken for proof.
     """
     network = join(8)
-    network.cut = lambda one, other: (one, other) == ('h1', 'h2')
+    network.is_cut = lambda one, other: (one, other) == ('h1', 'h2')
     network.run(60)
     assert not list_accused(network)
 
@@ -74,7 +74,7 @@
     next probe accuses it again. Cause: its own word counts for nothing.
     """
     network = join(8)
-    network.cut = lambda one, other: other == 'h5'
+    network.is_cut = lambda one, other: other == 'h5'
     network.run(100)
     told = [who for _, who, report in network.reports if report.name == 'h5']
     assert told.count('h0') < 40
@@ -89,10 +89,10 @@
     waits for it.
     """
     network = join(3)
-    network.swallow = 2
+    network.dropped_relays = 2
     network.kill('h2')
     settle(network)
-    assert not network.swallow
+    assert not network.dropped_relays
 
 
 def test_lossy_network_buries_nobody() -> None:
@@ -103,7 +103,7 @@
     now and then. Cause: death without a time to answer the suspicion.
     """
     network = join(12)
-    network.loss = 0.3
+    network.loss_fraction = 0.3
     network.run(60)
     texts = [report.text for _, _, report in network.reports]
     assert 0 < texts.count('member is suspect') < 400
@@ -117,7 +117,7 @@
     others are suspect. Cause: silence of everybody taken for their fault.
     """
     network = join(8)
-    network.cut = lambda one, other: 'h3' in {one, other}
+    network.is_cut = lambda one, other: 'h3' in {one, other}
     network.run(8)
     tellers = {name for _, name, _ in network.reports}
     assert 'h3' not in tellers
@@ -138,7 +138,7 @@
     for number in range(10, 20):
         other = table.entries[f'h{number}'].member
         table = tables.put(table, other._replace(incarnation=9), 0)
-    gossip = messages.Gossip(asker, networks.CENTRE, state.stamp, '')
+    gossip = messages.Gossip(asker, networks.DATA_CENTRE, state.stamp, '')
     # Its own entry has been told often enough to be out of the news.
     table = table._replace(news={**table.news, 'h7': 1})
     _, actions = membership.handle(
@@ -174,10 +174,10 @@
     """
     network = join(8)
     half = {'h0', 'h1', 'h2', 'h3'}
-    network.cut = lambda one, other: (one in half) != (other in half)
+    network.is_cut = lambda one, other: (one in half) != (other in half)
     network.run(300)
     assert network.hosts['h0'].live == tuple(sorted(half))
-    network.cut = lambda one, other: False
+    network.is_cut = lambda one, other: False
     settle(network)
 
 
@@ -200,7 +200,7 @@
     network.frozen.clear()
     stale = messages.Gossip(
         tables.read_own(network.hosts['h3'].table),
-        networks.CENTRE,
+        networks.DATA_CENTRE,
         network.hosts['h0'].stamp,
         '',
         (members.Member('h5', 'h5', 1, members.Standing.ALIVE),),
@@ -249,7 +249,7 @@
         for incarnation in (5, members.MAX_JUMP, members.MAX_INCARNATION):
             forged = members.Member(name, name, incarnation, dead)
             gossip = messages.Gossip(
-                sender, networks.CENTRE, state.stamp, '', (forged,)
+                sender, networks.DATA_CENTRE, state.stamp, '', (forged,)
             )
             network.send('h0', messages.Received(0, gossip))
     settle(network)
@@ -271,7 +271,7 @@
         state, actions = membership.handle(
             state,
             messages.Ticked(),
-            early + tick * networks.TICK_S,
+            early + tick * networks.TICK_INTERVAL_S,
             lambda: 0.5,
         )
         asked += sum(isinstance(it, messages.Ask) for it in actions)
@@ -315,17 +315,17 @@
     )
     def cut(self, one: int, other: int, loss: float, seconds: int) -> None:
         """Cut one direction, or one host off if both ends are the same."""
-        self.network.loss = loss
+        self.network.loss_fraction = loss
         ends = (f'h{one}', f'h{other}')
-        self.network.cut = lambda a, b: (
+        self.network.is_cut = lambda a, b: (
             ends[0] in {a, b} if one == other else (a, b) == ends
         )
         self.network.run(seconds)
 
     def teardown(self) -> None:
         """Heal the network and demand that all agree."""
-        self.network.loss = 0
-        self.network.cut = lambda one, other: False
+        self.network.loss_fraction = 0
+        self.network.is_cut = lambda one, other: False
         settle(self.network)
 
 
--- a/tests/core/model_store.py
+++ b/tests/core/model_store.py
@@ -25,7 +25,9 @@
         """Start empty."""
         self.values: dict[str, tuple[str, int]] = {}
         self.revision = 0
-        self.delayed: list[store_calls.Swap | store_calls.Delete] = []
+        self.delayed: list[
+            store_calls.CompareAndSwap | store_calls.DeleteKey
+        ] = []
 
     def call(
         self,
@@ -33,17 +35,21 @@
         fate: Fate = Fate.DONE,
     ) -> store_calls.Result:
         """Answer one call as its fate wills."""
-        if fate is Fate.DONE or isinstance(call, store_calls.Rest):
+        if fate is Fate.DONE or isinstance(call, store_calls.Backoff):
             return self._apply(call)
-        writes = isinstance(call, store_calls.Swap | store_calls.Delete)
+        writes = isinstance(
+            call, store_calls.CompareAndSwap | store_calls.DeleteKey
+        )
         if fate is Fate.FAILED or not writes:
-            return store_calls.Failed('down')
+            return store_calls.CallFailed('down')
         if fate is Fate.ANSWER_LOST:
             self._apply(call)
         if fate is Fate.DELAYED:
-            assert not isinstance(call, store_calls.Read | store_calls.List)
+            assert not isinstance(
+                call, store_calls.ReadKey | store_calls.ListKeys
+            )
             self.delayed.append(call)
-        return store_calls.Unclear('no answer')
+        return store_calls.WriteUnclear('no answer')
 
     def land(self, index: int) -> None:
         """Let a delayed write arrive."""
@@ -59,24 +65,24 @@
 
     def _apply(self, call: store_calls.Call) -> store_calls.Result:
         match call:
-            case store_calls.Rest():
-                return store_calls.Rested()
-            case store_calls.Read(key):
+            case store_calls.Backoff():
+                return store_calls.BackoffEnded()
+            case store_calls.ReadKey(key):
                 found = self.values.get(key)
                 if found is None:
-                    return store_calls.Missing()
-                return store_calls.Found(*found)
-            case store_calls.List(prefix):
+                    return store_calls.KeyMissing()
+                return store_calls.KeyFound(*found)
+            case store_calls.ListKeys(prefix):
                 keys = sorted(k for k in self.values if k.startswith(prefix))
-                return store_calls.Listed(
+                return store_calls.KeysListed(
                     tuple((key, self.values[key][1]) for key in keys)
                 )
         if self.values.get(call.key, ('', 0))[1] != call.revision:
-            return store_calls.Conflict()
+            return store_calls.WriteConflict()
         self.revision += 1
         match call:
-            case store_calls.Swap(key, value):
+            case store_calls.CompareAndSwap(key, value):
                 self.values[key] = (value, self.revision)
-            case store_calls.Delete(key):
+            case store_calls.DeleteKey(key):
                 self.values.pop(key)
-        return store_calls.Written()
+        return store_calls.KeyWritten()
--- a/tests/core/networks.py
+++ b/tests/core/networks.py
@@ -13,12 +13,12 @@
 from fuchsiahaven.core.members import member_states as states
 from fuchsiahaven.core.members import members, membership
 
-DELAY_S = 0.002
-TICK_S = 0.25
-CENTRE = 'Quilicura'
+MESSAGE_DELAY_S = 0.002
+TICK_INTERVAL_S = 0.25
+DATA_CENTRE = 'Quilicura'
 
-Cut = Callable[[str, str], bool]
-Tell = Callable[[str, messages.Listed | messages.Heard], None]
+IsCut = Callable[[str, str], bool]
+Notify = Callable[[str, messages.Listed | messages.Heard], None]
 
 
 class Network:
@@ -31,32 +31,34 @@
         self.now = 1000.0
         self.hosts: dict[str, states.State] = {}
         self.frozen: set[str] = set()
-        self.cut: Cut = lambda one, other: False
-        self.tell: Tell = lambda name, told: None
-        self.loss = 0.0
-        self.swallow = 0
+        self.is_cut: IsCut = lambda one, other: False
+        self.notify: Notify = lambda name, notice: None
+        self.loss_fraction = 0.0
+        self.dropped_relays = 0
         self.exchanges = 0
         self.reports: list[tuple[float, str, messages.Report]] = []
         self._rules = rules or states.Rules()
         self._random = random.Random(seed)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        self._waiting: dict[int, tuple[str, int]] = {}
+        self._sequence = itertools.count()
+        self._pending: dict[int, tuple[str, int]] = {}
         for number in range(count):
             self.add(f'h{number}')
 
     def add(
         self,
         name: str,
-        centre: str = CENTRE,
+        data_centre: str = DATA_CENTRE,
         seeds: tuple[str, ...] = ('h0', 'h1'),
     ) -> None:
         """Start a host, or one anew under the name of another."""
         own = members.Member(name, name, 1, members.Standing.ALIVE)
         self.hosts[name] = membership.start(
-            own, centre, self._rules, seeds, self.now
+            own, data_centre, self._rules, seeds, self.now
+        )
+        self.call_later(
+            self._random.random() * TICK_INTERVAL_S, lambda: self._tick(name)
         )
-        self.after(self._random.random() * TICK_S, lambda: self._tick(name))
 
     def kill(self, name: str) -> None:
         """End a host without a word."""
@@ -66,9 +68,9 @@
         """Let time pass."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
-            at, _, act = heapq.heappop(self._queue)
+            at, _, callback = heapq.heappop(self._queue)
             self.now = at
-            act()
+            callback()
         self.now = end
 
     def send(self, name: str, event: messages.Event) -> None:
@@ -76,66 +78,70 @@
         if name not in self.hosts:
             return
         if name in self.frozen:
-            self.after(TICK_S, lambda: self.send(name, event))
+            self.call_later(TICK_INTERVAL_S, lambda: self.send(name, event))
             return
         state, actions = membership.handle(
             self.hosts[name], event, self.now, self._random.random
         )
         self.hosts[name] = state
         for action in actions:
-            self._act(name, action)
+            self._run_action(name, action)
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Tell whether every host takes exactly the running ones for live."""
         running = tuple(sorted(self.hosts))
         return all(state.live == running for state in self.hosts.values())
 
-    def _act(self, name: str, action: messages.Action) -> None:
+    def _run_action(self, name: str, action: messages.Action) -> None:
         match action:
             case messages.Ask():
-                self._ask(name, action)
+                self._send_request(name, action)
             case messages.Respond(token, gossip):
-                asker, asked = self._waiting.get(token, ('', 0))
-                if asker and not self._fails(name, asker, answer=True):
-                    self._waiting.pop(token)
-                    answer = messages.Answered(asked, gossip)
-                    self.after(DELAY_S, lambda: self.send(asker, answer))
+                sender, request_token = self._pending.get(token, ('', 0))
+                if sender and not self._is_lost(name, sender, answer=True):
+                    self._pending.pop(token)
+                    answer = messages.Answered(request_token, gossip)
+                    self.call_later(
+                        MESSAGE_DELAY_S, lambda: self.send(sender, answer)
+                    )
             case messages.Listed() | messages.Heard():
-                self.tell(name, action)
+                self.notify(name, action)
             case messages.Report():
                 self.reports.append((self.now, name, action))
 
-    def _ask(self, name: str, ask: messages.Ask) -> None:
+    def _send_request(self, name: str, request: messages.Ask) -> None:
         self.exchanges += 1
-        if ask.gossip.relay is not None and self.swallow > 0:
+        if request.gossip.relay is not None and self.dropped_relays > 0:
             # Neither an answer nor a loss will ever be reported.
-            self.swallow -= 1
+            self.dropped_relays -= 1
             return
-        token = next(self._order)
-        self._waiting[token] = (name, ask.token)
+        token = next(self._sequence)
+        self._pending[token] = (name, request.token)
 
-        def give_up() -> None:
-            if self._waiting.pop(token, None):
-                self.send(name, messages.Lost(ask.token))
+        def expire() -> None:
+            if self._pending.pop(token, None):
+                self.send(name, messages.Lost(request.token))
 
-        self.after(ask.timeout_s, give_up)
-        if not self._fails(name, ask.address):
-            event = messages.Received(token, ask.gossip)
-            self.after(DELAY_S, lambda: self.send(ask.address, event))
+        self.call_later(request.timeout_s, expire)
+        if not self._is_lost(name, request.address):
+            event = messages.Received(token, request.gossip)
+            self.call_later(
+                MESSAGE_DELAY_S, lambda: self.send(request.address, event)
+            )
 
-    def _fails(self, one: str, other: str, *, answer: bool = False) -> bool:
+    def _is_lost(self, one: str, other: str, *, answer: bool = False) -> bool:
         # A connection is cut in the direction in which it was opened.
-        cut = self.cut(other, one) if answer else self.cut(one, other)
-        return cut or self._random.random() < self.loss
+        is_cut = self.is_cut(other, one) if answer else self.is_cut(one, other)
+        return is_cut or self._random.random() < self.loss_fraction
 
     def _tick(self, name: str) -> None:
         if name in self.hosts:
             if name not in self.frozen:
                 self.send(name, messages.Ticked())
-            self.after(TICK_S, lambda: self._tick(name))
+            self.call_later(TICK_INTERVAL_S, lambda: self._tick(name))
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Let something happen after some seconds."""
         heapq.heappush(
-            self._queue, (self.now + seconds, next(self._order), act)
+            self._queue, (self.now + seconds, next(self._sequence), callback)
         )
--- a/tests/core/queries/test_customers.py
+++ b/tests/core/queries/test_customers.py
@@ -69,7 +69,9 @@
     host = make_host(ONCE)
     query = make_query(host, customer=customer, admitted=True)
     host.tell(messages.Submitted(1, query))
-    answer = messages.Answer('id', (), {}, coverage.build((), set(), {}), 1)
+    answer = messages.Answer(
+        'id', (), {}, coverage.build_coverage((), set(), {}), 1
+    )
     held = messages.ClaimSettled(
         1,
         messages.ClaimResult.HELD,
--- a/tests/core/test_change_races.py
+++ b/tests/core/test_change_races.py
@@ -7,14 +7,14 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import (
-    audits,
+    audit_log,
     changes,
     configurations,
     manifests,
     parts,
     proposals,
-    readings,
     store_calls,
+    store_reads,
     transactions,
 )
 from tests.core import model_store
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture(autouse=True)
-def every_part_has_its_key() -> Iterator[None]:
+def store_every_part_apart() -> Iterator[None]:
     with mock.patch.object(parts, 'INLINE_BYTES', 0):
         yield
 
@@ -36,35 +36,41 @@
 def store() -> model_store.ModelStore:
     filled = model_store.ModelStore()
     group = configurations.Group('g', (('tier', 'gold'),), TARGETS)
-    told = filled.finish(ask('made', changes.CreateGroup(group)))
-    assert isinstance(told, proposals.Accepted)
+    outcome = filled.finish(commit_change('made', changes.CreateGroup(group)))
+    assert isinstance(outcome, proposals.ChangeAccepted)
     return filled
 
 
-def ask(
+def commit_change(
     change_id: str,
     change: changes.Change,
-    base: int | None = None,
-    floor: int = 0,
+    base_revision: int | None = None,
+    min_revision: int = 0,
 ) -> model_store.Steps:
-    request = proposals.Request(change_id, 'ana', change, base, floor=floor)
+    request = proposals.ChangeRequest(
+        change_id, 'ana', change, base_revision, min_revision=min_revision
+    )
     return transactions.commit(request, 0)
 
 
-def label(change_id: str, key: str, word: str) -> model_store.Steps:
-    return ask(change_id, changes.LabelGroup('g', ((key, word),)))
+def commit_label(change_id: str, key: str, value: str) -> model_store.Steps:
+    return commit_change(change_id, changes.LabelGroup('g', ((key, value),)))
 
 
-def read(store: model_store.ModelStore) -> manifests.Manifest:
-    loaded = store.finish(readings.load())
-    assert isinstance(loaded, readings.Loaded)
+def load_manifest(store: model_store.ModelStore) -> manifests.Manifest:
+    loaded = store.finish(store_reads.load_manifest())
+    assert isinstance(loaded, store_reads.LoadedManifest)
     return loaded.manifest
 
 
 def stop_before(
     store: model_store.ModelStore,
     steps: model_store.Steps,
-    kind: type[store_calls.Swap | store_calls.List | store_calls.Delete],
+    kind: type[
+        store_calls.CompareAndSwap
+        | store_calls.ListKeys
+        | store_calls.DeleteKey
+    ],
     key: str,
 ) -> store_calls.Call:
     """Run steps up to the call of a kind whose key begins so."""
@@ -77,12 +83,14 @@
 def stop_before_manifest(
     store: model_store.ModelStore, steps: model_store.Steps
 ) -> store_calls.Call:
-    return stop_before(store, steps, store_calls.Swap, manifests.MANIFEST_KEY)
+    return stop_before(
+        store, steps, store_calls.CompareAndSwap, manifests.MANIFEST_KEY
+    )
 
 
-def refusal(told: object) -> errors.Failure:
-    assert isinstance(told, errors.Failure)
-    return told
+def get_failure(outcome: object) -> errors.Failure:
+    assert isinstance(outcome, errors.Failure)
+    return outcome
 
 
 def test_the_second_of_two_operators_is_shown_the_first(
@@ -95,20 +103,23 @@
     label, the later write wins. Cause: the change is applied again to the
     newer revision without comparing fields.
     """
-    ana, ben = label('a', 'tier', 'cold'), label('b', 'tier', 'warm')
-    carl = label('c', 'zone', 'north')
+    ana, ben = (
+        commit_label('a', 'tier', 'cold'),
+        commit_label('b', 'tier', 'warm'),
+    )
+    carl = commit_label('c', 'zone', 'north')
     swaps = [stop_before_manifest(store, each) for each in (ana, ben, carl)]
-    assert isinstance(store.finish(ana, swaps[0]), proposals.Accepted)
-    fault = refusal(store.finish(ben, swaps[1]))
+    assert isinstance(store.finish(ana, swaps[0]), proposals.ChangeAccepted)
+    fault = get_failure(store.finish(ben, swaps[1]))
     assert fault.kind is errors.Kind.CONFLICT
     assert 'by ana (a)' in fault.detail
     assert '"gold" -> "cold"' in fault.detail
-    assert isinstance(store.finish(carl, swaps[2]), proposals.Accepted)
-    labels = read(store).configuration.groups[0].labels
+    assert isinstance(store.finish(carl, swaps[2]), proposals.ChangeAccepted)
+    labels = load_manifest(store).configuration.groups[0].labels
     assert labels == (('tier', 'cold'), ('zone', 'north'))
 
 
-def test_a_lost_answer_is_settled_by_the_change_id(
+def test_a_lost_answer_is_resolved_by_the_change_id(
     store: model_store.ModelStore,
 ) -> None:
     """Find an accepted change again instead of making it twice.
@@ -117,16 +128,18 @@
     in force. Sequence: the write takes effect, its answer is lost, the
     operator's command tries again. Cause: the answer alone decides.
     """
-    steps = label('a', 'tier', 'cold')
+    steps = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, steps)
     call = steps.send(store.call(swap, Fate.ANSWER_LOST))
-    told = store.finish(steps, call)
-    assert isinstance(told, proposals.Accepted)
-    assert read(store).changes[1:] == (told.entry,)
+    outcome = store.finish(steps, call)
+    assert isinstance(outcome, proposals.ChangeAccepted)
+    assert load_manifest(store).entries[1:] == (outcome.entry,)
 
 
-@pytest.mark.parametrize('kind', [store_calls.Read, store_calls.Swap])
-def test_an_unclear_change_is_told_as_unclear_until_it_can_be_settled(
+@pytest.mark.parametrize(
+    'kind', [store_calls.ReadKey, store_calls.CompareAndSwap]
+)
+def test_an_unclear_change_is_reported_as_unknown_until_resolved(
     store: model_store.ModelStore, kind: type[store_calls.Call]
 ) -> None:
     """Never tell as failed what may yet take effect.
@@ -136,22 +149,24 @@
     goes down, the command gives up, the write arrives. Cause: the fault seen
     last is reported in place of the first.
     """
-    steps = label('a', 'tier', 'cold')
+    steps = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, steps)
     call = steps.send(store.call(swap, Fate.DELAYED))
     while not isinstance(call, kind):
         call = steps.send(store.call(call))
     with pytest.raises(StopIteration) as stopped:
-        steps.send(store_calls.Failed('down'))
-    assert refusal(stopped.value.value).kind is errors.Kind.OUTCOME_UNKNOWN
+        steps.send(store_calls.CallFailed('down'))
+    assert get_failure(stopped.value.value).kind is errors.Kind.OUTCOME_UNKNOWN
     store.land(0)
-    again = ask('a', changes.LabelGroup('g', (('tier', 'cold'),)), base=1)
-    told = store.finish(again)
-    assert isinstance(told, proposals.Accepted)
-    assert read(store).changes[1:] == (told.entry,)
+    repeated = commit_change(
+        'a', changes.LabelGroup('g', (('tier', 'cold'),)), base_revision=1
+    )
+    outcome = store.finish(repeated)
+    assert isinstance(outcome, proposals.ChangeAccepted)
+    assert load_manifest(store).entries[1:] == (outcome.entry,)
 
 
-def test_a_write_that_arrives_late_does_not_take_back_a_newer_one(
+def test_a_late_write_does_not_revert_a_newer_one(
     store: model_store.ModelStore,
 ) -> None:
     """Let a delayed write meet a newer revision.
@@ -161,14 +176,16 @@
     accepted, another change follows, the first write arrives. Cause: the
     manifest is written without its revision.
     """
-    ana = label('a', 'tier', 'cold')
+    ana = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, ana)
     call = ana.send(store.call(swap, Fate.DELAYED))
-    assert isinstance(store.finish(ana, call), proposals.Accepted)
-    assert isinstance(store.finish(label('b', 'zone', 'x')), proposals.Accepted)
-    before = read(store)
+    assert isinstance(store.finish(ana, call), proposals.ChangeAccepted)
+    assert isinstance(
+        store.finish(commit_label('b', 'zone', 'x')), proposals.ChangeAccepted
+    )
+    before = load_manifest(store)
     store.land(0)
-    assert read(store) == before
+    assert load_manifest(store) == before
 
 
 def test_an_older_copy_is_not_built_upon_and_can_be_recovered(
@@ -182,26 +199,37 @@
     Cause: the next change is built on whatever the service holds.
     """
     saved = dict(store.values)
-    store.finish(label('a', 'tier', 'cold'))
-    in_force = read(store).configuration
+    store.finish(commit_label('a', 'tier', 'cold'))
+    in_force = load_manifest(store).configuration
     assert in_force.revision == 2
     store.values = saved
     change = changes.LabelGroup('g', (('zone', 'x'),))
-    for steps in (ask('b', change, base=2), ask('b', change, floor=2)):
-        fault = refusal(store.finish(steps))
+    for steps in (
+        commit_change('b', change, base_revision=2),
+        commit_change('b', change, min_revision=2),
+    ):
+        fault = get_failure(store.finish(steps))
         assert fault.kind is errors.Kind.OLDER_COPY
-    told = store.finish(ask('c', changes.Recover(in_force), floor=2))
-    assert isinstance(told, proposals.Accepted)
-    recovered = read(store).configuration
+    outcome = store.finish(
+        commit_change(
+            'c', changes.RecoverConfiguration(in_force), min_revision=2
+        )
+    )
+    assert isinstance(outcome, proposals.ChangeAccepted)
+    recovered = load_manifest(store).configuration
     assert recovered == in_force._replace(revision=3)
-    assert read(store).changes[-1].follows == 1
+    assert load_manifest(store).entries[-1].previous_revision == 1
     # The same content has to pass a higher revision all the same.
-    told = store.finish(ask('d', changes.Recover(recovered), floor=7))
-    assert isinstance(told, proposals.Accepted)
-    assert told.entry.revision == 8
+    outcome = store.finish(
+        commit_change(
+            'd', changes.RecoverConfiguration(recovered), min_revision=7
+        )
+    )
+    assert isinstance(outcome, proposals.ChangeAccepted)
+    assert outcome.entry.revision == 8
 
 
-def test_two_histories_in_the_archive_stop_a_change(
+def test_a_conflicting_archive_entry_stops_a_change(
     store: model_store.ModelStore,
 ) -> None:
     """Keep the audit entry of each of two changes with one revision.
@@ -211,15 +239,17 @@
     changes reach a revision that is archived already. Cause: that the key
     exists is taken to mean that the same entry is in it.
     """
-    entry = read(store).changes[0]._replace(change_id='other')
-    text = manifests.write_archived(entry)
-    store.call(store_calls.Swap(manifests.name_archive(1), text, 0))
+    entry = load_manifest(store).entries[0]._replace(change_id='other')
+    text = manifests.encode_archived_entry(entry)
+    store.call(
+        store_calls.CompareAndSwap(manifests.make_archive_key(1), text, 0)
+    )
     with mock.patch.object(proposals, 'KEPT_CHANGES', 1):
-        fault = refusal(store.finish(label('a', 'tier', 'cold')))
+        fault = get_failure(store.finish(commit_label('a', 'tier', 'cold')))
     assert fault.kind is errors.Kind.OLDER_COPY
 
 
-def test_a_part_that_waits_for_its_manifest_is_not_swept(
+def test_a_part_awaiting_its_manifest_is_not_collected(
     store: model_store.ModelStore,
 ) -> None:
     """Leave alone the parts of a change that is still under way.
@@ -228,16 +258,16 @@
     is accepted and she sweeps old parts; Ben has stored his part and not yet
     his manifest. Cause: what the manifest does not name counts as garbage.
     """
-    ana = ask('a', changes.RemoveTargets('g', ('g/0',)))
-    sweep = stop_before(store, ana, store_calls.List, parts.PREFIX)
-    ben = ask('b', changes.RemoveTargets('g', ('g/1',)))
+    ana = commit_change('a', changes.RemoveTargets('g', ('g/0',)))
+    sweep = stop_before(store, ana, store_calls.ListKeys, parts.KEY_PREFIX)
+    ben = commit_change('b', changes.RemoveTargets('g', ('g/1',)))
     swap = stop_before_manifest(store, ben)
     store.finish(ana, sweep)
-    assert isinstance(store.finish(ben, swap), proposals.Accepted)
-    assert read(store).configuration.groups[0].targets == TARGETS[2:]
+    assert isinstance(store.finish(ben, swap), proposals.ChangeAccepted)
+    assert load_manifest(store).configuration.groups[0].targets == TARGETS[2:]
 
 
-def test_targets_that_come_back_do_not_come_back_under_a_dying_key(
+def test_restored_targets_do_not_reuse_a_key_under_deletion(
     store: model_store.ModelStore,
 ) -> None:
     """Never name a part again that somebody may be deleting.
@@ -247,13 +277,13 @@
     targets back and names the key that still exists; Ana deletes it. Cause: a
     key made from the targets alone.
     """
-    ana = ask('a', changes.RemoveTargets('g', ('g/0',)))
-    key = parts.PREFIX
-    deletion = stop_before(store, ana, store_calls.Delete, key)
-    ben = ask('b', changes.AddTargets('g', TARGETS[:1]))
-    assert isinstance(store.finish(ben), proposals.Accepted)
+    ana = commit_change('a', changes.RemoveTargets('g', ('g/0',)))
+    key = parts.KEY_PREFIX
+    deletion = stop_before(store, ana, store_calls.DeleteKey, key)
+    ben = commit_change('b', changes.AddTargets('g', TARGETS[:1]))
+    assert isinstance(store.finish(ben), proposals.ChangeAccepted)
     store.finish(ana, deletion)
-    assert read(store).configuration.groups[0].targets == TARGETS
+    assert load_manifest(store).configuration.groups[0].targets == TARGETS
 
 
 def test_undo_restores_one_change_and_not_what_came_after(
@@ -265,21 +295,24 @@
     operator labels, another adds, the first undoes. Cause: undo goes back to
     the revision before, or writes over a field that is no longer its own.
     """
-    told = store.finish(label('a', 'tier', 'cold'))
-    undo = changes.Restore('a', told.entry.edits)
-    store.finish(label('b', 'zone', 'x'))
-    undone = store.finish(ask('c', undo)).entry
+    outcome = store.finish(commit_label('a', 'tier', 'cold'))
+    undo = changes.UndoChange('a', outcome.entry.edits)
+    store.finish(commit_label('b', 'zone', 'x'))
+    undone = store.finish(commit_change('c', undo)).entry
     assert (undone.revision, undone.undoes) == (4, 'a')
-    labels = read(store).configuration.groups[0].labels
+    labels = load_manifest(store).configuration.groups[0].labels
     assert labels == (('tier', 'gold'), ('zone', 'x'))
-    store.finish(label('d', 'tier', 'warm'))
-    fault = refusal(store.finish(ask('e', undo)))
+    store.finish(commit_label('d', 'tier', 'warm'))
+    fault = get_failure(store.finish(commit_change('e', undo)))
     assert fault.kind is errors.Kind.CONFLICT
     assert 'by ana (d)' in fault.detail
-    gone = store.finish(ask('f', changes.DeleteGroup('g'))).entry
-    back = changes.Restore('f', gone.edits)
-    assert isinstance(store.finish(ask('g', back)), proposals.Accepted)
-    assert read(store).configuration.groups[0].targets == TARGETS
+    deletion = store.finish(commit_change('f', changes.DeleteGroup('g'))).entry
+    undo_deletion = changes.UndoChange('f', deletion.edits)
+    assert isinstance(
+        store.finish(commit_change('g', undo_deletion)),
+        proposals.ChangeAccepted,
+    )
+    assert load_manifest(store).configuration.groups[0].targets == TARGETS
 
 
 def test_entries_that_leave_the_manifest_are_in_the_archive(
@@ -291,18 +324,20 @@
     and the manifest is trimmed all the same. Cause: trimmed before archived.
     """
     with mock.patch.object(proposals, 'KEPT_CHANGES', 2):
-        store.finish(label('a', 'tier', 'x'))
-        steps = label('b', 'tier', 'y')
-        key = manifests.name_archive(1)
-        call = stop_before(store, steps, store_calls.Swap, key)
+        store.finish(commit_label('a', 'tier', 'x'))
+        steps = commit_label('b', 'tier', 'y')
+        key = manifests.make_archive_key(1)
+        call = stop_before(store, steps, store_calls.CompareAndSwap, key)
         with pytest.raises(StopIteration):
             steps.send(store.call(call, Fate.FAILED))
-        assert [entry.change_id for entry in read(store).changes] == [
+        assert [entry.change_id for entry in load_manifest(store).entries] == [
             'made',
             'a',
         ]
-        store.finish(label('b', 'tier', 'y'))
-    manifest = read(store)
-    older = store.finish(readings.read_archived(manifest.changes, 0))
-    entries: tuple[audits.Entry, ...] = (*older, *manifest.changes)
+        store.finish(commit_label('b', 'tier', 'y'))
+    manifest = load_manifest(store)
+    archived = store.finish(
+        store_reads.read_archived_entries(manifest.entries, 0)
+    )
+    entries: tuple[audit_log.Entry, ...] = (*archived, *manifest.entries)
     assert [entry.change_id for entry in entries] == ['made', 'a', 'b']
--- a/tests/core/test_request_ids.py
+++ b/tests/core/test_request_ids.py
@@ -15,18 +15,18 @@
     st.integers(0, 2**47),
     st.integers(0, 2**request_ids.RANDOM_BITS - 1),
 )
-def test_minted_id_tells_its_time(milliseconds: int, bits: int) -> None:
+def test_request_id_holds_its_time(milliseconds: int, bits: int) -> None:
     """Read back the time, to a millisecond, whatever the random bits."""
-    minted = request_ids.mint(milliseconds / 1000, bits)
-    read = request_ids.read_epoch(minted)
-    assert read is not None
-    assert abs(read * 1000 - milliseconds) <= 1
-    assert uuid.UUID(minted).variant == uuid.RFC_4122
+    request_id = request_ids.make_request_id(milliseconds / 1000, bits)
+    parsed = request_ids.parse_epoch(request_id)
+    assert parsed is not None
+    assert abs(parsed * 1000 - milliseconds) <= 1
+    assert uuid.UUID(request_id).variant == uuid.RFC_4122
 
 
 def test_example_of_the_standard() -> None:
     """Read the example of RFC 9562, appendix A.6."""
-    assert request_ids.read_epoch(RFC_EXAMPLE) == 1645557742.0
+    assert request_ids.parse_epoch(RFC_EXAMPLE) == 1645557742.0
 
 
 @pytest.mark.parametrize(
@@ -40,11 +40,11 @@
         '',
     ],
 )
-def test_other_spelling_is_refused(text: str) -> None:
+def test_noncanonical_spelling_is_refused(text: str) -> None:
     """Refuse all but the usual form of version 7.
 
     Symptom: a refund runs twice under what looks like one id.
     Sequence: a caller asks again and writes the id in capitals.
     Cause: the claim is keyed by the text, and the texts differ.
     """
-    assert request_ids.read_epoch(text) is None
+    assert request_ids.parse_epoch(text) is None
--- a/tests/core/test_revision_spread.py
+++ b/tests/core/test_revision_spread.py
@@ -6,53 +6,53 @@
 
 from fuchsiahaven.core.configuration import configurations, patches, revisions
 from fuchsiahaven.core.configuration import revision_messages as messages
-from tests.core import deliveries
+from tests.core import revision_network
 
 #: A check falls due within this time on every host.
-CHECKED_S = 100.0
+MAX_CHECK_DELAY_S = 100.0
 #: A watch ends within this time, whatever becomes of it.
-WATCHED_S = 11.0
+MAX_WATCH_S = 11.0
 
 
-def start(count: int = 9) -> deliveries.Deliveries:
+def start(count: int = 9) -> revision_network.RevisionNetwork:
     """Start hosts and let them find the first revision."""
-    world = deliveries.Deliveries(count)
-    world.run(5)
-    assert world.list_revisions() == {1}
-    return world
+    network = revision_network.RevisionNetwork(count)
+    network.run(5)
+    assert network.list_revisions() == {1}
+    return network
 
 
-def find_watchers(world: deliveries.Deliveries) -> tuple[str, ...]:
+def find_watchers(network: revision_network.RevisionNetwork) -> tuple[str, ...]:
     """Name the hosts that watch."""
-    return next(iter(world.hosts.values())).order[:2]
+    return next(iter(network.hosts.values())).ranking[:2]
 
 
 def test_a_change_costs_each_host_one_message() -> None:
     """Bring a change everywhere at once, by one push to each other host."""
-    world = start(30)
-    world.pushes = 0
-    world.platform.change('second')
-    world.run(0.2)
-    assert world.list_revisions() == {2}
-    world.run(1)
-    assert world.pushes <= 31
+    network = start(30)
+    network.pushes = 0
+    network.platform.change('second')
+    network.run(0.2)
+    assert network.list_revisions() == {2}
+    network.run(1)
+    assert network.pushes <= 31
 
 
 @pytest.mark.parametrize('dead', [1, 2, 5])
-def test_dead_hosts_in_the_tree_are_gone_around(dead: int) -> None:
+def test_dead_hosts_in_the_tree_are_bypassed(dead: int) -> None:
     """Serve those below a host that died unnoticed.
 
     Symptom: a part of the data centre gets a change late. Sequence: hosts
     die, the first watcher among them; a change is accepted before gossip
     has noticed. Cause: whoever stands below them in the tree hears nothing.
     """
-    world = start(20)
-    order = next(iter(world.hosts.values())).order
+    network = start(20)
+    order = next(iter(network.hosts.values())).ranking
     for name in (order[0], *order[2 : dead + 1]):
-        world.hosts.pop(name)
-    world.platform.change('second')
-    world.run(1)
-    assert world.list_revisions() == {2}
+        network.hosts.pop(name)
+    network.platform.change('second')
+    network.run(1)
+    assert network.list_revisions() == {2}
 
 
 def test_silent_watch_is_ended_and_the_change_found() -> None:
@@ -63,30 +63,30 @@
     a word; a change is accepted. Cause: a wait without a bound.
     """
     # The checks of other hosts would find it too, in their time.
-    rules = revisions.Rules(check_s=10_000)
-    world = deliveries.Deliveries(9, rules)
-    world.run(5)
-    world.platform.silent = True
-    world.run(1)
-    world.platform.silent = False
-    world.platform.change('second')
-    world.run(1)
-    assert world.list_revisions() == {1}
-    world.run(WATCHED_S)
-    assert world.list_revisions() == {2}
-
-
-def test_silent_watch_is_made_up_for_by_checks() -> None:
+    timings = revisions.Timings(check_interval_s=10_000)
+    network = revision_network.RevisionNetwork(9, timings)
+    network.run(5)
+    network.platform.drops_watches = True
+    network.run(1)
+    network.platform.drops_watches = False
+    network.platform.change('second')
+    network.run(1)
+    assert network.list_revisions() == {1}
+    network.run(MAX_WATCH_S)
+    assert network.list_revisions() == {2}
+
+
+def test_checks_make_up_for_silent_watches() -> None:
     """Find a change by the checks of other hosts while watches stay silent.
 
     Symptom and sequence as above, but the platform's watches never answer
     again. Cause: only one way for a change to come in.
     """
-    world = start()
-    world.platform.silent = True
-    world.platform.change('second')
-    world.run(CHECKED_S)
-    assert world.list_revisions() == {2}
+    network = start()
+    network.platform.drops_watches = True
+    network.platform.change('second')
+    network.run(MAX_CHECK_DELAY_S)
+    assert network.list_revisions() == {2}
 
 
 def test_older_copy_is_reported_everywhere_and_followed_nowhere() -> None:
@@ -97,24 +97,24 @@
     pass ours. Cause: "take what the platform holds", or "take the higher
     number".
     """
-    world = start()
+    network = start()
     for number in range(5):
-        world.platform.change(f'change {number}')
-        world.run(1)
-    world.platform.down = True
-    world.run(3600)
-    world.platform.down = False
-    world.platform.number = 2
-    world.platform.revision = 2
-    world.platform.changes = world.platform.changes[:2]
-    world.run(CHECKED_S)
-    assert world.list_revisions() == {6}
-    assert messages.Fault.PLATFORM_OLDER in world.list_faults()
+        network.platform.change(f'change {number}')
+        network.run(1)
+    network.platform.down = True
+    network.run(3600)
+    network.platform.down = False
+    network.platform.store_revision = 2
+    network.platform.revision = 2
+    network.platform.changes = network.platform.changes[:2]
+    network.run(MAX_CHECK_DELAY_S)
+    assert network.list_revisions() == {6}
+    assert messages.Fault.PLATFORM_OLDER in network.list_faults()
     for number in range(6):
-        world.platform.change(f'other {number}')
-        world.run(1)
-    assert world.list_revisions() == {6}
-    assert messages.Fault.PLATFORM_FORKED in world.list_faults()
+        network.platform.change(f'other {number}')
+        network.run(1)
+    assert network.list_revisions() == {6}
+    assert messages.Fault.PLATFORM_FORKED in network.list_faults()
 
 
 def test_fresh_host_starts_from_members_while_the_platform_is_down() -> None:
@@ -123,48 +123,48 @@
     Symptom: hosts replaced during an outage refuse all searches. Cause:
     only the platform is asked for the configuration.
     """
-    world = start()
-    world.platform.down = True
-    for name in ('h3', 'h4', find_watchers(world)[0]):
-        world.hosts.pop(name)
-        world.run(1)
-        world.add(name)
-    world.run(10)
-    assert world.list_revisions() == {1}
+    network = start()
+    network.platform.down = True
+    for name in ('h3', 'h4', find_watchers(network)[0]):
+        network.hosts.pop(name)
+        network.run(1)
+        network.add(name)
+    network.run(10)
+    assert network.list_revisions() == {1}
 
 
 def test_all_hosts_replaced_at_once_while_the_platform_is_down() -> None:
     """Wait, honest about it, and serve when the platform is back."""
-    world = start()
-    world.platform.down = True
-    for name in tuple(world.hosts):
-        world.hosts.pop(name)
-    world.run(1)
+    network = start()
+    network.platform.down = True
+    for name in tuple(network.hosts):
+        network.hosts.pop(name)
+    network.run(1)
     for number in range(9):
-        world.add(f'h{number}')
-    world.run(60)
-    assert world.list_revisions() == {0}
-    assert messages.Fault.PLATFORM_DOWN in world.list_faults()
-    world.platform.down = False
-    world.run(10)
-    assert world.list_revisions() == {1}
+        network.add(f'h{number}')
+    network.run(60)
+    assert network.list_revisions() == {0}
+    assert messages.Fault.PLATFORM_DOWN in network.list_faults()
+    network.platform.down = False
+    network.run(10)
+    assert network.list_revisions() == {1}
 
 
-def test_host_that_is_cut_off_catches_up() -> None:
+def test_a_partitioned_host_catches_up() -> None:
     """Bring a host up to date that missed more than members keep.
 
     Symptom: a host serves an old configuration after a cut. Sequence: cut
     off from members and platform, forty changes, healed.
     """
-    world = start()
-    world.cut = {'h4'}
+    network = start()
+    network.partitioned = {'h4'}
     for number in range(40):
-        world.platform.change(f'change {number}')
-        world.run(1)
-    assert world.list_revisions() == {1, 41}
-    world.cut = set()
-    world.run(20)
-    assert world.list_revisions() == {41}
+        network.platform.change(f'change {number}')
+        network.run(1)
+    assert network.list_revisions() == {1, 41}
+    network.partitioned = set()
+    network.run(20)
+    assert network.list_revisions() == {41}
 
 
 def test_forged_revision_is_not_taken_from_one_member() -> None:
@@ -175,25 +175,25 @@
     it. Sequence: it pushes revision 1000 to all and tells of it in gossip.
     Cause: any higher number is taken from anybody.
     """
-    world = start()
-    base = world.hosts['h0'].in_force
-    forged = patches.stamp(configurations.Configuration(1000))
+    network = start()
+    base = network.hosts['h0'].in_force
+    forged = patches.stamp_configuration(configurations.Configuration(1000))
     patch = patches.diff(base, forged)
-    order = world.hosts['h0'].order
-    wild = order[-1]
-    taken = world.hosts[wild]._replace(in_force=forged)
-    world.hosts[wild] = taken
+    order = network.hosts['h0'].ranking
+    faulty = order[-1]
+    updated = network.hosts[faulty]._replace(in_force=forged)
+    network.hosts[faulty] = updated
     for _ in range(3):
         for name in order[:-1]:
-            world.send(name, messages.Pushed(wild, patch))
-            world.send(name, messages.Heard(wild, forged.stamp))
-        world.run(30)
-    world.hosts.pop(wild)
-    assert world.list_revisions() == {1}
-    assert messages.Fault.UNVOUCHED in world.list_faults()
-    world.platform.change('second')
-    world.run(1)
-    assert world.list_revisions() == {2}
+            network.send(name, messages.PatchReceived(faulty, patch))
+            network.send(name, messages.StampReceived(faulty, forged.stamp))
+        network.run(30)
+    network.hosts.pop(faulty)
+    assert network.list_revisions() == {1}
+    assert messages.Fault.UNVOUCHED in network.list_faults()
+    network.platform.change('second')
+    network.run(1)
+    assert network.list_revisions() == {2}
 
 
 class Spread(stateful.RuleBasedStateMachine):
@@ -202,22 +202,22 @@
     def __init__(self) -> None:
         """Start seven hosts."""
         super().__init__()
-        self.world = start(7)
+        self.network = start(7)
 
     @stateful.rule(seconds=st.integers(0, 3))
     def change(self, seconds: int) -> None:
         """Accept a change."""
-        self.world.platform.change(f'at {self.world.now}')
-        self.world.run(seconds)
+        self.network.platform.change(f'at {self.network.now}')
+        self.network.run(seconds)
 
     @stateful.rule(
         down=st.booleans(), silent=st.booleans(), seconds=st.integers(0, 30)
     )
     def disturb(self, down: bool, silent: bool, seconds: int) -> None:
         """Change what is wrong with the platform."""
-        self.world.platform.down = down
-        self.world.platform.silent = silent
-        self.world.run(seconds)
+        self.network.platform.down = down
+        self.network.platform.drops_watches = silent
+        self.network.run(seconds)
 
     @stateful.rule(
         names=st.sets(st.integers(0, 6)),
@@ -226,27 +226,27 @@
     )
     def cut(self, names: set[int], loss: float, seconds: int) -> None:
         """Cut hosts off from all others and the platform."""
-        self.world.cut = {f'h{number}' for number in names}
-        self.world.loss = loss
-        self.world.run(seconds)
+        self.network.partitioned = {f'h{number}' for number in names}
+        self.network.loss_fraction = loss
+        self.network.run(seconds)
 
     @stateful.rule(name=st.integers(0, 6), seconds=st.integers(0, 5))
     def replace(self, name: int, seconds: int) -> None:
         """Replace a host by a fresh one; the others keep what they have."""
-        self.world.hosts.pop(f'h{name}', None)
-        self.world.run(seconds)
-        self.world.add(f'h{name}')
+        self.network.hosts.pop(f'h{name}', None)
+        self.network.run(seconds)
+        self.network.add(f'h{name}')
 
     def teardown(self) -> None:
         """Heal everything and demand that all hold what was accepted."""
-        world = self.world
-        world.platform.down = False
-        world.platform.silent = False
-        world.cut = set()
-        world.loss = 0
-        world.run(CHECKED_S)
-        assert world.list_revisions() == {world.platform.revision}
-        digests = {it.in_force.stamp for it in world.hosts.values()}
+        network = self.network
+        network.platform.down = False
+        network.platform.drops_watches = False
+        network.partitioned = set()
+        network.loss_fraction = 0
+        network.run(MAX_CHECK_DELAY_S)
+        assert network.list_revisions() == {network.platform.revision}
+        digests = {it.in_force.stamp for it in network.hosts.values()}
         assert len(digests) == 1
 
 
--- a/tests/edge/test_claims.py
+++ b/tests/edge/test_claims.py
@@ -123,7 +123,7 @@
 
 def mint(age_s: float = 0) -> str:
     """Mint an id of a caller."""
-    return request_ids.mint(time.time() - age_s, time.monotonic_ns())
+    return request_ids.make_request_id(time.time() - age_s, time.monotonic_ns())
 
 
 def test_the_same_id_at_two_hosts_is_granted_once(world: World) -> None:
@@ -371,7 +371,7 @@
     """
     host = Host(world)
     request_id = mint()
-    time_epoch = request_ids.read_epoch(request_id)
+    time_epoch = request_ids.parse_epoch(request_id)
     assert time_epoch is not None
     key = claims.find_key(request_id, time_epoch - claims.SLOT_S)
     body = (
--- a/tests/edge/test_doors.py
+++ b/tests/edge/test_doors.py
@@ -4,11 +4,16 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import configurations, patches
-from fuchsiahaven.core.customers import customers, freshness, keys, verdicts
+from fuchsiahaven.core.customers import (
+    authentication,
+    customers,
+    freshness,
+    keys,
+)
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import doors
 
-SHOP: Final = customers.Customer('shop', (keys.digest('k-shop'),), 0)
+SHOP: Final = customers.Customer('shop', (keys.compute_digest('k-shop'),), 0)
 KEYED: Final = configurations.Configuration(
     2,
     classes=(
@@ -25,7 +30,7 @@
 def open_door(*known: configurations.Configuration) -> doors.Door:
     door = doors.Door(freshness.Freshness())
     for configuration in known:
-        door.note(patches.stamp(configuration))
+        door.note(patches.stamp_configuration(configuration))
     return door
 
 
@@ -46,7 +51,9 @@
     for told in shown:
         found = door.admit(QUERY, doors.read_shown(told))
         assert find_kind(found) is errors.Kind.UNKNOWN_KEY
-    assert doors.read_shown('Bearer a b') == verdicts.Shown('', anything=True)
+    assert doors.read_shown('Bearer a b') == authentication.Credentials(
+        '', present=True
+    )
 
 
 def test_public_classes_need_no_key() -> None:
@@ -80,16 +87,16 @@
         self.doors: list[doors.Door] = []
 
     @property
-    def is_on(self) -> bool:
+    def is_enforced(self) -> bool:
         """Tell what was true before it came."""
-        was = super().is_on
+        was = super().is_enforced
         self.arrive()
         return was
 
     def arrive(self) -> float:
         """Bring the configuration, once; return the time."""
         while self.doors:
-            self.doors.pop().note(patches.stamp(KEYED))
+            self.doors.pop().note(patches.stamp_configuration(KEYED))
         return 100.0
 
 
--- a/tests/edge/test_loop.py
+++ b/tests/edge/test_loop.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fuchsiahaven.core import errors, identities, suspects
+from fuchsiahaven.core import errors, request_identities, suspects
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.queries import states
 from fuchsiahaven.core.targets import messages
@@ -60,9 +60,11 @@
 def test_shows_what_is_quarantined() -> None:
     """Symptom: operators see refusals, and not of what."""
     state = states.start('Odori', float)
-    identity = identities.identify('refund', b'one')
-    news = suspects.News(identity, 0, suspects.MOST_CRASHES, 60.0, ('t1',))
-    state.tables.suspects.merge(news, time.monotonic(), 'host')
+    identity = request_identities.identify('refund', b'one')
+    news = suspects.SuspectReport(
+        identity, 0, suspects.MIN_QUARANTINE_CRASHES, 60.0, ('t1',)
+    )
+    state.tables.suspects.merge_report(news, time.monotonic(), 'host')
     bounds = loop.Settings(answer_bytes=1000, probe_s=1, connect_s=1)
     dispatcher = loop.Loop(state, bounds, lambda action: None)
     assert not dispatcher.sample.quarantined
--- a/tests/edge/test_path.py
+++ b/tests/edge/test_path.py
@@ -125,7 +125,7 @@
 
 def test_repeated_id_gets_the_recorded_answer(entry: Entry) -> None:
     """Run a request that may not be repeated once, and answer it twice."""
-    request_id = request_ids.mint(time.time(), bits=7)
+    request_id = request_ids.make_request_id(time.time(), bits=7)
     body = {
         'class': 'reservation-lookup',
         'request_id': request_id,
--- a/tests/edge/test_untrusted.py
+++ b/tests/edge/test_untrusted.py
@@ -95,8 +95,11 @@
     ID,
     ({'id': 'a', 'rank': 1.5},),
     {'web': 1},
-    coverage.build(
-        (coverage.Wanted('web', 0, 0, 9), coverage.Wanted('web', 1, 9, 10)),
+    coverage.build_coverage(
+        (
+            coverage.WantedRange('web', 0, 0, 9),
+            coverage.WantedRange('web', 1, 9, 10),
+        ),
         {coverage.ShardKey('web', 0)},
         {},
     ),
@@ -156,10 +159,10 @@
 
 def read_patches(body: bytes) -> object:
     parcel = patch_rows.read(body)
-    state = revisions.start('h1', 0, revisions.Rules())
+    state = revisions.start('h1', 0, revisions.Timings())
     for patch in parcel.patches if parcel else ():
-        pushed = revision_messages.Pushed('h2', patch)
-        state = revisions.handle(state, pushed, 1, float)[0]
+        pushed = revision_messages.PatchReceived('h2', patch)
+        state = revisions.handle_event(state, pushed, 1, float)[0]
     return patch_rows.write(parcel) if parcel else None
 
 
@@ -186,7 +189,7 @@
         return found
     for policy in found.configuration.classes:
         assert 0 <= policy.hedge_share <= 1
-    return manifests.encode(found.configuration, found.changes)
+    return manifests.encode(found.configuration, found.entries)
 
 
 def read_record(body: bytes) -> object:
@@ -256,7 +259,8 @@
                     'h2',
                     (
                         patches.diff(
-                            patches.NOTHING, patches.stamp(CONFIGURATION)
+                            patches.EMPTY,
+                            patches.stamp_configuration(CONFIGURATION),
                         ),
                     ),
                 )
--- a/tests/edge/test_withdrawal.py
+++ b/tests/edge/test_withdrawal.py
@@ -7,7 +7,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import revision_messages as wording
-from fuchsiahaven.core.customers import freshness, questions
+from fuchsiahaven.core.customers import freshness, proof_exchange
 from tests.edge import withdrawal_model as model
 
 HOSTS: Final = 4
@@ -105,11 +105,11 @@
     world.held = copy
     world.now += 3.0
     read_all(world)
-    age = world.hosts[0].door.freshness.count_age()
+    age = world.hosts[0].door.freshness.compute_age()
     assert age == 3.0
     world.held = model.Held(2, copy.configuration._replace(revision=3))
     read_all(world)
-    assert world.hosts[0].door.freshness.count_age() == 0
+    assert world.hosts[0].door.freshness.compute_age() == 0
 
 
 def test_a_number_that_is_reached_again_proves_nothing_after_a_gap() -> None:
@@ -124,11 +124,11 @@
     assert world.held.number == known
     for _ in range(20):
         world.now += 0.08 * model.REVOKE_S
-        urgent = host.door.freshness.count_calm() <= 0
-        host.tell(wording.Urged(urgent))
+        urgent = host.door.freshness.compute_urgent_delay() <= 0
+        host.tell(wording.CheckRequested(urgent))
         # Out of touch until the knowledge is half as old as it may be.
         if urgent:
-            world.read(0, whole=host.state.agreed is None)
+            world.read(0, whole=host.state.last_read is None)
         while world.calls:
             world.go_on(0)
         world.check()
@@ -138,7 +138,7 @@
 def test_without_a_bound_nothing_is_asked_or_refused() -> None:
     world = model.World(1)
     door = world.hosts[0].door
-    door.freshness.revoke = None
+    door.freshness.revoke_s = None
     world.read(0, whole=True)
     world.go_on(0)
     world.go_on(0)
@@ -151,26 +151,37 @@
 def test_each_host_asks_up_the_tree_and_then_the_others() -> None:
     """Guard against a host that asks one that is gone for ever."""
     order = tuple(f'h{number}' for number in range(110))
-    last = [questions.find_member(order, 'h109', 2, it) for it in range(5)]
+    last = [
+        proof_exchange.find_member_to_ask(order, 'h109', 2, it)
+        for it in range(5)
+    ]
     assert last == ['h27', 'h6', 'h1', 'h0', 'h27']
-    assert questions.find_member(order, 'h2', 2, 0) == 'h0'
-    assert questions.find_member(order, 'h1', 2, 0) is None
-    assert questions.find_member(order, 'other', 2, 0) is None
+    assert proof_exchange.find_member_to_ask(order, 'h2', 2, 0) == 'h0'
+    assert proof_exchange.find_member_to_ask(order, 'h1', 2, 0) is None
+    assert proof_exchange.find_member_to_ask(order, 'other', 2, 0) is None
 
 
 def test_a_lead_beyond_the_exchange_is_no_proof() -> None:
     """Guard against a wild member that makes others trust keys for ever."""
-    told = questions.Told(freshness.Proof(9.0, freshness.NO_ERA), 1, 'ab')
-    body = questions.write(told)
-    assert questions.read(body, 10.0) == told
-    assert questions.read(body, 1.0) is None
+    told = proof_exchange.ProofAnswer(
+        freshness.Proof(9.0, freshness.NO_ERA), 1, 'ab'
+    )
+    body = proof_exchange.encode_answer(told)
+    assert proof_exchange.decode_answer(body, 10.0) == told
+    assert proof_exchange.decode_answer(body, 1.0) is None
     for spoilt in (b'', b'{}', b'[]', b'{"lead":"x","stamp":[1,"a"]}'):
-        assert questions.read(spoilt, 1.0) is None
-    assert questions.read(b'{"lead":1e999,"stamp":[1,"a"]}', 1.0) is None
+        assert proof_exchange.decode_answer(spoilt, 1.0) is None
+    assert (
+        proof_exchange.decode_answer(b'{"lead":1e999,"stamp":[1,"a"]}', 1.0)
+        is None
+    )
 
 
 def test_a_number_that_is_too_large_ends_no_thread() -> None:
     """Guard against a host that asks nobody any more after one answer."""
-    assert questions.read(b'{"lead":0,"stamp":[1e999,"a"]}', 1.0) is None
+    assert (
+        proof_exchange.decode_answer(b'{"lead":0,"stamp":[1e999,"a"]}', 1.0)
+        is None
+    )
     spoilt = '{{"lead":{0},"stamp":[1,"a"]}}'.format(10**400)
-    assert questions.read(spoilt.encode(), 1.0) is None
+    assert proof_exchange.decode_answer(spoilt.encode(), 1.0) is None
--- a/tests/edge/withdrawal_model.py
+++ b/tests/edge/withdrawal_model.py
@@ -10,13 +10,18 @@
     revisions,
 )
 from fuchsiahaven.core.configuration import revision_messages as wording
-from fuchsiahaven.core.customers import customers, freshness, keys, questions
+from fuchsiahaven.core.customers import (
+    customers,
+    freshness,
+    keys,
+    proof_exchange,
+)
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import doors
 
 REVOKE_S: Final = 5.0
 SHOWN: Final = doors.read_shown('Bearer k')
-SHOP: Final = customers.Customer('shop', (keys.digest('k'),))
+SHOP: Final = customers.Customer('shop', (keys.compute_digest('k'),))
 QUERY: Final = messages.Query('id', 'search', {}, None, 0, 1)
 OPEN: Final = QUERY._replace(class_name='open')
 CLASSES: Final = (
@@ -39,21 +44,23 @@
         self, name: str, order: tuple[str, ...], clock: Callable[[], float]
     ) -> None:
         self.door = doors.Door(freshness.Freshness(REVOKE_S, clock))
-        rules = revisions.Rules()
-        self.state = revisions.start(name, clock(), rules)._replace(order=order)
+        rules = revisions.Timings()
+        self.state = revisions.start(name, clock(), rules)._replace(
+            ranking=order
+        )
         self._clock = clock
 
     def tell(self, event: wording.Event) -> None:
         """Hand an event over, in the order in which the task does."""
-        state, actions = revisions.handle(
+        state, actions = revisions.handle_event(
             self.state, event, self._clock(), float
         )
         self.state = state
         for action in actions:
             match action:
-                case wording.Configure(stamped):
+                case wording.PutInForce(stamped):
                     self.door.note(stamped)
-                case wording.Confirm(stamp, left):
+                case wording.ConfirmInForce(stamp, left):
                     self.door.note_read(stamp, left)
 
     def admits(self) -> bool:
@@ -100,10 +107,10 @@
 
         def serve() -> Callable[[], None]:
             held = self.held
-            event: wording.Event = wording.Checked(held.number, left)
+            event: wording.Event = wording.StoreRevisionRead(held.number, left)
             if whole:
-                event = wording.Found(
-                    held.number, held.configuration, left=left
+                event = wording.ManifestRead(
+                    held.number, held.configuration, sent_at=left
                 )
             return functools.partial(host.tell, event)
 
@@ -118,7 +125,7 @@
             told = asked.door.prove()
             if told is None:
                 return None
-            body = questions.write(told)
+            body = proof_exchange.encode_answer(told)
             return functools.partial(self._arrive, host, left, body)
 
         self.calls.append(serve)
@@ -126,9 +133,9 @@
     def push(self, place: int, other: int) -> None:
         """Have a host send what it has in force to one below it."""
         sender, host = self.hosts[place], self.hosts[other]
-        patch = patches.diff(patches.NOTHING, sender.state.in_force)
-        pushed = wording.Pushed(self.order[place], patch)
-        if sender.state.in_force is not patches.NOTHING:
+        patch = patches.diff(patches.EMPTY, sender.state.in_force)
+        pushed = wording.PatchReceived(self.order[place], patch)
+        if sender.state.in_force is not patches.EMPTY:
             self.calls.append(lambda: functools.partial(host.tell, pushed))
 
     def go_on(self, which: int) -> None:
@@ -154,6 +161,6 @@
         return Host(name, self.order, lambda: self.now)
 
     def _arrive(self, host: Host, left: float, body: bytes) -> None:
-        told = questions.read(body, self.now - left)
+        told = proof_exchange.decode_answer(body, self.now - left)
         if told is not None:
             host.door.note_told(left, told)
--- a/tests/operate/test_command_customer.py
+++ b/tests/operate/test_command_customer.py
@@ -12,7 +12,7 @@
 from tests.operate.test_operators import World, world
 
 KEY: Final = 'k-secret-1'
-DIGEST: Final = keys.digest(KEY)
+DIGEST: Final = keys.compute_digest(KEY)
 __all__ = ('world',)
 
 
--- a/tests/operate/test_connections.py
+++ b/tests/operate/test_connections.py
@@ -42,7 +42,7 @@
         place = find('--settings', str(path))
         assert place is not None
         assert [it.port for it in place.platform] == [3, 4]
-        at = addresses.write(place.hosts[0])
+        at = addresses.format_address(place.hosts[0])
         told = statuses.ask(place, at, '/v1/status', 5)
         assert isinstance(told, exchanges.Told)
         plain = place._replace(peer_identity=None)
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -15,7 +15,7 @@
     configurations,
     manifests,
     patches,
-    readings,
+    store_reads,
 )
 from fuchsiahaven.core.members import patch_rows
 from fuchsiahaven.edge import editor, store
@@ -55,7 +55,9 @@
 
     def received(self, channel: wire.Channel, request: wire.Request) -> None:
         if request.path.startswith('/v1/configuration'):
-            whole = patches.diff(patches.NOTHING, patches.stamp(self.held))
+            whole = patches.diff(
+                patches.EMPTY, patches.stamp_configuration(self.held)
+            )
             parcel = patch_rows.Parcel(self.name, (whole,))
             channel.reply(200, patch_rows.write(parcel).decode())
             return
@@ -111,7 +113,7 @@
     def read(self) -> configurations.Configuration:
         with contextlib.closing(store.Store(f'http://{self.address}')) as it:
             loaded = editor.read_configuration(it)
-        assert isinstance(loaded, readings.Loaded)
+        assert isinstance(loaded, store_reads.LoadedManifest)
         return loaded.manifest.configuration
 
     def serve(self, *hosts: Host) -> None:
@@ -427,7 +429,7 @@
     opened = store.Store(f'http://{filled.address}')
     entry = opened.read(manifests.MANIFEST_KEY)
     assert entry is not None
-    head = manifests.read_head(entry.value)
+    head = manifests.decode_head(entry.value)
     assert not isinstance(head, errors.Failure)
     filled.platform.control({'restore': True})
     shown: list[str] = []
--- a/tests/platform/test_exchanges.py
+++ b/tests/platform/test_exchanges.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies
 
-from fuchsiahaven.core import errors, identities
+from fuchsiahaven.core import errors, request_identities
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges, headers
 from fuchsiahaven.routing import events
@@ -16,7 +16,7 @@
 KEY = 'wbr9bc582dm2buc7takh'
 SHOWN = exchanges.digest_key(KEY)
 #: What bytes that are no text are digested to; no configuration can hold it.
-NO_TEXT = identities.identify('', b'\xff\x00\x80').digest
+NO_TEXT = request_identities.identify('', b'\xff\x00\x80').digest
 (INSTANCE,) = desk_rig.make_instances(['records'], 1)
 
 
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -200,7 +200,7 @@
     customer by one goes through others.
     """
     digested = 0
-    digest = keys.digest
+    digest = keys.compute_digest
 
     def count(key: str) -> str:
         nonlocal digested
--- a/tests/relay/test_askers.py
+++ b/tests/relay/test_askers.py
@@ -29,7 +29,7 @@
         if keyed:
             known = configs.NOTHING._replace(customers=())
             self.keys.note_configuration(known)
-        self.keys.note_read(99, facts.NO_ERA)
+        self.keys.record_read(99, facts.NO_ERA)
         host = places.Host('host-1', '10.0.0.1:7000', 'north')
         fact = facts.Fact(facts.Key(facts.Subject.HOST, host.name), 1, host)
         self.ledger = ledgers.merge(
@@ -78,7 +78,7 @@
         rig.now += 0.6
         rig.askers.tell_fresher()
         assert not rig.told
-        rig.keys.note_read(100.4, facts.NO_ERA)
+        rig.keys.record_read(100.4, facts.NO_ERA)
         rig.askers.tell_fresher()
         assert [it.proof for it in rig.told] == [facts.Proof(0.4, facts.NO_ERA)]
         rig.askers.tell_all()
--- a/tests/relay/test_confirmations.py
+++ b/tests/relay/test_confirmations.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from bench.soak import hosts
-from fuchsiahaven.core import uptimes
+from fuchsiahaven.core import boot_clock
 from fuchsiahaven.relay import confirmations, news, process, traffic
 from fuchsiahaven.routing import (
     codecs,
@@ -65,11 +65,11 @@
 
 async def outlast(host: process.Process) -> None:
     """Wait for longer than the time, in which a host has to stay fresh."""
-    until = uptimes.read() + 1.5 * CALM_S
+    until = boot_clock.read_clock() + 1.5 * CALM_S
 
     def is_over() -> bool:
-        assert not host.keys.find_wait()
-        return uptimes.read() >= until
+        assert not host.keys.compute_wait()
+        return boot_clock.read_clock() >= until
 
     await peers.wait_for(is_over)
 
@@ -90,14 +90,16 @@
             assert await test_customers.ask(world.hosts, *asked) == [200] * 4
             world.store.down = True
             await peers.wait_for(
-                lambda: all(it.keys.find_wait() for it in world.hosts)
+                lambda: all(it.keys.compute_wait() for it in world.hosts)
             )
             refused = await test_customers.ask(world.hosts, *asked)
             assert refused == [503, 200, 503, 200]
             world.store.down = False
             async with asyncio.timeout(worlds.IN_FORCE_S):
                 await peers.wait_for(
-                    lambda: not any(it.keys.find_wait() for it in world.hosts)
+                    lambda: (
+                        not any(it.keys.compute_wait() for it in world.hosts)
+                    )
                 )
 
     peers.run(check())
@@ -215,7 +217,7 @@
     It knows version 5 and hosts at the addresses given, and is nearly stale.
     """
     keys = freshness.Freshness(REVOKE_S)
-    keys.note_read(uptimes.read() - REVOKE_S / 2, facts.NO_ERA)
+    keys.record_read(boot_clock.read_clock() - REVOKE_S / 2, facts.NO_ERA)
     settings = places.Settings(
         host=places.Host('host-9', NOWHERE, 'south'),
         data_centres=('south',),
@@ -233,7 +235,7 @@
         settings, known, keys, test_decoders.Log(), traffic.Traffic()
     )
     staying = asyncio.create_task(second.stay())
-    await peers.wait_for(lambda: keys.count_calm() > 0)
+    await peers.wait_for(lambda: keys.compute_urgent_delay() > 0)
     await worlds.end(staying)
     second.close()
     known.close()
@@ -267,7 +269,7 @@
             peers.listen(answer(told)) as other,
         ):
             keys = await confirm(silent.address, other.address)
-            assert not keys.find_wait()
+            assert not keys.compute_wait()
             assert all(b'version=5' in head for head in other.heads)
 
     peers.run(check())
@@ -285,7 +287,7 @@
     async def check() -> None:
         async with peers.listen(answer(told)) as store:
             keys = await confirm(store=store.address)
-            assert not keys.find_wait()
+            assert not keys.compute_wait()
             assert all(b'/kv-key?' in head for head in store.heads)
 
     peers.run(check())
--- a/tests/relay/test_listings.py
+++ b/tests/relay/test_listings.py
@@ -50,11 +50,11 @@
     now = 50.0
     keys = freshness.Freshness(5, lambda: now)
     keys.note_configuration(configs.NOTHING._replace(customers=()))
-    keys.note_read(now, facts.NO_ERA)
+    keys.record_read(now, facts.NO_ERA)
     written = listings.Listings(keys)
     told = codecs.read_report(written.write(make_ledger(5), 10, lost=False))
     assert told.proof is not None
-    assert told.proof.lead <= -listings.FRESH_S
+    assert told.proof.lead_s <= -listings.FRESH_S
 
 
 def test_writes_anew_after_the_host_was_suspended() -> None:
--- a/tests/relay/test_notices.py
+++ b/tests/relay/test_notices.py
@@ -4,24 +4,24 @@
 import json
 import time
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.relay import notices, process
 from fuchsiahaven.routing import events
 from tests.relay import peers, worlds
 
-ONE = identities.identify('shop', b'one')
+ONE = request_identities.identify('shop', b'one')
 KEY = f'fuchsiahaven/quarantines/{ONE.digest}'
 
 
 def count_crashes(host: process.Process) -> int:
     """Count the moments that speak against ONE at a host."""
-    news = host.desk.suspects.tell(ONE, 0)
+    news = host.desk.suspects.make_report(ONE, 0)
     return 0 if news is None else news.crashes
 
 
 def find_out(host: process.Process, crashes: int) -> None:
     """Have a host find out that ONE ends its targets."""
-    news = suspects.News(ONE, 0, crashes, suspects.QUARANTINE_S)
+    news = suspects.SuspectReport(ONE, 0, crashes, suspects.MIN_QUARANTINE_S)
     host.runner.post(events.Suspected((news,)))
     host.told.notices.tell(news)
 
@@ -64,15 +64,15 @@
     async def check() -> None:
         async with worlds.make() as world:
             first = await world.add_host('host-0')
-            find_out(first, suspects.MOST_CRASHES)
+            find_out(first, suspects.MIN_QUARANTINE_CRASHES)
             await peers.wait_for(lambda: KEY in world.store.items)
             world.hosts.clear()
             other = await world.add_host('host-1')
             await peers.wait_for(
-                lambda: count_crashes(other) == suspects.MOST_CRASHES
+                lambda: count_crashes(other) == suspects.MIN_QUARANTINE_CRASHES
             )
-            wait = other.desk.suspects.count_wait(ONE, time.monotonic())
-            assert 0 < wait <= suspects.QUARANTINE_S
+            wait = other.desk.suspects.compute_wait(ONE, time.monotonic())
+            assert 0 < wait <= suspects.MIN_QUARANTINE_S
 
     peers.run(check())
 
@@ -86,7 +86,7 @@
             await world.add_host('host-1')
             await peers.wait_for(lambda: first.desk.hosts)
             first.news.writer.store.address = '127.0.0.1:1'
-            find_out(first, suspects.MOST_CRASHES)
+            find_out(first, suspects.MIN_QUARANTINE_CRASHES)
             await peers.wait_for(lambda: KEY in world.store.items)
 
     peers.run(check())
@@ -107,7 +107,7 @@
             answer = await reader.read()
             writer.close()
             assert b' 400 ' in answer.split(b'\r\n')[0]
-            assert not host.desk.suspects.list_all(0)
+            assert not host.desk.suspects.list_reports(0)
 
     peers.run(check())
 
@@ -118,7 +118,7 @@
     async def check() -> None:
         async with worlds.make() as world:
             host = await world.add_host('host-0')
-            find_out(host, suspects.MOST_CRASHES)
+            find_out(host, suspects.MIN_QUARANTINE_CRASHES)
             asked = host.settings.host.address
             _, _, body = await worlds.fetch(asked, '/v1/state')
             (told,) = json.loads(body)['quarantined']
--- a/tests/relay/test_restores.py
+++ b/tests/relay/test_restores.py
@@ -123,7 +123,7 @@
             host = await world.add_host('host-1')
             await world.settle()
             copy = world.store.copy()
-            test_notices.find_out(host, suspects.MOST_CRASHES)
+            test_notices.find_out(host, suspects.MIN_QUARANTINE_CRASHES)
             await peers.wait_for(lambda: test_notices.KEY in world.store.items)
             world.store.restore(copy)
             await peers.wait_for(lambda: test_notices.KEY in world.store.items)
--- a/tests/routing/desk_rig.py
+++ b/tests/routing/desk_rig.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from fuchsiahaven.core import identities
+from fuchsiahaven.core import request_identities
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
@@ -113,7 +113,7 @@
             self.now,
             self.now + wait,
             away,
-            identities.identify('shop.example', target.encode()),
+            request_identities.identify('shop.example', target.encode()),
         )
         return self.bring(request)
 
--- a/tests/routing/freshness_model.py
+++ b/tests/routing/freshness_model.py
@@ -81,7 +81,7 @@
     def list_admitted(self) -> frozenset[int]:
         """List the keys that this host admits now."""
         version = facts.find_configuration(self.ledger).version
-        if not version or self.keys.find_wait():
+        if not version or self.keys.compute_wait():
             return frozenset()
         return self._operator.by_version[version]
 
@@ -91,7 +91,7 @@
         """Answer another host, as over the wire."""
         now = self._operator.store.now
         report = changes.list_changes(self.ledger, after, now)
-        report = report._replace(proof=self.keys.prove(arrived), age=0)
+        report = report._replace(proof=self.keys.make_proof(arrived), age=0)
         if alone:
             report = take_alone(report)
         return codecs.read_report(codecs.write_report(report))
@@ -259,7 +259,7 @@
         if question.other is None:
             if report.era < host.ledger.era:
                 return
-            host.keys.note_read(question.left, report.era)
+            host.keys.record_read(question.left, report.era)
         else:
-            host.keys.note_told(question.left, report.proof, report.era)
+            host.keys.record_proof(question.left, report.proof, report.era)
         host.take(report)
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -32,9 +32,9 @@
         super().__init__(routes, targets)
         self.configure(2, routes, CUSTOMERS)
         keys = self.desk.controls.freshness
-        keys.revoke = REVOKE_S
+        keys.revoke_s = REVOKE_S
         keys.note_configuration(self.desk.index.configuration)
-        keys.note_read(keys.read_clock(), facts.NO_ERA)
+        keys.record_read(keys.read_clock(), facts.NO_ERA)
 
     def show(self, target: str = '/search/1') -> int:
         """Bring a request with a key."""
@@ -53,7 +53,7 @@
 
     def stand_still(self) -> None:
         """Have the host be frozen for longer than keys may live."""
-        self.desk.controls.freshness.confirmed -= REVOKE_S
+        self.desk.controls.freshness.confirmed_at -= REVOKE_S
 
 
 def test_refuses_what_waited_for_a_connection_while_the_host_stood_still() -> (
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import configs, events, places
 from tests.routing import desk_rig
@@ -102,8 +102,8 @@
     rig = desk_rig.Rig([search], desk_rig.make_instances(shards))
     other = places.Host('host-2', '10.0.0.2:7000', 'north')
     rig.post(events.Counted(2, (desk_rig.HOST, other)))
-    identity = identities.identify('shop.example', b'/search/1')
-    news = suspects.News(identity, 0, 1, 0.0, (), (shards[7],))
+    identity = request_identities.identify('shop.example', b'/search/1')
+    news = suspects.SuspectReport(identity, 0, 1, 0.0, (), (shards[7],))
     rig.post(events.Suspected((news,)))
     request = events.Request(
         'id-1',
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -138,9 +138,9 @@
         """Do what is due."""
         now = self.keys.read_clock()
         if now >= self._answered:
-            self.keys.note_read(self._left, facts.NO_ERA)
-            wait = self.keys.limit(readers.WATCH_S, freshness.WATCH_SHARE)
-            self._left = now + self.keys.limit(1, freshness.PAUSE_SHARE)
+            self.keys.record_read(self._left, facts.NO_ERA)
+            wait = self.keys.limit_time(readers.WATCH_S, freshness.WATCH_SHARE)
+            self._left = now + self.keys.limit_time(1, freshness.PAUSE_SHARE)
             self._answered = self._left + wait + self._draw.uniform(0, 0.04)
 
 
@@ -162,20 +162,20 @@
         now = self.keys.read_clock()
         poll = self._poll
         if now >= poll.back:
-            self.keys.note_told(poll.left, poll.proof, facts.NO_ERA)
+            self.keys.record_proof(poll.left, poll.proof, facts.NO_ERA)
             self._poll = self._ask()
         elif poll.proof is None and now >= poll.arrives:
             other = self._other
-            gains = other.is_worth_telling(poll.arrives, poll.age)
+            gains = other.is_proof_useful(poll.arrives, poll.age)
             if gains or now >= poll.arrives + askers.HOLD_S:
                 back = now + self._draw.uniform(0, self._way)
-                proof = other.prove(poll.arrives)
+                proof = other.make_proof(poll.arrives)
                 self._poll = poll._replace(back=back, proof=proof)
 
     def _ask(self) -> Poll:
         now = self.keys.read_clock()
         arrives = now + self._draw.uniform(0, self._way)
-        return Poll(now, arrives, self.keys.count_age())
+        return Poll(now, arrives, self.keys.compute_age())
 
 
 @settings(max_examples=40, deadline=None)
@@ -199,7 +199,7 @@
         for other in others:
             other.go_on()
         if tick > 300:
-            oldest = max(oldest, *(it.keys.count_age() for it in others))
+            oldest = max(oldest, *(it.keys.compute_age() for it in others))
     assert oldest < 0.4 * REVOKE_S
     assert oldest < freshness.URGENT_SHARE * REVOKE_S
 
@@ -208,13 +208,13 @@
     """Symptom: an answer two seconds late counts as fresh by two too much."""
     clock = Clock()
     teller, asker = make(clock), make(clock)
-    teller.note_read(clock.now, facts.NO_ERA)
+    teller.record_read(clock.now, facts.NO_ERA)
     clock.now += 1
     left = clock.now
-    proof = teller.prove(clock.now)
+    proof = teller.make_proof(clock.now)
     clock.now += 2
-    asker.note_told(left, proof, facts.NO_ERA)
-    assert asker.count_age() == 3
+    asker.record_proof(left, proof, facts.NO_ERA)
+    assert asker.compute_age() == 3
 
 
 def test_counts_what_was_learned_while_a_question_was_held() -> None:
@@ -225,36 +225,36 @@
     clock.now += 0.25
     arrived = clock.now
     clock.now += 0.5
-    teller.note_read(clock.now, facts.NO_ERA)
-    asker.note_told(left, teller.prove(arrived), facts.NO_ERA)
-    assert asker.count_age() == 0.25
+    teller.record_read(clock.now, facts.NO_ERA)
+    asker.record_proof(left, teller.make_proof(arrived), facts.NO_ERA)
+    assert asker.compute_age() == 0.25
 
 
 def test_refuses_from_the_bound_on_and_says_when_to_come_back() -> None:
     """A host that has proved nothing refuses as well."""
     clock = Clock()
     known = make(clock)
-    assert known.find_wait() == freshness.MOST_WAIT_S
-    known.note_read(clock.now, facts.NO_ERA)
+    assert known.compute_wait() == freshness.MOST_WAIT_S
+    known.record_read(clock.now, facts.NO_ERA)
     clock.now += (1 - freshness.MARGIN_SHARE) * REVOKE_S - 0.01
-    assert not known.find_wait()
+    assert not known.compute_wait()
     clock.now += 0.02
-    assert known.find_wait() == freshness.LEAST_WAIT_S
+    assert known.compute_wait() == freshness.LEAST_WAIT_S
     clock.now += 60
-    assert known.find_wait() == freshness.MOST_WAIT_S
+    assert known.compute_wait() == freshness.MOST_WAIT_S
 
 
 def test_is_off_where_keys_need_not_die_in_time() -> None:
     """Deployments without it refuse nothing and send nothing more."""
     known = freshness.Freshness()
     known.note_configuration(KEYED)
-    assert not known.find_wait()
-    assert known.prove(0) is None
-    assert known.limit(1.8, freshness.WATCH_SHARE) == 1.8
+    assert not known.compute_wait()
+    assert known.make_proof(0) is None
+    assert known.limit_time(1.8, freshness.WATCH_SHARE) == 1.8
     without = freshness.Freshness(REVOKE_S)
     without.note_configuration(configs.NOTHING)
-    assert not without.is_on
-    assert without.prove(0) is None
+    assert not without.is_enforced
+    assert without.make_proof(0) is None
 
 
 def test_a_read_of_a_restored_store_proves_nothing_at_first() -> None:
@@ -265,42 +265,42 @@
     """
     clock = Clock()
     known = make(clock)
-    known.note_read(clock.now, 3)
+    known.record_read(clock.now, 3)
     clock.now += freshness.REWRITTEN_S
-    assert known.note_read(clock.now, 3)
+    assert known.record_read(clock.now, 3)
     clock.now += REVOKE_S
-    assert not known.note_read(clock.now, 4)
-    assert known.find_wait()
+    assert not known.record_read(clock.now, 4)
+    assert known.compute_wait()
     clock.now += freshness.REWRITTEN_S
-    assert known.note_read(clock.now, 4)
-    assert not known.find_wait()
+    assert known.record_read(clock.now, 4)
+    assert not known.compute_wait()
 
 
 def test_a_host_that_starts_reads_on_in_an_era_that_another_knows() -> None:
     """Symptom: a reader that starts anew leaves all others without proof."""
     clock = Clock()
     other, known = make(clock), make(clock)
-    other.note_read(clock.now, 3)
+    other.record_read(clock.now, 3)
     clock.now += freshness.REWRITTEN_S
-    other.note_read(clock.now, 3)
-    assert not known.note_read(clock.now, 3)
-    known.note_told(clock.now, other.prove(clock.now), 3)
-    assert known.note_read(clock.now, 3)
+    other.record_read(clock.now, 3)
+    assert not known.record_read(clock.now, 3)
+    known.record_proof(clock.now, other.make_proof(clock.now), 3)
+    assert known.record_read(clock.now, 3)
 
 
 def test_a_report_of_the_version_before_proves_nothing() -> None:
     """It carries customers nowhere, and says nothing of its reads."""
     known = make(Clock())
-    known.note_told(500, None, facts.NO_ERA)
-    assert known.find_wait()
+    known.record_proof(500, None, facts.NO_ERA)
+    assert known.compute_wait()
 
 
 def test_tells_who_gains_by_it() -> None:
     """Who asks is told once it gains; who tells no age is not hurried."""
     clock = Clock()
     known = make(clock)
-    known.note_read(clock.now, facts.NO_ERA)
-    assert known.is_worth_telling(clock.now, math.inf)
-    assert known.is_worth_telling(clock.now, 1)
-    assert not known.is_worth_telling(clock.now, 0.1)
-    assert not known.is_worth_telling(clock.now, None)
+    known.record_read(clock.now, facts.NO_ERA)
+    assert known.is_proof_useful(clock.now, math.inf)
+    assert known.is_proof_useful(clock.now, 1)
+    assert not known.is_proof_useful(clock.now, 0.1)
+    assert not known.is_proof_useful(clock.now, None)
--- a/tests/routing/test_offers.py
+++ b/tests/routing/test_offers.py
@@ -2,23 +2,23 @@
 
 import pytest
 
-from fuchsiahaven.core import identities, offers, suspects
+from fuchsiahaven.core import request_identities, suspects, trial_offers
 from fuchsiahaven.routing import configs, events, places
 from tests.routing import desk_rig
 
 SHARDS = ('a', 'b', 'c')
 SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
-ONE = identities.identify('shop.example', b'/search/1')
-MOMENT = suspects.News(ONE, 0, 1, 0.0, (), ('b',))
+ONE = request_identities.identify('shop.example', b'/search/1')
+MOMENT = suspects.SuspectReport(ONE, 0, 1, 0.0, (), ('b',))
 #: Hosts that go before and after the rig's own, for this request.
 RANKED = sorted(
     (f'other-{number}' for number in range(20)),
-    key=lambda it: offers.goes_first(ONE, desk_rig.HOST.name, it),
+    key=lambda it: trial_offers.wins_trial(ONE, desk_rig.HOST.name, it),
 )
 FIRST, LAST = RANKED[0], RANKED[-1]
 
 
-def make(*news: suspects.News) -> desk_rig.Rig:
+def make(*news: suspects.SuspectReport) -> desk_rig.Rig:
     """Make a host among others that has heard of a moment, and more."""
     rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS, 3))
     others = [
@@ -31,7 +31,7 @@
     return rig
 
 
-def list_told(rig: desk_rig.Rig) -> list[suspects.News]:
+def list_told(rig: desk_rig.Rig) -> list[suspects.SuspectReport]:
     """List what other hosts are told."""
     return [
         it.news
@@ -47,9 +47,9 @@
     (told,) = list_told(rig)
     assert (told.host, told.crashes) == (desk_rig.HOST.name, 1)
     # A host of the version before refuses what is to wait.
-    assert not told.wait
+    assert not told.wait_s
     assert not rig.take_sent()
-    rig.pass_time(offers.OFFER_S)
+    rig.pass_time(trial_offers.OFFER_WAIT_S)
     (trial,) = rig.take_sent()
     assert trial.fresh
     assert len(list_told(rig)) == 1
@@ -61,7 +61,7 @@
     rig = make(MOMENT)
     rig.ask()
     rig.post(events.Suspected((MOMENT._replace(host=name),)))
-    rig.pass_time(offers.OFFER_S)
+    rig.pass_time(trial_offers.OFFER_WAIT_S)
     assert len(rig.take_sent()) == (name == LAST)
 
 
@@ -71,7 +71,7 @@
     rig.ask()
     rig.pass_time(0.02)
     assert not rig.take_sent()
-    rig.post(events.Suspected((suspects.News(ONE, 1, 0, 0.0),)))
+    rig.post(events.Suspected((suspects.SuspectReport(ONE, 1, 0, 0.0),)))
     rig.pass_time(0)
     assert len(rig.take_sent()) == len(SHARDS)
 
@@ -86,7 +86,7 @@
     rig.pass_time(0.04)
     assert len(list_told(rig)) == 1
     assert not rig.take_sent()
-    rig.pass_time(offers.OFFER_S)
+    rig.pass_time(trial_offers.OFFER_WAIT_S)
     (trial,) = rig.take_sent()
     rig.answer(trial)
     rig.pass_time(0)
@@ -116,14 +116,14 @@
     """
     for own in (desk_rig.HOST.name, FIRST):
         known = suspects.Suspects()
-        known.merge(MOMENT, 50.0, own)
+        known.merge_report(MOMENT, 50.0, own)
         known.offer_trial(ONE, 50.0)
         handed_on = 0
         for number in range(60):
             now = 50.001 + number / 1000
             news = MOMENT._replace(host=(LAST, RANKED[1])[number % 2])
-            handed_on += known.is_news(news, now)
-            known.merge(news, now, own)
+            handed_on += known.is_new_report(news, now)
+            known.merge_report(news, now, own)
         assert handed_on == 2
 
 
@@ -131,11 +131,11 @@
     """Its offer comes round to it once its trial has ended in a refusal."""
     rig = make(MOMENT)
     rig.ask()
-    rig.pass_time(offers.OFFER_S)
+    rig.pass_time(trial_offers.OFFER_WAIT_S)
     (trial,) = rig.take_sent()
     rig.desk.suspects.end_trial(ONE, trial.key)
     rig.post(events.Suspected((MOMENT._replace(host=desk_rig.HOST.name),)))
-    assert not rig.desk.suspects.offers.count_delay(ONE, 0.4, rig.now)
+    assert not rig.desk.suspects.offers.compute_delay(ONE, 0.4, rig.now)
 
 
 def test_what_was_under_way_waits_for_no_host() -> None:
@@ -165,13 +165,13 @@
 def test_tells_of_few_first_trials() -> None:
     """A rack that dies makes many innocent requests suspect at once."""
     rig = make()
-    count = 3 * suspects.PASSED_AT_ONCE
+    count = 3 * suspects.REPORT_BURST
     for number in range(count):
         path = f'/search/{number}'
-        identity = identities.identify('shop.example', path.encode())
+        identity = request_identities.identify('shop.example', path.encode())
         news = MOMENT._replace(identity=identity)
         rig.post(events.Suspected((news,)))
         rig.ask(path)
-    assert len(list_told(rig)) == suspects.PASSED_AT_ONCE
+    assert len(list_told(rig)) == suspects.REPORT_BURST
     # What is not told of does not wait either.
-    assert len(rig.take_sent()) == count - suspects.PASSED_AT_ONCE
+    assert len(rig.take_sent()) == count - suspects.REPORT_BURST
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings, strategies
 
-from fuchsiahaven.core import errors, identities, suspects
+from fuchsiahaven.core import errors, request_identities, suspects
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
@@ -70,7 +70,9 @@
         self._paths: dict[tuple[int, int], str] = {}
         self._aloft: dict[tuple[int, events.FlightKey], events.Send] = {}
         self._left: set[tuple[int, events.FlightKey]] = set()
-        self._stored: dict[identities.Identity, suspects.News] = {}
+        self._stored: dict[
+            request_identities.Identity, suspects.SuspectReport
+        ] = {}
         names = (*SHARDS, 'records')
         self._targets = desk_rig.make_instances(names, REPLICAS)
         self.desks = [self._make_desk(host) for host in HOSTS]
@@ -113,7 +115,7 @@
             b'',
             self.now,
             self.now + 0.8,
-            identity=identities.identify('shop.example', path.encode()),
+            identity=request_identities.identify('shop.example', path.encode()),
         )
         self.post(host, events.Asked(number, request))
 
@@ -163,7 +165,7 @@
             if number != but:
                 self._add(after, number, event)
 
-    def _tell(self, host: int, news: suspects.News) -> None:
+    def _tell(self, host: int, news: suspects.SuspectReport) -> None:
         told = events.Suspected((news,))
         self._add_all(TOLD_S, told, but=host)
         if news.crashes > 1 or not news.crashes:
@@ -300,8 +302,8 @@
     other's trials only once they have begun their own.
     """
     fleet = Fleet()
-    identity = identities.identify('shop.example', path.encode())
-    news = suspects.News(identity, 0, moments, 0.0, (), ('shard-1',))
+    identity = request_identities.identify('shop.example', path.encode())
+    news = suspects.SuspectReport(identity, 0, moments, 0.0, (), ('shard-1',))
     for number, _ in enumerate(HOSTS):
         fleet.post(number, events.Suspected((news,)))
     fleet.run_to(fleet.now + 2)
--- a/tests/routing/test_restores.py
+++ b/tests/routing/test_restores.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
     absences,
     changes,
@@ -388,8 +388,8 @@
 
 def make_quarantine(revision: int, clears: int, crashes: int) -> facts.Fact:
     """State what was entered of a request."""
-    identity = identities.identify('shop', b'one')
-    news = suspects.News(identity, clears, crashes, 0.0)
+    identity = request_identities.identify('shop', b'one')
+    news = suspects.SuspectReport(identity, clears, crashes, 0.0)
     key = facts.Key(facts.Subject.QUARANTINE, identity.digest)
     return facts.Fact(key, revision, news)
 
--- a/tests/routing/test_returns.py
+++ b/tests/routing/test_returns.py
@@ -119,7 +119,7 @@
 def test_refusals_of_a_host_that_cannot_trust_keys_are_spread() -> None:
     """Symptom: all callers come back at once after keys were withdrawn."""
     rig = make_rig(CUSTOMERS)
-    rig.desk.controls.freshness.revoke = 5.0
+    rig.desk.controls.freshness.revoke_s = 5.0
     rig.desk.controls.freshness.note_configuration(rig.desk.index.configuration)
     told = set()
     for _ in range(CALLERS):
--- a/tests/routing/test_split_loads.py
+++ b/tests/routing/test_split_loads.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fuchsiahaven.core import errors, identities
+from fuchsiahaven.core import errors, request_identities
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
@@ -115,7 +115,9 @@
             self.now,
             self.now + 0.8,
             0.006,
-            identities.identify('shop.example', str(self._order).encode()),
+            request_identities.identify(
+                'shop.example', str(self._order).encode()
+            ),
         )
         asked = events.Asked(self._order, request)
         left = desks.handle(desk, asked, self.now)
--- a/tests/routing/test_suspect_codecs.py
+++ b/tests/routing/test_suspect_codecs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fuchsiahaven.core import identities, suspects
+from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
     assist_codecs,
     codecs,
@@ -14,8 +14,14 @@
     suspect_codecs,
 )
 
-NEWS = suspects.News(
-    identities.identify('shop', b'one'), 1, 2, 0.5, ('a-0',), ('a',), 'host-1'
+NEWS = suspects.SuspectReport(
+    request_identities.identify('shop', b'one'),
+    1,
+    2,
+    0.5,
+    ('a-0',),
+    ('a',),
+    'host-1',
 )
 NOTICE = suspect_codecs.Notice((NEWS,), 2)
 
@@ -44,7 +50,7 @@
     'spoilt',
     [
         {'digest': 'ab'},
-        {'digest': 'z' * identities.DIGITS},
+        {'digest': 'z' * request_identities.DIGEST_DIGITS},
         {'crashes': -1},
         {'crashes': True},
         {'clears': 10**9},
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -158,8 +158,10 @@
 
 @given('all of it runs')
 def start(stage: world.World) -> None:
-    done = stage.change('setup', changes.Replace(stage.configuration))
-    assert isinstance(done, proposals.Accepted), done
+    done = stage.change(
+        'setup', changes.ReplaceConfiguration(stage.configuration)
+    )
+    assert isinstance(done, proposals.ChangeAccepted), done
     stage.clock.run(START_S)
 
 
--- a/tests/scenarios/fakes.py
+++ b/tests/scenarios/fakes.py
@@ -185,7 +185,7 @@
             self._running[job.name] = job
             self.runs.append(Run(job.order['request_id'], self._clock.now))
             end = functools.partial(self._end, job)
-            self._clock.after(SERVICE_S * self.factor, end)
+            self._clock.call_later(SERVICE_S * self.factor, end)
 
     def _end(self, job: Job) -> None:
         if self.frozen:
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -67,7 +67,7 @@
         self._draws = random.Random(name).random
         self._dispatch = states.start(data_centre, self._draws)
         self._revisions = revisions.start(
-            name, self._clock.now, revisions.Rules()
+            name, self._clock.now, revisions.Timings()
         )
         self._claims = self._open_claims()
 
@@ -84,7 +84,7 @@
         """Hand an event to the choice of the revision in force."""
         if self._must_wait(functools.partial(self.steer, event)):
             return
-        state, actions = revisions.handle(
+        state, actions = revisions.handle_event(
             self._revisions, event, self._clock.now, self._draws
         )
         self._revisions = state
@@ -98,9 +98,9 @@
         match told:
             case member_messages.Listed(live, staying):
                 self.tell(messages.MembersChanged(live, self.name))
-                self.steer(wording.Listed(staying))
+                self.steer(wording.MembersListed(staying))
             case member_messages.Heard():
-                self.steer(wording.Heard(*told))
+                self.steer(wording.StampReceived(*told))
 
     @property
     def watches(self) -> bool:
@@ -114,7 +114,7 @@
 
     def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
         """List what a member that has a stamp is missing."""
-        return revisions.find_patches(self._revisions, above)
+        return revisions.list_patches(self._revisions, above)
 
     def tick(self) -> None:
         """Let each task have its turn."""
@@ -167,7 +167,7 @@
         return task
 
     def _settle(self, settled: messages.ClaimSettled) -> None:
-        self._clock.after(self._line.took, lambda: self.tell(settled))
+        self._clock.call_later(self._line.took, lambda: self.tell(settled))
 
     def _act(self, action: messages.Action) -> None:
         match action:
@@ -193,11 +193,11 @@
             reason = messages.RefusalReason.NO_CONNECTION
         if reason is not None:
             refusal = messages.Refused(send.part, name, reason)
-            self._clock.after(DELAY_S, lambda: end(refusal))
+            self._clock.call_later(DELAY_S, lambda: end(refusal))
             return
         left = send.request.deadline + GRACE_S - now
         late = messages.Broken(send.part, name, messages.Fault.TIMED_OUT)
-        self._clock.after(left, lambda: end(late))
+        self._clock.call_later(left, lambda: end(late))
         payload = searchers.write_search(send, now)
 
         def answer(frame: frames.Frame) -> None:
@@ -225,10 +225,10 @@
         target = self._world.targets[name]
         if target.frozen or not self._reaches(name):
             missed = messages.Probed(name, None)
-            self._clock.after(PROBE_S, lambda: self.tell(missed))
+            self._clock.call_later(PROBE_S, lambda: self.tell(missed))
             return
         event = searchers.read_probe(probe, target.report())
-        self._clock.after(2 * DELAY_S, lambda: self.tell(event))
+        self._clock.call_later(2 * DELAY_S, lambda: self.tell(event))
 
     def _carry(self, target: str, act: Act) -> None:
         """Let a message arrive, unless the target is cut off or lost then."""
@@ -237,7 +237,7 @@
             if self._reaches(target):
                 act()
 
-        self._clock.after(DELAY_S, arrive)
+        self._clock.call_later(DELAY_S, arrive)
 
     def _reaches(self, target: str) -> bool:
         cut = self._world.is_cut(self.name, target)
@@ -245,39 +245,39 @@
 
     def _control(self, action: wording.Action) -> None:
         match action:
-            case wording.Read():
+            case wording.ReadManifest():
                 self._bring(self._reader.read(self._store))
-            case wording.Check():
+            case wording.ReadStoreRevision():
                 self._bring(self._reader.check(self._store))
-            case wording.Watch(_, wait_s):
+            case wording.WatchManifest(_, wait_s):
                 self._watch(action, self._clock.now + wait_s)
-            case wording.Configure(stamped):
+            case wording.PutInForce(stamped):
                 self.in_force.append(stamped.stamp.revision)
                 self.tell(messages.Configured(stamped.configuration))
                 enforced = member_messages.Enforced(stamped.stamp)
                 self._clock.send(self.name, enforced)
-            case wording.Push(names, patch):
+            case wording.PushPatch(names, patch):
                 for member in names:
                     self._push(member, patch)
-            case wording.Pull(name, above):
+            case wording.PullPatches(name, above):
                 self._pull(name, above)
-            case wording.Report(fault):
+            case wording.ReportFault(fault):
                 self.faults.add(fault)
 
     def _push(self, name: str, patch: patches.Patch) -> None:
         member = self._find(name)
-        event: wording.Event = wording.Unreached(name, patch)
+        event: wording.Event = wording.MemberUnreachable(name, patch)
         if member is not None:
-            member.steer(wording.Pushed(self.name, patch))
-            event = wording.Heard(name, member.stamp)
-        self._clock.after(DELAY_S, lambda: self.steer(event))
+            member.steer(wording.PatchReceived(self.name, patch))
+            event = wording.StampReceived(name, member.stamp)
+        self._clock.call_later(DELAY_S, lambda: self.steer(event))
 
     def _pull(self, name: str, above: patches.Stamp) -> None:
         member = self._find(name)
-        event: wording.Event = wording.Unreached(name)
+        event: wording.Event = wording.MemberUnreachable(name)
         if member is not None:
-            event = wording.Pulled(name, member.find_patches(above))
-        self._clock.after(DELAY_S, lambda: self.steer(event))
+            event = wording.PullAnswered(name, member.find_patches(above))
+        self._clock.call_later(DELAY_S, lambda: self.steer(event))
 
     def _find(self, name: str) -> 'Host | None':
         member = self._world.hosts[name]
@@ -285,11 +285,11 @@
         return None if silent or self._world.is_cut(self.name, name) else member
 
     def _bring(self, event: wording.Event) -> None:
-        self._clock.after(self._line.took, lambda: self.steer(event))
+        self._clock.call_later(self._line.took, lambda: self.steer(event))
 
-    def _watch(self, watch: wording.Watch, until: float) -> None:
+    def _watch(self, watch: wording.WatchManifest, until: float) -> None:
         event = self._reader.watch(self._store, watch)
-        if isinstance(event, wording.Quiet) and self._clock.now < until:
-            self._clock.after(POLL_S, lambda: self._watch(watch, until))
+        if isinstance(event, wording.WatchEnded) and self._clock.now < until:
+            self._clock.call_later(POLL_S, lambda: self._watch(watch, until))
         else:
             self._bring(event)
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -64,7 +64,9 @@
         told = answer.coverage
         listed = list(told.covered)
         for lost in told.missing:
-            part = coverage.Covered(lost.group, lost.shard, lost.low, lost.high)
+            part = coverage.CoveredRange(
+                lost.group, lost.shard, lost.low, lost.high
+            )
             listed.append(part)
         assert len(listed) == told.shards
         if asked.query.key is None:
@@ -78,7 +80,9 @@
         )
 
 
-def check_partition(listed: list[coverage.Covered], groups: set[str]) -> None:
+def check_partition(
+    listed: list[coverage.CoveredRange], groups: set[str]
+) -> None:
     """Check that the ranges of each group follow each other without a gap."""
     assert {part.group for part in listed} == groups
     for group in groups:
@@ -86,7 +90,7 @@
             (part.low, part.high) for part in listed if part.group == group
         )
         ends = [0, *(high for _, high in ranges)]
-        assert ends == [*(low for low, _ in ranges), coverage.POSITIONS]
+        assert ends == [*(low for low, _ in ranges), coverage.KEY_SPACE_SIZE]
 
 
 @then("every answer is its caller's own")
@@ -276,7 +280,7 @@
     if isinstance(outcome, errors.Failure):
         assert outcome.kind == kind, outcome
     else:
-        assert isinstance(outcome, proposals.Accepted)
+        assert isinstance(outcome, proposals.ChangeAccepted)
         assert kind == f'revision {outcome.entry.revision}'
 
 
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -53,8 +53,8 @@
     def __init__(self) -> None:
         """Start without a host or a target."""
         self.clock = networks.Network(0)
-        self.clock.cut = self.is_cut
-        self.clock.tell = lambda name, told: self.hosts[name].meet(told)
+        self.clock.is_cut = self.is_cut
+        self.clock.notify = lambda name, told: self.hosts[name].meet(told)
         self.platform = platform.Platform(lambda: self.clock.now)
         self.configuration = configurations.Configuration(0)
         self.targets: dict[str, fakes.Target] = {}
@@ -141,10 +141,15 @@
     ) -> transactions.Outcome:
         """Let an operator make a change; `base` is what was seen before."""
         number = next(self._numbers)
-        request = proposals.Request(f'{operator}-{number}', operator, change)
+        request = proposals.ChangeRequest(
+            f'{operator}-{number}', operator, change
+        )
         patience = editor.Patience(1.0, lambda: self.clock.now, self.clock.run)
         return editor.make_change(
-            self._store, request._replace(base=base), self.clock.now, patience
+            self._store,
+            request._replace(base_revision=base),
+            self.clock.now,
+            patience,
         )
 
     def list_hosts(self, leaving: str = '') -> None:
@@ -200,7 +205,7 @@
     def mint(self) -> str:
         """Make the id of a request of now."""
         bits = self._random.getrandbits(request_ids.RANDOM_BITS)
-        return request_ids.mint(self.clock.now, bits)
+        return request_ids.make_request_id(self.clock.now, bits)
 
     def read_claims(self) -> str:
         """Read all claims that the platform holds."""
@@ -226,11 +231,11 @@
             self._settled = self.clock.now
 
     def _tick(self) -> None:
-        self.clock.after(TICK_S, self._tick)
+        self.clock.call_later(TICK_S, self._tick)
         for host in self.hosts.values():
             host.tick()
 
     def _read_lists(self) -> None:
-        self.clock.after(LIST_S, self._read_lists)
+        self.clock.call_later(LIST_S, self._read_lists)
         for host in self.hosts.values():
             host.read_list()
