--- a/bench/claims.py
+++ b/bench/claims.py
@@ -153,7 +153,7 @@
         self._results[event.result] += 1
         if event.result is messages.ClaimResult.GRANTED:
             self._took.append(time.monotonic() - self._asked[event.token])
-            host.task.take(messages.Record(event.request_id, OUTCOME))
+            host.task.take(messages.RecordOutcome(event.request_id, OUTCOME))
 
 
 if __name__ == '__main__':
--- a/bench/control_host.py
+++ b/bench/control_host.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from fuchsiahaven.core.targets import messages
 from fuchsiahaven.core.customers import freshness
+from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import control, doors, openings
 from fuchsiahaven.operate import logs, settings_reader
 
@@ -70,7 +70,7 @@
 def post(event: control.Event) -> None:
     """Print one event with its time."""
     match event:
-        case messages.Configured(configuration):
+        case messages.ConfigurationReceived(configuration):
             write_line({'revision': configuration.revision})
         case messages.MembersChanged(hosts):
             write_line({'members': len(hosts)})
--- a/bench/deals.py
+++ b/bench/deals.py
@@ -8,14 +8,14 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core.targets import seats
+from fuchsiahaven.core.targets import allocator
 
 SHARDS: Final = 270
 ROUNDS: Final = 5
 JOINS: Final = 20
 SAMPLE: Final = 6
 
-Rows = dict[str, seats.Row]
+Rows = dict[str, allocator.Allocation]
 
 
 class Size(NamedTuple):
@@ -60,12 +60,12 @@
 def _measure_joins(size: Size) -> tuple[int, float, float]:
     hosts = _name_all('host', size.hosts)
     shards = _name_shards(size, SAMPLE)
-    before = seats.deal(hosts, shards, size.cap)
+    before = allocator.allocate(hosts, shards, size.cap)
     total = sum(sum(row.values()) for row in before.values())
     taken = []
     gained = []
     for joiner in _name_all('joiner', JOINS):
-        after = seats.deal([*hosts, joiner], shards, size.cap)
+        after = allocator.allocate([*hosts, joiner], shards, size.cap)
         taken.append(sum(after[joiner].values()) * 100 / total)
         gained.append(_count_gains(before, after) * 100 / total)
     fewest = min(
@@ -98,7 +98,7 @@
 ) -> float:
     began = time.process_time()
     for shard in shards:
-        seats.deal(hosts, [shard], cap)
+        allocator.allocate(hosts, [shard], cap)
     return (time.process_time() - began) * 1000 / len(shards)
 
 
--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -137,13 +137,13 @@
 def _use_loop(stack: contextlib.ExitStack) -> Ask:
     bounds = loop.Settings(answer_bytes=1_000_000, probe_s=0.5, connect_s=0.5)
     place = layouts.DATA_CENTRES['santiago'][0]
-    state = states.start(place, random.random)
+    state = states.make_state(place, random.random)
     dispatcher = loop.Loop(state, bounds, _ignore)
     thread = threading.Thread(target=dispatcher.run)
     thread.start()
     stack.callback(thread.join)
     stack.callback(dispatcher.post, loop.Closed())
-    dispatcher.post(messages.Configured(LAYOUT.configuration))
+    dispatcher.post(messages.ConfigurationReceived(LAYOUT.configuration))
     while dispatcher.sample.obstacle:
         time.sleep(0.1)
     return lambda: _ask_loop(dispatcher)
--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -57,7 +57,7 @@
     def tell(self, event: messages.Event) -> float:
         """Let an event happen; return its processor time in seconds."""
         began = time.process_time()
-        handled = dispatch.handle(self.state, event, self.now)
+        handled = dispatch.handle_event(self.state, event, self.now)
         self.state = handled[0]
         took = time.process_time() - began
         self.longest = max(self.longest, took)
@@ -68,7 +68,7 @@
         took = 0.0
         for _ in range(1000):
             self.now += 0.01
-            took += self.tell(messages.Ticked())
+            took += self.tell(messages.Tick())
         return took
 
 
@@ -102,12 +102,12 @@
     size: Size,
 ) -> tuple[_Clocked, configurations.Configuration, float]:
     draw = random.Random(1).random
-    state = states.start(CENTRE, draw)._replace(own='host-0')
+    state = states.make_state(CENTRE, draw)._replace(own_name='host-0')
     clocked = _Clocked(state)
     configuration = _configure(size)
     hosts = tuple(f'host-{number}' for number in range(size.hosts))
     took = clocked.tell(messages.MembersChanged(hosts))
-    took += clocked.tell(messages.Configured(configuration))
+    took += clocked.tell(messages.ConfigurationReceived(configuration))
     names = [target.name for target in _list_targets(configuration)]
     took += sum(map(clocked.tell, _report_all(size, names, 1)))
     return clocked, configuration, took + clocked.settle()
@@ -124,7 +124,7 @@
             groups=(first, *configuration.groups[1:]),
         )
         # No seat moves, so nothing but probes comes of it later.
-        yield clocked.tell(messages.Configured(configuration))
+        yield clocked.tell(messages.ConfigurationReceived(configuration))
 
 
 def _time_members(
@@ -168,7 +168,7 @@
 
 def _report_all(
     size: Size, names: list[str], sequence: int
-) -> Iterable[messages.Probed]:
+) -> Iterable[messages.TargetProbed]:
     for name in names:
         group, shard = map(int, name.partition('/')[0].split('-')[1:])
         shards = len(range(group, size.shards, GROUPS))
@@ -179,7 +179,7 @@
         health = messages.Health(
             name, messages.TargetState.LIVE, 1.0, sequence, LOAD, (holding,)
         )
-        yield messages.Probed(name, health)
+        yield messages.TargetProbed(name, health)
 
 
 def main(write: Callable[[str], None]) -> None:
--- a/fuchsiahaven/core/queries/admission.py
+++ b/fuchsiahaven/core/queries/admission.py
@@ -15,28 +15,28 @@
 SOURCE: Final = 'admission'
 # A query may spend this share of its time in the queue. A longer queue starts
 # queries that have too little time left to finish, and starts no more of them.
-QUEUE_SHARE: Final = 0.5
+MAX_QUEUE_WAIT_FRACTION: Final = 0.5
 # A query is taken to run as long as the mean and so many mean deviations.
-DEVIATIONS: Final = 2.0
-PACE_WEIGHT: Final = 0.1
-GAP_WEIGHT: Final = 0.1
-
-WINDOW_START: Final = 8.0
-WINDOW_LEAST: Final = 0.1
-WINDOW_MOST: Final = 1024.0
-WINDOW_FACTOR: Final = 0.8
+RUN_TIME_DEVIATIONS: Final = 2.0
+RUN_TIME_WEIGHT: Final = 0.1
+FINISH_INTERVAL_WEIGHT: Final = 0.1
+
+INITIAL_WINDOW: Final = 8.0
+MIN_WINDOW: Final = 0.1
+MAX_WINDOW: Final = 1024.0
+WINDOW_CUT_FACTOR: Final = 0.8
 # Growth for each window's worth of finishes: fixed, and as a part of it. A
 # faster growth spent most of its time over the limit, with parts shed.
-GROWTH: Final = 0.05
-GROWTH_SHARE: Final = 0.02
+WINDOW_GROWTH: Final = 0.05
+WINDOW_GROWTH_FRACTION: Final = 0.02
 # Below this share of parts shed, single targets are at fault, not the load.
-STRAIN_SHARE: Final = 0.05
-SHORTEST_RETRY_S: Final = 0.01
+MAX_SHED_FRACTION: Final = 0.05
+MIN_RETRY_AFTER_S: Final = 0.01
 # `start` is called for each event of the host, thousands of times a second.
-SWEEP_S: Final = 0.005
+EXPIRY_INTERVAL_S: Final = 0.005
 
 
-class Pace(NamedTuple):
+class RunTime(NamedTuple):
     """Hold how long queries of one class run: mean and mean deviation."""
 
     mean: float
@@ -53,17 +53,17 @@
 
     queue: queues.Queue = queues.EMPTY
     running: int = 0
-    window: float = WINDOW_START
-    paces: Mapping[str, Pace] = MappingProxyType({})
-    run_s: float = 0.0
-    gap_s: float = 0.0
-    finished: float = 0.0
-    cut: float = 0.0
-    started: float = 0.0
-    swept: float = 0.0
+    window: float = INITIAL_WINDOW
+    run_times: Mapping[str, RunTime] = MappingProxyType({})
+    mean_run_s: float = 0.0
+    finish_interval_s: float = 0.0
+    last_finish_at: float = 0.0
+    window_cut_at: float = 0.0
+    last_start_at: float = 0.0
+    last_expiry_at: float = 0.0
 
 
-class Refused(NamedTuple):
+class Refusal(NamedTuple):
     """Name one query that will not run, and what to tell its caller."""
 
     token: int
@@ -75,90 +75,93 @@
 
     admission: Admission
     started: tuple[queues.Entry, ...] = ()
-    refused: tuple[Refused, ...] = ()
+    refused: tuple[Refusal, ...] = ()
 
 
 EMPTY: Final = Admission()
 
 
-def count_waiting(admission: Admission) -> int:
+def count_queued(admission: Admission) -> int:
     """Count the queries that wait."""
-    return queues.count(admission.queue)
+    return queues.count_entries(admission.queue)
 
 
 def is_idle(admission: Admission) -> bool:
     """Tell whether nothing runs or waits."""
-    return not admission.running and not count_waiting(admission)
+    return not admission.running and not count_queued(admission)
 
 
-def is_strained(parts: int, shed: int) -> bool:
+def is_overloaded(parts: int, shed: int) -> bool:
     """Tell whether so many shed parts of a query show an overload."""
-    return shed > parts * STRAIN_SHARE
+    return shed > parts * MAX_SHED_FRACTION
 
 
 def offer(admission: Admission, entry: queues.Entry, now: float) -> Step:
     """Start, queue or refuse one query."""
-    step = expire(admission, now)
-    wait = estimate_wait(step.admission, entry.priority)
-    if _comes_too_late(step.admission, entry, now, wait):
+    step = expire_queued(admission, now)
+    wait_s = estimate_wait(step.admission, entry.priority)
+    if _is_too_late(step.admission, entry, now, wait_s):
         kind = errors.Kind.DEADLINE_UNREACHABLE
-        return _add_refusals(step, _refuse(entry, kind, wait))
+        return _add_refusals(step, _refuse(entry, kind, wait_s))
     added = queues.add(step.admission.queue, entry)
     if added is None:
-        refused = _refuse(entry, errors.Kind.OVERLOADED, wait)
+        refused = _refuse(entry, errors.Kind.OVERLOADED, wait_s)
         return _add_refusals(step, refused)
     if added.evicted is not None:
-        evicted = _refuse(added.evicted, errors.Kind.OVERLOADED, wait)
+        evicted = _refuse(added.evicted, errors.Kind.OVERLOADED, wait_s)
         step = _add_refusals(step, evicted)
-    started = start(step.admission._replace(queue=added.queue), now)
+    started = start_queued(step.admission._replace(queue=added.queue), now)
     return started._replace(refused=(*step.refused, *started.refused))
 
 
-def start(admission: Admission, now: float) -> Step:
+def start_queued(admission: Admission, now: float) -> Step:
     """Start what the window has room for; drop what is too late."""
-    if now - admission.swept < SWEEP_S and not _has_room(admission, now):
+    if now - admission.last_expiry_at < EXPIRY_INTERVAL_S and not _has_room(
+        admission, now
+    ):
         return Step(admission)
-    step = expire(admission._replace(swept=now), now)
+    step = expire_queued(admission._replace(last_expiry_at=now), now)
     current = step.admission
     started: list[queues.Entry] = []
-    while count_waiting(current) and _has_room(current, now):
-        taken = queues.take(current.queue)
+    while count_queued(current) and _has_room(current, now):
+        popped = queues.pop(current.queue)
         current = current._replace(
-            queue=taken.queue, running=current.running + 1, started=now
+            queue=popped.queue, running=current.running + 1, last_start_at=now
         )
-        started.append(taken.entry)
+        started.append(popped.entry)
     return Step(current, tuple(started), step.refused)
 
 
-def next_start(admission: Admission) -> float | None:
+def find_next_start(admission: Admission) -> float | None:
     """Return when a spaced start falls due; None where a finish starts it."""
-    if admission.running or not count_waiting(admission):
+    if admission.running or not count_queued(admission):
         return None
-    return _find_start(admission)
+    return _compute_start(admission)
 
 
-def expire(admission: Admission, now: float) -> Step:
+def expire_queued(admission: Admission, now: float) -> Step:
     """Drop every waiting query that can no longer be answered in time."""
-    left, late = queues.part(
-        admission.queue, lambda entry: _is_doomed(admission, entry, now)
+    remaining, expired = queues.remove_matching(
+        admission.queue,
+        lambda entry: _would_miss_deadline(admission, entry, now),
     )
-    if not late:
+    if not expired:
         return Step(admission)
-    current = admission._replace(queue=left)
+    current = admission._replace(queue=remaining)
     kind = errors.Kind.DEADLINE_UNREACHABLE
     refused = tuple(
         _refuse(entry, kind, estimate_wait(current, entry.priority))
-        for entry in late
+        for entry in expired
     )
     return Step(current, refused=refused)
 
 
-def finish(
+def record_finish(
     admission: Admission,
     now: float,
     run_s: float,
     *,
-    strained: bool,
+    overloaded: bool,
     class_name: str = '',
 ) -> Step:
     """Take in that a query finished after `run_s`, and start the next.
@@ -167,54 +170,60 @@
     then shrinks, at most once in the time that a query takes, because all
     that run together meet the same overload.
     """
-    gap_s = admission.gap_s
-    if count_waiting(admission):
-        gap_s = _smooth(gap_s, now - admission.finished, GAP_WEIGHT)
-    smoothed = _smooth(admission.run_s, run_s, PACE_WEIGHT)
-    window, cut = admission.window, admission.cut
-    if strained:
-        if now - cut >= smoothed:
-            window = max(WINDOW_LEAST, window * WINDOW_FACTOR)
-            cut = now
+    interval_s = admission.finish_interval_s
+    if count_queued(admission):
+        interval_s = _smooth(
+            interval_s, now - admission.last_finish_at, FINISH_INTERVAL_WEIGHT
+        )
+    mean_run_s = _smooth(admission.mean_run_s, run_s, RUN_TIME_WEIGHT)
+    window, window_cut_at = admission.window, admission.window_cut_at
+    if overloaded:
+        if now - window_cut_at >= mean_run_s:
+            window = max(MIN_WINDOW, window * WINDOW_CUT_FACTOR)
+            window_cut_at = now
     elif admission.running >= int(window):
-        window = min(WINDOW_MOST, _grow(window, cut))
+        window = min(MAX_WINDOW, _grow(window, window_cut_at))
     current = admission._replace(
         running=max(0, admission.running - 1),
         window=window,
-        paces=_note_pace(admission.paces, class_name, run_s),
-        run_s=smoothed,
-        gap_s=gap_s,
-        finished=now,
-        cut=cut,
+        run_times=_record_run_time(admission.run_times, class_name, run_s),
+        mean_run_s=mean_run_s,
+        finish_interval_s=interval_s,
+        last_finish_at=now,
+        window_cut_at=window_cut_at,
     )
-    return start(current, now)
+    return start_queued(current, now)
 
 
 def estimate_wait(admission: Admission, priority: int) -> float:
     """Estimate the seconds until a query offered now would start."""
     if admission.running < int(admission.window):
         return 0.0
-    gap_s = admission.gap_s or admission.run_s / admission.window
-    return queues.count_turns(admission.queue, priority) * gap_s
+    interval_s = (
+        admission.finish_interval_s or admission.mean_run_s / admission.window
+    )
+    return queues.count_starts_until(admission.queue, priority) * interval_s
 
 
 def _has_room(admission: Admission, now: float) -> bool:
     if admission.window >= 1:
         return admission.running < int(admission.window)
-    return not admission.running and now >= _find_start(admission)
+    return not admission.running and now >= _compute_start(admission)
 
 
-def _find_start(admission: Admission) -> float:
+def _compute_start(admission: Admission) -> float:
     if admission.window >= 1:
-        return admission.started
-    return admission.started + admission.run_s / admission.window
+        return admission.last_start_at
+    return admission.last_start_at + admission.mean_run_s / admission.window
 
 
-def _grow(window: float, cut: float) -> float:
-    if not cut:
+def _grow(window: float, window_cut_at: float) -> float:
+    if not window_cut_at:
         # Nothing was ever shed: look for the limit fast.
         return window + 1
-    return window + (GROWTH + GROWTH_SHARE * window) / max(1.0, window)
+    return window + (WINDOW_GROWTH + WINDOW_GROWTH_FRACTION * window) / max(
+        1.0, window
+    )
 
 
 def _estimate_run(admission: Admission, entry: queues.Entry) -> float:
@@ -224,48 +233,51 @@
     deadline would be refused for ever, and nothing would correct the
     estimate.
     """
-    pace = admission.paces.get(entry.class_name)
-    if pace is None:
+    run_time = admission.run_times.get(entry.class_name)
+    if run_time is None:
         return 0.0
-    likely = pace.mean + DEVIATIONS * pace.deviation
-    return min(likely, (entry.deadline - entry.arrived) / 2)
+    estimate = run_time.mean + RUN_TIME_DEVIATIONS * run_time.deviation
+    return min(estimate, (entry.deadline - entry.arrived) / 2)
 
 
-def _is_doomed(admission: Admission, entry: queues.Entry, now: float) -> bool:
+def _would_miss_deadline(
+    admission: Admission, entry: queues.Entry, now: float
+) -> bool:
     return now + _estimate_run(admission, entry) >= entry.deadline
 
 
-def _comes_too_late(
-    admission: Admission, entry: queues.Entry, now: float, wait: float
+def _is_too_late(
+    admission: Admission, entry: queues.Entry, now: float, wait_s: float
 ) -> bool:
-    allowed = (entry.deadline - entry.arrived) * QUEUE_SHARE
-    waited = now - entry.arrived
-    if wait and waited + wait > allowed:
+    max_wait_s = (entry.deadline - entry.arrived) * MAX_QUEUE_WAIT_FRACTION
+    waited_s = now - entry.arrived
+    if wait_s and waited_s + wait_s > max_wait_s:
         return True
-    return _is_doomed(admission, entry, now + wait)
+    return _would_miss_deadline(admission, entry, now + wait_s)
 
 
-def _refuse(entry: queues.Entry, kind: errors.Kind, wait: float) -> Refused:
+def _refuse(entry: queues.Entry, kind: errors.Kind, wait_s: float) -> Refusal:
     failure = errors.make_failure(
-        kind, SOURCE, retry_after=max(SHORTEST_RETRY_S, wait)
+        kind, SOURCE, retry_after=max(MIN_RETRY_AFTER_S, wait_s)
     )
-    return Refused(entry.token, failure)
+    return Refusal(entry.token, failure)
 
 
-def _add_refusals(step: Step, refused: Refused) -> Step:
+def _add_refusals(step: Step, refused: Refusal) -> Step:
     return step._replace(refused=(*step.refused, refused))
 
 
-def _note_pace(
-    paces: Mapping[str, Pace], class_name: str, run_s: float
-) -> Mapping[str, Pace]:
-    pace = paces.get(class_name) or Pace(run_s, 0.0)
-    off = run_s - pace.mean
-    noted = Pace(
-        pace.mean + PACE_WEIGHT * off,
-        pace.deviation + PACE_WEIGHT * (abs(off) - pace.deviation),
+def _record_run_time(
+    run_times: Mapping[str, RunTime], class_name: str, run_s: float
+) -> Mapping[str, RunTime]:
+    run_time = run_times.get(class_name) or RunTime(run_s, 0.0)
+    error = run_s - run_time.mean
+    updated = RunTime(
+        run_time.mean + RUN_TIME_WEIGHT * error,
+        run_time.deviation
+        + RUN_TIME_WEIGHT * (abs(error) - run_time.deviation),
     )
-    return MappingProxyType({**paces, class_name: noted})
+    return MappingProxyType({**run_times, class_name: updated})
 
 
 def _smooth(old: float, new: float, weight: float) -> float:
--- a/fuchsiahaven/core/queries/budgets.py
+++ b/fuchsiahaven/core/queries/budgets.py
@@ -9,7 +9,7 @@
 
 # Tokens that may be saved up: what a class may add at once after a quiet time.
 # With fewer, slow answers that come close together go unhedged.
-BURST: Final = 30.0
+MAX_TOKENS: Final = 30.0
 
 
 class Budget(NamedTuple):
@@ -21,18 +21,18 @@
 
     hedge_share: float
     retry_share: float
-    tokens: float = BURST
-    hedge_tokens: float = BURST
+    tokens: float = MAX_TOKENS
+    hedge_tokens: float = MAX_TOKENS
 
 
-def deposit(budget: Budget, first_tries: int = 1) -> Budget:
+def deposit(budget: Budget, first_attempts: int = 1) -> Budget:
     """Add the shares of so many first tries; extra tries add nothing."""
     hedge_share, retry_share, tokens, hedge_tokens = budget
     return Budget(
         hedge_share,
         retry_share,
-        min(BURST, tokens + first_tries * (hedge_share + retry_share)),
-        min(BURST, hedge_tokens + first_tries * hedge_share),
+        min(MAX_TOKENS, tokens + first_attempts * (hedge_share + retry_share)),
+        min(MAX_TOKENS, hedge_tokens + first_attempts * hedge_share),
     )
 
 
--- a/fuchsiahaven/core/queries/dispatch.py
+++ b/fuchsiahaven/core/queries/dispatch.py
@@ -5,10 +5,10 @@
 """
 
 from fuchsiahaven.core.queries import (
-    deals,
-    endings,
+    allocations,
+    completions,
+    extra_attempts,
     gather,
-    repeats,
     scatter,
     states,
     submissions,
@@ -20,101 +20,111 @@
 Result = tuple[states.State, list[messages.Action]]
 
 
-def handle(state: states.State, event: messages.Event, now: float) -> Result:
+def handle_event(
+    state: states.State, event: messages.Event, now: float
+) -> Result:
     """Take one event; return the next state and what the edge must do."""
-    state, actions = _route(state, event, now)
-    if state.tables.finished:
-        actions.extend(submissions.go_on(state, now))
+    state, actions = _dispatch_event(state, event, now)
+    if state.tables.finished_queries:
+        actions.extend(submissions.handle_finished(state, now))
     return state, actions
 
 
-def _route(state: states.State, event: messages.Event, now: float) -> Result:
+def _dispatch_event(
+    state: states.State, event: messages.Event, now: float
+) -> Result:
     match event:
-        case messages.Answered():
-            return state, gather.take_answer(state, event, now)
-        case messages.Refused():
-            return state, gather.take_refusal(state, event, now)
-        case messages.Broken():
-            return state, gather.take_fault(state, event, now)
-        case messages.Looked():
-            return state, gather.take_look(state, event, now)
-        case messages.Submitted():
-            return state, submissions.submit(state, event, now)
-        case messages.Ticked():
-            return state, _tick(state, now)
+        case messages.PartAnswered():
+            return state, gather.handle_answer(state, event, now)
+        case messages.PartRefused():
+            return state, gather.handle_refusal(state, event, now)
+        case messages.PartFailed():
+            return state, gather.handle_fault(state, event, now)
+        case messages.TargetChecked():
+            return state, gather.handle_target_checked(state, event, now)
+        case messages.QuerySubmitted():
+            return state, submissions.handle_submission(state, event, now)
+        case messages.Tick():
+            return state, _handle_tick(state, now)
         case messages.ClaimSettled():
-            return state, submissions.take_claim(state, event, now)
-    return _learn(state, event, now)
+            return state, submissions.handle_claim_settled(state, event, now)
+    return _handle_control_event(state, event, now)
 
 
-def next_wake(state: states.State) -> float | None:
+def find_wake_time(state: states.State) -> float | None:
     """Return when `Ticked` is due next."""
     timers = state.tables.timers
     return timers[0][0] if timers else None
 
 
-def find_obstacle(state: states.State) -> str:
+def find_unready_reason(state: states.State) -> str:
     """Say why no new work should come to this host; empty if it may."""
     if state.stopping:
         return 'stopping'
     if not state.configuration.revision:
         return 'no configuration yet'
-    if state.tables.unheard:
-        return f'{len(state.tables.unheard)} targets have yet to report'
+    if state.tables.unreported_targets:
+        return (
+            f'{len(state.tables.unreported_targets)} targets have yet to report'
+        )
     return ''
 
 
-def _learn(state: states.State, event: messages.Event, now: float) -> Result:
+def _handle_control_event(
+    state: states.State, event: messages.Event, now: float
+) -> Result:
     actions: list[messages.Action] = []
     match event:
-        case messages.Probed():
-            target_events.take_report(state, event, now)
-        case messages.Configured(configuration):
-            state, actions = target_events.configure(state, configuration, now)
-            submissions.forget_idle(state)
-        case messages.MembersChanged(hosts, own):
-            state = state._replace(hosts=hosts, own=own)
-            deals.plan_all(state)
-            actions = deals.go_on(state, now)
-        case messages.HostListed():
-            target_events.take_list(state, event, now)
+        case messages.TargetProbed():
+            target_events.handle_probed(state, event, now)
+        case messages.ConfigurationReceived(configuration):
+            state, actions = target_events.handle_configuration(
+                state, configuration, now
+            )
+            submissions.remove_idle_admissions(state)
+        case messages.MembersChanged(hosts, own_name):
+            state = state._replace(hosts=hosts, own_name=own_name)
+            allocations.schedule_all(state)
+            actions = allocations.run_slice(state, now)
+        case messages.HostListRead():
+            target_events.handle_host_list(state, event, now)
         case messages.ConnectionsChanged():
-            target_events.take_connections(state, event)
-        case messages.StopAsked():
+            target_events.handle_connections(state, event)
+        case messages.StopRequested():
             state = state._replace(stopping=True)
     return state, actions
 
 
-def _tick(state: states.State, now: float) -> list[messages.Action]:
+def _handle_tick(state: states.State, now: float) -> list[messages.Action]:
     actions: list[messages.Action] = []
-    while (due := states.pop_due(state, now)) is not None:
-        actions.extend(_act(state, due, now))
-    actions.extend(submissions.start_due(state, now))
+    while (timer := states.pop_timer(state, now)) is not None:
+        actions.extend(_handle_timer(state, timer, now))
+    actions.extend(submissions.start_queued(state, now))
     return actions
 
 
-def _act(
-    state: states.State, due: tables.Due, now: float
+def _handle_timer(
+    state: states.State, timer: tables.Timer, now: float
 ) -> list[messages.Action]:
-    match due:
-        case tables.ProbeDue(name):
-            return target_events.probe(state, name, now)
-        case tables.RunDue(number):
-            return endings.take_deadline(state, number, now)
-        case tables.HedgeDue():
-            return repeats.hedge(state, due, now)
-        case tables.RetryDue():
-            return gather.retry_later(state, due, now)
-        case tables.DoubtDue():
-            return gather.stop_doubting(state, due, now)
-        case tables.RoomDue(name):
-            return scatter.serve_queue(state, name, now)
-        case tables.StartDue():
+    match timer:
+        case tables.ProbeTimer(name):
+            return target_events.handle_probe_timer(state, name, now)
+        case tables.DeadlineTimer(run_number):
+            return completions.handle_deadline(state, run_number, now)
+        case tables.HedgeTimer():
+            return extra_attempts.handle_hedge_timer(state, timer, now)
+        case tables.RetryTimer():
+            return gather.handle_retry_timer(state, timer, now)
+        case tables.TargetCheckTimer():
+            return gather.handle_check_timeout(state, timer, now)
+        case tables.CapacityTimer(name):
+            return scatter.send_queued(state, name, now)
+        case tables.StartTimer():
             # Each tick starts what is due.
             return []
-        case tables.SeatsDue(name):
-            return deals.settle(state, name, now)
-        case tables.DealDue():
-            return deals.go_on(state, now)
-        case tables.ClaimDue(token):
-            return submissions.give_up_claim(state, token, now)
+        case tables.GrantTimer(name):
+            return allocations.raise_connections(state, name, now)
+        case tables.AllocationTimer():
+            return allocations.run_slice(state, now)
+        case tables.ClaimTimer(token):
+            return submissions.handle_claim_timeout(state, token, now)
--- a/fuchsiahaven/core/queries/gather.py
+++ b/fuchsiahaven/core/queries/gather.py
@@ -4,11 +4,11 @@
 
 from fuchsiahaven.core import coverage, suspects
 from fuchsiahaven.core.queries import (
+    attempts,
+    completions,
     crashes,
-    endings,
-    flights,
-    queries,
-    repeats,
+    extra_attempts,
+    runs,
     scatter,
     states,
     tables,
@@ -34,194 +34,210 @@
 }
 
 
-def take_answer(
-    state: states.State, event: messages.Answered, now: float
+def handle_answer(
+    state: states.State, event: messages.PartAnswered, now: float
 ) -> list[messages.Action]:
     """Count an answer in, cancel the attempts that it beat."""
-    flying = flights.land_answer(state, event, now)
-    if flying is None:
+    record = attempts.record_answer(state, event, now)
+    if record is None:
         return []
-    told = event.state
-    target_events.take_state(state, event.target, told, flying.sent, now)
-    target_events.note_version(state, event.target, event.health_version, now)
+    target_state = event.state
+    target_events.record_state(
+        state, event.target, target_state, record.sent_at, now
+    )
+    target_events.record_health_version(
+        state, event.target, event.health_version, now
+    )
     actions: list[messages.Action] = []
-    run = state.tables.runs.get(event.part.query)
+    run = state.tables.active_runs.get(event.part.run_number)
     if run is not None:
-        crashes.note_answer(state, run, event.part)
-    losers = run and queries.accept(run, event.part, event.rows)
-    if run is None or losers is None:
+        crashes.record_answer(state, run, event.part)
+    superseded = run and runs.accept_answer(run, event.part, event.rows)
+    if run is None or superseded is None:
         state.tables.counts[tables.Count.LATE] += 1
     else:
-        if losers:
-            part_id = queries.PartId(event.part.group, event.part.shard)
-            actions = endings.cancel(state, run, part_id, losers, now)
+        if superseded:
+            part_id = runs.PartId(event.part.group, event.part.shard)
+            actions = completions.cancel_attempts(
+                state, run, part_id, superseded, now
+            )
         if not run.open_parts:
-            actions.extend(endings.settle(state, run, now))
-    if event.target in state.tables.queues:
-        actions.extend(scatter.serve_queue(state, event.target, now))
+            actions.extend(completions.complete_if_over(state, run, now))
+    if event.target in state.tables.part_queues:
+        actions.extend(scatter.send_queued(state, event.target, now))
     return actions
 
 
-def take_refusal(
-    state: states.State, event: messages.Refused, now: float
+def handle_refusal(
+    state: states.State, event: messages.PartRefused, now: float
 ) -> list[messages.Action]:
     """Ask another replica, which any class may unless it may have run."""
-    flying = flights.land_refusal(state, event, now)
-    if flying is None:
+    record = attempts.record_refusal(state, event, now)
+    if record is None:
         return []
     if event.reason is messages.RefusalReason.LEAVING:
         leaving = messages.TargetState.LEAVING
-        target_events.take_state(state, event.target, leaving, flying.sent, now)
-    run = state.tables.runs.get(event.part.query)
-    gone = event.reason is messages.RefusalReason.SNAPSHOT_GONE
-    if run is not None and gone:
+        target_events.record_state(
+            state, event.target, leaving, record.sent_at, now
+        )
+    run = state.tables.active_runs.get(event.part.run_number)
+    snapshot_gone = event.reason is messages.RefusalReason.SNAPSHOT_GONE
+    if run is not None and snapshot_gone:
         snapshot = run.snapshots[event.part.group]
-        target_events.drop_snapshot(state, event.target, snapshot)
+        target_events.discard_snapshot(state, event.target, snapshot)
     reason = REFUSAL_REASONS[event.reason]
     may_have_run = event.may_have_run
     return _end_attempt(state, event, reason, now, may_have_run=may_have_run)
 
 
-def take_fault(
-    state: states.State, event: messages.Broken, now: float
+def handle_fault(
+    state: states.State, event: messages.PartFailed, now: float
 ) -> list[messages.Action]:
     """Ask another replica where the class may run twice."""
-    flying = flights.land_fault(state, event, now)
-    if flying is None:
+    record = attempts.record_fault(state, event, now)
+    if record is None:
         return []
-    run = state.tables.runs.get(event.part.query)
-    lost = event.fault is messages.Fault.CONNECTION_LOST
-    if run is not None and lost and not run.at_most_once:
-        crashes.note_loss(state, run, event, flying.sent, now)
+    run = state.tables.active_runs.get(event.part.run_number)
+    connection_lost = event.fault is messages.Fault.CONNECTION_LOST
+    if run is not None and connection_lost and not run.at_most_once:
+        crashes.record_loss(state, run, event, record.sent_at, now)
     reason = FAULT_REASONS[event.fault]
     return _end_attempt(state, event, reason, now, may_have_run=True)
 
 
-def take_look(
-    state: states.State, event: messages.Looked, now: float
+def handle_target_checked(
+    state: states.State, event: messages.TargetChecked, now: float
 ) -> list[messages.Action]:
     """Go on with the parts that waited for word of their target."""
     actions: list[messages.Action] = []
-    for part in crashes.take_look(state, event, now):
-        actions.extend(_go_on(state, part, now))
+    for part in crashes.handle_target_checked(state, event, now):
+        actions.extend(_resume_part(state, part, now))
     return actions
 
 
-def stop_doubting(
-    state: states.State, due: tables.DoubtDue, now: float
+def handle_check_timeout(
+    state: states.State, timer: tables.TargetCheckTimer, now: float
 ) -> list[messages.Action]:
     """Go on with a part of whose target nobody has told in time."""
-    if crashes.stop_doubting(state, due):
-        return _go_on(state, due.part, now)
+    if crashes.expire_loss(state, timer):
+        return _resume_part(state, timer.part, now)
     return []
 
 
-def _go_on(
+def _resume_part(
     state: states.State, part: messages.PartKey, now: float
 ) -> list[messages.Action]:
-    run = state.tables.runs.get(part.query)
-    part_id = queries.PartId(part.group, part.shard)
+    run = state.tables.active_runs.get(part.run_number)
+    part_id = runs.PartId(part.group, part.shard)
     if run is None or part_id not in run.open_parts:
         return []
-    return _try_again(state, run, part_id, now, free=False)
+    return _retry_part(state, run, part_id, now, unbudgeted=False)
 
 
-def retry_later(
-    state: states.State, due: tables.RetryDue, now: float
+def handle_retry_timer(
+    state: states.State, timer: tables.RetryTimer, now: float
 ) -> list[messages.Action]:
     """Ask again for a part that was shed while the budget was spent."""
-    run = state.tables.runs.get(due.number)
-    if run is None or due.part_id not in run.open_parts:
+    run = state.tables.active_runs.get(timer.run_number)
+    if run is None or timer.part_id not in run.open_parts:
         return []
-    unsent = run.parts[due.part_id].attempt == run.first_attempt
-    return _try_again(state, run, due.part_id, now, free=unsent)
+    unsent = run.parts[timer.part_id].last_attempt == run.attempt_offset
+    return _retry_part(state, run, timer.part_id, now, unbudgeted=unsent)
 
 
 def _end_attempt(
     state: states.State,
-    event: messages.Refused | messages.Broken,
+    event: messages.PartRefused | messages.PartFailed,
     reason: coverage.Reason,
     now: float,
     *,
     may_have_run: bool,
 ) -> list[messages.Action]:
-    run = state.tables.runs.get(event.part.query)
+    run = state.tables.active_runs.get(event.part.run_number)
     actions: list[messages.Action] = []
     if run is not None:
-        part = queries.end_flight(
+        part = runs.end_attempt(
             run, event.part, reason, may_have_run=may_have_run
         )
-        free = reason in repeats.FREE and not may_have_run
-        doubted = _is_doubted(state, event)
-        if not doubted:
+        unbudgeted = (
+            reason in extra_attempts.UNBUDGETED_REASONS and not may_have_run
+        )
+        awaits_check = _awaits_target_check(state, event)
+        if not awaits_check:
             crashes.end_trial(state, run, event.part)
-        if part is not None and not doubted:
-            part_id = queries.PartId(event.part.group, event.part.shard)
-            actions = _try_again(state, run, part_id, now, free=free)
-    return [*actions, *scatter.serve_queue(state, event.target, now)]
+        if part is not None and not awaits_check:
+            part_id = runs.PartId(event.part.group, event.part.shard)
+            actions = _retry_part(
+                state, run, part_id, now, unbudgeted=unbudgeted
+            )
+    return [*actions, *scatter.send_queued(state, event.target, now)]
 
 
-def _is_doubted(
-    state: states.State, event: messages.Refused | messages.Broken
+def _awaits_target_check(
+    state: states.State, event: messages.PartRefused | messages.PartFailed
 ) -> bool:
     """Tell whether nobody knows yet whether the target has ended."""
     losses = state.tables.losses.get(event.target, ())
     return any(loss.part == event.part for loss in losses)
 
 
-def _try_again(
+def _retry_part(
     state: states.State,
-    run: queries.Run,
-    part_id: queries.PartId,
+    run: runs.Run,
+    part_id: runs.PartId,
     now: float,
     *,
-    free: bool,
+    unbudgeted: bool,
 ) -> list[messages.Action]:
     part = run.parts[part_id]
-    if part.flights:
+    if part.in_flight:
         # Another attempt at it is under way.
         return []
     actions = None
     if not (run.at_most_once and part.may_have_run):
-        actions = _repeat(state, run, part_id, now, free=free)
+        actions = _send_retry(state, run, part_id, now, unbudgeted=unbudgeted)
     if actions is not None:
         return actions
-    if repeats.wait(state, run, part_id, now):
+    if extra_attempts.schedule_retry(state, run, part_id, now):
         return []
     part = run.parts[part_id]
-    queries.give_up(run, part_id, part.reason or coverage.Reason.REFUSED)
+    runs.mark_missing(run, part_id, part.reason or coverage.Reason.REFUSED)
     if part.reason is coverage.Reason.SNAPSHOT_GONE:
-        return endings.restart(state, run, now)
-    return endings.settle(state, run, now)
+        return completions.restart_run(state, run, now)
+    return completions.complete_if_over(state, run, now)
 
 
-def _repeat(
+def _send_retry(
     state: states.State,
-    run: queries.Run,
-    part_id: queries.PartId,
+    run: runs.Run,
+    part_id: runs.PartId,
     now: float,
     *,
-    free: bool,
+    unbudgeted: bool,
 ) -> list[messages.Action] | None:
     """Send a part as what is known against its query allows.
 
     None where it is not to be sent any more.
     """
-    match crashes.find_gate(state, run.query, now):
+    match crashes.get_permission(state, run.query, now):
         case suspects.SendPermission.BLOCKED:
             part = run.parts[part_id]
             reason = coverage.Reason.QUARANTINED
             run.parts[part_id] = part._replace(reason=reason)
             return None
         case suspects.SendPermission.AFTER_TRIAL:
-            repeats.put_off(state, run, part_id, now)
+            extra_attempts.set_retry_timer(state, run, part_id, now)
             return []
         case suspects.SendPermission.TRIAL:
-            if scatter.is_full(state, run, part_id, now):
+            if scatter.lacks_room(state, run, part_id, now):
                 # What waits at a target would leave after the trial too.
-                repeats.put_off(state, run, part_id, now)
+                extra_attempts.set_retry_timer(state, run, part_id, now)
                 return []
-            sent = repeats.retry(state, run, part_id, now, free=free)
-            crashes.begin_trial(state, run, sent or [], now)
-            return sent
-    return repeats.retry(state, run, part_id, now, free=free)
+            actions = extra_attempts.send_retry(
+                state, run, part_id, now, unbudgeted=unbudgeted
+            )
+            crashes.start_trial(state, run, actions or [], now)
+            return actions
+    return extra_attempts.send_retry(
+        state, run, part_id, now, unbudgeted=unbudgeted
+    )
--- a/fuchsiahaven/core/queries/hedges.py
+++ b/fuchsiahaven/core/queries/hedges.py
@@ -8,22 +8,22 @@
 import math
 from typing import Final, NamedTuple
 
-SMALLEST_S: Final = 0.0002
-RATIO: Final = 1.15
+MIN_LATENCY_S: Final = 0.0002
+BUCKET_RATIO: Final = 1.15
 BUCKETS: Final = 86
-LOG_RATIO: Final = math.log(RATIO)
+LOG_BUCKET_RATIO: Final = math.log(BUCKET_RATIO)
 
 # All counts are halved at this total, so that old samples fade.
-FULL: Final = 2000
+MAX_SAMPLES: Final = 2000
 # A class that asks three shards eight times a second has these in 2 s.
-FEWEST: Final = 40
+MIN_SAMPLES: Final = 40
 # The quantile is worked out again after so many samples.
-REFRESH: Final = 20
+REFRESH_SAMPLES: Final = 20
 
 # Refusals and full queues beyond this share turn hedging off: a hedge into an
 # overloaded group makes the overload worse.
-STRAIN_BOUND: Final = 0.1
-STRAIN_WEIGHT: Final = 0.02
+MAX_OVERLOAD_FRACTION: Final = 0.1
+OVERLOAD_WEIGHT: Final = 0.02
 
 
 class Policy(NamedTuple):
@@ -35,7 +35,7 @@
     """
 
     quantile: float = 0.95
-    medians: float = 3.0
+    max_medians: float = 3.0
 
 
 STANDARD: Final = Policy()
@@ -45,16 +45,16 @@
     """Hold the recent latencies of one class and group."""
 
     counts: tuple[int, ...] = (0,) * BUCKETS
-    total: int = 0
-    strain: float = 0.0
-    stale: int = REFRESH
-    delay: float = 0.0
+    samples: int = 0
+    overload_fraction: float = 0.0
+    samples_since_refresh: int = REFRESH_SAMPLES
+    delay_s: float = 0.0
 
 
 EMPTY: Final = Window()
 
 
-def note_latency(
+def record_latency(
     window: Window,
     elapsed: float,
     *,
@@ -67,62 +67,68 @@
     quantile would sink from hedge to hedge. `queued` tells that the target
     reported as much work waiting as it can run.
     """
-    counts, total, strain, stale, delay = window
-    bucket = _find_bucket(elapsed)
+    counts, samples, overload_fraction, samples_since_refresh, delay_s = window
+    bucket = _get_bucket(elapsed)
     counts = (*counts[:bucket], counts[bucket] + 1, *counts[bucket + 1 :])
-    total += 1
-    strain += STRAIN_WEIGHT * (queued - strain)
-    if total >= FULL:
+    samples += 1
+    overload_fraction += OVERLOAD_WEIGHT * (queued - overload_fraction)
+    if samples >= MAX_SAMPLES:
         counts = tuple(count // 2 for count in counts)
-        total = sum(counts)
-    stale += 1
-    if stale >= REFRESH and total >= FEWEST:
-        delay = _find_delay(counts, total, policy)
-        stale = 0
-    return Window(counts, total, strain, stale, delay)
+        samples = sum(counts)
+    samples_since_refresh += 1
+    if samples_since_refresh >= REFRESH_SAMPLES and samples >= MIN_SAMPLES:
+        delay_s = _compute_delay(counts, samples, policy)
+        samples_since_refresh = 0
+    return Window(
+        counts, samples, overload_fraction, samples_since_refresh, delay_s
+    )
 
 
-def note_refusal(window: Window) -> Window:
+def record_shed(window: Window) -> Window:
     """Take in that a target shed one sub-request."""
-    strain = window.strain + STRAIN_WEIGHT * (1 - window.strain)
-    return window._replace(strain=strain)
+    overload_fraction = window.overload_fraction + OVERLOAD_WEIGHT * (
+        1 - window.overload_fraction
+    )
+    return window._replace(overload_fraction=overload_fraction)
 
 
-def hedge_delay(window: Window) -> float | None:
+def find_delay(window: Window) -> float | None:
     """Return after how many seconds to hedge; None for not at all.
 
     None while too few samples are known and while the group is overloaded.
     """
-    if not window.delay or window.strain > STRAIN_BOUND:
+    if not window.delay_s or window.overload_fraction > MAX_OVERLOAD_FRACTION:
         return None
-    return window.delay
+    return window.delay_s
 
 
-def find_quantile(window: Window, quantile: float) -> float:
+def estimate_quantile(window: Window, quantile: float) -> float:
     """Return the upper end, in seconds, of the bucket with the quantile."""
-    return _find_quantile(window.counts, window.total, quantile)
+    return _estimate_quantile(window.counts, window.samples, quantile)
 
 
-def _find_bucket(elapsed: float) -> int:
-    if elapsed <= SMALLEST_S:
+def _get_bucket(elapsed: float) -> int:
+    if elapsed <= MIN_LATENCY_S:
         return 0
-    bucket = 1 + int(math.log(elapsed / SMALLEST_S) / LOG_RATIO)
+    bucket = 1 + int(math.log(elapsed / MIN_LATENCY_S) / LOG_BUCKET_RATIO)
     return min(bucket, BUCKETS - 1)
 
 
-def _find_quantile(
-    counts: tuple[int, ...], total: int, quantile: float
+def _estimate_quantile(
+    counts: tuple[int, ...], samples: int, quantile: float
 ) -> float:
-    wanted = quantile * total
-    seen = 0
+    rank = quantile * samples
+    cumulative = 0
     for bucket, count in enumerate(counts):
-        seen += count
-        if seen and seen >= wanted:
-            return SMALLEST_S * RATIO**bucket
-    return SMALLEST_S
+        cumulative += count
+        if cumulative and cumulative >= rank:
+            return MIN_LATENCY_S * BUCKET_RATIO**bucket
+    return MIN_LATENCY_S
 
 
-def _find_delay(counts: tuple[int, ...], total: int, policy: Policy) -> float:
-    median = _find_quantile(counts, total, 0.5)
-    tail = _find_quantile(counts, total, policy.quantile)
-    return min(tail, median * policy.medians)
+def _compute_delay(
+    counts: tuple[int, ...], samples: int, policy: Policy
+) -> float:
+    median = _estimate_quantile(counts, samples, 0.5)
+    tail = _estimate_quantile(counts, samples, policy.quantile)
+    return min(tail, median * policy.max_medians)
--- a/fuchsiahaven/core/queries/merges.py
+++ b/fuchsiahaven/core/queries/merges.py
@@ -18,9 +18,9 @@
     """
     rows = itertools.chain.from_iterable(parts)
     if limit is None:
-        return tuple(sorted(rows, key=_order))
-    return tuple(heapq.nsmallest(limit, rows, key=_order))
+        return tuple(sorted(rows, key=_get_sort_key))
+    return tuple(heapq.nsmallest(limit, rows, key=_get_sort_key))
 
 
-def _order(row: Row) -> tuple[float, str]:
+def _get_sort_key(row: Row) -> tuple[float, str]:
     return row['rank'], row['id']
--- a/fuchsiahaven/core/queries/outcomes.py
+++ b/fuchsiahaven/core/queries/outcomes.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from fuchsiahaven.core import coverage, errors
-from fuchsiahaven.core.queries import merges, queries
+from fuchsiahaven.core.queries import merges, runs
 from fuchsiahaven.core.targets import messages
 
 SOURCE: Final = 'outcomes'
@@ -12,7 +12,7 @@
 Outcome = messages.Answer | errors.Failure
 
 #: How soon asking again may help, in seconds, by why a part is missing.
-RETRY_AFTER: Final = {
+RETRY_AFTER_S: Final = {
     coverage.Reason.NO_REPLICA: 1.0,
     coverage.Reason.OVERLOADED: 0.2,
     coverage.Reason.REFUSED: 0.2,
@@ -24,35 +24,37 @@
 }
 
 
-def build_outcome(run: queries.Run) -> Outcome:
+def build_outcome(run: runs.Run) -> Outcome:
     """Build the outcome of a run that is over."""
     if not run.parts:
         return errors.make_failure(
             errors.Kind.NO_ROUTE,
             SOURCE,
             'no group is reached',
-            retry_after=RETRY_AFTER[coverage.Reason.NO_REPLICA],
+            retry_after=RETRY_AFTER_S[coverage.Reason.NO_REPLICA],
         )
-    stated = _state_coverage(run)
-    if stated.covered and (stated.complete or not run.needs_all):
+    run_coverage = _build_coverage(run)
+    if run_coverage.covered and (
+        run_coverage.complete or not run.needs_all_parts
+    ):
         return messages.Answer(
             run.query.request_id,
-            _merge(run),
+            _merge_parts(run),
             run.snapshots,
-            stated,
+            run_coverage,
             run.revision,
         )
-    return _build_failure(run, stated)
+    return _build_failure(run, run_coverage)
 
 
-def _state_coverage(run: queries.Run) -> coverage.Coverage:
+def _build_coverage(run: runs.Run) -> coverage.Coverage:
     answered = set()
     reasons = {}
     wanted = []
     for part_id, part in run.parts.items():
         if part.rows is not None:
             answered.add(part_id)
-        elif part_id in run.lost_parts and part.reason is not None:
+        elif part_id in run.missing_parts and part.reason is not None:
             reasons[part_id] = part.reason
         else:
             continue
@@ -60,7 +62,7 @@
     return coverage.build_coverage(wanted, answered, reasons)
 
 
-def _merge(run: queries.Run) -> queries.Rows:
+def _merge_parts(run: runs.Run) -> runs.Rows:
     parts = [part.rows for part in run.parts.values() if part.rows]
     limit = run.query.terms.get('limit', DEFAULT_LIMIT)
     if not isinstance(limit, int):
@@ -69,18 +71,18 @@
 
 
 def _build_failure(
-    run: queries.Run, stated: coverage.Coverage
+    run: runs.Run, run_coverage: coverage.Coverage
 ) -> errors.Failure:
-    reasons = [missing.reason for missing in stated.missing]
-    detail = _describe(run, stated)
-    if run.at_most_once and queries.may_have_run(run):
+    reasons = [missing.reason for missing in run_coverage.missing]
+    detail = _describe_missing(run, run_coverage)
+    if run.at_most_once and runs.may_have_run(run):
         return errors.make_failure(errors.Kind.OUTCOME_UNKNOWN, SOURCE, detail)
     return errors.make_failure(
         _choose_kind(reasons),
         SOURCE,
         detail,
-        retry_after=max(RETRY_AFTER[reason] for reason in reasons),
-        ran=queries.say_ran(run),
+        retry_after=max(RETRY_AFTER_S[reason] for reason in reasons),
+        ran=runs.get_ran(run),
     )
 
 
@@ -98,9 +100,9 @@
     return errors.Kind.INCOMPLETE
 
 
-def _describe(run: queries.Run, stated: coverage.Coverage) -> str:
-    first = stated.missing[0]
+def _describe_missing(run: runs.Run, run_coverage: coverage.Coverage) -> str:
+    first = run_coverage.missing[0]
     return (
-        f'{len(stated.missing)} of {len(run.parts)} shards missing, first '
+        f'{len(run_coverage.missing)} of {len(run.parts)} shards missing, first '
         f'{first.group} shard {first.shard}: {first.reason}'
     )
--- a/fuchsiahaven/core/queries/queues.py
+++ b/fuchsiahaven/core/queries/queues.py
@@ -4,12 +4,12 @@
 from typing import Final, NamedTuple
 
 PRIORITIES: Final = 4
-LENGTH: Final = 64
+MAX_LENGTH: Final = 64
 # Places that each priority keeps even where the others fill the queue.
-RESERVED: Final = 2
+RESERVED_PER_PRIORITY: Final = 2
 # Every so many starts, the query that has waited longest goes first, whatever
 # its priority: the weakest class is slowed down but never starved.
-FLOOR_EVERY: Final = 10
+OLDEST_FIRST_PERIOD: Final = 10
 
 
 class Entry(NamedTuple):
@@ -26,7 +26,7 @@
     """Hold what waits at each priority, and the starts since the floor's."""
 
     lanes: tuple[tuple[Entry, ...], ...] = ((),) * PRIORITIES
-    starts: int = 0
+    starts_since_oldest: int = 0
 
 
 class Added(NamedTuple):
@@ -36,33 +36,33 @@
     evicted: Entry | None = None
 
 
-class Taken(NamedTuple):
+class Popped(NamedTuple):
     """Hold the queue without the next entry, and that entry."""
 
     queue: Queue
     entry: Entry
 
 
-class Parted(NamedTuple):
+class Split(NamedTuple):
     """Hold the queue without some entries, and those."""
 
     queue: Queue
-    out: tuple[Entry, ...]
+    removed: tuple[Entry, ...]
 
 
 EMPTY: Final = Queue()
 
 
-def count(queue: Queue) -> int:
+def count_entries(queue: Queue) -> int:
     """Count what waits."""
     return sum(map(len, queue.lanes))
 
 
-def count_turns(queue: Queue, priority: int) -> int:
+def count_starts_until(queue: Queue, priority: int) -> int:
     """Count the starts until one more entry of this priority has its turn."""
     ahead = sum(map(len, queue.lanes[: priority + 1]))
     own = len(queue.lanes[priority])
-    return min(ahead + 1, (own + 1) * FLOOR_EVERY)
+    return min(ahead + 1, (own + 1) * OLDEST_FIRST_PERIOD)
 
 
 def add(queue: Queue, entry: Entry) -> Added | None:
@@ -72,49 +72,51 @@
     that hold places reserved for theirs.
     """
     own = queue.lanes[entry.priority]
-    if count(queue) < LENGTH or len(own) < RESERVED:
-        return Added(_change(queue, entry.priority, (*own, entry)))
+    if count_entries(queue) < MAX_LENGTH or len(own) < RESERVED_PER_PRIORITY:
+        return Added(_replace_lane(queue, entry.priority, (*own, entry)))
     for priority in range(PRIORITIES - 1, entry.priority, -1):
         lane = queue.lanes[priority]
-        if len(lane) > RESERVED:
-            room = _change(queue, priority, lane[:-1])
-            added = _change(room, entry.priority, (*own, entry))
+        if len(lane) > RESERVED_PER_PRIORITY:
+            shortened = _replace_lane(queue, priority, lane[:-1])
+            added = _replace_lane(shortened, entry.priority, (*own, entry))
             return Added(added, lane[-1])
     return None
 
 
-def take(queue: Queue) -> Taken:
+def pop(queue: Queue) -> Popped:
     """Take the next entry out of a queue that is not empty."""
-    waiting = [lane for lane in queue.lanes if lane]
-    starts = queue.starts + 1
-    chosen = waiting[0]
-    if starts >= FLOOR_EVERY:
-        chosen = min(waiting, key=_tell_arrival)
+    lanes = [lane for lane in queue.lanes if lane]
+    starts = queue.starts_since_oldest + 1
+    lane = lanes[0]
+    if starts >= OLDEST_FIRST_PERIOD:
+        lane = min(lanes, key=_get_arrival)
         starts = 0
-    entry = chosen[0]
-    left = _change(queue, entry.priority, chosen[1:])
-    return Taken(left._replace(starts=starts), entry)
+    entry = lane[0]
+    remaining = _replace_lane(queue, entry.priority, lane[1:])
+    return Popped(remaining._replace(starts_since_oldest=starts), entry)
 
 
-def part(queue: Queue, is_out: Callable[[Entry], bool]) -> Parted:
+def remove_matching(queue: Queue, matches: Callable[[Entry], bool]) -> Split:
     """Take out every entry that meets a condition."""
-    out = tuple(
-        entry for lane in queue.lanes for entry in lane if is_out(entry)
+    removed = tuple(
+        entry for lane in queue.lanes for entry in lane if matches(entry)
     )
-    if not out:
-        return Parted(queue, ())
+    if not removed:
+        return Split(queue, ())
     lanes = tuple(
-        tuple(entry for entry in lane if entry not in out)
+        tuple(entry for entry in lane if entry not in removed)
         for lane in queue.lanes
     )
-    return Parted(queue._replace(lanes=lanes), out)
+    return Split(queue._replace(lanes=lanes), removed)
 
 
-def _change(queue: Queue, priority: int, lane: tuple[Entry, ...]) -> Queue:
+def _replace_lane(
+    queue: Queue, priority: int, lane: tuple[Entry, ...]
+) -> Queue:
     lanes = list(queue.lanes)
     lanes[priority] = lane
     return queue._replace(lanes=tuple(lanes))
 
 
-def _tell_arrival(lane: tuple[Entry, ...]) -> float:
+def _get_arrival(lane: tuple[Entry, ...]) -> float:
     return lane[0].arrived
--- a/fuchsiahaven/core/queries/records.py
+++ b/fuchsiahaven/core/queries/records.py
@@ -9,45 +9,50 @@
 from fuchsiahaven.core import coverage, json_texts
 from fuchsiahaven.core.targets import messages
 
-_COUNT: Final = {'type': 'integer', 'minimum': 0}
+_COUNT_SCHEMA: Final = {'type': 'integer', 'minimum': 0}
 #: A group, a shard and a range.
-_RANGE: Final = [{'type': 'string'}, _COUNT, _COUNT, _COUNT]
+_RANGE_SCHEMAS: Final = [
+    {'type': 'string'},
+    _COUNT_SCHEMA,
+    _COUNT_SCHEMA,
+    _COUNT_SCHEMA,
+]
 
 
-def _list_of(*fields: object) -> Mapping[str, object]:
-    size = len(fields)
-    row = {'type': 'array', 'minItems': size, 'maxItems': size}
+def _build_list_schema(*fields: object) -> Mapping[str, object]:
+    length = len(fields)
+    row = {'type': 'array', 'minItems': length, 'maxItems': length}
     return {'type': 'array', 'items': {**row, 'items': list(fields)}}
 
 
 _PROPERTIES: Final = {
     'request_id': {'type': 'string'},
     'rows': {'type': 'array', 'items': {'type': 'object'}},
-    'snapshots': {'type': 'object', 'additionalProperties': _COUNT},
-    'shards': _COUNT,
-    'covered': _list_of(*_RANGE),
-    'missing': _list_of(
-        *_RANGE, {'enum': [reason.value for reason in coverage.Reason]}
+    'snapshots': {'type': 'object', 'additionalProperties': _COUNT_SCHEMA},
+    'shards': _COUNT_SCHEMA,
+    'covered': _build_list_schema(*_RANGE_SCHEMAS),
+    'missing': _build_list_schema(
+        *_RANGE_SCHEMAS, {'enum': [reason.value for reason in coverage.Reason]}
     ),
-    'revision': _COUNT,
+    'revision': _COUNT_SCHEMA,
 }
 #: Whose the answer is; left out where that is nobody.
-_CUSTOMER: Final = {'customer': {'type': 'string'}}
-_CHECK: Final = fastjsonschema.compile(
+_CUSTOMER_PROPERTY: Final = {'customer': {'type': 'string'}}
+_VALIDATE: Final = fastjsonschema.compile(
     {
         'type': 'object',
-        'properties': {**_PROPERTIES, **_CUSTOMER},
+        'properties': {**_PROPERTIES, **_CUSTOMER_PROPERTY},
         'required': list(_PROPERTIES),
     }
 )
 
 
-def write(answer: messages.Answer, customer: str = '') -> str:
+def encode_answer(answer: messages.Answer, customer: str = '') -> str:
     """Write an answer of a customer as JSON text."""
-    whose = {'customer': customer} if customer else {}
+    customer_field = {'customer': customer} if customer else {}
     return json.dumps(
         {
-            **whose,
+            **customer_field,
             'request_id': answer.request_id,
             'rows': answer.rows,
             'snapshots': answer.snapshots,
@@ -60,10 +65,10 @@
     )
 
 
-def read(text: str, customer: str = '') -> messages.Answer | None:
+def decode_answer(text: str, customer: str = '') -> messages.Answer | None:
     """Read a recorded answer; None where the text is not one of a customer."""
     try:
-        row = _CHECK(json_texts.load(text))
+        row = _VALIDATE(json_texts.load(text))
     except (ValueError, fastjsonschema.JsonSchemaException):
         return None
     if row.get('customer', '') != customer:
@@ -72,12 +77,12 @@
         row['request_id'],
         tuple(row['rows']),
         row['snapshots'],
-        _read_coverage(row),
+        _decode_coverage(row),
         row['revision'],
     )
 
 
-def _read_coverage(row: Mapping[str, Any]) -> coverage.Coverage:
+def _decode_coverage(row: Mapping[str, Any]) -> coverage.Coverage:
     missing = (coverage.MissingRange._make(part) for part in row['missing'])
     return coverage.Coverage(
         row['shards'],
--- a/fuchsiahaven/core/queries/replies.py
+++ b/fuchsiahaven/core/queries/replies.py
@@ -7,8 +7,8 @@
 from fuchsiahaven.core.targets import messages
 
 SOURCE: Final = 'claims'
-RETRY_S: Final = 1.0
-CLAIM_KINDS: Final = {
+RETRY_AFTER_S: Final = 1.0
+CLAIM_FAILURE_KINDS: Final = {
     messages.ClaimResult.HELD: errors.Kind.DUPLICATE_REQUEST,
     messages.ClaimResult.EXPIRED: errors.Kind.REQUEST_EXPIRED,
     messages.ClaimResult.UNAVAILABLE: errors.Kind.PLATFORM_UNAVAILABLE,
@@ -21,58 +21,65 @@
     outcome: outcomes.Outcome,
     now: float,
     *,
-    strained: bool = False,
+    overloaded: bool = False,
     replayed: bool = False,
 ) -> list[messages.Action]:
     """Reply to an admitted query; nothing where it has had its reply."""
-    begun = state.tables.begun.pop(token, None)
-    if begun is None:
+    admitted = state.tables.admitted_queries.pop(token, None)
+    if admitted is None:
         return []
-    state.tables.finished.append(
-        tables.Finished(
-            begun.admitted_by, begun.policy.name, now - begun.began, strained
+    state.tables.finished_queries.append(
+        tables.FinishedQuery(
+            admitted.admission_key,
+            admitted.request_class.name,
+            now - admitted.started_at,
+            overloaded,
         )
     )
     answer = messages.Reply(token, outcome, replayed)
-    kept = None if replayed else keep(begun, outcome)
-    return [answer] if kept is None else [answer, kept]
+    claim_update = None if replayed else build_claim_update(admitted, outcome)
+    return [answer] if claim_update is None else [answer, claim_update]
 
 
-def keep(
-    begun: tables.Begun, outcome: outcomes.Outcome
-) -> messages.Record | messages.Release | None:
+def build_claim_update(
+    admitted: tables.AdmittedQuery, outcome: outcomes.Outcome
+) -> messages.RecordOutcome | messages.ReleaseClaim | None:
     """Say what is to be kept of a claimed query.
 
     An unknown outcome is not recorded: the claim alone stands, and says to
     whoever asks again that the outcome is unknown.
     """
-    if not begun.claimed:
+    if not admitted.claimed:
         return None
-    request_id = begun.submitted.query.request_id
+    request_id = admitted.submitted.query.request_id
     if isinstance(outcome, messages.Answer):
-        customer = begun.submitted.query.customer
-        return messages.Record(request_id, records.write(outcome, customer))
+        customer = admitted.submitted.query.customer
+        return messages.RecordOutcome(
+            request_id, records.encode_answer(outcome, customer)
+        )
     if outcome.ran is errors.Ran.NO:
-        return messages.Release(request_id)
+        return messages.ReleaseClaim(request_id)
     return None
 
 
-def refuse_claim(
+def reply_without_claim(
     state: states.State, event: messages.ClaimSettled, now: float
 ) -> list[messages.Action]:
     """Tell a caller why its request was not run, or what it had brought."""
     recorded = _find_recorded(state, event)
     if recorded is not None:
         return reply(state, event.token, recorded, now, replayed=True)
-    kind = CLAIM_KINDS[event.result]
-    if event.over and kind is errors.Kind.DUPLICATE_REQUEST:
-        kind = kind if event.done else errors.Kind.OUTCOME_UNKNOWN
-    ran = _say_ran(event)
+    kind = CLAIM_FAILURE_KINDS[event.result]
+    if event.start_expired and kind is errors.Kind.DUPLICATE_REQUEST:
+        kind = kind if event.completed else errors.Kind.OUTCOME_UNKNOWN
+    ran = _find_ran(event)
     failure = errors.make_failure(
         kind,
         SOURCE,
         event.detail,
-        retry_after=RETRY_S if errors.KIND_PROPERTIES[kind].retryable else None,
+        retry_after=RETRY_AFTER_S
+        if errors.KIND_PROPERTIES[kind].retryable
+        else None,
         ran=ran,
     )
     return reply(state, event.token, failure, now)
@@ -82,17 +89,19 @@
     state: states.State, event: messages.ClaimSettled
 ) -> messages.Answer | None:
     """Find the recorded answer; nothing where it is another customer's."""
-    begun = state.tables.begun.get(event.token)
-    if event.outcome is None or begun is None:
+    admitted = state.tables.admitted_queries.get(event.token)
+    if event.outcome is None or admitted is None:
         return None
-    return records.read(event.outcome, begun.submitted.query.customer)
+    return records.decode_answer(
+        event.outcome, admitted.submitted.query.customer
+    )
 
 
-def _say_ran(event: messages.ClaimSettled) -> errors.Ran | None:
+def _find_ran(event: messages.ClaimSettled) -> errors.Ran | None:
     """Say what the table of failures does not: None where it does."""
-    if event.done:
+    if event.completed:
         return errors.Ran.YES
-    if event.result is messages.ClaimResult.EXPIRED and event.over:
+    if event.result is messages.ClaimResult.EXPIRED and event.start_expired:
         # Its claim may be gone by now. Told as not run, it would be sent with
         # a new id, although it may have run under this one.
         return errors.Ran.UNKNOWN
--- a/fuchsiahaven/core/queries/queries.py
+++ b/fuchsiahaven/core/queries/runs.py
@@ -27,10 +27,10 @@
     RETRY = 'retry'
 
 
-class Flight(NamedTuple):
+class Attempt(NamedTuple):
     """Describe one attempt that has not ended."""
 
-    attempt: int
+    number: int
     target: str
     sent: float
     purpose: Purpose
@@ -47,9 +47,9 @@
     low: int
     high: int
     replicas: tuple[str, ...]
-    flights: tuple[Flight, ...] = ()
-    tried: tuple[str, ...] = ()
-    attempt: int = 0
+    in_flight: tuple[Attempt, ...] = ()
+    excluded: tuple[str, ...] = ()
+    last_attempt: int = 0
     rows: Rows | None = None
     reason: coverage.Reason | None = None
     may_have_run: bool = False
@@ -66,14 +66,14 @@
     number: int
     token: int
     query: messages.Query
-    policy: configurations.RequestClass
+    request_class: configurations.RequestClass
     snapshots: Mapping[str, int]
     revision: int
     parts: dict[PartId, Part]
     open_parts: set[PartId]
-    lost_parts: set[PartId]
-    began: float
-    first_attempt: int = 0
+    missing_parts: set[PartId]
+    started_at: float
+    attempt_offset: int = 0
     not_after_epoch: float | None = None
     restarts: int = 0
     ran_before: errors.Ran = errors.Ran.NO
@@ -81,32 +81,32 @@
     @property
     def at_most_once(self) -> bool:
         """Tell whether no searcher may run this twice."""
-        return self.policy.repeat is configurations.Repeat.AT_MOST_ONCE
+        return self.request_class.repeat is configurations.Repeat.AT_MOST_ONCE
 
     @property
-    def needs_all(self) -> bool:
+    def needs_all_parts(self) -> bool:
         """Tell whether a short answer is no answer."""
-        return self.policy.needs is configurations.Needs.COMPLETE
+        return self.request_class.needs is configurations.Needs.COMPLETE
 
 
-def note_sent(
+def add_attempt(
     run: Run, part_id: PartId, target: str, now: float, purpose: Purpose
 ) -> messages.PartKey:
     """Enter a new attempt and return its key."""
     part = run.parts[part_id]
-    attempt = part.attempt + 1
-    flight = Flight(attempt, target, now, purpose)
+    number = part.last_attempt + 1
+    attempt = Attempt(number, target, now, purpose)
     run.parts[part_id] = part._replace(
-        flights=(*part.flights, flight),
-        tried=(*part.tried, target),
-        attempt=attempt,
+        in_flight=(*part.in_flight, attempt),
+        excluded=(*part.excluded, target),
+        last_attempt=number,
     )
-    return messages.PartKey(run.number, part_id.group, part_id.shard, attempt)
+    return messages.PartKey(run.number, part_id.group, part_id.shard, number)
 
 
-def accept(
+def accept_answer(
     run: Run, key: messages.PartKey, rows: Rows
-) -> tuple[Flight, ...] | None:
+) -> tuple[Attempt, ...] | None:
     """Take the first answer to a part; return the attempts it beat.
 
     None where the part is settled already or never had that attempt: a late
@@ -116,15 +116,17 @@
     part = run.parts.get(part_id)
     if part is None or part_id not in run.open_parts:
         return None
-    losers = tuple(f for f in part.flights if f.attempt != key.attempt)
-    if len(losers) == len(part.flights):
+    superseded = tuple(
+        attempt for attempt in part.in_flight if attempt.number != key.attempt
+    )
+    if len(superseded) == len(part.in_flight):
         return None
-    run.parts[part_id] = part._replace(flights=(), rows=rows)
+    run.parts[part_id] = part._replace(in_flight=(), rows=rows)
     run.open_parts.discard(part_id)
-    return losers
+    return superseded
 
 
-def end_flight(
+def end_attempt(
     run: Run,
     key: messages.PartKey,
     reason: coverage.Reason,
@@ -140,14 +142,20 @@
     part = run.parts.get(part_id)
     if part is None or part_id not in run.open_parts:
         return None
-    ended = [f for f in part.flights if f.attempt == key.attempt]
-    tried = part.tried
+    ended = [
+        attempt for attempt in part.in_flight if attempt.number == key.attempt
+    ]
+    excluded = part.excluded
     if reason is coverage.Reason.OVERLOADED and not may_have_run:
-        busy = {flight.target for flight in ended}
-        tried = tuple(name for name in tried if name not in busy)
+        shedding = {attempt.target for attempt in ended}
+        excluded = tuple(name for name in excluded if name not in shedding)
     part = part._replace(
-        flights=tuple(f for f in part.flights if f.attempt != key.attempt),
-        tried=tried,
+        in_flight=tuple(
+            attempt
+            for attempt in part.in_flight
+            if attempt.number != key.attempt
+        ),
+        excluded=excluded,
         reason=reason,
         may_have_run=part.may_have_run or may_have_run,
     )
@@ -155,11 +163,11 @@
     return part
 
 
-def give_up(run: Run, part_id: PartId, reason: coverage.Reason) -> None:
+def mark_missing(run: Run, part_id: PartId, reason: coverage.Reason) -> None:
     """Settle a part as missing."""
     run.parts[part_id] = run.parts[part_id]._replace(reason=reason)
     run.open_parts.discard(part_id)
-    run.lost_parts.add(part_id)
+    run.missing_parts.add(part_id)
 
 
 def is_over(run: Run) -> bool:
@@ -170,29 +178,29 @@
     """
     if not run.open_parts:
         return True
-    return run.needs_all and bool(run.lost_parts)
+    return run.needs_all_parts and bool(run.missing_parts)
 
 
-def list_flights(
+def list_attempts(
     run: Run, part_ids: Iterable[PartId]
-) -> list[tuple[PartId, Flight]]:
+) -> list[tuple[PartId, Attempt]]:
     """List the attempts that have not ended."""
     return [
-        (part_id, flight)
+        (part_id, attempt)
         for part_id in part_ids
-        for flight in run.parts[part_id].flights
+        for attempt in run.parts[part_id].in_flight
     ]
 
 
 def may_have_run(run: Run) -> bool:
     """Tell whether any searcher may have run any part of this."""
     return any(
-        part.rows is not None or part.may_have_run or part.flights
+        part.rows is not None or part.may_have_run or part.in_flight
         for part in run.parts.values()
     )
 
 
-def say_ran(run: Run) -> errors.Ran:
+def get_ran(run: Run) -> errors.Ran:
     """Say whether any searcher ran any part of this or an earlier run."""
     if any(part.rows is not None for part in run.parts.values()):
         return errors.Ran.YES
--- a/fuchsiahaven/core/queries/scatter.py
+++ b/fuchsiahaven/core/queries/scatter.py
@@ -6,47 +6,49 @@
 
 from fuchsiahaven.core import policies, suspects
 from fuchsiahaven.core.queries import (
+    attempts,
     crashes,
-    flights,
-    queries,
+    runs,
     states,
     tables,
 )
-from fuchsiahaven.core.targets import limits, messages, routes
+from fuchsiahaven.core.targets import limits, messages, target_stats
 
 #: Time kept back from the deadline to merge and send the answer, in seconds
 #: and as a part of the deadline, whichever is less.
-ANSWER_MARGIN: Final = 0.02
-ANSWER_SHARE: Final = 0.1
-MILLISECONDS: Final = 1000
+MAX_ANSWER_MARGIN_S: Final = 0.02
+ANSWER_MARGIN_FRACTION: Final = 0.1
+MS_PER_S: Final = 1000
 
 
-def answer_time(run: queries.Run) -> float:
+def compute_answer_time(run: runs.Run) -> float:
     """Return when the answer has to leave to be in time."""
     deadline = run.query.deadline
-    allowed = max(0.0, deadline - run.query.arrived)
-    return deadline - min(ANSWER_MARGIN, ANSWER_SHARE * allowed)
+    allowed_s = max(0.0, deadline - run.query.arrived)
+    return deadline - min(
+        MAX_ANSWER_MARGIN_S, ANSWER_MARGIN_FRACTION * allowed_s
+    )
 
 
 def list_candidates(
-    state: states.State, run: queries.Run, part_id: queries.PartId
+    state: states.State, run: runs.Run, part_id: runs.PartId
 ) -> list[str]:
     """List the replicas that may still be asked for a part."""
     part = run.parts[part_id]
-    leaving = state.tables.leaving
+    leaving = state.tables.leaving_targets
     return [
         name
         for name in part.replicas
-        if name not in part.tried and name not in leaving
+        if name not in part.excluded and name not in leaving
     ]
 
 
-def place(
+def send_or_queue(
     state: states.State,
-    run: queries.Run,
-    part_id: queries.PartId,
+    run: runs.Run,
+    part_id: runs.PartId,
     now: float,
-    purpose: queries.Purpose,
+    purpose: runs.Purpose,
 ) -> list[messages.Action] | None:
     """Send a part to its best replica, or let it wait for room.
 
@@ -54,45 +56,47 @@
     to the load of a group that has no room as it is.
     """
     candidates = list_candidates(state, run, part_id)
-    if not candidates and purpose is queries.Purpose.HEDGE:
-        candidates = _list_slow(run, part_id)
+    if not candidates and purpose is runs.Purpose.HEDGE:
+        candidates = _list_earlier_targets(run, part_id)
     if not candidates:
         return None
-    free = [name for name in candidates if has_room(state, name, now)]
-    if free:
-        chosen = _choose(state, part_id, free, now, once=run.at_most_once)
-        return [send(state, run, part_id, chosen, now, purpose)]
-    if purpose is not queries.Purpose.HEDGE:
-        waiter = tables.Waiter(run.number, part_id, purpose)
+    available = [name for name in candidates if has_room(state, name, now)]
+    if available:
+        chosen = _select_replica(
+            state, part_id, available, now, at_most_once=run.at_most_once
+        )
+        return [send_part(state, run, part_id, chosen, now, purpose)]
+    if purpose is not runs.Purpose.HEDGE:
+        queued = tables.QueuedPart(run.number, part_id, purpose)
         for name in candidates:
-            _enqueue(state, name, waiter)
+            _enqueue(state, name, queued)
     return []
 
 
-def _list_slow(run: queries.Run, part_id: queries.PartId) -> list[str]:
+def _list_earlier_targets(run: runs.Run, part_id: runs.PartId) -> list[str]:
     """List the replicas that already run a part, but for the last asked.
 
     A second attempt at the same replica helps where it is the answer that
     is slow, and not the replica.
     """
-    return [flight.target for flight in run.parts[part_id].flights[:-1]]
+    return [attempt.target for attempt in run.parts[part_id].in_flight[:-1]]
 
 
-def is_full(
+def lacks_room(
     state: states.State,
-    run: queries.Run,
-    part_id: queries.PartId,
+    run: runs.Run,
+    part_id: runs.PartId,
     now: float,
 ) -> bool:
     """Tell whether there are replicas to ask, none of which has room."""
     candidates = list_candidates(state, run, part_id)
-    free = any(has_room(state, name, now) for name in candidates)
-    return bool(candidates) and not free
+    available = any(has_room(state, name, now) for name in candidates)
+    return bool(candidates) and not available
 
 
 def has_room(state: states.State, name: str, now: float) -> bool:
     """Tell whether a target may be sent one more sub-request now."""
-    stats = state.tables.stats.get(name, routes.UNSEEN)
+    stats = state.tables.stats.get(name, target_stats.NO_STATS)
     limit = state.tables.limits.get(name)
     if limit is None:
         return False
@@ -103,18 +107,20 @@
             return limits.may_send(limit, stats.in_flight, now)
 
 
-def send(
+def send_part(
     state: states.State,
-    run: queries.Run,
-    part_id: queries.PartId,
+    run: runs.Run,
+    part_id: runs.PartId,
     name: str,
     now: float,
-    purpose: queries.Purpose,
+    purpose: runs.Purpose,
 ) -> messages.Send:
     """Enter an attempt and build its request."""
-    key = queries.note_sent(run, part_id, name, now, purpose)
-    kind = tables.ClassGroup(run.policy.name, part_id.group)
-    flights.take_off(state, key, tables.Flying(name, now, purpose, kind))
+    key = runs.add_attempt(run, part_id, name, now, purpose)
+    class_group = tables.ClassGroup(run.request_class.name, part_id.group)
+    attempts.record_sent(
+        state, key, tables.AttemptRecord(name, now, purpose, class_group)
+    )
     request = messages.PartRequest(
         run.query.request_id,
         run.query.class_name,
@@ -123,7 +129,7 @@
         run.snapshots[part_id.group],
         key.attempt,
         run.query.terms,
-        answer_time(run),
+        compute_answer_time(run),
         run.at_most_once,
         run.not_after_epoch,
         run.query.customer,
@@ -131,82 +137,84 @@
     return messages.Send(key, state.tables.targets[name], request)
 
 
-def serve_queue(
+def send_queued(
     state: states.State, name: str, now: float
 ) -> list[messages.Action]:
     """Send what waits for a target for as long as it has room."""
-    queue = state.tables.queues.get(name)
+    queue = state.tables.part_queues.get(name)
     actions: list[messages.Action] = []
     while queue and has_room(state, name, now):
-        waiter = queue.popleft()
-        run = state.tables.runs.get(waiter.number)
-        if run is None or not _still_waits(run, waiter, name):
+        queued = queue.popleft()
+        run = state.tables.active_runs.get(queued.run_number)
+        if run is None or not _is_still_queued(run, queued, name):
             continue
         if (
-            crashes.find_gate(state, run.query, now)
+            crashes.get_permission(state, run.query, now)
             is suspects.SendPermission.UNRESTRICTED
         ):
             actions.append(
-                send(state, run, waiter.part_id, name, now, waiter.purpose)
+                send_part(state, run, queued.part_id, name, now, queued.purpose)
             )
         else:
-            due = tables.RetryDue(run.number, waiter.part_id)
-            states.set_timer(state, now, due)
-    _await_room(state, name, now)
+            timer = tables.RetryTimer(run.number, queued.part_id)
+            states.set_timer(state, now, timer)
+    _set_capacity_timer(state, name, now)
     return actions
 
 
-def _choose(
+def _select_replica(
     state: states.State,
-    part_id: queries.PartId,
-    free: Sequence[str],
+    part_id: runs.PartId,
+    available: Sequence[str],
     now: float,
     *,
-    once: bool,
+    at_most_once: bool,
 ) -> str:
-    known = state.tables
+    host_tables = state.tables
     match state.policy.routing:
         case policies.RoundRobinRouting():
-            known.turns[part_id] += 1
-            return free[known.turns[part_id] % len(free)]
+            host_tables.round_robin[part_id] += 1
+            return available[host_tables.round_robin[part_id] % len(available)]
         case policies.MeasuredRouting():
             draws = (state.draw(), state.draw())
-            connect_ms = known.group_of[free[0]].connect_ms
+            connect_ms = host_tables.group_of[available[0]].connect_ms
             # What must not run twice is no trial for a target that failed.
-            chosen = routes.pick_replica(
-                free,
-                known.stats,
+            chosen = target_stats.select_replica(
+                available,
+                host_tables.stats,
                 now,
                 draws,
-                connect_ms / MILLISECONDS,
-                trials=not once,
+                connect_ms / MS_PER_S,
+                allow_trials=not at_most_once,
             )
-            return chosen or free[0]
+            return chosen or available[0]
 
 
-def _enqueue(state: states.State, name: str, waiter: tables.Waiter) -> None:
-    queue = state.tables.queues.get(name)
+def _enqueue(state: states.State, name: str, queued: tables.QueuedPart) -> None:
+    queue = state.tables.part_queues.get(name)
     if queue is None:
         queue = collections.deque()
-        state.tables.queues[name] = queue
-    queue.append(waiter)
+        state.tables.part_queues[name] = queue
+    queue.append(queued)
 
 
-def _await_room(state: states.State, name: str, now: float) -> None:
+def _set_capacity_timer(state: states.State, name: str, now: float) -> None:
     """Set a timer where no answer is under way that would make room."""
     limit = state.tables.limits.get(name)
-    if limit is None or not state.tables.queues.get(name):
+    if limit is None or not state.tables.part_queues.get(name):
         return
-    if not state.tables.stats.get(name, routes.UNSEEN).in_flight:
-        when = max(now, limit.resume_at)
-        states.set_timer(state, when, tables.RoomDue(name))
+    if not state.tables.stats.get(name, target_stats.NO_STATS).in_flight:
+        fires_at = max(now, limit.resume_at)
+        states.set_timer(state, fires_at, tables.CapacityTimer(name))
 
 
-def _still_waits(run: queries.Run, waiter: tables.Waiter, name: str) -> bool:
+def _is_still_queued(
+    run: runs.Run, queued: tables.QueuedPart, name: str
+) -> bool:
     # A part waits at each of its replicas: the first with room takes it.
-    part = run.parts[waiter.part_id]
+    part = run.parts[queued.part_id]
     return (
-        waiter.part_id in run.open_parts
-        and not part.flights
-        and name not in part.tried
+        queued.part_id in run.open_parts
+        and not part.in_flight
+        and name not in part.excluded
     )
--- a/fuchsiahaven/core/queries/states.py
+++ b/fuchsiahaven/core/queries/states.py
@@ -26,11 +26,11 @@
     tables: tables.Tables
     configuration: configurations.Configuration = configurations.EMPTY
     hosts: tuple[str, ...] = ()
-    own: str = ''
+    own_name: str = ''
     stopping: bool = False
 
 
-def start(
+def make_state(
     data_centre: str,
     draw: Callable[[], float],
     policy: policies.Policy = policies.STANDARD,
@@ -39,13 +39,13 @@
     return State(data_centre, draw, policy, tables.make_tables())
 
 
-def set_timer(state: State, when: float, due: tables.Due) -> None:
+def set_timer(state: State, fires_at: float, timer: tables.Timer) -> None:
     """Remember to act at a time."""
     number = next(state.tables.numbers)
-    heapq.heappush(state.tables.timers, (when, number, due))
+    heapq.heappush(state.tables.timers, (fires_at, number, timer))
 
 
-def pop_due(state: State, now: float) -> tables.Due | None:
+def pop_timer(state: State, now: float) -> tables.Timer | None:
     """Take the next timer whose time has come."""
     timers = state.tables.timers
     if timers and timers[0][0] <= now:
@@ -55,7 +55,7 @@
 
 def find_class(state: State, name: str) -> configurations.RequestClass | None:
     """Find a class of request by name."""
-    for policy in state.configuration.classes:
-        if policy.name == name:
-            return policy
+    for request_class in state.configuration.classes:
+        if request_class.name == name:
+            return request_class
     return None
--- a/fuchsiahaven/core/queries/tables.py
+++ b/fuchsiahaven/core/queries/tables.py
@@ -11,15 +11,15 @@
 
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.configuration import configurations, selectors
-from fuchsiahaven.core.queries import admission, budgets, hedges, queries
+from fuchsiahaven.core.queries import admission, budgets, hedges, runs
 from fuchsiahaven.core.targets import (
-    cells,
+    components,
     drains,
     grants,
     limits,
     messages,
-    routes,
     snapshots,
+    target_stats,
 )
 
 
@@ -39,86 +39,86 @@
     CRASHED = 'crashed'
 
 
-class RunDue(NamedTuple):
+class DeadlineTimer(NamedTuple):
     """Say that a run must be answered now."""
 
-    number: int
+    run_number: int
 
 
-class ClaimDue(NamedTuple):
+class ClaimTimer(NamedTuple):
     """Say that a claim took longer than its caller waits."""
 
     token: int
 
 
-class HedgeDue(NamedTuple):
+class HedgeTimer(NamedTuple):
     """Say that a run's slow parts in a group may be hedged."""
 
-    number: int
+    run_number: int
     group: str
-    delay: float
+    delay_s: float
 
 
-class ProbeDue(NamedTuple):
+class ProbeTimer(NamedTuple):
     """Say that a target's health is to be asked."""
 
     target: str
 
 
-class RetryDue(NamedTuple):
+class RetryTimer(NamedTuple):
     """Say that a part which was shed may be asked for again."""
 
-    number: int
-    part_id: queries.PartId
+    run_number: int
+    part_id: runs.PartId
 
 
-class DoubtDue(NamedTuple):
+class TargetCheckTimer(NamedTuple):
     """Say that nobody has told in time whether a target has ended."""
 
     target: str
     part: messages.PartKey
 
 
-class RoomDue(NamedTuple):
+class CapacityTimer(NamedTuple):
     """Say that a target may have room again."""
 
     target: str
 
 
-class StartDue(NamedTuple):
+class StartTimer(NamedTuple):
     """Say that a query may start that was spaced out from the last."""
 
 
-class SeatsDue(NamedTuple):
+class GrantTimer(NamedTuple):
     """Say that the seats at a target may grow to what was dealt."""
 
     target: str
 
 
-class DealDue(NamedTuple):
+class AllocationTimer(NamedTuple):
     """Say that it is time for the next slice of a deal of seats."""
 
 
-Due = (
-    RunDue
-    | ClaimDue
-    | HedgeDue
-    | RetryDue
-    | DoubtDue
-    | ProbeDue
-    | RoomDue
-    | StartDue
-    | SeatsDue
-    | DealDue
+Timer = (
+    DeadlineTimer
+    | ClaimTimer
+    | HedgeTimer
+    | RetryTimer
+    | TargetCheckTimer
+    | ProbeTimer
+    | CapacityTimer
+    | StartTimer
+    | GrantTimer
+    | AllocationTimer
 )
 
 
-class Waiter(NamedTuple):
+class QueuedPart(NamedTuple):
     """Name a part that waits until one of its replicas has room."""
 
-    number: int
-    part_id: queries.PartId
-    purpose: queries.Purpose
+    run_number: int
+    part_id: runs.PartId
+    purpose: runs.Purpose
 
 
 class ClassGroup(NamedTuple):
@@ -128,17 +128,17 @@
     group: str
 
 
-class Flying(NamedTuple):
+class AttemptRecord(NamedTuple):
     """Hold an attempt until its one last event.
 
     `cancelled` is when it was given up, 0 while its rows are wanted.
     """
 
     target: str
-    sent: float
-    purpose: queries.Purpose
-    kind: ClassGroup
-    cancelled: float = 0.0
+    sent_at: float
+    purpose: runs.Purpose
+    class_group: ClassGroup
+    cancelled_at: float = 0.0
 
 
 class Loss(NamedTuple):
@@ -146,8 +146,8 @@
 
     identity: request_identities.Identity
     part: messages.PartKey
-    sent: float
-    lost: float
+    sent_at: float
+    lost_at: float
 
 
 class AdmissionKey(NamedTuple):
@@ -158,33 +158,33 @@
     """
 
     groups: tuple[str, ...]
-    claims: bool
+    needs_claim: bool
 
 
-class Begun(NamedTuple):
+class AdmittedQuery(NamedTuple):
     """Hold a query that was admitted and is not yet answered."""
 
-    submitted: messages.Submitted
-    policy: configurations.RequestClass
-    admitted_by: AdmissionKey
-    began: float
+    submitted: messages.QuerySubmitted
+    request_class: configurations.RequestClass
+    admission_key: AdmissionKey
+    started_at: float
     claimed: bool = False
 
 
-class Finished(NamedTuple):
+class FinishedQuery(NamedTuple):
     """Say that an admitted query was answered and how long it ran."""
 
-    admitted_by: AdmissionKey
+    admission_key: AdmissionKey
     class_name: str
     run_s: float
-    strained: bool
+    overloaded: bool
 
 
-class Deal(NamedTuple):
+class AllocationBatch(NamedTuple):
     """Name targets whose seats are to be dealt together, and their cap."""
 
-    cap: int
-    shards: cells.Component
+    max_connections: int
+    shards: components.Component
 
 
 class View(NamedTuple):
@@ -194,8 +194,8 @@
     data centres that a selector adds as well.
     """
 
-    near: tuple[snapshots.Pin, ...]
-    wide: tuple[snapshots.Pin, ...]
+    local: tuple[snapshots.Pin, ...]
+    extended: tuple[snapshots.Pin, ...]
 
 
 class Tables(NamedTuple):
@@ -211,36 +211,36 @@
     """
 
     numbers: 'itertools.count[int]'
-    timers: list[tuple[float, int, Due]]
+    timers: list[tuple[float, int, Timer]]
     counts: 'collections.Counter[Count]'
-    admitted: dict[AdmissionKey, admission.Admission]
-    waiting: dict[int, messages.Submitted]
-    begun: dict[int, Begun]
-    finished: list[Finished]
-    runs: dict[int, queries.Run]
-    flying: dict[messages.PartKey, Flying]
-    queues: 'dict[str, collections.deque[Waiter]]'
-    turns: 'collections.Counter[queries.PartId]'
+    admissions: dict[AdmissionKey, admission.Admission]
+    queued_queries: dict[int, messages.QuerySubmitted]
+    admitted_queries: dict[int, AdmittedQuery]
+    finished_queries: list[FinishedQuery]
+    active_runs: dict[int, runs.Run]
+    attempts: dict[messages.PartKey, AttemptRecord]
+    part_queues: 'dict[str, collections.deque[QueuedPart]]'
+    round_robin: 'collections.Counter[runs.PartId]'
     targets: dict[str, configurations.Target]
     group_of: dict[str, configurations.Group]
-    unheard: set[str]
-    misses: 'collections.Counter[str]'
-    probes: dict[str, float]
-    reported: dict[str, float]
-    versions: dict[str, int]
-    confirmed: dict[str, float]
-    standings: dict[str, drains.Standing]
-    leaving: set[str]
-    stats: dict[str, routes.TargetStats]
+    unreported_targets: set[str]
+    missed_probes: 'collections.Counter[str]'
+    next_probes: dict[str, float]
+    report_times: dict[str, float]
+    health_versions: dict[str, int]
+    confirm_times: dict[str, float]
+    drain_states: dict[str, drains.DrainState]
+    leaving_targets: set[str]
+    stats: dict[str, target_stats.TargetStats]
     limits: dict[str, limits.Limit]
     grants: dict[str, grants.Grant]
-    undealt: dict[str, configurations.Group]
-    deals: list[Deal]
-    windows: dict[ClassGroup, hedges.Window]
+    unallocated_groups: dict[str, configurations.Group]
+    allocation_batches: list[AllocationBatch]
+    latency_windows: dict[ClassGroup, hedges.Window]
     budgets: dict[ClassGroup, budgets.Budget]
-    known: dict[str, snapshots.Known]
-    in_use: 'collections.Counter[str]'
-    reached: dict[str, tuple[selectors.ReachableGroup, ...]]
+    group_snapshots: dict[str, snapshots.GroupSnapshots]
+    pinned_snapshots: 'collections.Counter[str]'
+    reachable_groups: dict[str, tuple[selectors.ReachableGroup, ...]]
     views: dict[tuple[str, tuple[str, ...]], View]
     losses: dict[str, list[Loss]]
     suspects: suspects.Suspects
@@ -252,34 +252,34 @@
         numbers=itertools.count(1),
         timers=[],
         counts=collections.Counter(),
-        admitted={},
-        waiting={},
-        begun={},
-        finished=[],
-        runs={},
-        flying={},
-        queues={},
-        turns=collections.Counter(),
+        admissions={},
+        queued_queries={},
+        admitted_queries={},
+        finished_queries=[],
+        active_runs={},
+        attempts={},
+        part_queues={},
+        round_robin=collections.Counter(),
         targets={},
         group_of={},
-        unheard=set(),
-        misses=collections.Counter(),
-        probes={},
-        reported={},
-        versions={},
-        confirmed={},
-        standings={},
-        leaving=set(),
+        unreported_targets=set(),
+        missed_probes=collections.Counter(),
+        next_probes={},
+        report_times={},
+        health_versions={},
+        confirm_times={},
+        drain_states={},
+        leaving_targets=set(),
         stats={},
         limits={},
         grants={},
-        undealt={},
-        deals=[],
-        windows={},
+        unallocated_groups={},
+        allocation_batches=[],
+        latency_windows={},
         budgets={},
-        known={},
-        in_use=collections.Counter(),
-        reached={},
+        group_snapshots={},
+        pinned_snapshots=collections.Counter(),
+        reachable_groups={},
         views={},
         losses={},
         suspects=suspects.Suspects(),
--- a/fuchsiahaven/core/queries/target_events.py
+++ b/fuchsiahaven/core/queries/target_events.py
@@ -4,26 +4,26 @@
 from typing import Final
 
 from fuchsiahaven.core.configuration import configurations
-from fuchsiahaven.core.queries import deals, states, tables, views
+from fuchsiahaven.core.queries import allocations, states, tables, views
 from fuchsiahaven.core.targets import (
     drains,
     limits,
     messages,
-    routes,
     snapshots,
+    target_stats,
 )
 
-PROBE_JITTER: Final = 0.2
-PROBE_GRID_S: Final = 0.05
+PROBE_JITTER_FRACTION: Final = 0.2
+PROBE_BATCH_S: Final = 0.05
 #: A report can be late because this host is: one lost is no evidence.
-MAX_MISSES: Final = 3
+MAX_MISSED_PROBES: Final = 3
 #: How often a target without a seat for this host is asked what it holds.
-PEEK_EVERY_S: Final = 60.0
+UNUSED_PROBE_INTERVAL_S: Final = 60.0
 #: How often a target is asked whose answers say that nothing has changed.
-ASK_ANYWAY_S: Final = 30.0
+MAX_REPORT_AGE_S: Final = 30.0
 
 
-def configure(
+def handle_configuration(
     state: states.State,
     configuration: configurations.Configuration,
     now: float,
@@ -32,49 +32,51 @@
     if configuration.revision <= state.configuration.revision:
         return state, []
     state = state._replace(configuration=configuration)
-    known = state.tables
-    before = dict(known.targets)
-    shares = deals.list_shares(state)
-    known.reached.clear()
-    known.views.clear()
-    known.targets.clear()
-    known.group_of.clear()
+    host_tables = state.tables
+    previous = dict(host_tables.targets)
+    previous_inputs = allocations.list_inputs(state)
+    host_tables.reachable_groups.clear()
+    host_tables.views.clear()
+    host_tables.targets.clear()
+    host_tables.group_of.clear()
     for group, target in views.list_targets(state):
-        known.targets[target.name] = target
-        known.group_of[target.name] = group
+        host_tables.targets[target.name] = target
+        host_tables.group_of[target.name] = group
     actions: list[messages.Action] = []
-    for gone, target in before.items():
+    for removed, target in previous.items():
         # With another address the name stands for another process.
-        if known.targets.get(gone) != target:
-            _forget(state, gone)
-            actions.append(messages.Allot(target, 0))
-    for name in known.targets:
-        if name not in known.standings:
-            _begin(state, name, now)
-        _mark(state, name, now)
-    deals.plan_changed(state, shares)
-    return state, [*actions, *deals.go_on(state, now)]
-
-
-def probe(state: states.State, name: str, now: float) -> list[messages.Action]:
+        if host_tables.targets.get(removed) != target:
+            _remove_target(state, removed)
+            actions.append(messages.LimitConnections(target, 0))
+    for name in host_tables.targets:
+        if name not in host_tables.drain_states:
+            _add_target(state, name, now)
+        _record_mark(state, name, now)
+    allocations.schedule_changed(state, previous_inputs)
+    return state, [*actions, *allocations.run_slice(state, now)]
+
+
+def handle_probe_timer(
+    state: states.State, name: str, now: float
+) -> list[messages.Action]:
     """Ask for a health report and set the time of the next."""
     target = state.tables.targets.get(name)
-    if target is None or now < state.tables.probes[name]:
+    if target is None or now < state.tables.next_probes[name]:
         # The probe was moved; another timer runs for it.
         return []
-    jitter = 1 - PROBE_JITTER * state.draw()
-    every = drains.PROBE_EVERY_S
-    if not state.tables.limits[name].seats:
-        every = PEEK_EVERY_S
-    confirmed = _find_confirmed(state, name, now)
-    if confirmed + every * jitter > now:
-        _schedule(state, name, confirmed + every * jitter)
+    jitter = 1 - PROBE_JITTER_FRACTION * state.draw()
+    interval_s = drains.PROBE_INTERVAL_S
+    if not state.tables.limits[name].connections:
+        interval_s = UNUSED_PROBE_INTERVAL_S
+    confirm_time = _get_confirm_time(state, name, now)
+    if confirm_time + interval_s * jitter > now:
+        _schedule_probe(state, name, confirm_time + interval_s * jitter)
         return []
-    _schedule(state, name, now + every * jitter)
+    _schedule_probe(state, name, now + interval_s * jitter)
     return [messages.Probe(target)]
 
 
-def note_version(
+def record_health_version(
     state: states.State, name: str, version: int | None, now: float
 ) -> None:
     """Note that an answer confirms the last health report, or does not.
@@ -83,199 +85,212 @@
     alone would cost more than all other control traffic. An answer that
     names the version of the report already known says the same for nothing.
     """
-    known = state.tables
-    if version is not None and known.versions.get(name) == version:
-        known.confirmed[name] = now
+    host_tables = state.tables
+    if version is not None and host_tables.health_versions.get(name) == version:
+        host_tables.confirm_times[name] = now
     else:
-        known.confirmed.pop(name, None)
+        host_tables.confirm_times.pop(name, None)
 
 
-def take_report(
-    state: states.State, event: messages.Probed, now: float
+def handle_probed(
+    state: states.State, event: messages.TargetProbed, now: float
 ) -> None:
     """Learn what a target holds and how it is."""
     name, health = event
     if name not in state.tables.targets:
         return
-    state.tables.unheard.discard(name)
+    state.tables.unreported_targets.discard(name)
     if health is None:
-        _miss(state, name, now)
+        _record_missed_probe(state, name, now)
         return
-    state.tables.misses.pop(name, None)
-    standing = state.tables.standings[name]
-    if not drains.is_fresh(standing, health):
+    state.tables.missed_probes.pop(name, None)
+    drain_state = state.tables.drain_states[name]
+    if not drains.is_newer(drain_state, health):
         return
-    noted = drains.note_health(standing, health, now)
-    _judge(state, name, noted, now)
-    _learn(state, name, health.holdings, now)
-    _take_load(state, name, health, now)
-    _take_version(state, health, now)
-    if noted.renewed > standing.renewed or _turned_cold(state, health, now):
+    updated = drains.record_health(drain_state, health, now)
+    _update_drain_state(state, name, updated, now)
+    _update_holdings(state, name, health.holdings, now)
+    _record_load(state, name, health, now)
+    _record_report_version(state, health, now)
+    if updated.restarted_at > drain_state.restarted_at or _became_cold(
+        state, health, now
+    ):
         limit = state.tables.limits[name]
-        state.tables.limits[name] = limits.note_cold(limit, now)
+        state.tables.limits[name] = limits.record_cold(limit, now)
 
 
-def take_state(
+def record_state(
     state: states.State,
     name: str,
-    told: messages.TargetState,
-    asked: float,
+    target_state: messages.TargetState,
+    sent_at: float,
     now: float,
 ) -> None:
     """Take in what a target said of itself in an answer."""
-    standing = state.tables.standings.get(name)
-    if standing is not None and told is messages.TargetState.LEAVING:
-        _judge(state, name, drains.note_answer(standing, told, asked), now)
+    drain_state = state.tables.drain_states.get(name)
+    if drain_state is not None and target_state is messages.TargetState.LEAVING:
+        _update_drain_state(
+            state,
+            name,
+            drains.record_answer(drain_state, target_state, sent_at),
+            now,
+        )
 
 
-def take_list(
-    state: states.State, event: messages.HostListed, now: float
+def handle_host_list(
+    state: states.State, event: messages.HostListRead, now: float
 ) -> None:
     """Take the platform's word for which targets are leaving."""
     for leaving, names in ((True, event.leaving), (False, event.live)):
         for name in names:
-            standing = state.tables.standings.get(name)
-            if standing is not None:
-                standing = drains.note_listed(
-                    standing, leaving=leaving, now=now
+            drain_state = state.tables.drain_states.get(name)
+            if drain_state is not None:
+                drain_state = drains.record_listing(
+                    drain_state, leaving=leaving, now=now
                 )
-                _judge(state, name, standing, now)
+                _update_drain_state(state, name, drain_state, now)
 
 
-def take_connections(
+def handle_connections(
     state: states.State, event: messages.ConnectionsChanged
 ) -> None:
     """Learn how many connections to a target are open and idle."""
     if event.target in state.tables.limits:
-        stats = state.tables.stats.get(event.target, routes.UNSEEN)
-        state.tables.stats[event.target] = routes.note_connections(
+        stats = state.tables.stats.get(event.target, target_stats.NO_STATS)
+        state.tables.stats[event.target] = target_stats.record_connections(
             stats, event.opened
         )
 
 
-def drop_snapshot(state: states.State, name: str, snapshot: int) -> None:
+def discard_snapshot(state: states.State, name: str, snapshot: int) -> None:
     """Believe a target which says that it no longer has a snapshot."""
     group = state.tables.group_of.get(name)
     if group is None:
         return
-    known = state.tables.known.get(group.name)
-    if known is not None:
-        state.tables.known[group.name] = snapshots.drop(known, name, snapshot)
-        views.forget(state, group.name)
+    current = state.tables.group_snapshots.get(group.name)
+    if current is not None:
+        state.tables.group_snapshots[group.name] = snapshots.discard_snapshot(
+            current, name, snapshot
+        )
+        views.discard_views(state, group.name)
 
 
-def _begin(state: states.State, name: str, now: float) -> None:
-    state.tables.unheard.add(name)
-    state.tables.standings[name] = drains.Standing()
-    state.tables.limits[name] = limits.start_limit(0)
+def _add_target(state: states.State, name: str, now: float) -> None:
+    state.tables.unreported_targets.add(name)
+    state.tables.drain_states[name] = drains.DrainState()
+    state.tables.limits[name] = limits.make_limit(0)
     # The first probes are spread, or every host would ask every target at
     # the moment at which a configuration arrives.
-    _schedule(state, name, now + PROBE_JITTER * state.draw())
+    _schedule_probe(state, name, now + PROBE_JITTER_FRACTION * state.draw())
 
 
-def _schedule(state: states.State, name: str, when: float) -> None:
+def _schedule_probe(state: states.State, name: str, due_at: float) -> None:
     # Probes go out in batches: to wake up for each alone costs more than the
     # probe itself.
-    when = math.ceil(when / PROBE_GRID_S) * PROBE_GRID_S
-    state.tables.probes[name] = when
-    states.set_timer(state, when, tables.ProbeDue(name))
+    due_at = math.ceil(due_at / PROBE_BATCH_S) * PROBE_BATCH_S
+    state.tables.next_probes[name] = due_at
+    states.set_timer(state, due_at, tables.ProbeTimer(name))
 
 
-def _mark(state: states.State, name: str, now: float) -> None:
+def _record_mark(state: states.State, name: str, now: float) -> None:
     marked = name in state.tables.group_of[name].leaving
-    standing = state.tables.standings[name]
-    standing = drains.note_marked(standing, marked=marked, now=now)
-    _judge(state, name, standing, now)
-
-
-def _forget(state: states.State, name: str) -> None:
-    known = state.tables
-    known.unheard.discard(name)
-    known.leaving.discard(name)
-    known.standings.pop(name, None)
-    known.stats.pop(name, None)
-    known.limits.pop(name, None)
-    known.grants.pop(name, None)
-    known.misses.pop(name, None)
-    known.probes.pop(name, None)
-    known.reported.pop(name, None)
-    known.versions.pop(name, None)
-    known.confirmed.pop(name, None)
-    for group, held in known.known.items():
-        known.known[group] = snapshots.forget(held, name)
-
-
-def _judge(
-    state: states.State, name: str, standing: drains.Standing, now: float
+    drain_state = state.tables.drain_states[name]
+    drain_state = drains.record_mark(drain_state, marked=marked, now=now)
+    _update_drain_state(state, name, drain_state, now)
+
+
+def _remove_target(state: states.State, name: str) -> None:
+    host_tables = state.tables
+    host_tables.unreported_targets.discard(name)
+    host_tables.leaving_targets.discard(name)
+    host_tables.drain_states.pop(name, None)
+    host_tables.stats.pop(name, None)
+    host_tables.limits.pop(name, None)
+    host_tables.grants.pop(name, None)
+    host_tables.missed_probes.pop(name, None)
+    host_tables.next_probes.pop(name, None)
+    host_tables.report_times.pop(name, None)
+    host_tables.health_versions.pop(name, None)
+    host_tables.confirm_times.pop(name, None)
+    for group, current in host_tables.group_snapshots.items():
+        host_tables.group_snapshots[group] = snapshots.remove_target(
+            current, name
+        )
+
+
+def _update_drain_state(
+    state: states.State, name: str, drain_state: drains.DrainState, now: float
 ) -> None:
-    state.tables.standings[name] = standing
-    leaving = drains.is_leaving(standing)
-    if leaving == (name in state.tables.leaving):
+    state.tables.drain_states[name] = drain_state
+    leaving = drains.is_leaving(drain_state)
+    if leaving == (name in state.tables.leaving_targets):
         return
     if leaving:
-        state.tables.leaving.add(name)
+        state.tables.leaving_targets.add(name)
     else:
-        state.tables.leaving.discard(name)
+        state.tables.leaving_targets.discard(name)
     group = state.tables.group_of[name]
-    views.forget(state, group.name)
-    deals.plan(state, group, now)
+    views.discard_views(state, group.name)
+    allocations.schedule(state, group, now)
 
 
-def _miss(state: states.State, name: str, now: float) -> None:
-    state.tables.misses[name] += 1
-    if state.tables.misses[name] == MAX_MISSES:
-        _learn(state, name, (), now)
+def _record_missed_probe(state: states.State, name: str, now: float) -> None:
+    state.tables.missed_probes[name] += 1
+    if state.tables.missed_probes[name] == MAX_MISSED_PROBES:
+        _update_holdings(state, name, (), now)
 
 
-def _learn(
+def _update_holdings(
     state: states.State,
     name: str,
     holdings: tuple[snapshots.Holding, ...],
     now: float,
 ) -> None:
     group = state.tables.group_of[name]
-    known = state.tables.known.get(group.name, snapshots.Known(group.name))
-    learnt = snapshots.learn(known, name, holdings)
-    if learnt is not known:
-        state.tables.known[group.name] = learnt
-        views.forget(state, group.name)
-        deals.plan(state, group, now)
+    current = state.tables.group_snapshots.get(
+        group.name, snapshots.GroupSnapshots(group.name)
+    )
+    updated = snapshots.update_holdings(current, name, holdings)
+    if updated is not current:
+        state.tables.group_snapshots[group.name] = updated
+        views.discard_views(state, group.name)
+        allocations.schedule(state, group, now)
 
 
-def _take_load(
+def _record_load(
     state: states.State, name: str, health: messages.Health, now: float
 ) -> None:
-    stats = state.tables.stats.get(name, routes.UNSEEN)
-    stats = routes.note_probed(stats, now)
-    state.tables.stats[name] = routes.note_load(stats, health.load, now)
+    stats = state.tables.stats.get(name, target_stats.NO_STATS)
+    stats = target_stats.record_probe(stats, now)
+    state.tables.stats[name] = target_stats.record_load(stats, health.load, now)
 
 
-def _take_version(
+def _record_report_version(
     state: states.State, health: messages.Health, now: float
 ) -> None:
-    known = state.tables
-    known.reported[health.name] = now
-    known.confirmed.pop(health.name, None)
+    host_tables = state.tables
+    host_tables.report_times[health.name] = now
+    host_tables.confirm_times.pop(health.name, None)
     if health.version is None:
-        known.versions.pop(health.name, None)
+        host_tables.health_versions.pop(health.name, None)
     else:
-        known.versions[health.name] = health.version
+        host_tables.health_versions[health.name] = health.version
 
 
-def _find_confirmed(state: states.State, name: str, now: float) -> float:
-    known = state.tables
+def _get_confirm_time(state: states.State, name: str, now: float) -> float:
+    host_tables = state.tables
     # What an answer says wrongly would be believed for ever if nothing else
     # were asked; a target that cannot be heard has nothing confirmed either.
-    reported = known.reported.get(name, -math.inf)
-    if now - reported >= ASK_ANYWAY_S or known.misses[name]:
+    reported = host_tables.report_times.get(name, -math.inf)
+    if now - reported >= MAX_REPORT_AGE_S or host_tables.missed_probes[name]:
         return -math.inf
-    return known.confirmed.get(name, -math.inf)
+    return host_tables.confirm_times.get(name, -math.inf)
 
 
-def _turned_cold(
+def _became_cold(
     state: states.State, health: messages.Health, now: float
 ) -> bool:
     # A target says for seconds that it is cold; its ramp starts once.
     if health.state is not messages.TargetState.COLD:
         return False
-    return now - state.tables.limits[health.name].cold_since > limits.RAMP_S
+    return now - state.tables.limits[health.name].cold_since > limits.RAMP_UP_S
--- a/fuchsiahaven/core/queries/views.py
+++ b/fuchsiahaven/core/queries/views.py
@@ -7,52 +7,52 @@
 from fuchsiahaven.core.targets import snapshots
 
 
-def reach(
+def list_reachable(
     state: states.State, class_name: str
 ) -> tuple[selectors.ReachableGroup, ...]:
     """List the groups that a class reaches under the configuration."""
-    reached = state.tables.reached.get(class_name)
-    if reached is None:
-        reached = selectors.list_reachable(state.configuration, class_name)
-        state.tables.reached[class_name] = reached
-    return reached
+    reachable = state.tables.reachable_groups.get(class_name)
+    if reachable is None:
+        reachable = selectors.list_reachable(state.configuration, class_name)
+        state.tables.reachable_groups[class_name] = reachable
+    return reachable
 
 
-def find_admission(
-    state: states.State, policy: configurations.RequestClass
+def get_admission_key(
+    state: states.State, request_class: configurations.RequestClass
 ) -> tables.AdmissionKey:
     """Say with which other queries those of a class are admitted."""
-    groups = (one.group.name for one in reach(state, policy.name))
-    claims = policy.repeat is configurations.Repeat.AT_MOST_ONCE
-    return tables.AdmissionKey(tuple(sorted(groups)), claims)
+    groups = (it.group.name for it in list_reachable(state, request_class.name))
+    needs_claim = request_class.repeat is configurations.Repeat.AT_MOST_ONCE
+    return tables.AdmissionKey(tuple(sorted(groups)), needs_claim)
 
 
 def list_targets(
     state: states.State,
 ) -> Iterator[tuple[configurations.Group, configurations.Target]]:
     """List the targets that any class may reach from this data centre."""
-    for policy in state.configuration.classes:
-        for reached in reach(state, policy.name):
-            centres = (state.data_centre, *reached.data_centres)
-            for target in reached.group.targets:
-                if target.data_centre in centres:
-                    yield reached.group, target
+    for request_class in state.configuration.classes:
+        for reachable in list_reachable(state, request_class.name):
+            data_centres = (state.data_centre, *reachable.data_centres)
+            for target in reachable.group.targets:
+                if target.data_centre in data_centres:
+                    yield reachable.group, target
 
 
-def pin(
+def pin_snapshot(
     state: states.State,
-    reached: selectors.ReachableGroup,
+    reachable: selectors.ReachableGroup,
     position: int | None,
     newer_than: int,
 ) -> snapshots.Pin | None:
     """Pin a snapshot of a group, in the own data centre if it is whole."""
-    chosen = _choose(state, reached, position, newer_than)
+    chosen = _choose_pin(state, reachable, position, newer_than)
     if chosen is not None and chosen.complete:
-        state.tables.in_use[reached.group.name] = chosen.snapshot
+        state.tables.pinned_snapshots[reachable.group.name] = chosen.snapshot
     return chosen
 
 
-def forget(state: states.State, group: str) -> None:
+def discard_views(state: states.State, group: str) -> None:
     """Make the next query look at a group's targets again."""
     views = state.tables.views
     stale = [key for key in views if key[0] == group]
@@ -60,46 +60,54 @@
         views.pop(key)
 
 
-def _choose(
+def _choose_pin(
     state: states.State,
-    reached: selectors.ReachableGroup,
+    reachable: selectors.ReachableGroup,
     position: int | None,
     newer_than: int,
 ) -> snapshots.Pin | None:
-    view = _view(state, reached)
-    in_use = state.tables.in_use[reached.group.name]
-    near = snapshots.choose(view.near, newer_than, position, in_use)
-    if near is not None and near.complete or view.wide is view.near:
-        return near
-    wide = snapshots.choose(view.wide, newer_than, position, in_use)
-    if near is None or wide is not None and wide.held > near.held:
-        return wide
-    return near
-
-
-def _view(
-    state: states.State, reached: selectors.ReachableGroup
+    view = _get_view(state, reachable)
+    pinned = state.tables.pinned_snapshots[reachable.group.name]
+    local = snapshots.choose_pin(view.local, newer_than, position, pinned)
+    if local is not None and local.complete or view.extended is view.local:
+        return local
+    extended = snapshots.choose_pin(view.extended, newer_than, position, pinned)
+    if (
+        local is None
+        or extended is not None
+        and extended.available_shards > local.available_shards
+    ):
+        return extended
+    return local
+
+
+def _get_view(
+    state: states.State, reachable: selectors.ReachableGroup
 ) -> tables.View:
-    key = (reached.group.name, reached.data_centres)
-    found = state.tables.views.get(key)
-    if found is None:
-        found = _build(state, reached)
-        state.tables.views[key] = found
-    return found
+    key = (reachable.group.name, reachable.data_centres)
+    view = state.tables.views.get(key)
+    if view is None:
+        view = _build_view(state, reachable)
+        state.tables.views[key] = view
+    return view
 
 
-def _build(
-    state: states.State, reached: selectors.ReachableGroup
+def _build_view(
+    state: states.State, reachable: selectors.ReachableGroup
 ) -> tables.View:
-    known = state.tables.known.get(reached.group.name)
-    if known is None:
+    group_snapshots = state.tables.group_snapshots.get(reachable.group.name)
+    if group_snapshots is None:
         return tables.View((), ())
-    own = (state.data_centre,)
-    near = snapshots.list_pins(known, _list_usable(state, reached.group, own))
-    if not reached.data_centres:
-        return tables.View(near, near)
-    usable = _list_usable(state, reached.group, (*own, *reached.data_centres))
-    return tables.View(near, snapshots.list_pins(known, usable))
+    own_data_centre = (state.data_centre,)
+    local = snapshots.list_pins(
+        group_snapshots, _list_usable(state, reachable.group, own_data_centre)
+    )
+    if not reachable.data_centres:
+        return tables.View(local, local)
+    usable = _list_usable(
+        state, reachable.group, (*own_data_centre, *reachable.data_centres)
+    )
+    return tables.View(local, snapshots.list_pins(group_snapshots, usable))
 
 
 def _list_usable(
@@ -107,11 +115,11 @@
     group: configurations.Group,
     data_centres: Iterable[str],
 ) -> frozenset[str]:
-    centres = frozenset(data_centres)
+    allowed = frozenset(data_centres)
     return frozenset(
         target.name
         for target in group.targets
-        if target.data_centre in centres
-        and target.name not in state.tables.leaving
-        and state.tables.limits[target.name].seats
+        if target.data_centre in allowed
+        and target.name not in state.tables.leaving_targets
+        and state.tables.limits[target.name].connections
     )
--- a/fuchsiahaven/core/targets/drains.py
+++ b/fuchsiahaven/core/targets/drains.py
@@ -16,22 +16,22 @@
 # How far the host list may lag. A list read within this time after a restart
 # was learned may still mean the process before it, and a `live` read within
 # this time after a `leaving` may come from an older copy.
-LIST_LAG_S: Final = 30.0
+MAX_LIST_LAG_S: Final = 30.0
 
 # The longest time from the first sign of leaving to the last new work is
 # the sum of these and of one round trip, which stays under 3 s.
-PROBE_EVERY_S: Final = 1.0
+PROBE_INTERVAL_S: Final = 1.0
 PROBE_TIMEOUT_S: Final = 1.0
 
 
-class Stamp(NamedTuple):
+class ReportKey(NamedTuple):
     """Order a target's own reports: process first, then report."""
 
     started_epoch: float
     sequence: int
 
 
-class Standing(NamedTuple):
+class DrainState(NamedTuple):
     """Hold the evidence about one target; times are monotonic seconds.
 
     `told`: the present process said that it leaves. `confirmed`: its newest
@@ -41,101 +41,117 @@
     was learned.
     """
 
-    stamp: Stamp | None = None
-    told: bool = False
-    confirmed: bool = False
+    last_report: ReportKey | None = None
+    self_reported: bool = False
+    report_confirmed: bool = False
     listed: bool = False
-    unlisted: float = math.inf
+    unlisted_at: float = math.inf
     marked: bool = False
-    renewed: float = -math.inf
-    cleared: float = -math.inf
+    restarted_at: float = -math.inf
+    cleared_at: float = -math.inf
 
 
-def is_leaving(standing: Standing) -> bool:
+def is_leaving(drain_state: DrainState) -> bool:
     """Tell whether the target may get no new work."""
-    return standing.told or standing.listed or standing.marked
+    return drain_state.self_reported or drain_state.listed or drain_state.marked
 
 
-def is_fresh(standing: Standing, health: messages.Health) -> bool:
+def is_newer(drain_state: DrainState, health: messages.Health) -> bool:
     """Tell whether a report is newer than all before it.
 
     Reports can overtake each other; an older one would also bring back
     holdings that the target has dropped.
     """
-    return standing.stamp is None or _get_stamp(health) > standing.stamp
+    return (
+        drain_state.last_report is None
+        or _get_report_key(health) > drain_state.last_report
+    )
 
 
-def note_answer(
-    standing: Standing, state: messages.TargetState, asked: float
-) -> Standing:
+def record_answer(
+    drain_state: DrainState, state: messages.TargetState, sent_at: float
+) -> DrainState:
     """Take in the state in an answer or refusal to what was sent at `asked`.
 
     An answer has no stamp. One to a request from before the target came back
     may be of the process before, and would take the new one out for good.
     """
     if state is not messages.TargetState.LEAVING:
-        return standing
-    if asked < standing.cleared or (standing.told and not standing.confirmed):
-        return standing
-    return standing._replace(told=True, confirmed=False)
+        return drain_state
+    if sent_at < drain_state.cleared_at or (
+        drain_state.self_reported and not drain_state.report_confirmed
+    ):
+        return drain_state
+    return drain_state._replace(self_reported=True, report_confirmed=False)
 
 
-def note_health(
-    standing: Standing, health: messages.Health, now: float
-) -> Standing:
+def record_health(
+    drain_state: DrainState, health: messages.Health, now: float
+) -> DrainState:
     """Take in the target's own report, unless an older one comes late."""
-    if not is_fresh(standing, health):
-        return standing
-    before = standing.stamp
-    renewed = before is not None and health.started_epoch > before.started_epoch
-    noted = standing._replace(stamp=_get_stamp(health))
-    if renewed:
-        noted = noted._replace(
-            told=False,
-            confirmed=False,
+    if not is_newer(drain_state, health):
+        return drain_state
+    last_report = drain_state.last_report
+    restarted = (
+        last_report is not None
+        and health.started_epoch > last_report.started_epoch
+    )
+    updated = drain_state._replace(last_report=_get_report_key(health))
+    if restarted:
+        updated = updated._replace(
+            self_reported=False,
+            report_confirmed=False,
             listed=False,
-            unlisted=math.inf,
-            renewed=now,
-            cleared=now,
+            unlisted_at=math.inf,
+            restarted_at=now,
+            cleared_at=now,
         )
     if health.state is messages.TargetState.LEAVING:
-        return noted._replace(told=True, confirmed=True)
-    return _take_back(noted, now)
+        return updated._replace(self_reported=True, report_confirmed=True)
+    return _clear_leaving(updated, now)
 
 
-def note_listed(standing: Standing, *, leaving: bool, now: float) -> Standing:
+def record_listing(
+    drain_state: DrainState, *, leaving: bool, now: float
+) -> DrainState:
     """Take in a newly read host list that names the target."""
     if not leaving:
-        return standing._replace(unlisted=min(standing.unlisted, now))
-    if now < standing.renewed + LIST_LAG_S:
-        return standing
-    return standing._replace(listed=True, unlisted=math.inf)
+        return drain_state._replace(
+            unlisted_at=min(drain_state.unlisted_at, now)
+        )
+    if now < drain_state.restarted_at + MAX_LIST_LAG_S:
+        return drain_state
+    return drain_state._replace(listed=True, unlisted_at=math.inf)
 
 
-def note_marked(standing: Standing, *, marked: bool, now: float) -> Standing:
+def record_mark(
+    drain_state: DrainState, *, marked: bool, now: float
+) -> DrainState:
     """Take in the operator's mark of a newly accepted configuration.
 
     Taking a mark off is an operator's word that the target is live, and ends
     all evidence from before. It also frees a target whose clock went back
     between two processes, so that its reports look old.
     """
-    if standing.marked and not marked:
-        return Standing(renewed=now, cleared=now)
-    return standing._replace(marked=marked)
+    if drain_state.marked and not marked:
+        return DrainState(restarted_at=now, cleared_at=now)
+    return drain_state._replace(marked=marked)
 
 
-def _get_stamp(health: messages.Health) -> Stamp:
-    return Stamp(health.started_epoch, health.sequence)
+def _get_report_key(health: messages.Health) -> ReportKey:
+    return ReportKey(health.started_epoch, health.sequence)
 
 
-def _take_back(standing: Standing, now: float) -> Standing:
+def _clear_leaving(drain_state: DrainState, now: float) -> DrainState:
     # `live` ends only what is known to be older than it. A report that said
     # `leaving` is; an answer is not, for it may have overtaken a report that
     # lags. A listing is when the list has long taken it back as well.
-    if standing.told and standing.confirmed:
-        standing = standing._replace(told=False, confirmed=False, cleared=now)
-    if standing.listed and now >= standing.unlisted + LIST_LAG_S:
-        standing = standing._replace(
-            listed=False, unlisted=math.inf, cleared=now
+    if drain_state.self_reported and drain_state.report_confirmed:
+        drain_state = drain_state._replace(
+            self_reported=False, report_confirmed=False, cleared_at=now
+        )
+    if drain_state.listed and now >= drain_state.unlisted_at + MAX_LIST_LAG_S:
+        drain_state = drain_state._replace(
+            listed=False, unlisted_at=math.inf, cleared_at=now
         )
-    return standing
+    return drain_state
--- a/fuchsiahaven/core/targets/ejections.py
+++ b/fuchsiahaven/core/targets/ejections.py
@@ -3,15 +3,15 @@
 from typing import Final, NamedTuple
 
 HALF_LIFE_S: Final = 2.0
-EJECT_AT: Final = 3.0
-SHORTEST_S: Final = 1.0
-LONGEST_S: Final = 30.0
+EJECTION_THRESHOLD: Final = 3.0
+MIN_EJECTION_S: Final = 1.0
+MAX_EJECTION_S: Final = 30.0
 # Each answer leaves this part of the failures: a target that fails once in a
 # while, or is late under an overload, still answers most of the time.
-ANSWER_LEAVES: Final = 0.7
+ANSWER_DECAY_FACTOR: Final = 0.7
 
 
-class Record(NamedTuple):
+class FailureRecord(NamedTuple):
     """Hold the decayed misdeeds of one target, and its ejection.
 
     `until` is 0 while the target is in use; once that time has passed
@@ -21,75 +21,79 @@
 
     failures: float = 0.0
     refusals: float = 0.0
-    noted: float = 0.0
-    times: int = 0
-    until: float = 0.0
-    vouched: bool = False
+    updated_at: float = 0.0
+    ejections: int = 0
+    ejected_until: float = 0.0
+    probe_answered: bool = False
 
 
-CLEAN: Final = Record()
+NO_FAILURES: Final = FailureRecord()
 
 
-def blame(
-    record: Record,
+def record_failures(
+    record: FailureRecord,
     now: float,
     *,
     failures: int = 0,
     refusals: int = 0,
-) -> Record:
+) -> FailureRecord:
     """Note failures or refusals."""
     decay = _decay(record, now)
-    return Record(
+    return FailureRecord(
         record.failures * decay + failures,
         record.refusals * decay + refusals,
         now,
-        record.times,
-        record.until,
+        record.ejections,
+        record.ejected_until,
     )
 
 
-def forgive(record: Record, now: float) -> Record:
+def record_answer(record: FailureRecord, now: float) -> FailureRecord:
     """Take in an answer: end a trial, or forgive a part."""
-    if record.until:
-        if now < record.until:
+    if record.ejected_until:
+        if now < record.ejected_until:
             # An answer from before the ejection proves nothing.
             return record
-        return Record(noted=now, times=record.times)
-    if now - record.noted > LONGEST_S:
-        return CLEAN
-    failures = record.failures * ANSWER_LEAVES
-    return Record(failures, record.refusals, record.noted, record.times)
+        return FailureRecord(updated_at=now, ejections=record.ejections)
+    if now - record.updated_at > MAX_EJECTION_S:
+        return NO_FAILURES
+    failures = record.failures * ANSWER_DECAY_FACTOR
+    return FailureRecord(
+        failures, record.refusals, record.updated_at, record.ejections
+    )
 
 
-def vouch(record: Record, now: float) -> Record:
+def record_probe(record: FailureRecord, now: float) -> FailureRecord:
     """Take in the answer to a probe."""
-    if not record.until or now < record.until:
+    if not record.ejected_until or now < record.ejected_until:
         return record
-    return record._replace(vouched=True)
+    return record._replace(probe_answered=True)
 
 
-def weigh(record: Record, now: float) -> float:
+def compute_penalty(record: FailureRecord, now: float) -> float:
     """Weigh what a target has done lately; 0 for nothing."""
     return (record.failures + record.refusals) * _decay(record, now)
 
 
-def is_failing(record: Record, now: float) -> bool:
+def is_failing(record: FailureRecord, now: float) -> bool:
     """Tell whether a target in use has failed too often lately."""
-    if record is CLEAN or now < record.until:
+    if record is NO_FAILURES or now < record.ejected_until:
         return False
-    if record.until:
+    if record.ejected_until:
         # On trial, one more failure is enough.
-        return record.noted >= record.until
-    return record.failures * _decay(record, now) >= EJECT_AT
+        return record.updated_at >= record.ejected_until
+    return record.failures * _decay(record, now) >= EJECTION_THRESHOLD
 
 
-def eject(record: Record, now: float) -> Record:
+def eject(record: FailureRecord, now: float) -> FailureRecord:
     """Leave a target out, each time for twice as long."""
-    pause = min(LONGEST_S, SHORTEST_S * 2**record.times)
+    duration_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**record.ejections)
     return record._replace(
-        times=record.times + 1, until=now + pause, vouched=False
+        ejections=record.ejections + 1,
+        ejected_until=now + duration_s,
+        probe_answered=False,
     )
 
 
-def _decay(record: Record, now: float) -> float:
-    return float(0.5 ** ((now - record.noted) / HALF_LIFE_S))
+def _decay(record: FailureRecord, now: float) -> float:
+    return float(0.5 ** ((now - record.updated_at) / HALF_LIFE_S))
--- a/fuchsiahaven/core/targets/grants.py
+++ b/fuchsiahaven/core/targets/grants.py
@@ -10,7 +10,7 @@
 from typing import Final, NamedTuple
 
 #: How long news of a member takes to reach all of a data centre at most.
-SETTLE_S: Final = 3.0
+SETTLE_DELAY_S: Final = 3.0
 
 
 class Grant(NamedTuple):
@@ -19,27 +19,27 @@
     `due` is when the one becomes the other.
     """
 
-    seats: int
-    dealt: int
+    connections: int
+    allocated: int
     due: float = math.inf
 
 
-def change(grant: Grant | None, dealt: int, now: float) -> Grant:
+def update_allocation(grant: Grant | None, allocated: int, now: float) -> Grant:
     """Take in a new deal; one seat of a first one comes from the reserve.
 
     A new host would else serve nothing until its deal has settled.
     """
     if grant is None:
-        grant = Grant(min(1, dealt), min(1, dealt))
-    if dealt == grant.dealt:
+        grant = Grant(min(1, allocated), min(1, allocated))
+    if allocated == grant.allocated:
         return grant
-    if dealt <= grant.seats:
-        return Grant(dealt, dealt)
-    return Grant(grant.seats, dealt, now + SETTLE_S)
+    if allocated <= grant.connections:
+        return Grant(allocated, allocated)
+    return Grant(grant.connections, allocated, now + SETTLE_DELAY_S)
 
 
-def settle(grant: Grant, now: float) -> Grant:
+def raise_if_due(grant: Grant, now: float) -> Grant:
     """Grow to what was dealt once it has stood long enough."""
     if now < grant.due:
         return grant
-    return Grant(grant.dealt, grant.dealt)
+    return Grant(grant.allocated, grant.allocated)
--- a/fuchsiahaven/core/targets/limits.py
+++ b/fuchsiahaven/core/targets/limits.py
@@ -3,17 +3,17 @@
 from typing import Final, NamedTuple
 
 # A cut within this time of the last belongs to the same burst.
-CUT_SPACING_S: Final = 0.05
-SHED_FACTOR: Final = 0.7
-DELAY_FACTOR: Final = 0.9
+MIN_CUT_INTERVAL_S: Final = 0.05
+SHED_CUT_FACTOR: Final = 0.7
+LATENCY_CUT_FACTOR: Final = 0.9
 # A smoothed latency beyond this many times the quiet one means queueing.
-DELAY_BOUND: Final = 2.5
+MAX_LATENCY_RATIO: Final = 2.5
 # The quiet latency follows a target that became slower for good, by this
 # part of itself for each answer.
-QUIET_DRIFT: Final = 0.002
+BASELINE_DRIFT_FRACTION: Final = 0.002
 # A target that says when to come back is believed up to this.
-LONGEST_PAUSE_S: Final = 1.0
-RAMP_S: Final = 10.0
+MAX_PAUSE_S: Final = 1.0
+RAMP_UP_S: Final = 10.0
 
 
 class Limit(NamedTuple):
@@ -24,50 +24,50 @@
     """
 
     value: float
-    seats: int
-    quiet: float = 0.0
-    cold_since: float = -RAMP_S
-    cut_at: float = -CUT_SPACING_S
+    connections: int
+    baseline_latency: float = 0.0
+    cold_since: float = -RAMP_UP_S
+    cut_at: float = -MIN_CUT_INTERVAL_S
     resume_at: float = 0.0
 
 
-def start_limit(seats: int, cold_since: float = -RAMP_S) -> Limit:
+def make_limit(connections: int, cold_since: float = -RAMP_UP_S) -> Limit:
     """Start at the seats; the ramp holds a cold target back."""
-    return Limit(float(max(1, seats)), seats, cold_since=cold_since)
+    return Limit(float(max(1, connections)), connections, cold_since=cold_since)
 
 
-def change_seats(limit: Limit, seats: int) -> Limit:
+def update_connections(limit: Limit, connections: int) -> Limit:
     """Take in a new deal of seats; the limit never exceeds them.
 
     A limit that was never cut follows the seats upwards as well.
     """
-    if seats == limit.seats:
+    if connections == limit.connections:
         return limit
-    value = float(max(1, seats))
-    if limit.value < limit.seats:
+    value = float(max(1, connections))
+    if limit.value < limit.connections:
         value = min(limit.value, value)
-    return limit._replace(value=value, seats=seats)
+    return limit._replace(value=value, connections=connections)
 
 
-def note_cold(limit: Limit, now: float) -> Limit:
+def record_cold(limit: Limit, now: float) -> Limit:
     """Start the ramp again for a target that restarted or says it is cold."""
-    return limit._replace(cold_since=now, quiet=0.0)
+    return limit._replace(cold_since=now, baseline_latency=0.0)
 
 
 def may_send(limit: Limit, in_flight: int, now: float) -> bool:
     """Tell whether one more sub-request may go to the target."""
-    if in_flight >= limit.seats or now < limit.resume_at:
+    if in_flight >= limit.connections or now < limit.resume_at:
         return False
     if not in_flight:
         return True
-    room = limit.value
-    warm = (now - limit.cold_since) / RAMP_S
-    if warm < 1:
-        room = min(room, 1 + (limit.seats - 1) * warm)
-    return in_flight + 1 <= room
+    allowed = limit.value
+    ramp_fraction = (now - limit.cold_since) / RAMP_UP_S
+    if ramp_fraction < 1:
+        allowed = min(allowed, 1 + (limit.connections - 1) * ramp_fraction)
+    return in_flight + 1 <= allowed
 
 
-def note_answered(
+def record_answer(
     limit: Limit, in_flight: int, latency: float, now: float
 ) -> Limit:
     """Grow by about one per round of answers; cut where latency shows a queue.
@@ -76,25 +76,29 @@
     weighs little; `in_flight` counts the answered sub-request too. A limit
     that was not reached is not raised: nothing was learned about it.
     """
-    value, seats, quiet, cold_since, cut_at, resume_at = limit
-    quiet = min(latency, quiet * (1 + QUIET_DRIFT)) if quiet else latency
-    if latency > quiet * DELAY_BOUND:
-        if now - cut_at >= max(CUT_SPACING_S, latency):
-            value = max(1.0, value * DELAY_FACTOR)
+    value, connections, baseline, cold_since, cut_at, resume_at = limit
+    baseline = (
+        min(latency, baseline * (1 + BASELINE_DRIFT_FRACTION))
+        if baseline
+        else latency
+    )
+    if latency > baseline * MAX_LATENCY_RATIO:
+        if now - cut_at >= max(MIN_CUT_INTERVAL_S, latency):
+            value = max(1.0, value * LATENCY_CUT_FACTOR)
             cut_at = now
     elif in_flight + 1 > value:
-        value = min(float(max(1, seats)), value + 1 / value)
-    return Limit(value, seats, quiet, cold_since, cut_at, resume_at)
+        value = min(float(max(1, connections)), value + 1 / value)
+    return Limit(value, connections, baseline, cold_since, cut_at, resume_at)
 
 
-def note_shed(
+def record_shed(
     limit: Limit, now: float, retry_after: float | None = None
 ) -> Limit:
     """Cut the limit once per burst, and pause where it is at its least."""
     value, cut_at, resume_at = limit.value, limit.cut_at, limit.resume_at
     if value <= 1 and retry_after:
-        resume_at = now + min(retry_after, LONGEST_PAUSE_S)
-    if now - cut_at >= CUT_SPACING_S:
-        value = max(1.0, value * SHED_FACTOR)
+        resume_at = now + min(retry_after, MAX_PAUSE_S)
+    if now - cut_at >= MIN_CUT_INTERVAL_S:
+        value = max(1.0, value * SHED_CUT_FACTOR)
         cut_at = now
     return limit._replace(value=value, cut_at=cut_at, resume_at=resume_at)
--- a/fuchsiahaven/core/targets/messages.py
+++ b/fuchsiahaven/core/targets/messages.py
@@ -48,7 +48,7 @@
 class PartKey(NamedTuple):
     """Identify one sub-request: query, group, shard and attempt."""
 
-    query: int
+    run_number: int
     group: str
     shard: int
     attempt: int
@@ -108,14 +108,14 @@
     version: int | None = None
 
 
-class Submitted(NamedTuple):
+class QuerySubmitted(NamedTuple):
     """Bring one query in; `token` names who waits for the reply."""
 
     token: int
     query: Query
 
 
-class Answered(NamedTuple):
+class PartAnswered(NamedTuple):
     """Bring a checked answer of one searcher.
 
     `health_version` is that of the health report it would give just now.
@@ -141,7 +141,7 @@
     NO_CONNECTION = 'no_connection'
 
 
-class Refused(NamedTuple):
+class PartRefused(NamedTuple):
     """Bring a refusal: not run, but for one given up after its start."""
 
     part: PartKey
@@ -161,7 +161,7 @@
     TIMED_OUT = 'timed_out'
 
 
-class Broken(NamedTuple):
+class PartFailed(NamedTuple):
     """Bring a fault after the first byte was sent: outcome unknown."""
 
     part: PartKey
@@ -169,30 +169,30 @@
     fault: Fault
 
 
-class Looked(NamedTuple):
+class TargetChecked(NamedTuple):
     """Tell whether a target has ended: its port is closed.
 
     It follows a lost connection that carried a sub-request.
     """
 
     target: str
-    ended: bool
+    exited: bool
 
 
-class Configured(NamedTuple):
+class ConfigurationReceived(NamedTuple):
     """Bring a configuration in force; lower revisions are ignored."""
 
     configuration: configurations.Configuration
 
 
-class Probed(NamedTuple):
+class TargetProbed(NamedTuple):
     """Bring a health report, or None where the target did not answer."""
 
     target: str
     health: Health | None
 
 
-class HostListed(NamedTuple):
+class HostListRead(NamedTuple):
     """Bring the platform's host list: target name to live or leaving."""
 
     leaving: frozenset[str]
@@ -207,7 +207,7 @@
     """
 
     hosts: tuple[str, ...]
-    own: str = ''
+    own_name: str = ''
 
 
 class ConnectionsChanged(NamedTuple):
@@ -245,18 +245,18 @@
     result: ClaimResult
     not_after_epoch: float = 0.0
     outcome: str | None = None
-    done: bool = False
-    over: bool = False
+    completed: bool = False
+    start_expired: bool = False
     maybe_written: bool = False
     detail: str = ''
     request_id: str = ''
 
 
-class Ticked(NamedTuple):
+class Tick(NamedTuple):
     """Bring the passing of time."""
 
 
-class StopAsked(NamedTuple):
+class StopRequested(NamedTuple):
     """Ask for a planned stop."""
 
 
@@ -281,11 +281,11 @@
     target: configurations.Target
 
 
-class Allot(NamedTuple):
+class LimitConnections(NamedTuple):
     """Tell the edge how many connections it may open to a target."""
 
     target: configurations.Target
-    seats: int
+    connections: int
 
 
 class Claim(NamedTuple):
@@ -296,14 +296,14 @@
     deadline: float
 
 
-class Record(NamedTuple):
+class RecordOutcome(NamedTuple):
     """Ask that the outcome be kept beside its claim, as JSON text."""
 
     request_id: str
     outcome: str
 
 
-class Release(NamedTuple):
+class ReleaseClaim(NamedTuple):
     """Ask that a granted claim be given back, so that the id can run.
 
     Only for an attempt that ran on no searcher and never will: nothing was
@@ -325,18 +325,27 @@
 
 
 Event = (
-    Submitted
-    | Answered
-    | Refused
-    | Broken
-    | Looked
-    | Configured
-    | Probed
-    | HostListed
+    QuerySubmitted
+    | PartAnswered
+    | PartRefused
+    | PartFailed
+    | TargetChecked
+    | ConfigurationReceived
+    | TargetProbed
+    | HostListRead
     | MembersChanged
     | ConnectionsChanged
     | ClaimSettled
-    | Ticked
-    | StopAsked
+    | Tick
+    | StopRequested
+)
+Action = (
+    Send
+    | Cancel
+    | Probe
+    | LimitConnections
+    | Claim
+    | RecordOutcome
+    | ReleaseClaim
+    | Reply
 )
-Action = Send | Cancel | Probe | Allot | Claim | Record | Release | Reply
--- a/fuchsiahaven/core/targets/shardmaps.py
+++ b/fuchsiahaven/core/targets/shardmaps.py
@@ -49,7 +49,7 @@
     holding: Holding
 
 
-class Claimed(NamedTuple):
+class HoldingReport(NamedTuple):
     """Hold one holding with the target that reports it."""
 
     target: str
@@ -60,8 +60,8 @@
     """Hold what a target no longer holds of one snapshot, and holds anew."""
 
     target: str
-    gone: tuple[Holding, ...]
-    new: tuple[Holding, ...]
+    removed: tuple[Holding, ...]
+    added: tuple[Holding, ...]
 
 
 class Range(NamedTuple):
@@ -84,7 +84,7 @@
     refused: tuple[HoldingFault, ...] = ()
 
 
-def is_formed(holding: Holding) -> bool:
+def is_well_formed(holding: Holding) -> bool:
     """Tell whether a holding is possible by itself."""
     # Each shard is at least one position wide, which also bounds the memory
     # that a wrong shard count could ask for.
@@ -96,8 +96,10 @@
     )
 
 
-def update(
-    before: ShardMap | None, changes: Changes, claims: Iterable[Claimed]
+def update_map(
+    previous: ShardMap | None,
+    changes: Changes,
+    reports: Iterable[HoldingReport],
 ) -> ShardMap | None:
     """Follow a target's changes; None where nobody holds the snapshot.
 
@@ -105,18 +107,22 @@
     only where reports disagree: the map is then built anew from all of them,
     for each change can make another side the larger one.
     """
-    if before is not None and before.refused:
-        return _resolve(before, claims)
-    after = before
-    for gone in changes.gone:
-        assert after is not None
-        after = _remove(after, Claimed(changes.target, gone))
-    for new in changes.new:
-        added = _add(after, Claimed(changes.target, new))
-        if added is None:
-            return _resolve(before, claims)
-        after = added
-    return after
+    if previous is not None and previous.refused:
+        return _build_by_majority(previous, reports)
+    shard_map = previous
+    for removed in changes.removed:
+        assert shard_map is not None
+        shard_map = _remove_holder(
+            shard_map, HoldingReport(changes.target, removed)
+        )
+    for added_holding in changes.added:
+        extended = _add_holder(
+            shard_map, HoldingReport(changes.target, added_holding)
+        )
+        if extended is None:
+            return _build_by_majority(previous, reports)
+        shard_map = extended
+    return shard_map
 
 
 def fill_ranges(shard_map: ShardMap) -> tuple[Range, ...]:
@@ -128,61 +134,71 @@
     filled: list[Range] = []
     shard = 0
     while shard < len(shard_map.ranges):
-        known = shard_map.ranges[shard]
-        if known is None:
-            end = _find_known(shard_map.ranges, shard)
-            filled.extend(_share_gap(shard_map.ranges, shard, end))
+        known_range = shard_map.ranges[shard]
+        if known_range is None:
+            end = _find_next_known(shard_map.ranges, shard)
+            filled.extend(_divide_gap(shard_map.ranges, shard, end))
             shard = end
         else:
-            filled.append(known)
+            filled.append(known_range)
             shard += 1
     return tuple(filled)
 
 
-def _add(made: ShardMap | None, claimed: Claimed) -> ShardMap | None:
+def _add_holder(
+    shard_map: ShardMap | None, report: HoldingReport
+) -> ShardMap | None:
     """Add a holder; None where its report contradicts the map."""
-    target, held = claimed
-    if made is None:
-        made = _make_empty(held.snapshot, held.shards)
-    if held.shards != len(made.ranges) or not _fits(made.ranges, held):
+    target, holding = report
+    if shard_map is None:
+        shard_map = _make_empty(holding.snapshot, holding.shards)
+    if holding.shards != len(shard_map.ranges) or not _fits_neighbours(
+        shard_map.ranges, holding
+    ):
         return None
-    holders = tuple(sorted({*made.replicas[held.shard], target}))
-    return made._replace(
-        ranges=_put(made.ranges, held.shard, Range(held.low, held.high)),
-        replicas=_put(made.replicas, held.shard, holders),
+    holders = tuple(sorted({*shard_map.replicas[holding.shard], target}))
+    return shard_map._replace(
+        ranges=_replace_at(
+            shard_map.ranges, holding.shard, Range(holding.low, holding.high)
+        ),
+        replicas=_replace_at(shard_map.replicas, holding.shard, holders),
     )
 
 
-def _remove(made: ShardMap, claimed: Claimed) -> ShardMap | None:
-    shard = claimed.holding.shard
-    kept = tuple(
-        target for target in made.replicas[shard] if target != claimed.target
+def _remove_holder(
+    shard_map: ShardMap, report: HoldingReport
+) -> ShardMap | None:
+    shard = report.holding.shard
+    remaining = tuple(
+        target
+        for target in shard_map.replicas[shard]
+        if target != report.target
     )
-    replicas = _put(made.replicas, shard, kept)
-    return made._replace(replicas=replicas) if any(replicas) else None
+    replicas = _replace_at(shard_map.replicas, shard, remaining)
+    return shard_map._replace(replicas=replicas) if any(replicas) else None
 
 
-def _resolve(
-    before: ShardMap | None, claims: Iterable[Claimed]
+def _build_by_majority(
+    previous: ShardMap | None, reports: Iterable[HoldingReport]
 ) -> ShardMap | None:
     """Build the map that most targets agree on, and refuse the rest.
 
     Between equals the map `before` stands, so that a tie does not make the
     map change with the order of the reports.
     """
-    ordered = sorted(claims)
+    ordered = sorted(reports)
     if not ordered:
         return None
-    shards = _elect_count(before, ordered)
-    ranges = _elect_ranges(before, shards, ordered)
+    shards = _elect_count(previous, ordered)
+    ranges = _elect_ranges(previous, shards, ordered)
     refused: list[HoldingFault] = []
     holders: list[set[str]] = [set() for _ in range(shards)]
-    for claimed in ordered:
-        kind = _find_fault(ranges, claimed.holding)
+    for report in ordered:
+        kind = _find_fault(ranges, report.holding)
         if kind is None:
-            holders[claimed.holding.shard].add(claimed.target)
+            holders[report.holding.shard].add(report.target)
         else:
-            refused.append(HoldingFault(kind, *claimed))
+            refused.append(HoldingFault(kind, *report))
     return ShardMap(
         ordered[0].holding.snapshot,
         ranges,
@@ -195,77 +211,81 @@
     return ShardMap(snapshot, (None,) * shards, ((),) * shards)
 
 
-def _put(
+def _replace_at(
     items: tuple[_Entry, ...], index: int, entry: _Entry
 ) -> tuple[_Entry, ...]:
     return (*items[:index], entry, *items[index + 1 :])
 
 
-def _fits(ranges: tuple[Range | None, ...], holding: Holding) -> bool:
-    known = ranges[holding.shard]
-    if known is not None:
-        return known == (holding.low, holding.high)
+def _fits_neighbours(
+    ranges: tuple[Range | None, ...], holding: Holding
+) -> bool:
+    known_range = ranges[holding.shard]
+    if known_range is not None:
+        return known_range == (holding.low, holding.high)
     return _fits_below(ranges, holding) and _fits_above(ranges, holding)
 
 
 def _fits_below(ranges: tuple[Range | None, ...], holding: Holding) -> bool:
     # Each shard in between that is not known yet needs a position at least.
-    between = 0
-    for known in reversed(ranges[: holding.shard]):
-        if known is not None:
-            return _spans(known.high, holding.low, between)
-        between += 1
-    return _spans(0, holding.low, between)
+    unknown = 0
+    for known_range in reversed(ranges[: holding.shard]):
+        if known_range is not None:
+            return _can_span(known_range.high, holding.low, unknown)
+        unknown += 1
+    return _can_span(0, holding.low, unknown)
 
 
 def _fits_above(ranges: tuple[Range | None, ...], holding: Holding) -> bool:
-    between = 0
-    for known in ranges[holding.shard + 1 :]:
-        if known is not None:
-            return _spans(holding.high, known.low, between)
-        between += 1
-    return _spans(holding.high, POSITIONS, between)
+    unknown = 0
+    for known_range in ranges[holding.shard + 1 :]:
+        if known_range is not None:
+            return _can_span(holding.high, known_range.low, unknown)
+        unknown += 1
+    return _can_span(holding.high, POSITIONS, unknown)
 
 
-def _spans(low: int, high: int, shards: int) -> bool:
+def _can_span(low: int, high: int, shards: int) -> bool:
     return high - low >= shards if shards else high == low
 
 
-def _elect_count(before: ShardMap | None, claims: list[Claimed]) -> int:
-    voters = {(claimed.holding.shards, claimed.target) for claimed in claims}
+def _elect_count(
+    previous: ShardMap | None, reports: list[HoldingReport]
+) -> int:
+    voters = {(report.holding.shards, report.target) for report in reports}
     votes = collections.Counter(shards for shards, _ in voters)
-    standing = len(before.ranges) if before else 0
-    return max(votes, key=lambda count: (votes[count], count == standing))
+    previous_count = len(previous.ranges) if previous else 0
+    return max(votes, key=lambda count: (votes[count], count == previous_count))
 
 
 def _elect_ranges(
-    before: ShardMap | None, shards: int, claims: list[Claimed]
+    previous: ShardMap | None, shards: int, reports: list[HoldingReport]
 ) -> tuple[Range | None, ...]:
     votes: collections.Counter[Holding] = collections.Counter(
-        claimed.holding
-        for claimed in claims
-        if claimed.holding.shards == shards
+        report.holding for report in reports if report.holding.shards == shards
     )
     elected: tuple[Range | None, ...] = (None,) * shards
     ranked = sorted(
-        votes, key=lambda choice: _rank_choice(before, votes, choice)
+        votes, key=lambda choice: _rank_choice(previous, votes, choice)
     )
     for holding in ranked:
-        if elected[holding.shard] is None and _fits(elected, holding):
-            known = Range(holding.low, holding.high)
-            elected = _put(elected, holding.shard, known)
+        if elected[holding.shard] is None and _fits_neighbours(
+            elected, holding
+        ):
+            known_range = Range(holding.low, holding.high)
+            elected = _replace_at(elected, holding.shard, known_range)
     return elected
 
 
 def _rank_choice(
-    before: ShardMap | None, votes: Mapping[Holding, int], choice: Holding
+    previous: ShardMap | None, votes: Mapping[Holding, int], choice: Holding
 ) -> tuple[int, bool, Holding]:
-    stands = (
-        before is not None
-        and len(before.ranges) == choice.shards
-        and before.ranges[choice.shard] == (choice.low, choice.high)
+    unchanged = (
+        previous is not None
+        and len(previous.ranges) == choice.shards
+        and previous.ranges[choice.shard] == (choice.low, choice.high)
     )
-    return -votes[choice], not stands, choice
+    return -votes[choice], not unchanged, choice
 
 
 def _find_fault(
@@ -278,7 +298,7 @@
     return None
 
 
-def _find_known(ranges: tuple[Range | None, ...], start: int) -> int:
+def _find_next_known(ranges: tuple[Range | None, ...], start: int) -> int:
     shards = range(start, len(ranges))
     return next(
         (shard for shard in shards if ranges[shard] is not None),
@@ -286,13 +306,15 @@
     )
 
 
-def _share_gap(
+def _divide_gap(
     ranges: tuple[Range | None, ...], start: int, end: int
 ) -> list[Range]:
-    before = ranges[start - 1] if start else None
-    after = ranges[end] if end < len(ranges) else None
-    low = before.high if before else 0
-    high = after.low if after else POSITIONS
-    count = end - start
-    edges = [low + (high - low) * n // count for n in range(count + 1)]
+    left = ranges[start - 1] if start else None
+    right = ranges[end] if end < len(ranges) else None
+    low = left.high if left else 0
+    high = right.low if right else POSITIONS
+    shards = end - start
+    edges = [
+        low + (high - low) * index // shards for index in range(shards + 1)
+    ]
     return [Range(*pair) for pair in zip(edges, edges[1:])]
--- a/fuchsiahaven/core/targets/snapshots.py
+++ b/fuchsiahaven/core/targets/snapshots.py
@@ -12,11 +12,11 @@
 
 #: A newer snapshot is taken with at least one part in this many of the
 #: strength of the best one.
-STRENGTH_PART: Final = 2
+MIN_CAPACITY_DIVISOR: Final = 2
 _KEY_BYTES: Final = 2
 
 
-class Known(NamedTuple):
+class GroupSnapshots(NamedTuple):
     """Hold what is known of one group's snapshots.
 
     `holdings` is what each target reported last, `maps` the shard maps that
@@ -55,56 +55,60 @@
     group: str
     snapshot: int
     shards: tuple[PinnedShard, ...]
-    held: int
-    strength: float
+    available_shards: int
+    capacity: float
 
     @property
     def complete(self) -> bool:
         """Tell whether every shard has a usable replica."""
-        return self.held == len(self.shards)
+        return self.available_shards == len(self.shards)
 
 
-def learn(known: Known, target: str, holdings: Sequence[Holding]) -> Known:
+def update_holdings(
+    current: GroupSnapshots, target: str, holdings: Sequence[Holding]
+) -> GroupSnapshots:
     """Replace what is known of a target; the same state if nothing changed."""
     reported = tuple(sorted(set(holdings)))
-    before = known.holdings.get(target, ())
-    if reported == before:
-        return known
-    rest = {**known.holdings, target: reported}
+    previous = current.holdings.get(target, ())
+    if reported == previous:
+        return current
+    remaining = {**current.holdings, target: reported}
     if not reported:
-        rest.pop(target)
-    return _update_maps(known._replace(holdings=rest), target, before)
+        remaining.pop(target)
+    return _update_maps(current._replace(holdings=remaining), target, previous)
 
 
-def forget(known: Known, target: str) -> Known:
+def remove_target(current: GroupSnapshots, target: str) -> GroupSnapshots:
     """Drop what is known of a target."""
-    return learn(known, target, ())
+    return update_holdings(current, target, ())
 
 
-def drop(known: Known, target: str, snapshot: int) -> Known:
+def discard_snapshot(
+    current: GroupSnapshots, target: str, snapshot: int
+) -> GroupSnapshots:
     """Drop one snapshot of a target which says that it no longer has it."""
-    kept = [
+    remaining = [
         holding
-        for holding in known.holdings.get(target, ())
+        for holding in current.holdings.get(target, ())
         if holding.snapshot != snapshot
     ]
-    return learn(known, target, kept)
+    return update_holdings(current, target, remaining)
 
 
-def list_pins(known: Known, usable: Set[str]) -> tuple[Pin, ...]:
+def list_pins(current: GroupSnapshots, usable: Set[str]) -> tuple[Pin, ...]:
     """List every snapshot with its usable replicas, newest first.
 
     This visits every replica. A caller keeps the result until the known
     state or the usable targets change, and asks `choose` for each query.
     """
     return tuple(
-        _make_pin(known.group, made, usable)
-        for made in known.maps
-        if any(made.replicas)
+        _make_pin(current.group, shard_map, usable)
+        for shard_map in current.maps
+        if any(shard_map.replicas)
     )
 
 
-def choose(
+def choose_pin(
     pins: Sequence[Pin],
     newer_than: int = 0,
     position: int | None = None,
@@ -123,112 +127,128 @@
         return _choose_complete(complete, in_use)
     if position is not None:
         for pin in newer:
-            if find_shard(pin, position).replicas:
+            if get_shard(pin, position).replicas:
                 return pin
-    return max(newer, key=_measure_coverage, default=None)
+    return max(newer, key=_count_positions, default=None)
 
 
-def pin(known: Known, usable: Set[str], newer_than: int = 0) -> Pin | None:
+def pin_snapshot(
+    current: GroupSnapshots, usable: Set[str], newer_than: int = 0
+) -> Pin | None:
     """Pin a snapshot at once, where nothing is kept between queries."""
-    return choose(list_pins(known, usable), newer_than)
+    return choose_pin(list_pins(current, usable), newer_than)
 
 
-def find_position(key: str) -> int:
+def compute_position(key: str) -> int:
     """Return a key's position: two bytes of its SHA-256, in 0..65535."""
     digest = hashlib.sha256(key.encode('utf-8', 'surrogatepass')).digest()
     return int.from_bytes(digest[:_KEY_BYTES], 'big')
 
 
-def find_shard(pinned: Pin, position: int) -> PinnedShard:
+def get_shard(pinned: Pin, position: int) -> PinnedShard:
     """Return the shard that covers the position."""
     # The ranges of a map are in order and cover every position.
-    after = bisect.bisect_right(
+    updated = bisect.bisect_right(
         pinned.shards, position, key=lambda shard: shard.low
     )
-    return pinned.shards[after - 1]
+    return pinned.shards[updated - 1]
 
 
-def list_faults(known: Known) -> tuple[shardmaps.HoldingFault, ...]:
+def list_faults(current: GroupSnapshots) -> tuple[shardmaps.HoldingFault, ...]:
     """List the reported holdings that are refused now, with the reasons."""
     malformed = [
         shardmaps.HoldingFault(shardmaps.FaultKind.MALFORMED, target, holding)
-        for target, holdings in known.holdings.items()
+        for target, holdings in current.holdings.items()
         for holding in holdings
-        if not shardmaps.is_formed(holding)
+        if not shardmaps.is_well_formed(holding)
+    ]
+    refused = [
+        fault for shard_map in current.maps for fault in shard_map.refused
     ]
-    refused = [fault for made in known.maps for fault in made.refused]
     return tuple(malformed + refused)
 
 
-def _update_maps(known: Known, target: str, before: Sequence[Holding]) -> Known:
-    reported = known.holdings.get(target, ())
-    maps = {made.snapshot: made for made in known.maps}
-    refusals = known.refusals + _count_malformed(reported, before)
-    changed = set(before).symmetric_difference(reported)
-    numbers = {held.snapshot for held in changed}
-    for number in numbers:
-        made = maps.pop(number, None)
+def _update_maps(
+    current: GroupSnapshots, target: str, previous: Sequence[Holding]
+) -> GroupSnapshots:
+    reported = current.holdings.get(target, ())
+    maps = {
+        previous_map.snapshot: previous_map for previous_map in current.maps
+    }
+    refusals = current.refusals + _count_malformed(reported, previous)
+    changed = set(previous).symmetric_difference(reported)
+    snapshots = {holding.snapshot for holding in changed}
+    for snapshot in snapshots:
+        previous_map = maps.pop(snapshot, None)
         changes = shardmaps.Changes(
             target,
-            _list_changes(number, before, reported),
-            _list_changes(number, reported, before),
+            _list_changes(snapshot, previous, reported),
+            _list_changes(snapshot, reported, previous),
+        )
+        updated_map = shardmaps.update_map(
+            previous_map, changes, _list_reports(current, snapshot)
         )
-        after = shardmaps.update(made, changes, _claim(known, number))
-        if after is not None:
-            maps[number] = after
-            refusals += _count_refused(made, after)
+        if updated_map is not None:
+            maps[snapshot] = updated_map
+            refusals += _count_refused(previous_map, updated_map)
     newest_first = tuple(sorted(maps.values(), reverse=True))
-    return known._replace(maps=newest_first, refusals=refusals)
+    return current._replace(maps=newest_first, refusals=refusals)
 
 
 def _list_changes(
-    number: int, present: Sequence[Holding], absent: Sequence[Holding]
+    snapshot: int, holdings: Sequence[Holding], excluded: Sequence[Holding]
 ) -> tuple[Holding, ...]:
-    changed = sorted(set(present) - set(absent))
+    changed = sorted(set(holdings) - set(excluded))
     return tuple(
-        held
-        for held in changed
-        if held.snapshot == number and shardmaps.is_formed(held)
+        holding
+        for holding in changed
+        if holding.snapshot == snapshot and shardmaps.is_well_formed(holding)
     )
 
 
-def _claim(known: Known, number: int) -> Iterator[shardmaps.Claimed]:
-    for target, holdings in known.holdings.items():
-        for held in holdings:
-            if held.snapshot == number and shardmaps.is_formed(held):
-                yield shardmaps.Claimed(target, held)
+def _list_reports(
+    current: GroupSnapshots, snapshot: int
+) -> Iterator[shardmaps.HoldingReport]:
+    for target, holdings in current.holdings.items():
+        for holding in holdings:
+            if holding.snapshot == snapshot and shardmaps.is_well_formed(
+                holding
+            ):
+                yield shardmaps.HoldingReport(target, holding)
 
 
 def _count_refused(
-    before: shardmaps.ShardMap | None, after: shardmaps.ShardMap
+    previous: shardmaps.ShardMap | None, updated: shardmaps.ShardMap
 ) -> int:
-    known = before.refused if before else ()
-    return len(set(after.refused).difference(known))
+    previously_refused = previous.refused if previous else ()
+    return len(set(updated.refused).difference(previously_refused))
 
 
 def _count_malformed(
-    reported: Sequence[Holding], before: Sequence[Holding]
+    reported: Sequence[Holding], previous: Sequence[Holding]
 ) -> int:
-    new = set(reported) - set(before)
-    return len(list(itertools.filterfalse(shardmaps.is_formed, new)))
+    added = set(reported) - set(previous)
+    return len(list(itertools.filterfalse(shardmaps.is_well_formed, added)))
 
 
-def _make_pin(group: str, made: shardmaps.ShardMap, usable: Set[str]) -> Pin:
-    ranges = shardmaps.fill_ranges(made)
+def _make_pin(
+    group: str, shard_map: shardmaps.ShardMap, usable: Set[str]
+) -> Pin:
+    ranges = shardmaps.fill_ranges(shard_map)
     shards = tuple(
         PinnedShard(
             shard, *ranges[shard], tuple(filter(usable.__contains__, holders))
         )
-        for shard, holders in enumerate(made.replicas)
+        for shard, holders in enumerate(shard_map.replicas)
     )
-    held = len([shard for shard in shards if shard.replicas])
-    strength = min(map(_measure_strength, shards))
-    return Pin(group, made.snapshot, shards, held, strength)
+    available_shards = len([shard for shard in shards if shard.replicas])
+    capacity = min(map(_compute_capacity, shards))
+    return Pin(group, shard_map.snapshot, shards, available_shards, capacity)
 
 
-def _measure_strength(shard: PinnedShard) -> float:
-    part = (shard.high - shard.low) / shardmaps.POSITIONS
-    return len(shard.replicas) / part
+def _compute_capacity(shard: PinnedShard) -> float:
+    fraction = (shard.high - shard.low) / shardmaps.POSITIONS
+    return len(shard.replicas) / fraction
 
 
 def _choose_complete(complete: Sequence[Pin], in_use: int) -> Pin:
@@ -239,12 +259,16 @@
     these few at once, which shows as a burst of refusals and a jump of the
     tail latency while the other replicas idle.
     """
-    current = [pin for pin in complete if pin.snapshot >= in_use] or complete
-    most = max(pin.strength for pin in current)
-    return next(pin for pin in current if pin.strength * STRENGTH_PART >= most)
+    candidates = [pin for pin in complete if pin.snapshot >= in_use] or complete
+    max_capacity = max(pin.capacity for pin in candidates)
+    return next(
+        pin
+        for pin in candidates
+        if pin.capacity * MIN_CAPACITY_DIVISOR >= max_capacity
+    )
 
 
-def _measure_coverage(pinned: Pin) -> int:
+def _count_positions(pinned: Pin) -> int:
     return sum(
         shard.high - shard.low for shard in pinned.shards if shard.replicas
     )
--- a/fuchsiahaven/edge/claims.py
+++ b/fuchsiahaven/edge/claims.py
@@ -35,7 +35,7 @@
 MEMBERS_AT_ONCE: Final = 16
 # A holder whose time is over by this much, in seconds, starts no more.
 OVER_S: Final = 2.0
-Action = messages.Claim | messages.Record | messages.Release
+Action = messages.Claim | messages.RecordOutcome | messages.ReleaseClaim
 Post = Callable[[messages.ClaimSettled], None]
 
 
@@ -82,9 +82,9 @@
         match action:
             case messages.Claim():
                 self._claim(action, time_epoch)
-            case messages.Record(request_id, outcome):
+            case messages.RecordOutcome(request_id, outcome):
                 self._keep(request_id, time_epoch, outcome)
-            case messages.Release(request_id):
+            case messages.ReleaseClaim(request_id):
                 self._keep(request_id, time_epoch, None)
 
     def note_members(self, members: claim_members.Listed) -> None:
@@ -132,7 +132,7 @@
             expired = messages.ClaimSettled(
                 asked.token,
                 messages.ClaimResult.EXPIRED,
-                over=time_epoch is not None,
+                start_expired=time_epoch is not None,
                 detail='the id is no UUIDv7 of the last minutes',
             )
             self._post(expired)
@@ -191,6 +191,6 @@
     return told._replace(
         not_after_epoch=held.not_after_epoch,
         outcome=held.outcome,
-        done=held.stage is claims.Stage.DONE,
-        over=held.not_after_epoch + OVER_S < now_epoch,
+        completed=held.stage is claims.Stage.DONE,
+        start_expired=held.not_after_epoch + OVER_S < now_epoch,
     )
--- a/fuchsiahaven/edge/control.py
+++ b/fuchsiahaven/edge/control.py
@@ -40,7 +40,11 @@
 #: Nothing else on the host is told more of the stop than its members.
 FAREWELL_S: Final = 0.5
 
-Event = messages.Configured | messages.MembersChanged | messages.HostListed
+Event = (
+    messages.ConfigurationReceived
+    | messages.MembersChanged
+    | messages.HostListRead
+)
 
 
 class Links(NamedTuple):
@@ -180,7 +184,7 @@
         self, stamped: patches.StampedConfiguration
     ) -> None:
         self._links.door.note(stamped)
-        self._links.post(messages.Configured(stamped.configuration))
+        self._links.post(messages.ConfigurationReceived(stamped.configuration))
         self.gossip.post(member_messages.Enforced(stamped.stamp))
 
     def _take_members(
--- a/fuchsiahaven/edge/exchanges.py
+++ b/fuchsiahaven/edge/exchanges.py
@@ -70,9 +70,9 @@
     """End what was never sent."""
     match exchange.action:
         case messages.Send() as send:
-            return messages.Refused(send.part, send.target.name, reason)
+            return messages.PartRefused(send.part, send.target.name, reason)
         case messages.Probe(target):
-            return messages.Probed(target.name, None)
+            return messages.TargetProbed(target.name, None)
     return None
 
 
@@ -80,9 +80,9 @@
     """End what was sent and brought no answer."""
     match exchange.action:
         case messages.Send() as send:
-            return messages.Broken(send.part, send.target.name, fault)
+            return messages.PartFailed(send.part, send.target.name, fault)
         case messages.Probe(target):
-            return messages.Probed(target.name, None)
+            return messages.TargetProbed(target.name, None)
     return None
 
 
--- a/fuchsiahaven/edge/fleets.py
+++ b/fuchsiahaven/edge/fleets.py
@@ -34,9 +34,9 @@
         exchange = exchanges.probe(action.target, now + self._probe_s)
         self._find(action.target).place(exchange, now)
 
-    def allot(self, action: messages.Allot, now: float) -> None:
+    def allot(self, action: messages.LimitConnections, now: float) -> None:
         """Bound the connections to a target."""
-        self._find(action.target).allot(action.seats, now)
+        self._find(action.target).allot(action.connections, now)
 
     def cancel(self, action: messages.Cancel, now: float) -> None:
         """Cancel a sub-request; its own end is still reported."""
--- a/fuchsiahaven/edge/hostlist.py
+++ b/fuchsiahaven/edge/hostlist.py
@@ -24,7 +24,7 @@
     `age_s` is how old the platform says its list is, in seconds.
     """
 
-    targets: messages.HostListed
+    targets: messages.HostListRead
     entries: tuple[EntryHost, ...]
     age_s: float
 
@@ -42,7 +42,7 @@
         for host in listed.hosts
         if host.kind is store_answers.HostKind.ENTRY
     )
-    event = messages.HostListed(
+    event = messages.HostListRead(
         leaving=frozenset(host.name for host in targets if host.leaving),
         live=frozenset(host.name for host in targets if not host.leaving),
     )
--- a/fuchsiahaven/edge/looks.py
+++ b/fuchsiahaven/edge/looks.py
@@ -21,13 +21,13 @@
         self._waiting = True
         return True
 
-    def end(self, outcome: connectors.Outcome) -> messages.Looked | None:
+    def end(self, outcome: connectors.Outcome) -> messages.TargetChecked | None:
         """Tell what a connection shows that was asked for."""
         if not self._waiting:
             return None
         self._waiting = False
         match outcome:
             case connectors.Opened(target):
-                return messages.Looked(target.name, ended=False)
+                return messages.TargetChecked(target.name, exited=False)
             case connectors.Unopened(target, _, refused):
-                return messages.Looked(target.name, ended=refused)
+                return messages.TargetChecked(target.name, exited=refused)
--- a/fuchsiahaven/edge/loop.py
+++ b/fuchsiahaven/edge/loop.py
@@ -27,7 +27,7 @@
 )
 
 ReplyQueue = queue.SimpleQueue[messages.Reply]
-ClaimAction = messages.Claim | messages.Record | messages.Release
+ClaimAction = messages.Claim | messages.RecordOutcome | messages.ReleaseClaim
 
 
 class Asked(NamedTuple):
@@ -173,7 +173,7 @@
             self._take(self._inbox.get(), fleet, now)
             self._drain(fleet, now)
         now = time.monotonic()
-        self._handle(messages.Ticked(), fleet, now)
+        self._handle(messages.Tick(), fleet, now)
         if now - self._swept >= SWEEP_S:
             self._swept = now
             fleet.sweep(now)
@@ -184,11 +184,11 @@
         known = self._state.tables
         held = known.suspects.list_reports(time.monotonic())
         return Sample(
-            dispatch.find_obstacle(self._state),
+            dispatch.find_unready_reason(self._state),
             self._state.configuration.revision,
             len(self._replies),
-            len(known.waiting),
-            len(known.flying),
+            len(known.queued_queries),
+            len(known.attempts),
             fleet.count_links(),
             collections.Counter(known.counts),
             tuple(suspects.select_quarantined(held)),
@@ -197,8 +197,8 @@
     def _wait(self) -> float:
         if not self._inbox.empty():
             return 0
-        wake = dispatch.next_wake(self._state)
-        longest = ADMIT_S if self._state.tables.waiting else SWEEP_S
+        wake = dispatch.find_wake_time(self._state)
+        longest = ADMIT_S if self._state.tables.queued_queries else SWEEP_S
         if wake is None:
             return longest
         return min(longest, max(0.0, wake - time.monotonic()))
@@ -222,7 +222,7 @@
                 self._last_token += 1
                 token = self._last_token
                 self._replies[token] = reply_to
-                self._handle(messages.Submitted(token, query), fleet, now)
+                self._handle(messages.QuerySubmitted(token, query), fleet, now)
             case connectors.Opened() | connectors.Unopened():
                 fleet.take(message, now)
             case Closed():
@@ -237,7 +237,7 @@
     def _handle(
         self, event: messages.Event, fleet: fleets.Fleet, now: float
     ) -> None:
-        state, actions = dispatch.handle(self._state, event, now)
+        state, actions = dispatch.handle_event(self._state, event, now)
         self._state = state
         for action in actions:
             self._perform(action, fleet, now)
@@ -254,7 +254,7 @@
                 self._replies.pop(action.token).put(action)
             case messages.Probe():
                 fleet.probe(action, now)
-            case messages.Allot():
+            case messages.LimitConnections():
                 fleet.allot(action, now)
             case _:
                 self._claim(action)
--- a/fuchsiahaven/edge/pools.py
+++ b/fuchsiahaven/edge/pools.py
@@ -189,7 +189,7 @@
         link.finish()
         event = exchanges.read_frame(exchange, frame)
         self._shop.report(event)
-        if frame.closes or isinstance(event, messages.Broken):
+        if frame.closes or isinstance(event, messages.PartFailed):
             self._discard(link)
             self._open_more(now)
         else:
--- a/fuchsiahaven/edge/searchers.py
+++ b/fuchsiahaven/edge/searchers.py
@@ -34,7 +34,7 @@
 _STATES: Final = {state.value: state for state in messages.TargetState}
 _REASONS: Final = {reason.value: reason for reason in messages.RefusalReason}
 
-Outcome = messages.Answered | messages.Refused | messages.Broken
+Outcome = messages.PartAnswered | messages.PartRefused | messages.PartFailed
 
 
 class MalformedBody(Exception):
@@ -128,24 +128,26 @@
         fault = messages.Fault.MISMATCHED
     except MALFORMED:
         fault = messages.Fault.MALFORMED
-    return messages.Broken(send.part, send.target.name, fault)
+    return messages.PartFailed(send.part, send.target.name, fault)
 
 
-def read_probe(probe: messages.Probe, frame: frames.Frame) -> messages.Probed:
+def read_probe(
+    probe: messages.Probe, frame: frames.Frame
+) -> messages.TargetProbed:
     """Read a health report; what is no report is none."""
     name = probe.target.name
     try:
         health = _read_health(_read_object(frame.body))
     except MALFORMED:
-        return messages.Probed(name, None)
+        return messages.TargetProbed(name, None)
     if frame.status != OK or health.name != name:
-        return messages.Probed(name, None)
-    return messages.Probed(name, health)
+        return messages.TargetProbed(name, None)
+    return messages.TargetProbed(name, health)
 
 
 def _read_outcome(
     send: messages.Send, body: Mapping[str, Any], status: int
-) -> messages.Answered | messages.Refused:
+) -> messages.PartAnswered | messages.PartRefused:
     request = send.request
     _match(body, request_id=request.request_id, attempt=request.attempt)
     if status == UNAVAILABLE:
@@ -158,7 +160,7 @@
         snapshot=request.snapshot,
         group=request.group,
     )
-    return messages.Answered(
+    return messages.PartAnswered(
         send.part,
         send.target.name,
         _read_rows(body.get('rows')),
@@ -178,7 +180,7 @@
 
 def _read_refusal(
     send: messages.Send, body: Mapping[str, Any]
-) -> messages.Refused:
+) -> messages.PartRefused:
     reason = _REASONS.get(body.get('reason', ''))
     if reason is None:
         raise MalformedBody
@@ -186,7 +188,7 @@
     retry_after = None
     if isinstance(after, int | float) and after >= 0:
         retry_after = after / MILLISECONDS
-    return messages.Refused(
+    return messages.PartRefused(
         send.part,
         send.target.name,
         reason,
--- a/fuchsiahaven/edge/server.py
+++ b/fuchsiahaven/edge/server.py
@@ -131,7 +131,7 @@
     logs.info(PART, 'leaving', lag_s=limits.balancer_lag_s)
     host.leave()
     time.sleep(limits.balancer_lag_s)
-    dispatcher.post(messages.StopAsked())
+    dispatcher.post(messages.StopRequested())
     give_up = time.monotonic() + limits.drain_s
     while _count_unanswered(dispatcher) and time.monotonic() < give_up:
         time.sleep(DRAIN_CHECK_S)
@@ -180,7 +180,7 @@
         chosen.targets.connect_timeout_ms / MILLISECONDS,
         openings.open_identity(chosen.targets, ssl.Purpose.SERVER_AUTH),
     )
-    state = states.start(
+    state = states.make_state(
         chosen.host.data_centre,
         random.random,
         policies.POLICIES[chosen.policy.name],
--- a/fuchsiahaven/routing/arrivals.py
+++ b/fuchsiahaven/routing/arrivals.py
@@ -91,7 +91,7 @@
         desk.standings.note_gone(aloft.instance, now)
     if event.reason is messages.RefusalReason.SHED:
         window = desk.windows.get(aloft.route, hedges.EMPTY)
-        desk.windows[aloft.route] = hedges.note_refusal(window)
+        desk.windows[aloft.route] = hedges.record_shed(window)
     reason = REFUSAL_REASONS.get(event.reason, coverage.Reason.REFUSED)
     crashes.end_trial(desk, aloft.identity, event.key, now)
     ask = find_open(desk, event.key)
@@ -208,6 +208,6 @@
     # would pull the delay after which to hedge down to themselves.
     if aloft.purpose is events.Purpose.FIRST:
         window = desk.windows.get(aloft.route, hedges.EMPTY)
-        desk.windows[aloft.route] = hedges.note_latency(
+        desk.windows[aloft.route] = hedges.record_latency(
             window, now - aloft.sent, policy=tries.HEDGING
         )
--- a/fuchsiahaven/routing/choices.py
+++ b/fuchsiahaven/routing/choices.py
@@ -138,7 +138,7 @@
 
 def _is_clean(desk: states.Desk, name: str, now: float, *, once: bool) -> bool:
     known = desk.standings.get(name)
-    record = known.stats.record
-    if not record.until:
+    record = known.stats.failure_record
+    if not record.ejected_until:
         return not once or standings.measure_silence(known, now) is None
-    return not once and now >= record.until and not known.aloft
+    return not once and now >= record.ejected_until and not known.aloft
--- a/fuchsiahaven/routing/standings.py
+++ b/fuchsiahaven/routing/standings.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core.targets import ejections, messages, routes
+from fuchsiahaven.core.targets import ejections, messages, target_stats
 from fuchsiahaven.routing import events, instances
 
 #: Added to the expected wait at a target in another data centre, in seconds:
@@ -42,7 +42,7 @@
     one may be tried next.
     """
 
-    stats: routes.TargetStats = routes.UNSEEN
+    stats: target_stats.TargetStats = target_stats.NO_STATS
     aloft: Mapping[events.FlightKey, float] = {}
     failures: int = 0
     down: float = 0.0
@@ -83,7 +83,7 @@
         if measure_silence(known, now) is not None:
             trial = now + TRIAL_S
         self._known[name] = known._replace(
-            stats=routes.note_sent(known.stats),
+            stats=target_stats.record_sent(known.stats),
             aloft={**known.aloft, key: now},
             trial=trial,
         )
@@ -105,9 +105,9 @@
         if key not in known.aloft:
             return
         sent = known.aloft[key]
-        stats = routes.note_answered(known.stats, now, now - sent)
+        stats = target_stats.record_answer(known.stats, now, now - sent)
         if load is not None:
-            stats = routes.note_load(stats, load, now)
+            stats = target_stats.record_load(stats, load, now)
         landed = _land(known, key)
         self._set(name, landed._replace(stats=stats, failures=0, down=0))
 
@@ -118,7 +118,7 @@
         fastest target of all, and draw ever more requests.
         """
         known = _land(self.get(name), key)
-        stats = _judge(routes.note_broken(known.stats, now), now)
+        stats = _judge(target_stats.record_fault(known.stats, now), now)
         known = known._replace(stats=stats, failures=0, down=0)
         self._set(name, known, 'its answers fail')
 
@@ -127,20 +127,20 @@
     ) -> None:
         """Take in that a target refused a request without running it."""
         known = self.get(name)
-        stats = routes.note_refused(known.stats, now, event.reason)
+        stats = target_stats.record_refusal(known.stats, now, event.reason)
         if event.load is not None:
-            stats = routes.note_load(stats, event.load, now)
+            stats = target_stats.record_load(stats, event.load, now)
         self._known[name] = _land(known, event.key)._replace(stats=stats)
 
     def note_broken(self, name: str, event: events.Broken, now: float) -> None:
         """Take in that a request ended with an unknown outcome."""
         known = self.get(name)
-        stats = routes.note_broken(known.stats, now)
+        stats = target_stats.record_fault(known.stats, now)
         if event.fault is messages.Fault.TIMED_OUT:
-            record = ejections.blame(
-                stats.record, now, failures=TIMEOUT_BLAME - 1
+            record = ejections.record_failures(
+                stats.failure_record, now, failures=TIMEOUT_BLAME - 1
             )
-            stats = stats._replace(record=record)
+            stats = stats._replace(failure_record=record)
         known = _land(known, event.key)._replace(stats=_judge(stats, now))
         if event.fault is messages.Fault.TIMED_OUT:
             known = _leave_out(known, now)
@@ -149,7 +149,9 @@
     def note_unsent(self, name: str, event: events.Unsent, now: float) -> None:
         """Take in that a request did not leave."""
         known = _land(self.get(name), event.key)
-        known = known._replace(stats=routes.note_ended(known.stats))
+        known = known._replace(
+            stats=target_stats.record_cancelled_end(known.stats)
+        )
         if event.unreachable:
             known = _leave_out(known, now)
         self._set(name, known, 'no connection')
@@ -157,7 +159,9 @@
     def note_dropped(self, name: str, key: events.FlightKey) -> None:
         """Take in that this host gave a request up; nobody is to blame."""
         known = _land(self.get(name), key)
-        self._known[name] = known._replace(stats=routes.note_ended(known.stats))
+        self._known[name] = known._replace(
+            stats=target_stats.record_cancelled_end(known.stats)
+        )
 
     def note_reached(self, name: str) -> None:
         """Take in that a connection was had: the way there is open."""
@@ -172,7 +176,9 @@
         known = self.get(name)
         if key in known.aloft:
             known = _land(known, key)
-            known = known._replace(stats=routes.note_ended(known.stats))
+            known = known._replace(
+                stats=target_stats.record_cancelled_end(known.stats)
+            )
         known = known._replace(down=until)
         self._set(name, known, f'no help: {why}')
 
@@ -187,7 +193,10 @@
         self._known[name] = known
         if known.down > before.down and not before.down:
             self._changes.append(events.Belief(name, 'left out', why))
-        elif known.stats.record.until > before.stats.record.until:
+        elif (
+            known.stats.failure_record.ejected_until
+            > before.stats.failure_record.ejected_until
+        ):
             self._changes.append(events.Belief(name, 'ejected', why))
         elif before.down and not known.down:
             self._changes.append(events.Belief(name, 'used again', why))
@@ -198,7 +207,7 @@
     if not known.aloft:
         return None
     oldest = next(iter(known.aloft.values()))
-    waited = now - max(oldest, known.stats.heard)
+    waited = now - max(oldest, known.stats.measured_at)
     usual = max(SHORTEST_PAUSE_S, known.stats.latency * PAUSE_FACTOR)
     return waited if waited > usual else None
 
@@ -232,7 +241,7 @@
 
     `near` is the data centre of this host.
     """
-    cost = routes.estimate_cost(known.stats, now, 0)
+    cost = target_stats.estimate_cost(known.stats, now, 0)
     return cost + _charge(known, instance, near, now)
 
 
@@ -257,8 +266,8 @@
     waiting = max(0, known.stats.in_flight + 1 - max(1, instance.slots))
     stats = known.stats._replace(in_flight=waiting)
     if instance.data_centre != near:
-        stats = stats._replace(latency=stats.latency or usual, heard=now)
-    cost = routes.estimate_cost(stats, now, 0)
+        stats = stats._replace(latency=stats.latency or usual, measured_at=now)
+    cost = target_stats.estimate_cost(stats, now, 0)
     return cost + _charge(known, instance, near, now)
 
 
@@ -269,8 +278,10 @@
     cost = 0.0
     if instance.data_centre != near:
         cost += CROSSING_S
-    if known.stats.record is not ejections.CLEAN:
-        cost += FAILURE_S * ejections.weigh(known.stats.record, now)
+    if known.stats.failure_record is not ejections.NO_FAILURES:
+        cost += FAILURE_S * ejections.compute_penalty(
+            known.stats.failure_record, now
+        )
     silence = measure_silence(known, now)
     if silence is not None:
         # What has been silent for long will most likely be so for as long.
@@ -281,14 +292,14 @@
 def estimate_helper(known: Standing, now: float) -> float:
     """Estimate the seconds until a host would have gathered parts."""
     silence = measure_silence(known, now) or 0
-    return routes.estimate_cost(known.stats, now, 0) + silence
+    return target_stats.estimate_cost(known.stats, now, 0) + silence
 
 
 def describe(known: Standing, now: float) -> str:
     """Say in a few words how a target stands."""
     if now < known.down:
         return 'left out'
-    if now < known.stats.record.until:
+    if now < known.stats.failure_record.ejected_until:
         return 'ejected'
     if is_doubtful(known, now):
         return 'silent'
@@ -302,11 +313,15 @@
     return known._replace(failures=known.failures + 1, down=now + pause)
 
 
-def _judge(stats: routes.TargetStats, now: float) -> routes.TargetStats:
+def _judge(
+    stats: target_stats.TargetStats, now: float
+) -> target_stats.TargetStats:
     """Leave a target out that has failed too often lately."""
-    if not ejections.is_failing(stats.record, now):
+    if not ejections.is_failing(stats.failure_record, now):
         return stats
-    return stats._replace(record=ejections.eject(stats.record, now))
+    return stats._replace(
+        failure_record=ejections.eject(stats.failure_record, now)
+    )
 
 
 def _land(known: Standing, key: events.FlightKey) -> Standing:
--- a/fuchsiahaven/routing/tries.py
+++ b/fuchsiahaven/routing/tries.py
@@ -218,7 +218,7 @@
     """Return after how many seconds a part is worth a second sending."""
     objective = ask.route.objective
     window = desk.windows.get(ask.route.name, hedges.EMPTY)
-    known = hedges.hedge_delay(window)
+    known = hedges.find_delay(window)
     delay = UNKNOWN_SHARE * objective if known is None else known
     delay = max(delay, EARLIEST_SHARE * objective)
     return min(delay, LATEST_SHARE * objective)
@@ -231,7 +231,7 @@
     so many medians.
     """
     window = desk.windows.get(ask.route.name, hedges.EMPTY)
-    return window.delay / MEDIANS or math.inf
+    return window.delay_s / MEDIANS or math.inf
 
 
 def _hedge_part(
--- a/fuchsiahaven/routing/waitings.py
+++ b/fuchsiahaven/routing/waitings.py
@@ -169,4 +169,4 @@
 
 def _find_least(desk: states.Desk, route: str) -> float:
     """Find how long targets take at the least, 0 where nothing is known."""
-    return desk.windows.get(route, hedges.EMPTY).delay / tries.MEDIANS
+    return desk.windows.get(route, hedges.EMPTY).delay_s / tries.MEDIANS
--- a/tests/core/members/test_probes.py
+++ b/tests/core/members/test_probes.py
@@ -21,11 +21,11 @@
 
     def _ask_once(self, version: int | None) -> int:
         self._token += 1
-        for send in self.host.ask(self._token):
-            answer = messages.Answered(
+        for send in self.host.submit(self._token):
+            answer = messages.PartAnswered(
                 send.part, send.target.name, (), rig.LIVE, rig.LOAD, version
             )
-            self.host.tell(answer)
+            self.host.handle(answer)
         done = self.host.pass_time(0.1)
         return sum(isinstance(one, messages.Probe) for one in done)
 
--- a/tests/core/queries/test_admission.py
+++ b/tests/core/queries/test_admission.py
@@ -9,29 +9,29 @@
 from fuchsiahaven.core.queries import admission, queues
 
 NOW = 100.0
-STRONGEST = 0
-WEAKEST = 3
-MOST_WAITING = queues.LENGTH + 4 * queues.RESERVED
+HIGHEST_PRIORITY = 0
+LOWEST_PRIORITY = 3
+MAX_QUEUED = queues.MAX_LENGTH + 4 * queues.RESERVED_PER_PRIORITY
 
 
 def make_busy(running: int = 8, run_s: float = 0.1) -> admission.Admission:
     """Return an admission whose window is full."""
-    pace = admission.Pace(run_s, 0.0)
+    pace = admission.RunTime(run_s, 0.0)
     return admission.EMPTY._replace(
         running=running,
         window=float(running),
-        run_s=run_s,
-        gap_s=run_s / running,
-        paces={'': pace},
-        finished=NOW,
-        cut=NOW,
+        mean_run_s=run_s,
+        finish_interval_s=run_s / running,
+        run_times={'': pace},
+        last_finish_at=NOW,
+        window_cut_at=NOW,
     )
 
 
 def make_entry(
-    token: int, priority: int = 1, allowed: float = 1.0, now: float = NOW
+    token: int, priority: int = 1, allowed_s: float = 1.0, now: float = NOW
 ) -> queues.Entry:
-    return queues.Entry(token, priority, now, now + allowed)
+    return queues.Entry(token, priority, now, now + allowed_s)
 
 
 def test_a_query_that_cannot_be_answered_in_time_is_refused_at_once() -> None:
@@ -45,17 +45,17 @@
     current = make_busy()
     for token in range(40):
         current = admission.offer(
-            current, make_entry(token, allowed=3.0), NOW
+            current, make_entry(token, allowed_s=3.0), NOW
         ).admission
-    step = admission.offer(current, make_entry(99, allowed=0.3), NOW)
+    step = admission.offer(current, make_entry(99, allowed_s=0.3), NOW)
     (refused,) = step.refused
     assert refused.token == 99
     assert refused.failure.kind is errors.Kind.DEADLINE_UNREACHABLE
     assert refused.failure.ran is errors.Ran.NO
-    assert refused.failure.retry_after == 41 * current.gap_s
+    assert refused.failure.retry_after == 41 * current.finish_interval_s
 
 
-def test_a_query_whose_time_ran_out_in_the_queue_is_not_started() -> None:
+def test_a_query_that_expires_in_the_queue_is_not_started() -> None:
     """Nothing is sent for a query that would end past its deadline.
 
     Symptom: under load half of the answers are partial, at the deadline.
@@ -63,15 +63,15 @@
     Cause: only the deadline itself was checked at the start.
     """
     current = make_busy()
-    entry = make_entry(1, allowed=0.4)
+    entry = make_entry(1, allowed_s=0.4)
     current = admission.offer(current, entry, NOW).admission
-    step = admission.finish(current, NOW + 0.35, 0.1, strained=False)
+    step = admission.record_finish(current, NOW + 0.35, 0.1, overloaded=False)
     assert not step.started
     assert step.refused[0].token == 1
     assert step.refused[0].failure.ran is errors.Ran.NO
 
 
-def test_the_weakest_class_is_served_under_a_flood_of_stronger_ones() -> None:
+def test_the_lowest_priority_is_served_under_higher_load() -> None:
     """A bounded share of starts goes to whoever has waited longest.
 
     Symptom: reports never arrive on a day with many gate lookups.
@@ -79,53 +79,57 @@
     Cause: strict priorities starve the weakest class.
     """
     current = admission.offer(
-        make_busy(), make_entry(0, WEAKEST, 60.0), NOW
+        make_busy(), make_entry(0, LOWEST_PRIORITY, 60.0), NOW
     ).admission
     weak_starts: list[int] = []
-    for turn in range(3 * queues.FLOOR_EVERY):
-        strong = make_entry(1000 + turn, STRONGEST, 60.0, NOW + turn + 0.5)
+    for turn in range(3 * queues.OLDEST_FIRST_PERIOD):
+        strong = make_entry(
+            1000 + turn, HIGHEST_PRIORITY, 60.0, NOW + turn + 0.5
+        )
         step = admission.offer(current, strong, NOW + turn + 0.5)
-        step = admission.finish(
-            step.admission, NOW + turn + 1.0, 0.1, strained=False
+        step = admission.record_finish(
+            step.admission, NOW + turn + 1.0, 0.1, overloaded=False
         )
         current = step.admission._replace(window=8.0)
         weak_starts.extend(
-            turn for entry in step.started if entry.priority == WEAKEST
+            turn for entry in step.started if entry.priority == LOWEST_PRIORITY
         )
     assert weak_starts
-    assert weak_starts[0] < queues.FLOOR_EVERY
+    assert weak_starts[0] < queues.OLDEST_FIRST_PERIOD
 
 
-def test_a_full_queue_keeps_places_for_every_priority() -> None:
+def test_a_full_queue_reserves_entries_for_every_priority() -> None:
     current = make_busy(run_s=0.001)
-    for token in range(queues.LENGTH):
+    for token in range(queues.MAX_LENGTH):
         current = admission.offer(
-            current, make_entry(token, STRONGEST), NOW
+            current, make_entry(token, HIGHEST_PRIORITY), NOW
         ).admission
-    weak = admission.offer(current, make_entry(900, WEAKEST), NOW)
+    weak = admission.offer(current, make_entry(900, LOWEST_PRIORITY), NOW)
     assert not weak.refused
-    strong = admission.offer(weak.admission, make_entry(901, STRONGEST), NOW)
+    strong = admission.offer(
+        weak.admission, make_entry(901, HIGHEST_PRIORITY), NOW
+    )
     assert strong.refused[0].token == 901
     assert strong.refused[0].failure.kind is errors.Kind.OVERLOADED
 
 
-def test_the_newest_of_a_weaker_class_gives_way() -> None:
+def test_the_newest_of_a_lower_priority_is_evicted() -> None:
     current = make_busy(run_s=0.001)
-    for token in range(queues.LENGTH):
+    for token in range(queues.MAX_LENGTH):
         current = admission.offer(
-            current, make_entry(token, WEAKEST), NOW
+            current, make_entry(token, LOWEST_PRIORITY), NOW
         ).admission
-    for token in range(900, 900 + queues.RESERVED):
+    for token in range(900, 900 + queues.RESERVED_PER_PRIORITY):
         current = admission.offer(
-            current, make_entry(token, STRONGEST), NOW
+            current, make_entry(token, HIGHEST_PRIORITY), NOW
         ).admission
-    step = admission.offer(current, make_entry(990, STRONGEST), NOW)
+    step = admission.offer(current, make_entry(990, HIGHEST_PRIORITY), NOW)
     (refused,) = step.refused
-    assert refused.token == queues.LENGTH - 1
+    assert refused.token == queues.MAX_LENGTH - 1
     assert refused.failure.ran is errors.Ran.NO
 
 
-def test_a_class_that_once_ran_too_long_is_tried_again() -> None:
+def test_a_class_with_a_long_run_time_estimate_still_starts() -> None:
     """A bad spell does not lock a class out.
 
     Symptom: after an incident one class is refused until the host restarts.
@@ -134,19 +138,19 @@
     Cause: an estimate that is only updated by what it lets through.
     """
     slow = make_busy(run_s=5.0)._replace(running=0)
-    step = admission.offer(slow, make_entry(1, allowed=0.5), NOW)
+    step = admission.offer(slow, make_entry(1, allowed_s=0.5), NOW)
     assert step.started
 
 
-def test_below_one_at_a_time_starts_are_spaced_out() -> None:
+def test_a_window_below_one_spaces_out_starts() -> None:
     current = make_busy(run_s=0.1)._replace(
-        running=0, window=0.5, started=NOW - 0.1
+        running=0, window=0.5, last_start_at=NOW - 0.1
     )
     step = admission.offer(current, make_entry(1), NOW)
     assert not step.started
-    due = admission.next_start(step.admission)
-    assert due is not None
-    assert admission.start(step.admission, due).started
+    start_at = admission.find_next_start(step.admission)
+    assert start_at is not None
+    assert admission.start_queued(step.admission, start_at).started
 
 
 @given(
@@ -165,21 +169,23 @@
 ) -> None:
     current = admission.EMPTY
     now = NOW
-    told: list[int] = []
+    settled: list[int] = []
     tokens = itertools.count(1)
-    for kind, priority, amount, strained in steps:
-        now += amount / 100
+    for kind, priority, amount_s, overloaded in steps:
+        now += amount_s / 100
         if kind == 'offer':
-            entry = make_entry(next(tokens), priority, amount, now)
+            entry = make_entry(next(tokens), priority, amount_s, now)
             step = admission.offer(current, entry, now)
         elif kind == 'finish' and current.running:
-            step = admission.finish(current, now, amount, strained=strained)
+            step = admission.record_finish(
+                current, now, amount_s, overloaded=overloaded
+            )
         else:
-            step = admission.start(current, now)
+            step = admission.start_queued(current, now)
         current = step.admission
-        told.extend(entry.token for entry in step.started)
-        told.extend(refused.token for refused in step.refused)
-        assert admission.count_waiting(current) <= MOST_WAITING
-    step = admission.expire(current, now + 10)
-    told.extend(refused.token for refused in step.refused)
-    assert sorted(told) == list(range(1, next(tokens)))
+        settled.extend(entry.token for entry in step.started)
+        settled.extend(refused.token for refused in step.refused)
+        assert admission.count_queued(current) <= MAX_QUEUED
+    step = admission.expire_queued(current, now + 10)
+    settled.extend(refused.token for refused in step.refused)
+    assert sorted(settled) == list(range(1, next(tokens)))
