--- a/tests/core/queries/test_deals.py
+++ b/tests/core/queries/test_allocations.py
@@ -8,16 +8,16 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.queries import dispatch, states
-from fuchsiahaven.core.targets import grants, messages, seats, snapshots
+from fuchsiahaven.core.targets import allocator, grants, messages, snapshots
 from tests.core import rig
 
-CAP: Final = 5
+MAX_CONNECTIONS: Final = 5
 TARGETS: Final = tuple(
-    configurations.Target(f't{number}', f'10.0.0.{number}:1', rig.CENTRE)
+    configurations.Target(f't{number}', f'10.0.0.{number}:1', rig.DATA_CENTRE)
     for number in range(6)
 )
 GROUP: Final = configurations.Group(
-    'web', (('kind', 'web'),), TARGETS, connections=CAP
+    'web', (('kind', 'web'),), TARGETS, connections=MAX_CONNECTIONS
 )
 SHARDS: Final = [
     [target.name for target in TARGETS[number::2]] for number in (0, 1)
@@ -30,57 +30,62 @@
 )
 
 
-class Centre:
+class DataCentre:
     """Drive several hosts of one data centre, each with its own news."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.hosts: dict[str, states.State] = {}
-        self.seats: dict[str, dict[str, int]] = {}
+        self.connections: dict[str, dict[str, int]] = {}
 
-    def begin(self, host: str) -> None:
+    def start_host(self, host: str) -> None:
         """Start a host whose targets have told what they hold."""
-        self.hosts[host] = states.start(rig.CENTRE, float)
-        self.seats[host] = {}
-        self.tell(host, messages.Configured(CONFIGURATION))
+        self.hosts[host] = states.make_state(rig.DATA_CENTRE, float)
+        self.connections[host] = {}
+        self.handle(host, messages.ConfigurationReceived(CONFIGURATION))
         for number, target in enumerate(TARGETS):
-            holding = snapshots.Holding(1, number % 2, 2, *HALVES[number % 2])
+            holding = snapshots.Holding(1, number % 2, 2, *RANGES[number % 2])
             health = messages.Health(
                 target.name, rig.LIVE, 1.0, 1, rig.LOAD, (holding,)
             )
-            self.tell(host, messages.Probed(target.name, health))
+            self.handle(host, messages.TargetProbed(target.name, health))
 
-    def end(self, host: str) -> None:
+    def stop_host(self, host: str) -> None:
         """Let a host end; its connections end with it."""
         self.hosts.pop(host, None)
-        self.seats.pop(host, None)
+        self.connections.pop(host, None)
 
-    def tell(self, host: str, event: messages.Event) -> None:
+    def handle(self, host: str, event: messages.Event) -> None:
         """Let one event happen at one host."""
-        state, actions = dispatch.handle(self.hosts[host], event, self.now)
+        state, actions = dispatch.handle_event(
+            self.hosts[host], event, self.now
+        )
         self.hosts[host] = state
         for action in actions:
-            if isinstance(action, messages.Allot):
-                self.seats[host][action.target.name] = action.seats
+            if isinstance(action, messages.LimitConnections):
+                self.connections[host][action.target.name] = action.connections
 
     def pass_time(self, seconds: float) -> None:
         """Let time pass in small steps, and check the caps at each."""
-        end = self.now + seconds
-        while self.now < end:
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now += STEP_S
             for host in self.hosts:
-                self.tell(host, messages.Ticked())
-            assert max(self.load().values(), default=0) <= CAP
+                self.handle(host, messages.Tick())
+            assert (
+                max(self.count_connections().values(), default=0)
+                <= MAX_CONNECTIONS
+            )
 
-    def load(self) -> 'collections.Counter[str]':
+    def count_connections(self) -> 'collections.Counter[str]':
         """Count the seats in use at each target."""
-        load: collections.Counter[str] = collections.Counter()
-        for row in self.seats.values():
-            load.update(row)
-        return load
+        connections: collections.Counter[str] = collections.Counter()
+        for allocation in self.connections.values():
+            connections.update(allocation)
+        return connections
 
 
-HALVES: Final = ((0, 32768), (32768, 65536))
+RANGES: Final = ((0, 32768), (32768, 65536))
 #: With one host more, the reserve would be given up for the hosts left short
 #: and a target may have to refuse a connection while a host joins.
 NAMES: Final = tuple('abcdef')
@@ -90,7 +95,7 @@
     strategies.tuples(
         strategies.sampled_from(NAMES),
         strategies.lists(
-            strategies.integers(0, int(grants.SETTLE_S / STEP_S) - 1),
+            strategies.integers(0, int(grants.SETTLE_DELAY_S / STEP_S) - 1),
             min_size=len(NAMES),
             max_size=len(NAMES),
         ),
@@ -101,7 +106,7 @@
 
 @given(strategies.sets(strategies.sampled_from(NAMES)), CHANGES)
 @settings(max_examples=60)
-def test_news_that_travels_slowly_keeps_targets_under_their_cap(
+def test_slow_member_changes_keep_targets_within_max_connections(
     members: set[str], changes: list[tuple[str, list[int]]]
 ) -> None:
     """Take no seat before its former holder has had time to give it up.
@@ -111,42 +116,50 @@
     seats; others, who hear of it seconds later, still use the same ones.
     Cause: each host counts on its own view of the deal.
     """
-    centre = Centre()
+    data_centre = DataCentre()
     for member in sorted(members):
-        centre.begin(member)
-    hear_all(centre, members, [0] * len(NAMES))
-    centre.pass_time(2 * grants.SETTLE_S)
+        data_centre.start_host(member)
+    update_members(data_centre, members, [0] * len(NAMES))
+    data_centre.pass_time(2 * grants.SETTLE_DELAY_S)
     for name, delays in changes:
         members ^= {name}
         if name in members:
-            centre.begin(name)
-            centre.tell(name, messages.MembersChanged((name,), name))
+            data_centre.start_host(name)
+            data_centre.handle(name, messages.MembersChanged((name,), name))
         else:
-            centre.end(name)
-        hear_all(centre, members, delays)
+            data_centre.stop_host(name)
+        update_members(data_centre, members, delays)
         # The next change comes when this one has settled.
-        centre.pass_time(2 * grants.SETTLE_S)
-        dealt = seats.deal(members, SHARDS, CAP)
-        used = {host: drop_none(row) for host, row in centre.seats.items()}
-        assert used == {host: drop_none(row) for host, row in dealt.items()}
-
-
-def drop_none(row: seats.Row) -> seats.Row:
+        data_centre.pass_time(2 * grants.SETTLE_DELAY_S)
+        expected = allocator.allocate(members, SHARDS, MAX_CONNECTIONS)
+        actual = {
+            host: drop_zeros(allocation)
+            for host, allocation in data_centre.connections.items()
+        }
+        assert actual == {
+            host: drop_zeros(allocation)
+            for host, allocation in expected.items()
+        }
+
+
+def drop_zeros(allocation: allocator.Allocation) -> allocator.Allocation:
     """Leave out the targets without a seat."""
-    return {target: count for target, count in row.items() if count}
+    return {target: count for target, count in allocation.items() if count}
 
 
-def hear_all(centre: Centre, members: set[str], delays: list[int]) -> None:
+def update_members(
+    data_centre: DataCentre, members: set[str], delays: list[int]
+) -> None:
     """Let each member hear of all members after its own delay."""
-    named = tuple(sorted(members))
-    changed = centre.now
+    hosts = tuple(sorted(members))
+    changed_at = data_centre.now
     for delay, host in sorted(zip(delays, NAMES, strict=True)):
         if host in members:
-            centre.pass_time(changed + delay * STEP_S - centre.now)
-            centre.tell(host, messages.MembersChanged(named, host))
+            data_centre.pass_time(changed_at + delay * STEP_S - data_centre.now)
+            data_centre.handle(host, messages.MembersChanged(hosts, host))
 
 
-def test_a_change_that_moves_no_seat_deals_nothing(
+def test_an_unrelated_change_allocates_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Deal a group again only for what its deal depends on.
@@ -156,26 +169,26 @@
     every host deals the seats of all groups anew and finds them the same.
     Cause: any new configuration counted as a reason to deal.
     """
-    centre = Centre()
-    centre.begin('a')
-    centre.tell('a', messages.MembersChanged(NAMES * 2, 'a'))
-    centre.pass_time(2 * grants.SETTLE_S)
-    dealt: list[object] = []
-    real = seats.deal
-
-    def count(*given: Any) -> object:
-        dealt.append(given)
-        return real(*given)
-
-    monkeypatch.setattr(seats, 'deal', count)
+    data_centre = DataCentre()
+    data_centre.start_host('a')
+    data_centre.handle('a', messages.MembersChanged(NAMES * 2, 'a'))
+    data_centre.pass_time(2 * grants.SETTLE_DELAY_S)
+    calls: list[object] = []
+    allocate = allocator.allocate
+
+    def count_call(*arguments: Any) -> object:
+        calls.append(arguments)
+        return allocate(*arguments)
+
+    monkeypatch.setattr(allocator, 'deal', count_call)
     labelled = GROUP._replace(labels=(('kind', 'web'), ('tier', 'gold')))
     smaller = labelled._replace(targets=TARGETS[1:])
-    costs = []
+    call_counts = []
     for revision, group in enumerate((labelled, smaller), 2):
         configuration = CONFIGURATION._replace(
             revision=revision, groups=(group,)
         )
-        centre.tell('a', messages.Configured(configuration))
-        centre.pass_time(2 * grants.SETTLE_S)
-        costs.append(len(dealt))
-    assert costs == [0, len(SHARDS)]
+        data_centre.handle('a', messages.ConfigurationReceived(configuration))
+        data_centre.pass_time(2 * grants.SETTLE_DELAY_S)
+        call_counts.append(len(calls))
+    assert call_counts == [0, len(SHARDS)]
--- a/tests/core/queries/test_budgets.py
+++ b/tests/core/queries/test_budgets.py
@@ -16,18 +16,18 @@
 def spend(
     budget: budgets.Budget, kind: str, count: int
 ) -> tuple[budgets.Budget, int]:
-    hedging = kind == 'hedge'
-    withdraw = budgets.withdraw_hedge if hedging else budgets.withdraw_retry
-    for taken in range(count):
-        left = withdraw(budget)
-        if left is None:
-            return budget, taken
-        budget = left
+    is_hedge = kind == 'hedge'
+    withdraw = budgets.withdraw_hedge if is_hedge else budgets.withdraw_retry
+    for granted in range(count):
+        remaining = withdraw(budget)
+        if remaining is None:
+            return budget, granted
+        budget = remaining
     return budget, count
 
 
 @given(SHARES, SHARES, STEPS)
-def test_a_storm_of_failures_cannot_multiply_itself(
+def test_extra_load_is_bounded_by_first_attempts(
     hedge_share: float, retry_share: float, steps: list[tuple[str, int]]
 ) -> None:
     """Extra sub-requests stay under their formula in every stretch.
@@ -47,11 +47,11 @@
             hedges = max(0.0, hedges - count * hedge_share)
             extras = max(0.0, extras - count * (hedge_share + retry_share))
             continue
-        budget, taken = spend(budget, kind, count)
-        extras += taken
-        hedges += taken if kind == 'hedge' else 0
-        assert extras <= budgets.BURST + ROUNDING
-        assert hedges <= budgets.BURST + ROUNDING
+        budget, granted = spend(budget, kind, count)
+        extras += granted
+        hedges += granted if kind == 'hedge' else 0
+        assert extras <= budgets.MAX_TOKENS + ROUNDING
+        assert hedges <= budgets.MAX_TOKENS + ROUNDING
 
 
 def test_hedges_leave_tokens_for_retries() -> None:
--- a/tests/core/queries/test_customers.py
+++ b/tests/core/queries/test_customers.py
@@ -12,7 +12,7 @@
 from tests.core import rig
 
 CLASS: Final = configurations.RequestClass('c')
-ONCE: Final = configurations.RequestClass(
+AT_MOST_ONCE: Final = configurations.RequestClass(
     'c',
     needs=configurations.Needs.COMPLETE,
     repeat=configurations.Repeat.AT_MOST_ONCE,
@@ -21,38 +21,38 @@
 )
 
 
-def make_host(policy: configurations.RequestClass) -> rig.Rig:
-    host = rig.Rig(policy, shards=1)
+def make_host(request_class: configurations.RequestClass) -> rig.Rig:
+    host = rig.Rig(request_class, shards=1)
     keyed = host.configuration._replace(
         revision=2, customers=(customers.Customer('shop'),)
     )
-    host.tell(messages.Configured(keyed))
+    host.handle(messages.ConfigurationReceived(keyed))
     return host
 
 
-def make_query(host: rig.Rig, **told: Any) -> messages.Query:
+def make_query(host: rig.Rig, **fields: Any) -> messages.Query:
     query = messages.Query('id', 'c', {}, 'k', host.now, host.now + 1)
-    return query._replace(**told)
+    return query._replace(**fields)
 
 
-def test_the_name_goes_to_each_target() -> None:
+def test_the_customer_name_is_sent_to_each_target() -> None:
     host = make_host(CLASS)
     query = make_query(host, customer='shop', admitted=True)
-    sent = host.tell(messages.Submitted(1, query))
+    actions = host.handle(messages.QuerySubmitted(1, query))
     names = [
-        it.request.customer for it in sent if isinstance(it, messages.Send)
+        it.request.customer for it in actions if isinstance(it, messages.Send)
     ]
     assert names == ['shop']
 
 
-def test_a_query_that_nobody_admitted_does_not_run() -> None:
+def test_a_query_without_an_admitted_key_does_not_run() -> None:
     """Guard against a query let in before its caller needed a key.
 
     The callers' threads and the dispatch learn of a configuration one after
     the other.
     """
     host = make_host(CLASS)
-    (reply,) = host.tell(messages.Submitted(1, make_query(host)))
+    (reply,) = host.handle(messages.QuerySubmitted(1, make_query(host)))
     assert isinstance(reply, messages.Reply)
     assert isinstance(reply.outcome, errors.Failure)
     assert reply.outcome.kind is errors.Kind.NOT_READY
@@ -62,23 +62,25 @@
 @pytest.mark.parametrize(
     ('customer', 'replayed'), [('shop', True), ('bank', False), ('', False)]
 )
-def test_a_recorded_answer_is_given_to_its_customer_alone(
+def test_a_recorded_answer_is_replayed_to_its_customer_only(
     customer: str, *, replayed: bool
 ) -> None:
     """Guard against a customer that asks with the id of another."""
-    host = make_host(ONCE)
+    host = make_host(AT_MOST_ONCE)
     query = make_query(host, customer=customer, admitted=True)
-    host.tell(messages.Submitted(1, query))
+    host.handle(messages.QuerySubmitted(1, query))
     answer = messages.Answer(
         'id', (), {}, coverage.build_coverage((), set(), {}), 1
     )
-    held = messages.ClaimSettled(
+    settled = messages.ClaimSettled(
         1,
         messages.ClaimResult.HELD,
-        outcome=records.write(answer, 'shop'),
-        done=True,
+        outcome=records.encode_answer(answer, 'shop'),
+        completed=True,
     )
-    (reply,) = [it for it in host.tell(held) if isinstance(it, messages.Reply)]
+    (reply,) = [
+        it for it in host.handle(settled) if isinstance(it, messages.Reply)
+    ]
     assert reply.replayed is replayed
     if not replayed:
         assert isinstance(reply.outcome, errors.Failure)
@@ -86,15 +88,15 @@
         assert reply.outcome.ran is errors.Ran.YES
 
 
-def test_a_customer_priority_goes_before_that_of_the_class() -> None:
+def test_a_customer_priority_overrides_that_of_the_class() -> None:
     """Guard against a customer that waits behind whom it goes before."""
     host = make_host(CLASS)
     for token in range(1, 40):
         query = make_query(host, admitted=True, deadline=host.now + 100)
-        host.tell(messages.Submitted(token, query))
+        host.handle(messages.QuerySubmitted(token, query))
     query = make_query(host, admitted=True, deadline=host.now + 100, priority=0)
-    host.tell(messages.Submitted(40, query))
-    (admitted,) = host._state.tables.admitted.values()
+    host.handle(messages.QuerySubmitted(40, query))
+    (admitted,) = host._state.tables.admissions.values()
     assert admitted.running
     lanes = [[it.token for it in lane] for lane in admitted.queue.lanes]
     assert lanes[0] == [40]
--- a/tests/core/queries/test_dispatch.py
+++ b/tests/core/queries/test_dispatch.py
@@ -17,33 +17,33 @@
     repeat=configurations.Repeat.AT_MOST_ONCE,
     fan_out=configurations.FanOut.KEYED,
 )
-GONE = messages.RefusalReason.SNAPSHOT_GONE
+SNAPSHOT_GONE = messages.RefusalReason.SNAPSHOT_GONE
 
 
-def ids(outcome: messages.Answer | errors.Failure) -> set[object]:
+def list_ids(outcome: messages.Answer | errors.Failure) -> set[object]:
     assert isinstance(outcome, messages.Answer)
     return {row['id'] for row in outcome.rows}
 
 
-def fail(outcome: messages.Answer | errors.Failure) -> errors.Failure:
+def get_failure(outcome: messages.Answer | errors.Failure) -> errors.Failure:
     assert isinstance(outcome, errors.Failure)
     return outcome
 
 
-def test_answer_leaves_with_its_last_part() -> None:
+def test_a_query_is_answered_with_its_last_part() -> None:
     host = rig.Rig(PARTIAL)
-    sends = host.ask()
+    sends = host.submit()
     for send in sends[:-1]:
         host.answer(send, f'row-{send.part.shard}')
-    assert not host.replies()
+    assert not host.list_replies()
     host.answer(sends[-1], f'row-{sends[-1].part.shard}')
-    (reply,) = host.replies()
-    assert ids(reply.outcome) == {'row-0', 'row-1', 'row-2'}
+    (reply,) = host.list_replies()
+    assert list_ids(reply.outcome) == {'row-0', 'row-1', 'row-2'}
     assert isinstance(reply.outcome, messages.Answer)
     assert reply.outcome.coverage.complete
 
 
-def test_late_answer_does_not_enter_the_next_query() -> None:
+def test_a_late_answer_is_not_used_for_the_next_query() -> None:
     """Drop what arrives for a query that has been answered.
 
     Symptom: a caller sees rows of another caller's query.
@@ -52,16 +52,16 @@
     Cause: answers are matched by shard alone.
     """
     host = rig.Rig(PARTIAL, shards=2)
-    first = host.ask(token=1)
+    first = host.submit(token=1)
     host.answer(first[0], 'first-0')
     host.pass_time(1.0)
-    second = host.ask(token=2)
+    second = host.submit(token=2)
     host.answer(first[1], 'stale-1')
     for send in second:
         host.answer(send, f'second-{send.part.shard}')
-    one, two = host.replies()
-    assert ids(one.outcome) == {'first-0'}
-    assert ids(two.outcome) == {'second-0', 'second-1'}
+    one, two = host.list_replies()
+    assert list_ids(one.outcome) == {'first-0'}
+    assert list_ids(two.outcome) == {'second-0', 'second-1'}
 
 
 def test_second_answer_to_a_part_is_dropped() -> None:
@@ -73,26 +73,26 @@
     Cause: rows are appended as they come.
     """
     host = rig.Rig(PARTIAL, shards=2)
-    sends = host.ask()
-    again = rig.find_sends(host.lose(sends[0]))
-    host.answer(again[0], 'once')
+    sends = host.submit()
+    retry = rig.list_sends(host.fail(sends[0]))
+    host.answer(retry[0], 'once')
     host.answer(sends[0], 'twice')
-    host.answer(again[0], 'thrice')
+    host.answer(retry[0], 'thrice')
     host.answer(sends[1], 'other')
-    (reply,) = host.replies()
-    assert ids(reply.outcome) == {'once', 'other'}
+    (reply,) = host.list_replies()
+    assert list_ids(reply.outcome) == {'once', 'other'}
 
 
-def learn_latency(host: rig.Rig) -> None:
+def record_latencies(host: rig.Rig) -> None:
     """Let the host see that answers take 10 ms."""
     for token in range(100, 250):
-        sends = host.ask(token)
+        sends = host.submit(token)
         host.pass_time(0.01)
         for send in sends:
             host.answer(send)
 
 
-def test_beaten_attempt_is_cancelled_and_its_answer_dropped() -> None:
+def test_a_slower_attempt_is_cancelled_and_its_answer_dropped() -> None:
     """Take the first answer of two attempts, and cancel the other.
 
     Symptom: rows appear twice, or a straggler's slots fill with work that
@@ -101,31 +101,31 @@
     Cause: an attempt is not ended with its part.
     """
     host = rig.Rig(PARTIAL, shards=2)
-    learn_latency(host)
-    sends = host.ask()
-    hedges = rig.find_sends(host.pass_time(0.05))
+    record_latencies(host)
+    sends = host.submit()
+    hedges = rig.list_sends(host.pass_time(0.05))
     (hedge,) = (one for one in hedges if one.part.shard == 0)
     assert hedge.target.name != sends[0].target.name
-    done = host.answer(hedge, 'hedged')
-    assert messages.Cancel(sends[0].part, sends[0].target.name) in done
+    actions = host.answer(hedge, 'hedged')
+    assert messages.Cancel(sends[0].part, sends[0].target.name) in actions
     assert not host.answer(sends[0], 'beaten')
     host.answer(sends[1], 'first')
-    assert ids(host.replies()[-1].outcome) == {'hedged', 'first'}
+    assert list_ids(host.list_replies()[-1].outcome) == {'hedged', 'first'}
 
 
 def test_at_most_once_request_is_never_hedged() -> None:
     host = rig.Rig(REFUND)
     for token in range(100, 250):
-        host.ask(token, key='pass-17')
-        (send,) = grant(host, token)
+        host.submit(token, key='pass-17')
+        (send,) = grant_claim(host, token)
         host.pass_time(0.01)
         host.answer(send)
-    host.ask(key='pass-17')
-    assert len(grant(host)) == 1
-    assert not rig.find_sends(host.pass_time(0.5))
+    host.submit(key='pass-17')
+    assert len(grant_claim(host)) == 1
+    assert not rig.list_sends(host.pass_time(0.5))
 
 
-def test_lost_snapshot_restarts_without_mixing() -> None:
+def test_a_lost_snapshot_restarts_the_whole_query() -> None:
     """Restart the whole query on the newer snapshot.
 
     Symptom: one answer holds rows of two index versions.
@@ -134,22 +134,22 @@
     Cause: the refused shard alone is asked again on the newer snapshot.
     """
     host = rig.Rig(COMPLETE, shards=2)
-    sends = host.ask()
+    sends = host.submit()
     host.answer(sends[0], 'old-0')
-    host.hold(2, sequence=2)
-    other = rig.find_sends(host.refuse(sends[1], GONE))
-    newer = rig.find_sends(host.refuse(other[0], GONE))
+    host.report_all(2, sequence=2)
+    other = rig.list_sends(host.refuse(sends[1], SNAPSHOT_GONE))
+    newer = rig.list_sends(host.refuse(other[0], SNAPSHOT_GONE))
     assert [send.request.snapshot for send in newer] == [2, 2]
     assert not host.answer(sends[0], 'old-0')
     for send in newer:
         host.answer(send, f'new-{send.part.shard}')
-    (reply,) = host.replies()
-    assert ids(reply.outcome) == {'new-0', 'new-1'}
+    (reply,) = host.list_replies()
+    assert list_ids(reply.outcome) == {'new-0', 'new-1'}
     assert isinstance(reply.outcome, messages.Answer)
     assert reply.outcome.snapshots == {'web': 2}
 
 
-def test_failure_after_a_restart_tells_what_ran_before_it() -> None:
+def test_a_failure_after_a_restart_reports_the_earlier_run() -> None:
     """Count what ran for the older snapshot as run.
 
     Symptom: a caller is told `not run`, and searchers have run its query.
@@ -158,28 +158,28 @@
     Cause: each run of a query is looked at for itself.
     """
     host = rig.Rig(COMPLETE, shards=2)
-    sends = host.ask()
+    sends = host.submit()
     host.answer(sends[0], 'old-0')
-    host.hold(2, sequence=2)
-    other = rig.find_sends(host.refuse(sends[1], GONE))
-    newer = rig.find_sends(host.refuse(other[0], GONE))
-    while newer and not host.replies():
+    host.report_all(2, sequence=2)
+    other = rig.list_sends(host.refuse(sends[1], SNAPSHOT_GONE))
+    newer = rig.list_sends(host.refuse(other[0], SNAPSHOT_GONE))
+    while newer and not host.list_replies():
         leaving = messages.RefusalReason.LEAVING
-        newer.extend(rig.find_sends(host.refuse(newer.pop(0), leaving)))
-    (reply,) = host.replies()
-    assert fail(reply.outcome).ran is errors.Ran.YES
+        newer.extend(rig.list_sends(host.refuse(newer.pop(0), leaving)))
+    (reply,) = host.list_replies()
+    assert get_failure(reply.outcome).ran is errors.Ran.YES
 
 
-def test_lost_snapshot_without_newer_is_told_at_once() -> None:
+def test_a_lost_snapshot_without_a_newer_one_fails_at_once() -> None:
     host = rig.Rig(COMPLETE, shards=2)
-    sends = host.ask()
-    other = rig.find_sends(host.refuse(sends[1], GONE))
-    host.refuse(other[0], GONE)
-    (reply,) = host.replies()
-    assert fail(reply.outcome).kind is errors.Kind.NO_SNAPSHOT
+    sends = host.submit()
+    other = rig.list_sends(host.refuse(sends[1], SNAPSHOT_GONE))
+    host.refuse(other[0], SNAPSHOT_GONE)
+    (reply,) = host.list_replies()
+    assert get_failure(reply.outcome).kind is errors.Kind.NO_SNAPSHOT
 
 
-def test_complete_class_gets_an_error_and_no_short_list() -> None:
+def test_a_complete_class_gets_an_error_and_no_partial_answer() -> None:
     """Fail a class that needs all at its first lost part, and at once.
 
     Symptom: a gate waits for its deadline, or sees a short holder list.
@@ -187,28 +187,28 @@
     Cause: missing parts are only looked at when the deadline comes.
     """
     host = rig.Rig(COMPLETE, shards=3)
-    sends = host.ask()
+    sends = host.submit()
     host.answer(sends[0], 'row-0')
-    again = rig.find_sends(host.lose(sends[1]))
-    done = host.lose(again[0])
-    (reply,) = host.replies()
-    failure = fail(reply.outcome)
+    retry = rig.list_sends(host.fail(sends[1]))
+    actions = host.fail(retry[0])
+    (reply,) = host.list_replies()
+    failure = get_failure(reply.outcome)
     assert failure.kind is errors.Kind.INCOMPLETE
     assert failure.ran is errors.Ran.YES
     assert failure.retry_after
-    cancels = [one for one in done if isinstance(one, messages.Cancel)]
+    cancels = [one for one in actions if isinstance(one, messages.Cancel)]
     assert [cancel.part for cancel in cancels] == [sends[2].part]
 
 
-def test_partial_answer_names_what_is_missing() -> None:
+def test_a_partial_answer_lists_the_missing_parts() -> None:
     host = rig.Rig(PARTIAL, shards=3)
-    sends = host.ask()
+    sends = host.submit()
     host.answer(sends[0], 'row-0')
-    again = rig.find_sends(host.lose(sends[1]))
-    host.lose(again[0])
-    assert not host.replies()
+    retry = rig.list_sends(host.fail(sends[1]))
+    host.fail(retry[0])
+    assert not host.list_replies()
     host.pass_time(1.0)
-    (reply,) = host.replies()
+    (reply,) = host.list_replies()
     assert isinstance(reply.outcome, messages.Answer)
     reasons = {
         part.shard: part.reason for part in reply.outcome.coverage.missing
@@ -223,23 +223,23 @@
 EXPIRED = HELD._replace(result=messages.ClaimResult.EXPIRED)
 
 
-def grant(host: rig.Rig, token: int = 1) -> list[messages.Send]:
+def grant_claim(host: rig.Rig, token: int = 1) -> list[messages.Send]:
     """Grant a claim; return the sub-requests that follow."""
     settled = messages.ClaimSettled(
         token, messages.ClaimResult.GRANTED, not_after_epoch=5.0
     )
-    return rig.find_sends(host.tell(settled))
+    return rig.list_sends(host.handle(settled))
 
 
-def test_claim_goes_before_the_first_byte() -> None:
+def test_the_claim_precedes_the_first_sub_request() -> None:
     host = rig.Rig(REFUND)
-    assert not host.ask(key='pass-17')
-    (send,) = grant(host)
+    assert not host.submit(key='pass-17')
+    (send,) = grant_claim(host)
     assert send.request.at_most_once
     assert send.request.not_after_epoch == 5.0
-    done = host.answer(send, 'refunded')
-    kinds = [type(action) for action in done]
-    assert kinds == [messages.Reply, messages.Record]
+    actions = host.answer(send, 'refunded')
+    kinds = [type(action) for action in actions]
+    assert kinds == [messages.Reply, messages.RecordOutcome]
 
 
 def test_unknown_outcome_ends_an_at_most_once_request() -> None:
@@ -250,30 +250,30 @@
     Cause: a broken attempt is retried like that of a search.
     """
     host = rig.Rig(REFUND)
-    host.ask(key='pass-17')
-    (send,) = grant(host)
-    done = host.lose(send)
-    (reply,) = host.replies()
-    failure = fail(reply.outcome)
+    host.submit(key='pass-17')
+    (send,) = grant_claim(host)
+    actions = host.fail(send)
+    (reply,) = host.list_replies()
+    failure = get_failure(reply.outcome)
     assert failure.kind is errors.Kind.OUTCOME_UNKNOWN
     assert failure.ran is errors.Ran.UNKNOWN
-    assert done == [reply]
+    assert actions == [reply]
 
 
-def test_at_most_once_request_moves_on_after_a_refusal() -> None:
+def test_an_at_most_once_request_is_retried_after_a_refusal() -> None:
     host = rig.Rig(REFUND)
-    host.ask(key='pass-17')
-    (send,) = grant(host)
-    done = host.refuse(send, messages.RefusalReason.LEAVING)
-    (other,) = rig.find_sends(done)
+    host.submit(key='pass-17')
+    (send,) = grant_claim(host)
+    actions = host.refuse(send, messages.RefusalReason.LEAVING)
+    (other,) = rig.list_sends(actions)
     assert other.target.name != send.target.name
-    done = host.refuse(other, messages.RefusalReason.LEAVING)
-    (reply,) = host.replies()
-    assert fail(reply.outcome).ran is errors.Ran.NO
-    assert messages.Release('id-1') in done
+    actions = host.refuse(other, messages.RefusalReason.LEAVING)
+    (reply,) = host.list_replies()
+    assert get_failure(reply.outcome).ran is errors.Ran.NO
+    assert messages.ReleaseClaim('id-1') in actions
 
 
-def test_claim_that_comes_too_late_is_not_run() -> None:
+def test_a_claim_granted_too_late_is_not_run() -> None:
     """Tell `not run` in time, and keep to it when the claim comes late.
 
     Symptom: a refund that was refused as not run lands all the same.
@@ -282,15 +282,15 @@
     Cause: the grant starts the query whoever still waits for it.
     """
     host = rig.Rig(REFUND)
-    host.ask(key='pass-17')
+    host.submit(key='pass-17')
     host.pass_time(1.0)
-    (reply,) = host.replies()
-    assert fail(reply.outcome).kind is errors.Kind.PLATFORM_UNAVAILABLE
-    assert fail(reply.outcome).ran is errors.Ran.NO
+    (reply,) = host.list_replies()
+    assert get_failure(reply.outcome).kind is errors.Kind.PLATFORM_UNAVAILABLE
+    assert get_failure(reply.outcome).ran is errors.Ran.NO
     late = messages.ClaimSettled(
         1, messages.ClaimResult.GRANTED, request_id='id-1'
     )
-    assert host.tell(late) == [messages.Release('id-1')]
+    assert host.handle(late) == [messages.ReleaseClaim('id-1')]
 
 
 @pytest.mark.parametrize(
@@ -298,24 +298,24 @@
     [
         (HELD, errors.Kind.DUPLICATE_REQUEST, errors.Ran.UNKNOWN),
         (
-            HELD._replace(over=True),
+            HELD._replace(start_expired=True),
             errors.Kind.OUTCOME_UNKNOWN,
             errors.Ran.UNKNOWN,
         ),
         (
-            HELD._replace(over=True, done=True),
+            HELD._replace(start_expired=True, completed=True),
             errors.Kind.DUPLICATE_REQUEST,
             errors.Ran.YES,
         ),
         (EXPIRED, errors.Kind.REQUEST_EXPIRED, errors.Ran.NO),
         (
-            EXPIRED._replace(over=True),
+            EXPIRED._replace(start_expired=True),
             errors.Kind.REQUEST_EXPIRED,
             errors.Ran.UNKNOWN,
         ),
     ],
 )
-def test_claim_that_ends_is_told_for_what_it_is(
+def test_a_settled_claim_is_reported_with_its_true_outcome(
     settled: messages.ClaimSettled, kind: errors.Kind, ran: errors.Ran
 ) -> None:
     """Never tell a claimed request as done or as not run on a guess.
@@ -325,32 +325,34 @@
     claim, or one from long ago, is told as a plain refusal.
     """
     host = rig.Rig(REFUND)
-    host.ask(key='pass-17')
-    host.tell(settled)
-    (reply,) = host.replies()
-    assert fail(reply.outcome).kind is kind
-    assert fail(reply.outcome).ran is ran
+    host.submit(key='pass-17')
+    host.handle(settled)
+    (reply,) = host.list_replies()
+    assert get_failure(reply.outcome).kind is kind
+    assert get_failure(reply.outcome).ran is ran
 
 
 @pytest.mark.parametrize('fault', list(messages.Fault))
-def test_broken_answer_is_asked_elsewhere(fault: messages.Fault) -> None:
+def test_a_failed_part_is_retried_on_another_target(
+    fault: messages.Fault,
+) -> None:
     host = rig.Rig(PARTIAL, shards=1)
-    (send,) = host.ask()
-    (other,) = rig.find_sends(host.lose(send, fault))
+    (send,) = host.submit()
+    (other,) = rig.list_sends(host.fail(send, fault))
     assert other.target.name != send.target.name
     host.answer(other, 'row')
-    assert ids(host.replies()[0].outcome) == {'row'}
+    assert list_ids(host.list_replies()[0].outcome) == {'row'}
 
 
 def test_lower_revision_changes_nothing() -> None:
     host = rig.Rig(PARTIAL)
     empty = configurations.Configuration(1)
-    host.tell(messages.Configured(empty))
-    host.tell(messages.Configured(empty._replace(revision=0)))
-    assert host.ask()
+    host.handle(messages.ConfigurationReceived(empty))
+    host.handle(messages.ConfigurationReceived(empty._replace(revision=0)))
+    assert host.submit()
 
 
-def test_claims_that_wait_do_not_hold_up_searches() -> None:
+def test_pending_claims_do_not_delay_searches() -> None:
     """Admit what needs a claim apart from what does not.
 
     Symptom: while the platform is slow, searches are refused too.
@@ -358,13 +360,13 @@
     every place there is to run; lookups of the same group queue behind.
     Cause: one count of running queries for both.
     """
-    host = rig.Rig(PARTIAL, others=(REFUND,))
+    host = rig.Rig(PARTIAL, other_classes=(REFUND,))
     for token in range(100, 120):
-        host.ask(token, key='pass-17', class_name=REFUND.name)
-    assert host.ask(1)
+        host.submit(token, key='pass-17', class_name=REFUND.name)
+    assert host.submit(1)
 
 
-def test_a_lost_target_is_left_out_until_it_has_answered() -> None:
+def test_a_failing_target_is_ejected_until_it_answers() -> None:
     """Eject a target whose sub-requests break, one after another.
 
     Symptom: a share of all queries meets the lost replica and loses time.
@@ -373,31 +375,31 @@
     Cause: with nothing in flight the lost target looks like the best choice.
     """
     host = rig.Rig(PARTIAL, shards=1)
-    take_seats(host)
-    sends = ask_many(host, range(1, 8))
-    lost = sends[0].target.name
+    allocate_all_connections(host)
+    sends = submit_many(host, range(1, 8))
+    failing = sends[0].target.name
     for send in sends:
-        if send.target.name == lost:
-            (other,) = rig.find_sends(host.lose(send))
+        if send.target.name == failing:
+            (other,) = rig.list_sends(host.fail(send))
             host.answer(other)
         else:
             host.answer(send)
     host.pass_time(0.5)
-    sends = ask_many(host, range(10, 18))
-    assert lost not in {send.target.name for send in sends}
+    sends = submit_many(host, range(10, 18))
+    assert failing not in {send.target.name for send in sends}
     host.pass_time(0.6)
     for send in sends:
         host.answer(send)
-    sends = ask_many(host, range(20, 24))
-    assert [send.target.name for send in sends].count(lost) == 1
+    sends = submit_many(host, range(20, 24))
+    assert [send.target.name for send in sends].count(failing) == 1
 
 
-def ask_many(host: rig.Rig, tokens: range) -> list[messages.Send]:
+def submit_many(host: rig.Rig, tokens: range) -> list[messages.Send]:
     """Ask queries that stay open; return their sub-requests."""
-    return [send for token in tokens for send in host.ask(token)]
+    return [send for token in tokens for send in host.submit(token)]
 
 
-def test_a_hedge_that_is_slow_too_gets_one_more() -> None:
+def test_a_slow_hedge_is_hedged_once_more() -> None:
     """Hedge a part again where first try and hedge are both slow.
 
     Symptom: with 5 % of answers slow, one query in eight is slow though every
@@ -406,22 +408,22 @@
     Cause: a hedge went only to replicas that had not been asked.
     """
     host = rig.Rig(PARTIAL, shards=2)
-    take_seats(host)
-    learn_latency(host)
-    sends = host.ask()
+    allocate_all_connections(host)
+    record_latencies(host)
+    sends = host.submit()
     attempts = [
         send.part.attempt
         for _ in range(4)
-        for send in rig.find_sends(host.pass_time(0.05))
+        for send in rig.list_sends(host.pass_time(0.05))
         if send.part.shard == 0
     ]
     assert attempts == [2, 3]
-    done = host.answer(sends[0])
-    cancels = [one for one in done if isinstance(one, messages.Cancel)]
+    actions = host.answer(sends[0])
+    cancels = [one for one in actions if isinstance(one, messages.Cancel)]
     assert [cancel.part.attempt for cancel in cancels] == [2, 3]
 
 
-def test_a_frozen_target_is_left_out() -> None:
+def test_a_frozen_target_is_ejected() -> None:
     """Leave out a target that accepts everything and answers nothing.
 
     Symptom: refunds time out with unknown outcome, one in two, for hours.
@@ -431,12 +433,12 @@
     Cause: only broken connections counted as failures.
     """
     host = rig.Rig(REFUND, shards=1)
-    take_seats(host)
+    allocate_all_connections(host)
     for token in range(100, 150):
-        (send,) = ask_refunds(host, range(token, token + 1))
+        (send,) = submit_refunds(host, range(token, token + 1))
         host.pass_time(0.4)
         host.answer(send)
-    sends = ask_refunds(host, range(1, 13))
+    sends = submit_refunds(host, range(1, 13))
     frozen = sends[0].target.name
     host.pass_time(0.4)
     for send in sends:
@@ -445,53 +447,53 @@
     host.pass_time(0.6)
     for send in sends:
         if send.target.name == frozen:
-            host.lose(send)
-    sends = ask_refunds(host, range(20, 28))
+            host.fail(send)
+    sends = submit_refunds(host, range(20, 28))
     assert sends
     assert frozen not in {send.target.name for send in sends}
 
 
-def test_at_most_once_request_is_no_trial() -> None:
+def test_an_at_most_once_request_is_not_used_as_a_trial() -> None:
     """Let a request that may run twice find out whether a target is back.
 
     Symptom: each second one refund ends with unknown outcome.
     Sequence: a target was ejected, its time is over, it still fails.
     Cause: the trial that may end the ejection is a refund.
     """
-    host = rig.Rig(REFUND, shards=1, others=(PARTIAL,))
-    take_seats(host)
-    (first,) = ask_refunds(host, range(1, 2))
-    lost = first.target.name
+    host = rig.Rig(REFUND, shards=1, other_classes=(PARTIAL,))
+    allocate_all_connections(host)
+    (first,) = submit_refunds(host, range(1, 2))
+    failing = first.target.name
     host.answer(first)
     for token in range(2, 20):
-        for send in host.ask(token, class_name=PARTIAL.name):
-            if send.target.name == lost:
-                host.lose(send)
+        for send in host.submit(token, class_name=PARTIAL.name):
+            if send.target.name == failing:
+                host.fail(send)
             else:
                 host.pass_time(0.01)
                 host.answer(send)
     host.pass_time(1.2)
-    assert lost not in {
-        send.target.name for send in ask_refunds(host, range(20, 23))
+    assert failing not in {
+        send.target.name for send in submit_refunds(host, range(20, 23))
     }
 
 
-def ask_refunds(host: rig.Rig, tokens: range) -> list[messages.Send]:
+def submit_refunds(host: rig.Rig, tokens: range) -> list[messages.Send]:
     """Ask requests that run at most once, each granted its claim."""
     sends: list[messages.Send] = []
     for token in tokens:
-        host.ask(token, key='pass-17', class_name=REFUND.name)
-        sends.extend(grant(host, token))
+        host.submit(token, key='pass-17', class_name=REFUND.name)
+        sends.extend(grant_claim(host, token))
     return sends
 
 
-def take_seats(host: rig.Rig) -> None:
+def allocate_all_connections(host: rig.Rig) -> None:
     """Let the host use every seat at its targets."""
-    host.tell(messages.MembersChanged(('host-0',), 'host-0'))
+    host.handle(messages.MembersChanged(('host-0',), 'host-0'))
     host.pass_time(20.0)
 
 
-def test_target_with_a_new_address_is_another_process() -> None:
+def test_a_target_with_a_new_address_is_another_process() -> None:
     """Ask anew what a target holds once its name has another address.
 
     Symptom: requests go to an address that another process has now.
@@ -506,16 +508,16 @@
     changed = host.configuration._replace(
         revision=2, groups=(group._replace(targets=(after,)),)
     )
-    done = host.tell(messages.Configured(changed))
-    assert messages.Allot(before, 0) in done
-    assert not host.ask(token=1)
+    actions = host.handle(messages.ConfigurationReceived(changed))
+    assert messages.LimitConnections(before, 0) in actions
+    assert not host.submit(token=1)
     assert messages.Probe(after) in host.pass_time(0.3)
     host.report(0, 0, 1)
-    (send,) = host.ask(token=2)
+    (send,) = host.submit(token=2)
     assert send.target == after
 
 
-def test_a_shed_part_waits_for_the_budget() -> None:
+def test_a_shed_part_is_retried_once_the_budget_allows() -> None:
     """Keep a part that was shed until a retry may leave, or the deadline.
 
     Symptom: in a burst answers miss shards that are free a moment later.
@@ -524,34 +526,34 @@
     Cause: a part without a token was given up at once.
     """
     host = rig.Rig(PARTIAL, shards=1)
-    kind = tables.ClassGroup(PARTIAL.name, 'web')
+    class_group = tables.ClassGroup(PARTIAL.name, 'web')
     spent = budgets.Budget(0.05, 0.1, tokens=0.0)
-    host._state.tables.budgets[kind] = spent
-    (send,) = host.ask(1)
+    host._state.tables.budgets[class_group] = spent
+    (send,) = host.submit(1)
     assert not host.refuse(send, messages.RefusalReason.SHED)
     for token in range(200, 207):
-        (other,) = host.ask(token)
+        (other,) = host.submit(token)
         host.answer(other)
-    (again,) = rig.find_sends(host.pass_time(0.05))
-    assert again.part.query == send.part.query
-    host.answer(again, 'late')
-    assert ids(host.replies()[-1].outcome) == {'late'}
+    (retry,) = rig.list_sends(host.pass_time(0.05))
+    assert retry.part.run_number == send.part.run_number
+    host.answer(retry, 'late')
+    assert list_ids(host.list_replies()[-1].outcome) == {'late'}
 
 
-def test_a_query_that_ends_its_targets_reaches_few_more() -> None:
+def test_a_query_that_crashes_targets_reaches_few_of_them() -> None:
     """Guard against a query that ends, one after the other, whatever runs it.
 
     Asked twice, it ends three targets; at most three more get it.
     """
     host = rig.Rig(PARTIAL, shards=1, replicas=12)
-    lost = 0
+    crashed = 0
     for token in (1, 2, 3):
-        sends = host.ask(token=token)
+        sends = host.submit(token=token)
         while sends:
-            lost += len(sends)
+            crashed += len(sends)
             sends = [
-                again
+                retry
                 for send in sends
-                for again in rig.find_sends(host.end_target(send))
+                for retry in rig.list_sends(host.crash_target(send))
             ]
-    assert lost <= 6
+    assert crashed <= 6
--- a/tests/core/queries/test_hedges.py
+++ b/tests/core/queries/test_hedges.py
@@ -12,10 +12,10 @@
 LATENCIES = st.lists(st.floats(0.0005, 5.0), min_size=200, max_size=400)
 
 
-def fill(latencies: list[float]) -> hedges.Window:
+def make_window(latencies: list[float]) -> hedges.Window:
     window = hedges.EMPTY
     for latency in latencies:
-        window = hedges.note_latency(window, latency)
+        window = hedges.record_latency(window, latency)
     return window
 
 
@@ -23,21 +23,25 @@
 def test_the_quantile_is_within_one_bucket_of_the_true_one(
     latencies: list[float],
 ) -> None:
-    window = fill(latencies)
+    window = make_window(latencies)
     rank = math.ceil(0.95 * len(latencies))
-    true = sorted(latencies)[rank - 1]
-    found = hedges.find_quantile(window, 0.95)
-    assert true / 1.001 <= found <= true * hedges.RATIO * 1.001
+    expected = sorted(latencies)[rank - 1]
+    estimate = hedges.estimate_quantile(window, 0.95)
+    assert (
+        expected / 1.001 <= estimate <= expected * hedges.BUCKET_RATIO * 1.001
+    )
 
 
-def test_too_few_samples_give_no_delay() -> None:
-    window = fill([QUICK_S] * (hedges.FEWEST - 1))
-    assert hedges.hedge_delay(window) is None
+def test_there_is_no_delay_below_the_minimum_of_samples() -> None:
+    window = make_window([QUICK_S] * (hedges.MIN_SAMPLES - 1))
+    assert hedges.find_delay(window) is None
 
 
 def test_old_samples_fade() -> None:
-    window = fill([SLOW_S] * hedges.FULL + [QUICK_S] * hedges.FULL * 4)
-    delay = hedges.hedge_delay(window)
+    window = make_window(
+        [SLOW_S] * hedges.MAX_SAMPLES + [QUICK_S] * hedges.MAX_SAMPLES * 4
+    )
+    delay = hedges.find_delay(window)
     assert delay is not None
     assert delay < 2 * QUICK_S
 
@@ -50,28 +54,26 @@
     are late, so that more of them pass the quantile.
     Cause: a hedge helps against a slow replica, not against a full group.
     """
-    window = fill([QUICK_S] * 200)
-    assert hedges.hedge_delay(window) is not None
+    window = make_window([QUICK_S] * 200)
+    assert hedges.find_delay(window) is not None
     for _ in range(40):
-        window = hedges.note_refusal(window)
+        window = hedges.record_shed(window)
         for _ in range(4):
-            window = hedges.note_latency(window, QUICK_S)
-    assert hedges.hedge_delay(window) is None
+            window = hedges.record_latency(window, QUICK_S)
+    assert hedges.find_delay(window) is None
     for _ in range(200):
-        window = hedges.note_latency(window, QUICK_S)
-    assert hedges.hedge_delay(window) is not None
+        window = hedges.record_latency(window, QUICK_S)
+    assert hedges.find_delay(window) is not None
 
 
 def test_full_queues_turn_hedging_off_before_anything_is_shed() -> None:
-    window = fill([QUICK_S] * 200)
+    window = make_window([QUICK_S] * 200)
     for _ in range(20):
-        window = hedges.note_latency(window, QUICK_S, queued=True)
-    assert hedges.hedge_delay(window) is None
+        window = hedges.record_latency(window, QUICK_S, queued=True)
+    assert hedges.find_delay(window) is None
 
 
-def test_hedging_comes_early_where_the_quantile_falls_among_slow_answers() -> (
-    None
-):
+def test_the_delay_stays_short_where_the_quantile_is_a_slow_answer() -> None:
     """A share of slow answers above 5 % does not push the delay up to them.
 
     Symptom: with 6 % of answers slow, hedging stops just when it is needed.
@@ -79,8 +81,8 @@
     quantile is one of them, and a hedge would leave after 0.2 s.
     Cause: the quantile alone says nothing of how slow is too slow.
     """
-    window = fill(([QUICK_S] * 47 + [SLOW_S] * 3) * 8)
-    assert hedges.find_quantile(window, 0.95) >= SLOW_S
-    delay = hedges.hedge_delay(window)
+    window = make_window(([QUICK_S] * 47 + [SLOW_S] * 3) * 8)
+    assert hedges.estimate_quantile(window, 0.95) >= SLOW_S
+    delay = hedges.find_delay(window)
     assert delay is not None
     assert delay < SLOW_S / 4
--- a/tests/core/rig.py
+++ b/tests/core/rig.py
@@ -5,7 +5,7 @@
 from fuchsiahaven.core.queries import dispatch, hedges, states, tables
 from fuchsiahaven.core.targets import messages, snapshots
 
-CENTRE = 'Quilicura'
+DATA_CENTRE = 'Quilicura'
 LIVE = messages.TargetState.LIVE
 LOAD = messages.Load(0, 0, 2)
 
@@ -19,24 +19,24 @@
         shards: int = 3,
         replicas: int = 2,
         policy: policies.Policy = policies.STANDARD,
-        others: tuple[configurations.RequestClass, ...] = (),
+        other_classes: tuple[configurations.RequestClass, ...] = (),
     ) -> None:
         """Configure one group and let all its targets report snapshot 1."""
         self.now = 100.0
         self.shards = shards
         self.actions: list[messages.Action] = []
-        self.names = {
-            (shard, copy): f'web-{shard}/{copy}'
+        self.target_names = {
+            (shard, replica): f'web-{shard}/{replica}'
             for shard in range(shards)
-            for copy in range(replicas)
+            for replica in range(replicas)
         }
         targets = tuple(
-            configurations.Target(name, f'10.0.0.{number}:1', CENTRE)
-            for number, name in enumerate(self.names.values())
+            configurations.Target(name, f'10.0.0.{number}:1', DATA_CENTRE)
+            for number, name in enumerate(self.target_names.values())
         )
         group = configurations.Group('web', (('kind', 'web'),), targets)
-        classes = (request_class, *others)
-        self._state = states.start(CENTRE, float, policy)
+        classes = (request_class, *other_classes)
+        self._state = states.make_state(DATA_CENTRE, float, policy)
         self.configuration = configurations.Configuration(
             1,
             (group,),
@@ -47,31 +47,31 @@
             classes,
         )
         self._class = request_class.name
-        self.tell(messages.Configured(self.configuration))
-        self.hold(1)
+        self.handle(messages.ConfigurationReceived(self.configuration))
+        self.report_all(1)
 
-    def tell(self, event: messages.Event) -> list[messages.Action]:
+    def handle(self, event: messages.Event) -> list[messages.Action]:
         """Let one event happen; return what it made the host do."""
-        state, done = dispatch.handle(self._state, event, self.now)
+        state, actions = dispatch.handle_event(self._state, event, self.now)
         self._state = state
-        self.actions.extend(done)
-        return done
+        self.actions.extend(actions)
+        return actions
 
     def pass_time(self, seconds: float) -> list[messages.Action]:
         """Let time pass."""
         self.now += seconds
-        return self.tell(messages.Ticked())
+        return self.handle(messages.Tick())
 
-    def hold(self, *numbers: int, sequence: int = 1) -> None:
+    def report_all(self, *snapshot_numbers: int, sequence: int = 1) -> None:
         """Let every target report that it holds these snapshots."""
-        for shard, copy in self.names:
-            self.report(shard, copy, *numbers, sequence=sequence)
+        for shard, replica in self.target_names:
+            self.report(shard, replica, *snapshot_numbers, sequence=sequence)
 
     def report(
         self,
         shard: int,
-        copy: int,
-        *numbers: int,
+        replica: int,
+        *snapshot_numbers: int,
         sequence: int = 1,
         version: int | None = None,
     ) -> None:
@@ -80,15 +80,15 @@
         high = 65536 if shard == self.shards - 1 else (shard + 1) * size
         holdings = tuple(
             snapshots.Holding(number, shard, self.shards, shard * size, high)
-            for number in numbers
+            for number in snapshot_numbers
         )
-        name = self.names[shard, copy]
+        name = self.target_names[shard, replica]
         health = messages.Health(
             name, LIVE, 1.0, sequence, LOAD, holdings, version
         )
-        self.tell(messages.Probed(name, health))
+        self.handle(messages.TargetProbed(name, health))
 
-    def ask(
+    def submit(
         self,
         token: int = 1,
         key: str | None = None,
@@ -104,13 +104,13 @@
             self.now,
             self.now + deadline,
         )
-        return find_sends(self.tell(messages.Submitted(token, query)))
+        return list_sends(self.handle(messages.QuerySubmitted(token, query)))
 
     def answer(self, send: messages.Send, *ids: str) -> list[messages.Action]:
         """Answer a sub-request with rows of these ids."""
         rows = tuple({'id': name, 'rank': 1.0} for name in ids)
-        return self.tell(
-            messages.Answered(send.part, send.target.name, rows, LIVE, LOAD)
+        return self.handle(
+            messages.PartAnswered(send.part, send.target.name, rows, LIVE, LOAD)
         )
 
     def refuse(
@@ -118,9 +118,9 @@
     ) -> list[messages.Action]:
         """Refuse a sub-request, not run."""
         name = send.target.name
-        return self.tell(messages.Refused(send.part, name, reason))
+        return self.handle(messages.PartRefused(send.part, name, reason))
 
-    def lose(
+    def fail(
         self,
         send: messages.Send,
         fault: messages.Fault = messages.Fault.CONNECTION_LOST,
@@ -130,36 +130,47 @@
         Its pool looks whether it does where a connection was lost.
         """
         name = send.target.name
-        done = self.tell(messages.Broken(send.part, name, fault))
+        actions = self.handle(messages.PartFailed(send.part, name, fault))
         if fault is messages.Fault.CONNECTION_LOST:
-            done += self.tell(messages.Looked(name, ended=False))
-        return done
+            actions += self.handle(messages.TargetChecked(name, exited=False))
+        return actions
 
-    def end_target(self, send: messages.Send) -> list[messages.Action]:
+    def crash_target(self, send: messages.Send) -> list[messages.Action]:
         """End the target that runs a sub-request."""
         lost = messages.Fault.CONNECTION_LOST
         name = send.target.name
-        done = self.tell(messages.Broken(send.part, name, lost))
-        return done + self.tell(messages.Looked(name, ended=True))
+        actions = self.handle(messages.PartFailed(send.part, name, lost))
+        return actions + self.handle(messages.TargetChecked(name, exited=True))
 
-    def replies(self) -> list[messages.Reply]:
+    def list_replies(self) -> list[messages.Reply]:
         """List the replies given so far."""
-        return [one for one in self.actions if isinstance(one, messages.Reply)]
+        return [
+            action
+            for action in self.actions
+            if isinstance(action, messages.Reply)
+        ]
 
-    def hedge_after(self, class_name: str, delay: float) -> None:
+    def set_hedge_delay(self, class_name: str, delay_s: float) -> None:
         """Let the host know how long answers to a class take."""
-        kind = tables.ClassGroup(class_name, 'web')
-        window = hedges.Window(total=hedges.FEWEST, stale=0, delay=delay)
-        self._state.tables.windows[kind] = window
+        class_group = tables.ClassGroup(class_name, 'web')
+        window = hedges.Window(
+            samples=hedges.MIN_SAMPLES, samples_since_refresh=0, delay_s=delay_s
+        )
+        self._state.tables.latency_windows[class_group] = window
 
     def check_idle(self) -> None:
         """Check that nothing is kept of queries that have ended."""
-        known = self._state.tables
-        kept = (known.runs, known.flying, known.begun, known.waiting)
-        assert not any(kept)
-        assert not any(stats.in_flight for stats in known.stats.values())
+        host_tables = self._state.tables
+        remaining = (
+            host_tables.active_runs,
+            host_tables.attempts,
+            host_tables.admitted_queries,
+            host_tables.queued_queries,
+        )
+        assert not any(remaining)
+        assert not any(stats.in_flight for stats in host_tables.stats.values())
 
 
-def find_sends(actions: list[messages.Action]) -> list[messages.Send]:
+def list_sends(actions: list[messages.Action]) -> list[messages.Send]:
     """Pick the sub-requests out of what a host does."""
-    return [one for one in actions if isinstance(one, messages.Send)]
+    return [action for action in actions if isinstance(action, messages.Send)]
--- a/tests/core/targets/test_drains.py
+++ b/tests/core/targets/test_drains.py
@@ -13,14 +13,14 @@
 LEAVING = messages.TargetState.LEAVING
 
 
-def report(
+def make_report(
     state: messages.TargetState, started: float, sequence: int
 ) -> messages.Health:
     load = messages.Load(0, 0, 2)
     return messages.Health('t', state, started, sequence, load, ())
 
 
-def test_a_lagging_live_report_does_not_bring_a_target_back() -> None:
+def test_an_older_live_report_does_not_end_a_drain() -> None:
     """Let an answer's `leaving` stand against a health report that lags.
 
     Symptom: a target in its drain is sent new work again.
@@ -28,20 +28,24 @@
     before the drain began, says live; the host list says live.
     Cause: the last signal wins.
     """
-    standing = drains.note_health(drains.Standing(), report(LIVE, 5, 1), 0)
-    standing = drains.note_answer(standing, LEAVING, asked=1)
-    standing = drains.note_health(standing, report(LIVE, 5, 2), 2)
-    standing = drains.note_listed(standing, leaving=False, now=3)
-    assert drains.is_leaving(standing)
+    drain_state = drains.record_health(
+        drains.DrainState(), make_report(LIVE, 5, 1), 0
+    )
+    drain_state = drains.record_answer(drain_state, LEAVING, sent_at=1)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 2), 2)
+    drain_state = drains.record_listing(drain_state, leaving=False, now=3)
+    assert drains.is_leaving(drain_state)
     # The report confirms the drain, and a later one ends it.
-    standing = drains.note_health(standing, report(LEAVING, 5, 3), 4)
-    standing = drains.note_health(standing, report(LIVE, 5, 3), 5)
-    assert drains.is_leaving(standing)
-    standing = drains.note_health(standing, report(LIVE, 5, 4), 6)
-    assert not drains.is_leaving(standing)
+    drain_state = drains.record_health(
+        drain_state, make_report(LEAVING, 5, 3), 4
+    )
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 3), 5)
+    assert drains.is_leaving(drain_state)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 4), 6)
+    assert not drains.is_leaving(drain_state)
 
 
-def test_a_late_answer_of_the_process_before_is_not_the_new_one() -> None:
+def test_late_evidence_of_the_previous_process_is_ignored() -> None:
     """Keep a restarted target in.
 
     Symptom: a target stays out after its restart until the next one.
@@ -49,20 +53,22 @@
     live; then an answer of the old one, and a host list that lags, are read.
     Cause: evidence taken without a look at which process it is about.
     """
-    standing = drains.note_health(drains.Standing(), report(LIVE, 5, 9), 0)
-    standing = drains.note_answer(standing, LEAVING, asked=1)
-    standing = drains.note_listed(standing, leaving=True, now=2)
-    standing = drains.note_health(standing, report(LIVE, 6, 1), 10)
-    standing = drains.note_answer(standing, LEAVING, asked=1)
-    standing = drains.note_listed(standing, leaving=True, now=12)
-    assert not drains.is_leaving(standing)
+    drain_state = drains.record_health(
+        drains.DrainState(), make_report(LIVE, 5, 9), 0
+    )
+    drain_state = drains.record_answer(drain_state, LEAVING, sent_at=1)
+    drain_state = drains.record_listing(drain_state, leaving=True, now=2)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 6, 1), 10)
+    drain_state = drains.record_answer(drain_state, LEAVING, sent_at=1)
+    drain_state = drains.record_listing(drain_state, leaving=True, now=12)
+    assert not drains.is_leaving(drain_state)
     # A list read well after the restart means the new process.
-    late = 10 + drains.LIST_LAG_S
-    standing = drains.note_listed(standing, leaving=True, now=late)
-    assert drains.is_leaving(standing)
+    late = 10 + drains.MAX_LIST_LAG_S
+    drain_state = drains.record_listing(drain_state, leaving=True, now=late)
+    assert drains.is_leaving(drain_state)
 
 
-def test_a_listing_ends_by_list_and_target_together() -> None:
+def test_a_listing_ends_only_by_both_list_and_report() -> None:
     """Believe neither an old copy of the list nor a report that lags.
 
     Symptom: a target that the platform takes away is sent new work again.
@@ -70,33 +76,37 @@
     report from before the drain is read.
     Cause: two signals that lag outvote the newer one.
     """
-    standing = drains.note_listed(drains.Standing(), leaving=True, now=0)
-    standing = drains.note_health(standing, report(LIVE, 5, 1), 1)
-    assert drains.is_leaving(standing)
-    standing = drains.note_listed(standing, leaving=False, now=2)
-    assert drains.is_leaving(standing)
-    standing = drains.note_health(standing, report(LIVE, 5, 2), 3)
-    assert drains.is_leaving(standing)
-    late = 2 + drains.LIST_LAG_S
-    standing = drains.note_health(standing, report(LIVE, 5, 3), late)
-    assert not drains.is_leaving(standing)
-
-
-def test_the_operators_mark_and_its_end_outrank_the_rest() -> None:
-    standing = drains.note_answer(drains.Standing(), LEAVING, asked=0)
-    standing = drains.note_marked(standing, marked=True, now=1)
-    standing = drains.note_health(standing, report(LIVE, 7, 1), 2)
-    assert drains.is_leaving(standing)
-    standing = drains.note_marked(standing, marked=False, now=3)
-    assert not drains.is_leaving(standing)
+    drain_state = drains.record_listing(
+        drains.DrainState(), leaving=True, now=0
+    )
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 1), 1)
+    assert drains.is_leaving(drain_state)
+    drain_state = drains.record_listing(drain_state, leaving=False, now=2)
+    assert drains.is_leaving(drain_state)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 2), 3)
+    assert drains.is_leaving(drain_state)
+    late = 2 + drains.MAX_LIST_LAG_S
+    drain_state = drains.record_health(
+        drain_state, make_report(LIVE, 5, 3), late
+    )
+    assert not drains.is_leaving(drain_state)
+
+
+def test_the_operators_mark_overrides_other_evidence() -> None:
+    drain_state = drains.record_answer(drains.DrainState(), LEAVING, sent_at=0)
+    drain_state = drains.record_mark(drain_state, marked=True, now=1)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 7, 1), 2)
+    assert drains.is_leaving(drain_state)
+    drain_state = drains.record_mark(drain_state, marked=False, now=3)
+    assert not drains.is_leaving(drain_state)
     # A clock that went back between two processes hides the second no more.
-    assert drains.is_fresh(standing, report(LIVE, 6, 1))
-    standing = drains.note_marked(standing, marked=True, now=4)
-    standing = drains.note_health(standing, report(LIVE, 8, 1), 5)
-    assert drains.is_leaving(standing)
+    assert drains.is_newer(drain_state, make_report(LIVE, 6, 1))
+    drain_state = drains.record_mark(drain_state, marked=True, now=4)
+    drain_state = drains.record_health(drain_state, make_report(LIVE, 8, 1), 5)
+    assert drains.is_leaving(drain_state)
 
 
-class Drain(RuleBasedStateMachine):
+class DrainModel(RuleBasedStateMachine):
     """Drive one target through processes that drain, with any lag.
 
     No drain is taken back here, so `leaving` of a process must stand until
@@ -110,10 +120,10 @@
         self.started = 1
         self.state = LIVE
         self.reports: list[messages.Health] = []
-        self.standing = drains.Standing()
-        self.seen = 0
-        self.left = 0
-        self.step()
+        self.drain_state = drains.DrainState()
+        self.latest_seen = 0
+        self.latest_leaving = 0
+        self.make_report()
 
     @rule(listed=strategies.booleans())
     def begin_drain(self, listed: bool) -> None:
@@ -122,45 +132,49 @@
             self.read_list(40)
         else:
             self.read_answer()
-        self.step()
+        self.make_report()
 
     @rule()
     def restart(self) -> None:
         self.started += 1
         self.state = LIVE
-        self.step()
+        self.make_report()
 
     @rule(age=strategies.integers(0, 3))
     def read_report(self, age: int) -> None:
         # Reports overtake each other by up to three.
-        read = self.reports[-1 - age % len(self.reports)]
-        fresh = drains.is_fresh(self.standing, read)
-        self.standing = drains.note_health(self.standing, read, self.now)
-        assert not drains.is_fresh(self.standing, read)
-        self.seen = max(self.seen, int(read.started_epoch))
-        if fresh and read.state is LEAVING:
-            self.left = int(read.started_epoch)
-        self.step()
+        report = self.reports[-1 - age % len(self.reports)]
+        is_newer = drains.is_newer(self.drain_state, report)
+        self.drain_state = drains.record_health(
+            self.drain_state, report, self.now
+        )
+        assert not drains.is_newer(self.drain_state, report)
+        self.latest_seen = max(self.latest_seen, int(report.started_epoch))
+        if is_newer and report.state is LEAVING:
+            self.latest_leaving = int(report.started_epoch)
+        self.make_report()
 
     def read_answer(self) -> None:
-        self.standing = drains.note_answer(
-            self.standing, self.state, asked=self.now
+        self.drain_state = drains.record_answer(
+            self.drain_state, self.state, sent_at=self.now
         )
-        self.note_left()
+        self.expect_leaving()
 
-    def read_list(self, wait: int) -> None:
-        self.now += wait
-        after_restart = self.now < self.standing.renewed + drains.LIST_LAG_S
-        self.standing = drains.note_listed(
-            self.standing, leaving=self.state is LEAVING, now=self.now
+    def read_list(self, lag: int) -> None:
+        self.now += lag
+        after_restart = (
+            self.now < self.drain_state.restarted_at + drains.MAX_LIST_LAG_S
+        )
+        self.drain_state = drains.record_listing(
+            self.drain_state, leaving=self.state is LEAVING, now=self.now
         )
         if not after_restart:
-            self.note_left()
+            self.expect_leaving()
 
     @rule(age=strategies.integers(0, 3))
     def read_old_copy_of_the_list(self, age: int) -> None:
-        self.standing = drains.note_listed(
-            self.standing, leaving=False, now=self.now
+        self.drain_state = drains.record_listing(
+            self.drain_state, leaving=False, now=self.now
         )
         self.read_report(age)
         self.leaving_stands_until_a_later_process_is_seen()
@@ -169,31 +183,33 @@
 
     @invariant()
     def leaving_stands_until_a_later_process_is_seen(self) -> None:
-        if self.left and self.left >= self.seen:
-            assert drains.is_leaving(self.standing)
+        if self.latest_leaving and self.latest_leaving >= self.latest_seen:
+            assert drains.is_leaving(self.drain_state)
 
     def teardown(self) -> None:
         """Check that a later process is believed at once."""
         self.read_report(0)
         self.restart()
         self.read_report(0)
-        assert not drains.is_leaving(self.standing)
+        assert not drains.is_leaving(self.drain_state)
         self.begin_drain(listed=False)
-        assert drains.is_leaving(self.standing)
+        assert drains.is_leaving(self.drain_state)
 
     @rule()
-    def step(self) -> None:
+    def make_report(self) -> None:
         """Let time pass, and the target make a report."""
         self.now += 1
-        self.reports.append(report(self.state, self.started, int(self.now)))
+        self.reports.append(
+            make_report(self.state, self.started, int(self.now))
+        )
 
-    def note_left(self) -> None:
+    def expect_leaving(self) -> None:
         """Expect that the process seen last stays out."""
         # Neither an answer nor the list tells of which process it is.
         if self.state is LEAVING:
-            self.left = self.seen
+            self.latest_leaving = self.latest_seen
 
 
-TestDrain = Drain.TestCase
+TestDrainModel = DrainModel.TestCase
 # Short runs reach each order of few events far oftener than long ones.
-TestDrain.settings = settings(max_examples=500, stateful_step_count=10)
+TestDrainModel.settings = settings(max_examples=500, stateful_step_count=10)
--- a/tests/core/targets/test_limits.py
+++ b/tests/core/targets/test_limits.py
@@ -15,21 +15,21 @@
 )
 
 
-def step(
+def apply_event(
     limit: limits.Limit, event: tuple[str, int, float], now: float
 ) -> limits.Limit:
     kind, count, elapsed = event
     if kind == 'answered':
-        return limits.note_answered(limit, count, elapsed, now)
+        return limits.record_answer(limit, count, elapsed, now)
     if kind == 'shed':
-        return limits.note_shed(limit, now, elapsed)
+        return limits.record_shed(limit, now, elapsed)
     if kind == 'seats':
-        return limits.change_seats(limit, count)
-    return limits.note_cold(limit, now)
+        return limits.update_connections(limit, count)
+    return limits.record_cold(limit, now)
 
 
 @given(EVENTS, st.integers(0, 30))
-def test_the_limit_never_exceeds_the_seats(
+def test_the_limit_never_exceeds_the_connections(
     events: list[tuple[str, int, float]], in_flight: int
 ) -> None:
     """No sequence of events lets more out than there are seats.
@@ -38,14 +38,14 @@
     Sequence: answers raise the limit while a new deal takes seats away.
     Cause: a limit that grows on its own and not below the seats of today.
     """
-    limit = limits.start_limit(3)
+    limit = limits.make_limit(3)
     now = NOW
     for event in events:
         now += event[2]
-        limit = step(limit, event, now)
-        assert 1 <= limit.value <= max(1, limit.seats)
+        limit = apply_event(limit, event, now)
+        assert 1 <= limit.value <= max(1, limit.connections)
         if limits.may_send(limit, in_flight, now):
-            assert in_flight < limit.seats
+            assert in_flight < limit.connections
 
 
 def test_one_burst_of_sheds_cuts_once() -> None:
@@ -55,42 +55,42 @@
     Sequence: twenty sub-requests leave together, twelve are shed together.
     Cause: one event, the full queue, taken for twelve.
     """
-    limit = limits.start_limit(20)
+    limit = limits.make_limit(20)
     for _ in range(12):
-        limit = limits.note_shed(limit, NOW)
-    assert limit.value == 20 * limits.SHED_FACTOR
+        limit = limits.record_shed(limit, NOW)
+    assert limit.value == 20 * limits.SHED_CUT_FACTOR
 
 
 def test_a_cold_target_ramps_up() -> None:
-    limit = limits.note_cold(limits.start_limit(11), NOW)
+    limit = limits.record_cold(limits.make_limit(11), NOW)
     assert limits.may_send(limit, 0, NOW)
     assert not limits.may_send(limit, 1, NOW)
-    half = NOW + limits.RAMP_S / 2
-    assert limits.may_send(limit, 5, half)
-    assert not limits.may_send(limit, 6, half)
-    assert limits.may_send(limit, 10, NOW + limits.RAMP_S)
+    half_time = NOW + limits.RAMP_UP_S / 2
+    assert limits.may_send(limit, 5, half_time)
+    assert not limits.may_send(limit, 6, half_time)
+    assert limits.may_send(limit, 10, NOW + limits.RAMP_UP_S)
 
 
-def test_a_queue_at_the_target_shows_in_latency_and_cuts() -> None:
+def test_rising_latency_cuts_the_limit() -> None:
     """A target that queues without shedding gets less in flight.
 
     Symptom: every answer of one target takes four times its usual time.
     Sequence: more in flight than slots, an endless queue, nothing shed.
     Cause: sheds alone as the sign of too much.
     """
-    limit = limits.start_limit(20)
+    limit = limits.make_limit(20)
     now = NOW
     for _ in range(20):
         now += 0.01
-        limit = limits.note_answered(limit, 20, 0.01, now)
+        limit = limits.record_answer(limit, 20, 0.01, now)
     for _ in range(20):
         now += 0.04
-        limit = limits.note_answered(limit, 20, 0.04, now)
+        limit = limits.record_answer(limit, 20, 0.04, now)
     assert limit.value < 10
 
 
-def test_a_target_at_its_least_is_left_alone_for_as_long_as_it_asks() -> None:
-    limit = limits.start_limit(1)
-    limit = limits.note_shed(limit, NOW, retry_after=0.2)
+def test_a_target_at_the_minimum_is_paused_for_its_retry_after() -> None:
+    limit = limits.make_limit(1)
+    limit = limits.record_shed(limit, NOW, retry_after=0.2)
     assert not limits.may_send(limit, 0, NOW + 0.1)
     assert limits.may_send(limit, 0, NOW + 0.3)
--- a/tests/core/targets/test_shardmaps.py
+++ b/tests/core/targets/test_shardmaps.py
@@ -25,71 +25,85 @@
 ]
 
 
-class Reports(RuleBasedStateMachine):
+class ReportModel(RuleBasedStateMachine):
     """Let targets report, change their minds and go."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.known = snapshots.Known('web')
-        self.told: dict[str, set[snapshots.Holding]] = {}
+        self.group_snapshots = snapshots.GroupSnapshots('web')
+        self.reported: dict[str, set[snapshots.Holding]] = {}
 
     @rule(
         name=strategies.sampled_from(TARGETS),
         told=strategies.sets(strategies.sampled_from(REPORTS), max_size=3),
     )
-    def learn(self, name: str, told: set[snapshots.Holding]) -> None:
-        self.told[name] = told
-        self.known = snapshots.learn(self.known, name, tuple(told))
+    def report(self, name: str, holdings: set[snapshots.Holding]) -> None:
+        self.reported[name] = holdings
+        self.group_snapshots = snapshots.update_holdings(
+            self.group_snapshots, name, tuple(holdings)
+        )
 
     @rule(
         name=strategies.sampled_from(TARGETS),
         shards=strategies.integers(1, 3),
     )
-    def learn_true(self, name: str, shards: int) -> None:
+    def report_consistent(self, name: str, shards: int) -> None:
         edges = (0, *EDGES[1:shards], 65536)
         ranges = itertools.pairwise(edges)
-        told = {
+        holdings = {
             snapshots.Holding(1, shard, shards, low, high)
             for shard, (low, high) in enumerate(ranges)
         }
-        self.learn(name, told)
+        self.report(name, holdings)
 
     @rule(name=strategies.sampled_from(TARGETS))
-    def forget(self, name: str) -> None:
-        self.told.pop(name, None)
-        self.known = snapshots.forget(self.known, name)
+    def remove_target(self, name: str) -> None:
+        self.reported.pop(name, None)
+        self.group_snapshots = snapshots.remove_target(
+            self.group_snapshots, name
+        )
 
     @rule(
         name=strategies.sampled_from(TARGETS),
         number=strategies.integers(1, 2),
     )
-    def drop(self, name: str, number: int) -> None:
-        told = self.told.get(name, set())
-        self.told[name] = {held for held in told if held.snapshot != number}
-        self.known = snapshots.drop(self.known, name, number)
+    def discard_snapshot(self, name: str, number: int) -> None:
+        holdings = self.reported.get(name, set())
+        self.reported[name] = {
+            holding for holding in holdings if holding.snapshot != number
+        }
+        self.group_snapshots = snapshots.discard_snapshot(
+            self.group_snapshots, name, number
+        )
 
     @invariant()
     def each_report_is_used_or_refused(self) -> None:
-        told = set(self.list_told())
+        holdings = set(self.list_reported())
         refused = {
             (fault.target, fault.holding)
-            for fault in snapshots.list_faults(self.known)
+            for fault in snapshots.list_faults(self.group_snapshots)
+        }
+        assert refused <= holdings
+        maps = {
+            shard_map.snapshot: shard_map
+            for shard_map in self.group_snapshots.maps
         }
-        assert refused <= told
-        maps = {made.snapshot: made for made in self.known.maps}
         used = [0, 0]
-        for name, held in told - refused:
-            made = maps[held.snapshot]
-            used[held.snapshot - 1] += 1
-            assert len(made.ranges) == held.shards
-            assert made.ranges[held.shard] == (held.low, held.high)
-            assert name in made.replicas[held.shard]
-        for number, made in maps.items():
-            assert sum(map(len, made.replicas)) == used[number - 1]
+        for name, holding in holdings - refused:
+            shard_map = maps[holding.snapshot]
+            used[holding.snapshot - 1] += 1
+            assert len(shard_map.ranges) == holding.shards
+            assert shard_map.ranges[holding.shard] == (
+                holding.low,
+                holding.high,
+            )
+            assert name in shard_map.replicas[holding.shard]
+        for number, shard_map in maps.items():
+            assert sum(map(len, shard_map.replicas)) == used[number - 1]
 
     @invariant()
     def ranges_cover_each_position_once(self) -> None:
-        for pinned in snapshots.list_pins(self.known, USABLE):
+        for pinned in snapshots.list_pins(self.group_snapshots, USABLE):
             bounds = [(shard.low, shard.high) for shard in pinned.shards]
             assert bounds[0][0] == 0
             assert bounds[-1][1] == shardmaps.POSITIONS
@@ -98,24 +112,24 @@
                 assert before[1] == after[0]
 
     @invariant()
-    def no_minority_decides(self) -> None:
-        for made in self.known.maps:
+    def shard_count_has_a_majority(self) -> None:
+        for shard_map in self.group_snapshots.maps:
             voters = {
-                (held.shards, name)
-                for name, held in self.list_told()
-                if held.snapshot == made.snapshot
+                (holding.shards, name)
+                for name, holding in self.list_reported()
+                if holding.snapshot == shard_map.snapshot
             }
             votes = collections.Counter(shards for shards, _ in voters)
-            assert votes[len(made.ranges)] == max(votes.values())
+            assert votes[len(shard_map.ranges)] == max(votes.values())
 
-    def list_told(self) -> list[tuple[str, snapshots.Holding]]:
+    def list_reported(self) -> list[tuple[str, snapshots.Holding]]:
         """List what each target told last."""
         return [
-            (name, held)
-            for name, holdings in self.told.items()
-            for held in holdings
+            (name, holding)
+            for name, holdings in self.reported.items()
+            for holding in holdings
         ]
 
 
-TestReports = Reports.TestCase
-TestReports.settings = settings(max_examples=150, stateful_step_count=12)
+TestReportModel = ReportModel.TestCase
+TestReportModel.settings = settings(max_examples=150, stateful_step_count=12)
--- a/tests/core/test_dispatch_model.py
+++ b/tests/core/test_dispatch_model.py
@@ -17,20 +17,20 @@
 from fuchsiahaven.core.targets import messages
 from tests.core import rig
 
-PRICE: Final = configurations.RequestClass('price-check')
-GATE: Final = PRICE._replace(
+PARTIAL: Final = configurations.RequestClass('price-check')
+COMPLETE: Final = PARTIAL._replace(
     name='gate-lookup', needs=configurations.Needs.COMPLETE
 )
-REFUND: Final = GATE._replace(
+REFUND: Final = COMPLETE._replace(
     name='refund',
     repeat=configurations.Repeat.AT_MOST_ONCE,
     fan_out=configurations.FanOut.KEYED,
 )
-CLASSES: Final = (PRICE, GATE, REFUND)
+CLASSES: Final = (PARTIAL, COMPLETE, REFUND)
 PICKS: Final = strategies.integers(0, 99)
 
 
-class AnyOrder(RuleBasedStateMachine):
+class DispatchModel(RuleBasedStateMachine):
     """Drive a host and keep the truth beside it.
 
     `open` are the attempts that have not ended, `ran` counts by token those
@@ -38,31 +38,33 @@
     """
 
     @initialize()
-    def begin(self) -> None:
+    def start_host(self) -> None:
         """Start a host with three shards of two replicas."""
-        self.host = rig.Rig(PRICE, others=(GATE, REFUND))
-        for kind in CLASSES:
-            self.host.hedge_after(kind.name, 0.04)
+        self.host = rig.Rig(PARTIAL, other_classes=(COMPLETE, REFUND))
+        for request_class in CLASSES:
+            self.host.set_hedge_delay(request_class.name, 0.04)
         self.sequence = 1
-        self.seen = 0
-        self.asked: dict[int, configurations.RequestClass] = {}
+        self.checked_actions = 0
+        self.submitted: dict[int, configurations.RequestClass] = {}
         self.claims: set[int] = set()
-        self.open: list[messages.Send] = []
+        self.open_sends: list[messages.Send] = []
         self.ran: collections.Counter[str] = collections.Counter()
-        self.told: dict[int, messages.Reply] = {}
+        self.replies: dict[int, messages.Reply] = {}
 
     @rule(kind=strategies.sampled_from(CLASSES), key=strategies.text('ab'))
-    def ask(self, kind: configurations.RequestClass, key: str) -> None:
+    def submit(
+        self, request_class: configurations.RequestClass, key: str
+    ) -> None:
         """Ask a query."""
-        token = len(self.asked) + 1
-        self.asked[token] = kind
-        self.host.ask(token, key=key or 'c', class_name=kind.name)
+        token = len(self.submitted) + 1
+        self.submitted[token] = request_class
+        self.host.submit(token, key=key or 'c', class_name=request_class.name)
 
     @precondition(lambda model: model.open)
     @rule(pick=PICKS)
     def answer(self, pick: int) -> None:
         """Answer an attempt with a row that tells where it is from."""
-        send = self.end(pick)
+        send = self.pop_open_send(pick)
         self.ran[send.request.request_id] += 1
         part = send.request
         self.host.answer(
@@ -73,29 +75,29 @@
     @rule(pick=PICKS, reason=strategies.sampled_from(messages.RefusalReason))
     def refuse(self, pick: int, reason: messages.RefusalReason) -> None:
         """Refuse an attempt, not run."""
-        self.host.refuse(self.end(pick), reason)
+        self.host.refuse(self.pop_open_send(pick), reason)
 
     @precondition(lambda model: model.open)
     @rule(pick=PICKS, fault=strategies.sampled_from(messages.Fault))
-    def lose(self, pick: int, fault: messages.Fault) -> None:
+    def fail(self, pick: int, fault: messages.Fault) -> None:
         """Lose an attempt that may have run."""
-        send = self.end(pick)
+        send = self.pop_open_send(pick)
         self.ran[send.request.request_id] += 1
-        self.host.lose(send, fault)
+        self.host.fail(send, fault)
 
     @precondition(lambda model: model.claims)
     @rule(pick=PICKS, outcome=strategies.sampled_from(messages.ClaimResult))
-    def settle(self, pick: int, outcome: messages.ClaimResult) -> None:
+    def settle_claim(self, pick: int, outcome: messages.ClaimResult) -> None:
         """Settle a claim, however late."""
         claims = sorted(self.claims)
         token = claims[pick % len(claims)]
         self.claims.discard(token)
-        self.host.tell(
+        self.host.handle(
             messages.ClaimSettled(token, outcome, 1e9, request_id=f'id-{token}')
         )
 
     @rule(numbers=strategies.sets(strategies.integers(1, 3), max_size=2))
-    def change_one(self, numbers: set[int]) -> None:
+    def change_one_replica(self, numbers: set[int]) -> None:
         """Let one replica of each shard hold other snapshots."""
         self.sequence += 1
         for shard in range(self.host.shards):
@@ -110,7 +112,7 @@
     def change_index(self) -> None:
         """Let every replica drop what it holds for a newer snapshot."""
         self.sequence += 1
-        self.host.hold(3 + self.sequence, sequence=self.sequence)
+        self.host.report_all(3 + self.sequence, sequence=self.sequence)
 
     @precondition(lambda model: model.open)
     @rule(pick=PICKS, newer=strategies.booleans())
@@ -118,32 +120,34 @@
         """Say of all attempts at a query that their snapshot has gone."""
         if newer:
             self.change_index()
-        request_id = self.open[pick % len(self.open)].request.request_id
-        for send in tuple(self.open):
+        request_id = self.open_sends[
+            pick % len(self.open_sends)
+        ].request.request_id
+        for send in tuple(self.open_sends):
             if send.request.request_id == request_id:
-                self.open.remove(send)
+                self.open_sends.remove(send)
                 self.host.refuse(send, messages.RefusalReason.SNAPSHOT_GONE)
-                self.check()
+                self.check_new_actions()
 
     @rule(seconds=strategies.sampled_from((0.001, 0.05, 0.4, 2.0)))
-    def wait(self, seconds: float) -> None:
+    def pass_time(self, seconds: float) -> None:
         """Let time pass."""
         self.host.pass_time(seconds)
 
     @invariant()
-    def check(self) -> None:
+    def check_new_actions(self) -> None:
         """Check all that the host has done since the last look."""
-        fresh = self.host.actions[self.seen :]
-        self.seen = len(self.host.actions)
-        for action in fresh:
+        new_actions = self.host.actions[self.checked_actions :]
+        self.checked_actions = len(self.host.actions)
+        for action in new_actions:
             match action:
                 case messages.Send() as send:
                     self.check_send(send)
                 case messages.Claim(token):
                     self.claims.add(token)
                 case messages.Reply(token) as reply:
-                    assert token not in self.told, 'answered twice'
-                    self.told[token] = reply
+                    assert token not in self.replies, 'answered twice'
+                    self.replies[token] = reply
                     self.check_reply(reply)
 
     def check_send(self, send: messages.Send) -> None:
@@ -152,7 +156,7 @@
         if send.request.at_most_once:
             assert not self.ran[request_id]
             assert not self.is_open(request_id)
-        self.open.append(send)
+        self.open_sends.append(send)
 
     def check_reply(self, reply: messages.Reply) -> None:
         """Check that what a caller is told is true."""
@@ -168,33 +172,35 @@
         assert {row[1] for row in rows} <= {str(outcome.snapshots['web'])}
         shards = sorted(int(row[2]) for row in rows)
         assert shards == [part.shard for part in outcome.coverage.covered]
-        kind = self.asked[reply.token]
-        keyed = kind.fan_out is configurations.FanOut.KEYED
-        wanted = 1 if keyed else self.host.shards
-        assert outcome.coverage.shards == wanted
-        if kind.needs is configurations.Needs.COMPLETE:
+        request_class = self.submitted[reply.token]
+        keyed = request_class.fan_out is configurations.FanOut.KEYED
+        expected = 1 if keyed else self.host.shards
+        assert outcome.coverage.shards == expected
+        if request_class.needs is configurations.Needs.COMPLETE:
             assert outcome.coverage.complete
 
     def is_open(self, request_id: str) -> bool:
         """Tell whether an attempt at a query has not ended."""
-        return any(one.request.request_id == request_id for one in self.open)
+        return any(
+            send.request.request_id == request_id for send in self.open_sends
+        )
 
-    def end(self, pick: int) -> messages.Send:
+    def pop_open_send(self, pick: int) -> messages.Send:
         """Take one attempt out of the open ones."""
-        return self.open.pop(pick % len(self.open))
+        return self.open_sends.pop(pick % len(self.open_sends))
 
     def teardown(self) -> None:
         """Let every deadline pass: each query has had its one reply."""
         if not hasattr(self, 'host'):
             return
         self.host.pass_time(5.0)
-        self.check()
-        assert self.told.keys() == self.asked.keys()
-        while self.open:
-            self.lose(0, messages.Fault.TIMED_OUT)
-            self.check()
+        self.check_new_actions()
+        assert self.replies.keys() == self.submitted.keys()
+        while self.open_sends:
+            self.fail(0, messages.Fault.TIMED_OUT)
+            self.check_new_actions()
         self.host.check_idle()
 
 
-TestAnyOrder = AnyOrder.TestCase
-TestAnyOrder.settings = settings(max_examples=200, stateful_step_count=40)
+TestDispatchModel = DispatchModel.TestCase
+TestDispatchModel.settings = settings(max_examples=200, stateful_step_count=40)
--- a/tests/edge/test_claims.py
+++ b/tests/edge/test_claims.py
@@ -109,7 +109,7 @@
         give_up = time.monotonic() + SOON_S
         while time.monotonic() < give_up:
             told = self.claim(request_id)
-            if told.result is wanted and told.done == (wanted is HELD):
+            if told.result is wanted and told.completed == (wanted is HELD):
                 return told
         raise AssertionError(f'still {told}')
 
@@ -253,7 +253,7 @@
     request_id = mint()
     assert host.claim(request_id).result is GRANTED
     world.order(down=True)
-    host.task.take(messages.Record(request_id, '{"rows": []}'))
+    host.task.take(messages.RecordOutcome(request_id, '{"rows": []}'))
     assert host.claim(mint()).result is UNAVAILABLE
     world.order(down=False)
     told = Host(world, 'b').claim_until(request_id, HELD)
@@ -276,15 +276,15 @@
     clocks = claim_platform.Clocks(epoch=lambda: time.time() + 60)
     told = Host(world, 'b', clocks).claim(request_id)
     assert told.result is HELD
-    assert told.over
-    assert not told.done
+    assert told.start_expired
+    assert not told.completed
 
 
 def test_a_released_id_runs_again(world: World) -> None:
     host = Host(world)
     request_id = mint()
     assert host.claim(request_id).result is GRANTED
-    host.task.take(messages.Release(request_id))
+    host.task.take(messages.ReleaseClaim(request_id))
     assert host.claim(request_id).result is GRANTED
 
 
@@ -344,7 +344,7 @@
     request_id = mint()
     assert host.claim(request_id).result is GRANTED
     assert host.claim(request_id).result is HELD
-    host.task.take(messages.Record(request_id, '{}'))
+    host.task.take(messages.RecordOutcome(request_id, '{}'))
     assert host.claim_until(request_id, HELD).outcome == '{}'
 
 
--- a/tests/edge/test_loop.py
+++ b/tests/edge/test_loop.py
@@ -42,10 +42,10 @@
     def fail(action: loop.ClaimAction) -> None:
         raise ZeroDivisionError
 
-    state = states.start('Odori', float)
+    state = states.make_state('Odori', float)
     bounds = loop.Settings(answer_bytes=1000, probe_s=1, connect_s=1)
     dispatcher = loop.Loop(state, bounds, fail)
-    dispatcher.post(messages.Configured(CONFIGURATION))
+    dispatcher.post(messages.ConfigurationReceived(CONFIGURATION))
     waiting = ask(dispatcher)
     with pytest.raises(ZeroDivisionError):
         dispatcher.run()
@@ -59,7 +59,7 @@
 
 def test_shows_what_is_quarantined() -> None:
     """Symptom: operators see refusals, and not of what."""
-    state = states.start('Odori', float)
+    state = states.make_state('Odori', float)
     identity = request_identities.identify('refund', b'one')
     news = suspects.SuspectReport(
         identity, 0, suspects.MIN_QUARANTINE_CRASHES, 60.0, ('t1',)
--- a/tests/edge/test_pools.py
+++ b/tests/edge/test_pools.py
@@ -150,4 +150,4 @@
         bench.pool.take(connectors.Unopened(TARGET, 'refused', refused=True), 0)
     else:
         bench.open_asked()
-    assert messages.Looked(TARGET.name, ended) in bench.events
+    assert messages.TargetChecked(TARGET.name, ended) in bench.events
--- a/tests/edge/test_searchers.py
+++ b/tests/edge/test_searchers.py
@@ -49,7 +49,7 @@
 def test_right_answer_is_taken() -> None:
     data = write(json.dumps(BODY))
     answered = read(data)
-    assert isinstance(answered, messages.Answered)
+    assert isinstance(answered, messages.PartAnswered)
     assert answered.rows == ({'id': 'a', 'rank': 1.5},)
     assert answered.load == messages.Load(1, 0, 2)
     size = len(data)
@@ -75,7 +75,7 @@
     Cause: whatever comes back on a connection is taken for its answer.
     """
     dropped = read(write(json.dumps({**BODY, **change})))
-    assert dropped == messages.Broken(
+    assert dropped == messages.PartFailed(
         SEND.part, TARGET.name, messages.Fault.MISMATCHED
     )
 
@@ -96,7 +96,7 @@
 )
 def test_malformed_answer_is_dropped(change: dict[str, Any]) -> None:
     dropped = read(write(json.dumps({**BODY, **change})))
-    assert dropped == messages.Broken(
+    assert dropped == messages.PartFailed(
         SEND.part, TARGET.name, messages.Fault.MALFORMED
     )
 
@@ -109,7 +109,7 @@
     length = len(data.partition(b'\r\n\r\n')[2])
     data = data.replace(b'Length: 1', b'Length: %d' % length)
     broken = read(data)
-    assert isinstance(broken, messages.Broken)
+    assert isinstance(broken, messages.PartFailed)
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
         f'{len(part):x}\r\n{part}\r\n' for part in (text[:half], text[half:])
     )
     data = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n'
-    assert isinstance(read(data.encode()), messages.Answered)
+    assert isinstance(read(data.encode()), messages.PartAnswered)
 
 
 @pytest.mark.parametrize(('ran', 'may_have_run'), [('no', 0), ('unknown', 1)])
@@ -152,7 +152,7 @@
     }
     data = write(json.dumps(body)).replace(b'200 OK', b'503 -')
     refused = read(data)
-    assert isinstance(refused, messages.Refused)
+    assert isinstance(refused, messages.PartRefused)
     assert refused.may_have_run == bool(may_have_run)
     assert refused.retry_after == 0.05
 
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -134,7 +134,7 @@
          "data_centre": "odori", "state": "live"}]}"""
     with open_store(answer(200, body)) as platform:
         listing = hostlist.read_hosts(platform)
-    assert listing.targets == messages.HostListed(
+    assert listing.targets == messages.HostListRead(
         leaving=frozenset(('t1',)), live=frozenset()
     )
     assert [host.name for host in listing.entries] == ['e1']
--- a/tests/edge/test_untrusted.py
+++ b/tests/edge/test_untrusted.py
@@ -121,14 +121,14 @@
 
 def read_request(body: bytes) -> object:
     query = requests.read_query(body, BOUNDS, lambda: ID, 100.0)
-    return rig.Rig(CLASS).tell(messages.Submitted(1, query))
+    return rig.Rig(CLASS).handle(messages.QuerySubmitted(1, query))
 
 
 def read_answer(body: bytes, status: int = 200) -> object:
     host = rig.Rig(CLASS)
-    send = host.ask()[0]
+    send = host.submit()[0]
     frame = frames.Frame(status, body, closes=False)
-    return host.tell(searchers.read_search(send, frame))
+    return host.handle(searchers.read_search(send, frame))
 
 
 def read_refusal(body: bytes) -> object:
@@ -137,10 +137,10 @@
 
 def read_health(body: bytes) -> object:
     host = rig.Rig(CLASS)
-    target = configurations.Target('web-0/0', '10.0.0.0:1', rig.CENTRE)
+    target = configurations.Target('web-0/0', '10.0.0.0:1', rig.DATA_CENTRE)
     frame = frames.Frame(200, body, closes=False)
-    host.tell(searchers.read_probe(messages.Probe(target), frame))
-    return host.ask()
+    host.handle(searchers.read_probe(messages.Probe(target), frame))
+    return host.submit()
 
 
 def read_gossip(body: bytes) -> object:
@@ -193,7 +193,7 @@
 
 
 def read_record(body: bytes) -> object:
-    found = records.read(body.decode('utf-8', 'replace'))
+    found = records.decode_answer(body.decode('utf-8', 'replace'))
     if found is None:
         return None
     reply = messages.Reply(1, found, replayed=True)
@@ -280,7 +280,7 @@
         read_manifest,
         json.loads(ENCODED.text),
     ),
-    Reader('record', read_record, json.loads(records.write(ANSWERED))),
+    Reader('record', read_record, json.loads(records.encode_answer(ANSWERED))),
     Reader(
         'entry',
         lambda body: store_answers.parse_entry(body, 'k'),
--- a/tests/routing/test_standings.py
+++ b/tests/routing/test_standings.py
@@ -185,8 +185,8 @@
     far = far._replace(data_centre='maipu')
     rig = desk_rig.Rig([SINGLE], [near, far])
     window = hedges.EMPTY
-    for _ in range(2 * hedges.FEWEST):
-        window = hedges.note_latency(window, 0.02)
+    for _ in range(2 * hedges.MIN_SAMPLES):
+        window = hedges.record_latency(window, 0.02)
     rig.desk.windows[SINGLE.name] = window
     key = events.FlightKey(0, 'records', 1)
     rig.desk.standings.note_sent(near.name, key, rig.now - 0.3)
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -65,7 +65,7 @@
         self._reader = manifest_reader.Reader(data_centre)
         self._store = lines.open_store(line, self._clock)
         self._draws = random.Random(name).random
-        self._dispatch = states.start(data_centre, self._draws)
+        self._dispatch = states.make_state(data_centre, self._draws)
         self._revisions = revisions.start(
             name, self._clock.now, revisions.Timings()
         )
@@ -75,7 +75,9 @@
         """Hand an event to the dispatch and do what it asks for."""
         if self._must_wait(functools.partial(self.tell, event)):
             return
-        state, actions = dispatch.handle(self._dispatch, event, self._clock.now)
+        state, actions = dispatch.handle_event(
+            self._dispatch, event, self._clock.now
+        )
         self._dispatch = state
         for action in actions:
             self._act(action)
@@ -119,7 +121,7 @@
     def tick(self) -> None:
         """Let each task have its turn."""
         if self.alive and self.name not in self._clock.frozen:
-            self.tell(messages.Ticked())
+            self.tell(messages.Tick())
             self.steer(wording.Ticked())
             for worker in self._claims._workers:
                 worker._take_all(0)
@@ -146,7 +148,7 @@
         for send in tuple(self._flying.values()):
             if send.target.name == target:
                 fault = messages.Fault.CONNECTION_LOST
-                self._end(send, messages.Broken(send.part, target, fault))
+                self._end(send, messages.PartFailed(send.part, target, fault))
 
     def _must_wait(self, act: Act) -> bool:
         paused = self.name in self._clock.frozen
@@ -179,7 +181,11 @@
                 self._world.note_reply(self.name, action)
             case messages.Probe():
                 self._probe(action)
-            case messages.Claim() | messages.Record() | messages.Release():
+            case (
+                messages.Claim()
+                | messages.RecordOutcome()
+                | messages.ReleaseClaim()
+            ):
                 self._claims.take(action)
 
     def _send(self, send: messages.Send) -> None:
@@ -192,11 +198,11 @@
         elif name in self._world.lost:
             reason = messages.RefusalReason.NO_CONNECTION
         if reason is not None:
-            refusal = messages.Refused(send.part, name, reason)
+            refusal = messages.PartRefused(send.part, name, reason)
             self._clock.call_later(DELAY_S, lambda: end(refusal))
             return
         left = send.request.deadline + GRACE_S - now
-        late = messages.Broken(send.part, name, messages.Fault.TIMED_OUT)
+        late = messages.PartFailed(send.part, name, messages.Fault.TIMED_OUT)
         self._clock.call_later(left, lambda: end(late))
         payload = searchers.write_search(send, now)
 
@@ -224,7 +230,7 @@
         name = probe.target.name
         target = self._world.targets[name]
         if target.frozen or not self._reaches(name):
-            missed = messages.Probed(name, None)
+            missed = messages.TargetProbed(name, None)
             self._clock.call_later(PROBE_S, lambda: self.tell(missed))
             return
         event = searchers.read_probe(probe, target.report())
@@ -253,7 +259,7 @@
                 self._watch(action, self._clock.now + wait_s)
             case wording.PutInForce(stamped):
                 self.in_force.append(stamped.stamp.revision)
-                self.tell(messages.Configured(stamped.configuration))
+                self.tell(messages.ConfigurationReceived(stamped.configuration))
                 enforced = member_messages.Enforced(stamped.stamp)
                 self._clock.send(self.name, enforced)
             case wording.PushPatch(names, patch):
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -200,7 +200,7 @@
         token = next(self._numbers)
         self.asked.append(Asked(token, self.hosts[host], query, policy))
         self.told[token] = []
-        self.hosts[host].tell(messages.Submitted(token, query))
+        self.hosts[host].tell(messages.QuerySubmitted(token, query))
 
     def mint(self) -> str:
         """Make the id of a request of now."""
