--- a/bench/lines.py
+++ b/bench/lines.py
@@ -10,7 +10,9 @@
 class Lines:
     """Own what waits at each host; `perform` carries refusals out."""
 
-    def __init__(self, desks: Sequence[states.Desk], perform: Perform) -> None:
+    def __init__(
+        self, desks: Sequence[states.Router], perform: Perform
+    ) -> None:
         """Start with nothing that waits."""
         self._desks = desks
         self._perform = perform
@@ -20,7 +22,9 @@
 
     def keep(self, host: int, event: object, now: float) -> bool:
         """Have new work wait at a busy host; tell whether it does."""
-        if not isinstance(event, events.Asked | events.Assisted):
+        if not isinstance(
+            event, events.RequestReceived | events.DelegatedRequestReceived
+        ):
             return False
         desk = self._desks[host]
         if not rooms.is_contended(desk.index):
--- a/bench/model.py
+++ b/bench/model.py
@@ -16,7 +16,7 @@
 from bench import lines, shapes, targets
 from fuchsiahaven.core import request_identities
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import desks, events, states
+from fuchsiahaven.routing import dispatch, events, states
 
 #: One way within a data centre, and between two.
 NEAR_S: Final = 0.0002
@@ -83,7 +83,9 @@
         self._order = itertools.count()
         self._due: list[Work] = []
         self._asked: dict[tuple[int, int], events.Request] = {}
-        self._helped: dict[tuple[int, int], tuple[int, events.AssistKey]] = {}
+        self._helped: dict[
+            tuple[int, int], tuple[int, events.DelegationKey]
+        ] = {}
         self._connected: set[tuple[int, str]] = set()
         self._endings: list[Ending] = []
         self._repeats = 0
@@ -111,7 +113,7 @@
             self._ask(flow, seconds)
         steps = range(int((seconds + 1) / REVIEW_S))
         for host, step in itertools.product(range(len(self._hosts)), steps):
-            self._add(step * REVIEW_S, host, events.Reviewed())
+            self._add(step * REVIEW_S, host, events.ReviewDue())
         while self._due:
             work = heapq.heappop(self._due)
             self._handle(work)
@@ -135,7 +137,7 @@
             request = _make_request(flow, number, when, self._shape.away)
             if self._deadly and self._numbers.random() < self._deadly:
                 request = request._replace(identity=DEADLY_ID)
-            self._add(when, host, events.Asked(number, request))
+            self._add(when, host, events.RequestReceived(number, request))
 
     def _add(self, when: float, host: int, event: events.Event | Turn) -> None:
         heapq.heappush(self._due, Work(when, next(self._order), host, event))
@@ -146,10 +148,10 @@
             return
         event = self._cut_off(work)
         free = self._busy.get(host, 0.0)
-        if isinstance(event, events.Asked):
-            self._asked[host, event.ask] = event.request
+        if isinstance(event, events.RequestReceived):
+            self._asked[host, event.number] = event.request
         if free > at:
-            if isinstance(event, events.Ticked | events.Reviewed):
+            if isinstance(event, events.ClockTicked | events.ReviewDue):
                 known = self._hosts[host].controls.lags
                 known.note_own(free - at, at)
             if self._lines.keep(host, event, at):
@@ -161,7 +163,7 @@
         if isinstance(event, Turn):
             self._take_turn(host, at)
             return
-        if isinstance(event, events.Ticked):
+        if isinstance(event, events.ClockTicked):
             self._wakes.pop(host, None)
         self._do(host, event, at)
 
@@ -183,44 +185,48 @@
         desk = self._hosts[host]
         cores = shapes.count_cores(self._shape, host)
         done = at + _count_cost(self._shape, event) / cores
-        for action in desks.handle(desk, event, at):
+        for action in dispatch.handle_event(desk, event, at):
             done += _count_cost(self._shape, action) / cores
             self._perform(host, action, done)
         self._busy[host] = done
-        wake = desk.next_wake()
+        wake = desk.find_next_deadline()
         if wake is not None and wake < self._wakes.get(host, float('inf')):
             self._wakes[host] = wake
-            self._add(max(at, wake), host, events.Ticked())
+            self._add(max(at, wake), host, events.ClockTicked())
 
     def _cut_off(self, work: Work) -> events.Event | Turn:
         """Lose the answer of a target that ended meanwhile, with all others."""
         event = work.event
-        if not isinstance(event, events.Answered):
+        if not isinstance(event, events.TargetAnswered):
             return event
-        aloft = self._hosts[work.host].aloft.get(event.key)
+        aloft = self._hosts[work.host].in_flight.get(event.key)
         if aloft is None:
             return event
-        if not self._targets[aloft.instance].has_cut(aloft.sent, work.at):
+        if not self._targets[aloft.instance].has_cut(aloft.sent_at, work.at):
             return event
-        self._add(work.at + CONNECT_S, work.host, events.Ended(aloft.instance))
-        return events.Broken(event.key, messages.Fault.CONNECTION_LOST)
+        self._add(
+            work.at + CONNECT_S, work.host, events.TargetExited(aloft.instance)
+        )
+        return events.AttemptBroken(event.key, messages.Fault.CONNECTION_LOST)
 
     def _perform(self, host: int, action: events.Action, now: float) -> None:
         match action:
-            case events.Send():
+            case events.SendAttempt():
                 self._send(host, action, now)
             case events.Delegate():
                 self._delegate(host, action, now)
-            case events.Give(ask, share):
+            case events.SendDelegationReport(ask, share):
                 self._give(host, ask, share, now)
             case events.Reply(ask, outcome):
                 self._end(host, ask, outcome, now)
-            case events.Suspicion(news, passed_on=True):
+            case events.SuspicionChanged(news, broadcast=True):
                 for other, desk in enumerate(self._hosts):
                     way = find_way(self._hosts[host], desk.host.data_centre)
-                    self._add(now + way, other, events.Suspected((news,)))
+                    self._add(
+                        now + way, other, events.SuspectsReported((news,))
+                    )
 
-    def _send(self, host: int, send: events.Send, now: float) -> None:
+    def _send(self, host: int, send: events.SendAttempt, now: float) -> None:
         name = send.instance.name
         way = find_way(self._hosts[host], send.instance.data_centre)
         arrives = now + way
@@ -231,12 +237,12 @@
         self._crossed += PART_BYTES if way == FAR_S else 0
         flow = self._flows[send.request.customer]
         if self._targets[name].is_gone(arrives):
-            unsent = events.Unsent(send.key, unreachable=True)
+            unsent = events.AttemptUnsent(send.key, unreachable=True)
             self._add(arrives + way, host, unsent)
             return
         done = self._targets[name].take(arrives, flow.work)
         if done is None:
-            shed = events.Refused(send.key, messages.RefusalReason.SHED)
+            shed = events.TargetRefused(send.key, messages.RefusalReason.SHED)
             self._add(arrives + way, host, shed)
             return
         deadly = send.request.identity == DEADLY_ID
@@ -245,7 +251,7 @@
         for when, told in list_told(send, done, way):
             self._add(when, host, told)
 
-    def _count_arrival(self, send: events.Send) -> None:
+    def _count_arrival(self, send: events.SendAttempt) -> None:
         """Count what arrives at a service beyond the first of a request."""
         arrival = (send.request.request_id, send.key.service)
         self._repeats += arrival in self._arrived
@@ -258,32 +264,36 @@
         number = next(self._order)
         self._helped[helper, number] = (host, delegate.key)
         way = find_way(self._hosts[host], delegate.helper.data_centre)
-        self._add(now + way, helper, events.Assisted(number, delegate.assist))
+        self._add(
+            now + way,
+            helper,
+            events.DelegatedRequestReceived(number, delegate.assist),
+        )
 
     def _give(
-        self, host: int, ask: int, share: events.Share, now: float
+        self, host: int, ask: int, share: events.DelegationReport, now: float
     ) -> None:
         asker, key = self._helped[host, ask]
         way = find_way(self._hosts[host], self._hosts[asker].host.data_centre)
-        self._add(now + way, asker, events.Shared(key, share))
+        self._add(now + way, asker, events.DelegationReportReceived(key, share))
 
     def _end(
         self, host: int, ask: int, outcome: events.Outcome, now: float
     ) -> None:
         covered = 0.0
-        if isinstance(outcome, events.Merged):
+        if isinstance(outcome, events.MergedAnswer):
             covered = 1 - outcome.missing / self._shape.shards
         request = self._asked.pop((host, ask))
         if request.identity == DEADLY_ID:
             # Nobody misses it.
             return
-        took = now - request.arrived + self._shape.away
+        took = now - request.arrived_at + self._shape.away
         self._endings.append(
-            Ending(took, covered, request.arrived, request.key)
+            Ending(took, covered, request.arrived_at, request.key_digest)
         )
 
 
-def find_way(desk: states.Desk, data_centre: str) -> float:
+def find_way(desk: states.Router, data_centre: str) -> float:
     """Find how many seconds it is from a host to a data centre."""
     return NEAR_S if data_centre == desk.host.data_centre else FAR_S
 
@@ -295,19 +305,21 @@
 
 
 def list_told(
-    send: events.Send, done: targets.Done, way: float
+    send: events.SendAttempt, done: targets.Done, way: float
 ) -> list[tuple[float, events.Event]]:
     """List what a host is told of a request that ran, and when."""
     name = send.instance.name
     deadly = send.request.identity == DEADLY_ID
     if not (deadly or done.lost):
-        status = 504 if done.at > send.ends else 200
+        status = 504 if done.at > send.deadline else 200
         answer = events.Answer(status, (), SIGNATURE, b'')
-        back = min(done.at, send.ends) + way
-        return [(back, events.Answered(send.key, answer))]
+        back = min(done.at, send.deadline) + way
+        return [(back, events.TargetAnswered(send.key, answer))]
     # The pool looks whether the target lives, by another connection.
-    found = events.Ended(name) if deadly else events.Reached(name)
-    broken = events.Broken(send.key, messages.Fault.CONNECTION_LOST)
+    found = (
+        events.TargetExited(name) if deadly else events.TargetConnected(name)
+    )
+    broken = events.AttemptBroken(send.key, messages.Fault.CONNECTION_LOST)
     return [
         (done.at + way, broken),
         (done.at + CONNECT_S + 3 * way, found),
@@ -327,7 +339,7 @@
         now,
         now + flow.timeout,
         away,
-        key=flow.customer,
+        key_digest=flow.customer,
     )
 
 
@@ -336,8 +348,16 @@
 ) -> float:
     """Count the seconds that a host takes for an event or an action."""
     match step:
-        case events.Answered() | events.Refused() | events.Send():
+        case (
+            events.TargetAnswered()
+            | events.TargetRefused()
+            | events.SendAttempt()
+        ):
             return shape.part
-        case events.Shared() | events.Delegate() | events.Give():
+        case (
+            events.DelegationReportReceived()
+            | events.Delegate()
+            | events.SendDelegationReport()
+        ):
             return shape.share
     return 0.0
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     instances,
     places,
@@ -120,22 +120,22 @@
     return f'/{flow.customer or "search"}/'
 
 
-def make_desks(shape: Shape, numbers: random.Random) -> list[states.Desk]:
+def make_desks(shape: Shape, numbers: random.Random) -> list[states.Router]:
     """Make the decisions of hosts that know each other and wide routes."""
     hosts = [_name_host(shape, number) for number in range(shape.hosts)]
     routes = tuple(_make_route(shape, flow) for flow in list_flows(shape))
-    configured = events.Configured(
+    configured = events.ConfigurationReceived(
         configs.Configuration(
             1, routes, (), configs.Limits(), _list_customers(shape)
         )
     )
-    directed = events.Directed(_direct(shape, routes[0]))
-    counted = events.Counted(len(hosts), tuple(hosts))
+    directed = events.DirectoryChanged(_direct(shape, routes[0]))
+    counted = events.HostsChanged(len(hosts), tuple(hosts))
     made = []
     for host in hosts:
-        desk = states.Desk(host, shape.extra_load, numbers.random)
+        desk = states.Router(host, shape.extra_load, numbers.random)
         for event in (configured, directed, counted):
-            desks.handle(desk, event, 0)
+            dispatch.handle_event(desk, event, 0)
         made.append(desk)
     return made
 
--- a/fuchsiahaven/platform/exchanges.py
+++ b/fuchsiahaven/platform/exchanges.py
@@ -101,7 +101,7 @@
             now,
             now + _read_wait(fields.get(headers.DEADLINE)),
             away,
-            key=_read_key(shown),
+            key_digest=_read_key(shown),
             credentials=credentials,
         )
     )
@@ -112,7 +112,7 @@
     identity = request_identities.identify(
         request.customer or _name_asker(request),
         request.method.encode('latin-1'),
-        request.target.encode('latin-1'),
+        request.uri.encode('latin-1'),
         request.body,
     )
     return request._replace(identity=identity)
@@ -135,10 +135,12 @@
     return keys.parse_credentials([told for _, told in shown], SCHEME)
 
 
-def write_request(send: events.Send, now: float) -> events.Fields:
+def write_request(send: events.SendAttempt, now: float) -> events.Fields:
     """Write the header fields of a request to a target."""
     request = send.request
-    left = max(1, int((min(send.ends, request.deadline) - now) * MILLISECONDS))
+    left = max(
+        1, int((min(send.deadline, request.deadline) - now) * MILLISECONDS)
+    )
     own = (
         (headers.DEADLINE, str(left)),
         (headers.INSTANCE, send.instance.id),
@@ -158,24 +160,26 @@
 
 
 def read_answer(
-    send: events.Send, message: Message
-) -> events.Answered | events.Refused | events.Broken:
+    send: events.SendAttempt, message: Message
+) -> events.TargetAnswered | events.TargetRefused | events.AttemptBroken:
     """Read what a target answered."""
     fields = dict(message.fields)
     load = _read_load(fields.get(headers.LOAD))
     if message.status == MISDIRECTED:
-        return events.Refused(send.key, messages.RefusalReason.LEAVING, load)
+        return events.TargetRefused(
+            send.key, messages.RefusalReason.LEAVING, load
+        )
     if headers.NOT_RUN in fields:
-        return events.Refused(send.key, messages.RefusalReason.SHED, load)
+        return events.TargetRefused(send.key, messages.RefusalReason.SHED, load)
     signature = fields.get(headers.SIGNATURE, '')
     if not signature or 'content-encoding' in fields:
         # Without the signature a success is not the target's own word.
-        return events.Broken(send.key, messages.Fault.MALFORMED)
+        return events.AttemptBroken(send.key, messages.Fault.MALFORMED)
     if message.status in PROMISES:
         # It promises what the target has not said: that it did not run.
-        return events.Broken(send.key, messages.Fault.MALFORMED)
+        return events.AttemptBroken(send.key, messages.Fault.MALFORMED)
     passed = _list_passed(message.fields, fields, _HIDDEN)
-    return events.Answered(
+    return events.TargetAnswered(
         send.key,
         events.Answer(message.status, passed, signature, message.body, load),
     )
@@ -184,9 +188,9 @@
 def write_outcome(outcome: events.Outcome) -> Written:
     """Write what a caller is told."""
     match outcome:
-        case events.Relayed(answer):
+        case events.RelayedAnswer(answer):
             return Written(answer.status, answer.fields, answer.body)
-        case events.Merged(signatures, missing, body):
+        case events.MergedAnswer(signatures, missing, body):
             return Written(
                 HTTPStatus.OK,
                 (
--- a/fuchsiahaven/relay/accounts.py
+++ b/fuchsiahaven/relay/accounts.py
@@ -34,7 +34,7 @@
         self.unknown: collections.Counter[str] = collections.Counter()
         self._kept: dict[str, Results] = {}
 
-    def note(self, story: events.Story) -> None:
+    def note(self, story: events.RequestSummary) -> None:
         """Count a caller's request; helpers' shares of it are none."""
         if story.assists:
             return
--- a/fuchsiahaven/relay/assistants.py
+++ b/fuchsiahaven/relay/assistants.py
@@ -58,7 +58,7 @@
         else:
             self._opener.open()
 
-    def dismiss(self, key: events.AssistKey) -> None:
+    def dismiss(self, key: events.DelegationKey) -> None:
         """End the assistance: its host notices that the connection closes."""
         found = [
             it for it, busy in self._busy.items() if busy.delegate.key == key
@@ -90,10 +90,12 @@
         # parts that are left are sent for directly.
         asked = message.status == OK
         why = 'incomplete' if asked else f'status {message.status}'
-        absence = events.Absence.REFUSES
+        absence = events.HelperFault.REFUSED
         if message.status == HTTPStatus.TOO_EARLY:
-            absence = events.Absence.STARTS
-        self._report(events.Unassisted(busy.delegate.key, asked, why, absence))
+            absence = events.HelperFault.STARTING
+        self._report(
+            events.DelegationFailed(busy.delegate.key, asked, why, absence)
+        )
 
     def take_end(self, link: links.Link, fault: messages.Fault) -> None:
         """Take the end of a connection."""
@@ -101,12 +103,12 @@
         busy = self._busy.pop(link, None)
         if busy is not None:
             key = busy.delegate.key
-            self._report(events.Unassisted(key, True, fault.value))
+            self._report(events.DelegationFailed(key, True, fault.value))
 
     def _start(self, link: links.Link, delegate: events.Delegate) -> None:
         now = self._clock()
         body = assist_codecs.write_assist(delegate.assist, now)
-        expires = delegate.assist.ends + PATIENCE_S
+        expires = delegate.assist.deadline + PATIENCE_S
         self._busy[link] = Busy(
             delegate, bytearray(), expires, encodings.Unpacker()
         )
@@ -142,7 +144,9 @@
             line = bytes(busy.received[:end])
             del busy.received[: end + 1]
             share = assist_codecs.read_share(line)
-            self._report(events.Shared(busy.delegate.key, share))
+            self._report(
+                events.DelegationReportReceived(busy.delegate.key, share)
+            )
 
     def _take_link(self, link: links.Link | None) -> None:
         if link is None:
@@ -157,7 +161,7 @@
         self._waiting = []
         for delegate in waiting:
             key = delegate.key
-            self._report(events.Unassisted(key, False, 'no connection'))
+            self._report(events.DelegationFailed(key, False, 'no connection'))
 
 
 class Assistants:
@@ -188,7 +192,7 @@
             self._helpers[address] = helper
         helper.place(delegate)
 
-    def dismiss(self, key: events.AssistKey) -> None:
+    def dismiss(self, key: events.DelegationKey) -> None:
         """End the assistance for a caller that has left."""
         for helper in self._list_helpers():
             helper.dismiss(key)
--- a/fuchsiahaven/relay/fleets.py
+++ b/fuchsiahaven/relay/fleets.py
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        desk: states.Desk,
+        desk: states.Router,
         report: Callable[[events.Event], None],
         clock: Callable[[], float],
         counted: traffic.Traffic,
@@ -31,13 +31,13 @@
         self._clock = clock
         self._pools: dict[str, pools.Pool] = {}
 
-    def place(self, send: events.Send) -> None:
+    def place(self, send: events.SendAttempt) -> None:
         """Send a request to its target."""
         self._find(send.instance).place(send)
 
-    def stop(self, key: events.FlightKey, *, also_sent: bool) -> None:
+    def stop(self, key: events.AttemptKey, *, also_sent: bool) -> None:
         """Do not send what has not left; end soon what has, if asked to."""
-        aloft = self._desk.aloft.get(key)
+        aloft = self._desk.in_flight.get(key)
         if aloft is not None and aloft.instance in self._pools:
             self._pools[aloft.instance].stop(key, also_sent=also_sent)
 
@@ -102,7 +102,7 @@
             self._seat(pool)
         return pool
 
-    def _may_leave(self, key: events.FlightKey) -> bool:
+    def _may_leave(self, key: events.AttemptKey) -> bool:
         return admission.may_leave(self._desk, key)
 
     def _seat(self, pool: pools.Pool) -> None:
--- a/fuchsiahaven/relay/lessons.py
+++ b/fuchsiahaven/relay/lessons.py
@@ -35,7 +35,7 @@
         ledger = merged.ledger
         if facts.Subject.CONFIGURATION in merged.changed:
             configuration = facts.find_configuration(ledger)
-            self._runner.learn(events.Configured(configuration))
+            self._runner.learn(events.ConfigurationReceived(configuration))
         if merged.changed & DIRECTING:
             self._direct(ledger)
         if facts.Subject.HOST in merged.changed:
@@ -61,7 +61,7 @@
         )
         found = facts.list_instances(ledger)
         directory = instances.build_directory(found, barred)
-        self._runner.learn(events.Directed(directory))
+        self._runner.learn(events.DirectoryChanged(directory))
 
     def _suspect(self, ledger: facts.Ledger) -> None:
         """Take in the quarantines that were written since the last time.
@@ -78,10 +78,10 @@
             for it in fresh
         )
         if found:
-            self._runner.post(events.Suspected(found))
+            self._runner.post(events.SuspectsReported(found))
 
     def _count_hosts(self, ledger: facts.Ledger) -> None:
         # Until the hosts have entered themselves the seeds are all there is.
         known = tuple(facts.list_hosts(ledger))
         count = max(len(known), len(self.settings.seeds))
-        self._runner.learn(events.Counted(count, known))
+        self._runner.learn(events.HostsChanged(count, known))
--- a/fuchsiahaven/relay/meters.py
+++ b/fuchsiahaven/relay/meters.py
@@ -72,7 +72,7 @@
         self.waits = orders.Figures(dict)
         self._by_bucket: collections.Counter[int] = collections.Counter()
 
-    def note(self, story: events.Story) -> None:
+    def note(self, story: events.RequestSummary) -> None:
         """Count one request; parts that go back are counted as such."""
         if story.result == waitings.HANDED_BACK:
             return
--- a/fuchsiahaven/relay/notices.py
+++ b/fuchsiahaven/relay/notices.py
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        desk: states.Desk,
+        desk: states.Router,
         entered: quarantines.Quarantines,
         log: journal.Journal,
         counted: traffic.Traffic,
-        learn: Callable[[events.Suspected], None],
+        learn: Callable[[events.SuspectsReported], None],
     ) -> None:
         """Start with nothing to tell."""
         self._desk = desk
@@ -93,7 +93,7 @@
         found = await asyncio.gather(*[self._ask(host) for host in hosts])
         news = tuple(one for told in found for one in told)
         if news:
-            self._learn(events.Suspected(news))
+            self._learn(events.SuspectsReported(news))
 
     async def _ask(
         self, host: places.Host
--- a/fuchsiahaven/relay/orders.py
+++ b/fuchsiahaven/relay/orders.py
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        desk: states.Desk,
+        desk: states.Router,
         post: Callable[[events.Event], None],
         perform: Callable[[events.Action], None],
     ) -> None:
--- a/fuchsiahaven/relay/pools.py
+++ b/fuchsiahaven/relay/pools.py
@@ -23,14 +23,14 @@
 KEEP_ALIVE: Final = 'timeout='
 
 
-def _go_always(key: events.FlightKey) -> bool:
+def _go_always(key: events.AttemptKey) -> bool:
     return True
 
 
 class Busy(NamedTuple):
     """Hold what a connection carries, and until when."""
 
-    send: events.Send
+    send: events.SendAttempt
     expires: float
 
 
@@ -43,7 +43,7 @@
         report: Callable[[events.Event], None],
         clock: Callable[[], float],
         tally: traffic.Tally | None = None,
-        may_leave: Callable[[events.FlightKey], bool] = _go_always,
+        may_leave: Callable[[events.AttemptKey], bool] = _go_always,
     ) -> None:
         """Start without a connection; bytes go into the tally.
 
@@ -56,29 +56,29 @@
         self._report = report
         self._clock = clock
         self._retired = False
-        self._queue: collections.deque[events.Send] = collections.deque()
+        self._queue: collections.deque[events.SendAttempt] = collections.deque()
         self._busy: dict[links.Link, Busy] = {}
         self._idle = idles.Idles()
         self.opener = openers.Opener(
             instance.address, lambda: links.Link(self, tally), self._take_link
         )
 
-    def place(self, send: events.Send) -> None:
+    def place(self, send: events.SendAttempt) -> None:
         """Send at once where a connection is idle, or else when one is."""
         now = self._clock()
-        link = self._idle.take(now, fresh=send.fresh)
+        link = self._idle.take(now, fresh=send.fresh_connection)
         if link is not None:
             self._start(link, send, now)
             return
         self._queue.append(send)
         self._open_more(now)
 
-    def stop(self, key: events.FlightKey, *, also_sent: bool) -> None:
+    def stop(self, key: events.AttemptKey, *, also_sent: bool) -> None:
         """Do not send what has not left; end soon what has, if asked to."""
         for send in self._queue:
             if send.key == key:
                 self._queue.remove(send)
-                self._report(events.Unsent(key, False, withdrawn=True))
+                self._report(events.AttemptUnsent(key, False, withdrawn=True))
                 return
         carried = [
             it for it, busy in self._busy.items() if busy.send.key == key
@@ -101,7 +101,7 @@
         self._retired = True
         while self._queue:
             key = self._queue.popleft().key
-            self._report(events.Unsent(key, unreachable=False))
+            self._report(events.AttemptUnsent(key, unreachable=False))
         return not (self._busy or self.opener.count())
 
     def try_way(self) -> None:
@@ -138,19 +138,21 @@
         self._idle.drop(link)
         busy = self._busy.pop(link, None)
         if busy is not None:
-            self._report(events.Broken(busy.send.key, fault))
+            self._report(events.AttemptBroken(busy.send.key, fault))
             if fault is messages.Fault.CONNECTION_LOST and not self._retired:
                 # Only another connection tells whether the target has ended.
                 self.try_way()
         self._open_more(self._clock())
 
-    def _start(self, link: links.Link, send: events.Send, now: float) -> None:
+    def _start(
+        self, link: links.Link, send: events.SendAttempt, now: float
+    ) -> None:
         request = send.request
-        self._busy[link] = Busy(send, send.ends + PATIENCE_S)
+        self._busy[link] = Busy(send, send.deadline + PATIENCE_S)
         link.start(
             links.Exchange(
                 request.method,
-                request.target,
+                request.uri,
                 exchanges.write_request(send, now),
                 request.body,
                 lambda message: exchanges.is_answer_to(message, request),
@@ -163,7 +165,7 @@
             if self._may_leave(send.key):
                 self._start(link, send, self._clock())
                 return
-            self._report(events.Unsent(send.key, unreachable=False))
+            self._report(events.AttemptUnsent(send.key, unreachable=False))
         self._idle.put(link, until)
 
     def _open_more(self, now: float) -> None:
@@ -180,23 +182,27 @@
     def _take_link(self, link: links.Link | None) -> None:
         if link is None:
             if self.opener.refused:
-                self._report(events.Ended(self.instance.name))
+                self._report(events.TargetExited(self.instance.name))
             self._give_up()
             return
         self._idle.prove(link, self._clock())
         self._release(link, float('inf'))
-        self._report(events.Reached(self.instance.name))
+        self._report(events.TargetConnected(self.instance.name))
 
     def _give_up(self) -> None:
         """Send nothing that waits for a connection that cannot be had."""
         unreachable = not (self._busy or self._idle)
-        if not unreachable and not any(it.fresh for it in self._queue):
+        if not unreachable and not any(
+            it.fresh_connection for it in self._queue
+        ):
             # A connection in use takes what waits when it is done.
             return
         waiting = tuple(self._queue)
         self._queue.clear()
         for send in waiting:
-            self._report(events.Unsent(send.key, unreachable=unreachable))
+            self._report(
+                events.AttemptUnsent(send.key, unreachable=unreachable)
+            )
 
 
 def _read_idle(message: exchanges.Message) -> float:
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -31,7 +31,7 @@
 )
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     facts,
     places,
@@ -63,10 +63,10 @@
         self.settings = settings
         self.log = log
         self.meters = meters.Meters()
-        self.desk = states.Desk(
+        self.desk = states.Router(
             settings.host, settings.extra_load, random.random
         )
-        self.desk.margin.link = settings.link
+        self.desk.reply_margin.link_bytes_per_s = settings.link
         self.desk.warmups.terms = settings.warm_up
         self.runner = runner.Runner(self.desk, self._tell)
         self.meters.waits = self.runner.order.figures
@@ -165,7 +165,7 @@
     def _find_obstacle(self) -> str:
         if self._stopping.is_set():
             return STOPPING
-        return desks.find_obstacle(self.desk, time.monotonic())
+        return dispatch.find_obstacle(self.desk, time.monotonic())
 
     async def _listen(self, stack: contextlib.AsyncExitStack) -> None:
         settings = self.settings
@@ -227,7 +227,7 @@
         self.settings = reading.settings
         self.news.settings = reading.settings
         self.lessons.settings = reading.settings
-        self.desk.change_extra_load(reading.settings.extra_load)
+        self.desk.update_extra_load(reading.settings.extra_load)
         self.desk.warmups.terms = reading.settings.warm_up
         self.keys.revoke_s = reading.settings.revoke
         self._datagrams.reload(reading.settings)
@@ -256,15 +256,15 @@
         number = self.runner.ask(request, reply)
         return lambda: self.runner.abandon(number)
 
-    def _tell(self, told: events.Told) -> None:
+    def _tell(self, told: events.Notification) -> None:
         match told:
             case quota_words.Tell():
                 own = self.settings.host.data_centre
-                near = self.desk.centres.list_hosts(own)
+                near = self.desk.centre_health.list_hosts(own)
                 self._datagrams.tell(told, near)
-            case events.Story():
+            case events.RequestSummary():
                 self._tell_story(told)
-            case events.Crash():
+            case events.CrashReport():
                 row = told._replace(took=round(told.took, 4))
                 self.meters.crashes += 1
                 self.log.tell_request(
@@ -273,11 +273,11 @@
                     good=False,
                     **row._asdict(),
                 )
-            case events.Suspicion(found, passed_on):
+            case events.SuspicionChanged(found, passed_on):
                 self._tell_suspicion(found)
                 if passed_on:
                     self.told.notices.tell(found)
-            case events.Belief(target, text, why):
+            case events.TargetStatusReport(target, text, why):
                 self.log.tell_request(
                     'targets', text, good=False, target=target, why=why
                 )
@@ -290,7 +290,7 @@
             **suspect_codecs.write_news(found),
         )
 
-    def _tell_story(self, story: events.Story) -> None:
+    def _tell_story(self, story: events.RequestSummary) -> None:
         self.meters.note(story)
         age = time.monotonic() - self.news.ledger.read
         good = story.result in {'complete', 'partial', 'relayed 200'}
--- a/fuchsiahaven/relay/quarantines.py
+++ b/fuchsiahaven/relay/quarantines.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        desk: states.Desk,
+        desk: states.Router,
         known: news.News,
         log: journal.Journal,
     ) -> None:
--- a/fuchsiahaven/relay/questions.py
+++ b/fuchsiahaven/relay/questions.py
@@ -25,7 +25,7 @@
 from fuchsiahaven.routing import (
     assist_codecs,
     codecs,
-    desks,
+    dispatch,
     events,
     rooms,
     standings,
@@ -115,7 +115,7 @@
         if self._find_obstacle() == STOPPING:
             caller.answer(_refuse(STOPPING))
             return None
-        ignorance = desks.find_ignorance(self._runner.desk)
+        ignorance = dispatch.find_missing_state(self._runner.desk)
         if ignorance:
             # Told that all parts are lost, who asks would send them itself,
             # and with it all hosts that have just started at once.
@@ -139,11 +139,11 @@
             packer = encodings.Packer()
             fields = (encodings.CONTENT,)
 
-        def give(share: events.Share) -> None:
+        def give(share: events.DelegationReport) -> None:
             piece = assist_codecs.write_share(share)
             if packer is not None:
-                piece = packer.pack(piece, last=share.last)
-            caller.send_piece(piece, last=share.last, fields=fields)
+                piece = packer.pack(piece, last=share.is_last)
+            caller.send_piece(piece, last=share.is_last, fields=fields)
 
         number = self._runner.assist(assist, give)
         return lambda: self._runner.abandon(number)
@@ -164,7 +164,7 @@
         known = self._runner.desk.suspects
         fresh = tuple(it for it in notice.news if known.is_new_report(it, now))
         if fresh:
-            self._runner.post(events.Suspected(fresh))
+            self._runner.post(events.SuspectsReported(fresh))
             self._notices.hand_on(notice._replace(news=fresh))
         return exchanges.Written(HTTPStatus.OK, JSON, b'{}')
 
@@ -198,7 +198,7 @@
             'targets': {
                 service: {
                     one.name: standings.describe(
-                        desk.standings.get(one.name), now
+                        desk.target_health.get(one.name), now
                     )
                     for one in found
                 }
@@ -206,7 +206,9 @@
             },
             'budgets': {
                 service: round(
-                    desk.find_budget(service).count_left(now, desk.host_count),
+                    desk.get_budget(service).count_remaining(
+                        now, desk.host_count
+                    ),
                     1,
                 )
                 for service in desk.directory.by_service
@@ -214,7 +216,7 @@
             'waiting': self._runner.count_waiting(),
         }
         if rooms.is_contended(desk.index):
-            told['silent'] = sorted(desk.centres.list_silent())
+            told['silent'] = sorted(desk.centre_health.list_silent())
         if self._keys.is_enforced:
             # Before anything is proved the age has no end.
             told['keys_age'] = f'{self._keys.compute_age():.2f}'
--- a/fuchsiahaven/relay/readiness.py
+++ b/fuchsiahaven/relay/readiness.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.relay import journal
-from fuchsiahaven.routing import events, rotations
+from fuchsiahaven.routing import balancer_polls, events
 
 PART: Final = 'readiness'
 #: How long an obstacle that was worked out counts, in seconds. It is asked for
@@ -26,7 +26,7 @@
         self._log = log
         self._obstacle = ''
         self._until = float('-inf')
-        self._rotation = rotations.Rotation()
+        self._rotation = balancer_polls.BalancerPolls()
 
     def find_obstacle(self) -> str:
         """Say why callers should go elsewhere; empty if they should not."""
@@ -49,7 +49,7 @@
     def tell_balancer(self) -> str:
         """Take a question of the balancer; return the obstacle, if any."""
         obstacle = self.find_obstacle()
-        self._rotation = rotations.note_asked(
+        self._rotation = balancer_polls.record_poll(
             self._rotation, time.monotonic(), ready=not obstacle
         )
         return obstacle
@@ -63,7 +63,9 @@
         if outcome.kind is errors.Kind.QUARANTINED:
             # No other host would take it sooner.
             return outcome
-        when = rotations.estimate_departure(self._rotation, time.monotonic())
+        when = balancer_polls.estimate_removal_delay(
+            self._rotation, time.monotonic()
+        )
         return outcome._replace(retry_after=round(when, RETRY_DIGITS))
 
     def _change(self, obstacle: str) -> None:
--- a/fuchsiahaven/relay/runner.py
+++ b/fuchsiahaven/relay/runner.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from fuchsiahaven.relay import assistants, fleets, orders, traffic
-from fuchsiahaven.routing import desks, events, reaches, states
+from fuchsiahaven.routing import dispatch, events, reaches, states
 
 #: How often connections are looked at for what takes too long.
 SWEEP_S: Final = 0.1
@@ -16,14 +16,14 @@
 TRY_S: Final = 0.4
 
 Reply = Callable[[events.Outcome], None]
-Give = Callable[[events.Share], None]
-Tell = Callable[[events.Told], None]
+Give = Callable[[events.DelegationReport], None]
+Tell = Callable[[events.Notification], None]
 
 
 class Runner:
     """Own the decisions and whom to tell what comes of them."""
 
-    def __init__(self, desk: states.Desk, tell: Tell) -> None:
+    def __init__(self, desk: states.Router, tell: Tell) -> None:
         """Start with nothing to do."""
         self.desk = desk
         self.traffic = traffic.Traffic()
@@ -44,14 +44,14 @@
         """Take a request; `reply` is called once, unless it is abandoned."""
         self._last += 1
         self._replies[self._last] = reply
-        self.order.take(events.Asked(self._last, request))
+        self.order.take(events.RequestReceived(self._last, request))
         return self._last
 
-    def assist(self, assist: events.Assist, give: Give) -> int:
+    def assist(self, assist: events.DelegatedRequest, give: Give) -> int:
         """Take another host's request; `give` is called with each share."""
         self._last += 1
         self._givers[self._last] = give
-        self.order.take(events.Assisted(self._last, assist))
+        self.order.take(events.DelegatedRequestReceived(self._last, assist))
         return self._last
 
     def abandon(self, ask: int) -> None:
@@ -59,7 +59,7 @@
         self._replies.pop(ask, None)
         self._givers.pop(ask, None)
         if not self.order.drop(ask):
-            self.post(events.Abandoned(ask))
+            self.post(events.RequestAbandoned(ask))
 
     def count_waiting(self) -> int:
         """Count the callers and hosts that have yet to get their reply."""
@@ -79,11 +79,14 @@
         self._set_timer()
 
     def learn(
-        self, event: events.Configured | events.Directed | events.Counted
+        self,
+        event: events.ConfigurationReceived
+        | events.DirectoryChanged
+        | events.HostsChanged,
     ) -> None:
         """Take news of what there is, and what follows for connections."""
         self.post(event)
-        if isinstance(event, events.Configured):
+        if isinstance(event, events.ConfigurationReceived):
             self.order.reorder()
         self.fleet.prune()
         self.fleet.deal()
@@ -98,7 +101,7 @@
             self.desk.controls.lags.note_own(now - due, now)
             self.fleet.sweep(now)
             self._assistants.sweep(now)
-            self.post(events.Reviewed())
+            self.post(events.ReviewDue())
             if now >= try_at and reaches.misses_targets(self.desk, now):
                 try_at = now + TRY_S
                 self.fleet.try_ways(now)
@@ -111,22 +114,22 @@
         self._assistants.close()
 
     def _handle(self, event: events.Event) -> None:
-        for action in desks.handle(self.desk, event, time.monotonic()):
+        for action in dispatch.handle_event(self.desk, event, time.monotonic()):
             self._perform(action)
 
     def _perform(self, action: events.Action) -> None:
         match action:
-            case events.Send():
+            case events.SendAttempt():
                 self.fleet.place(action)
-            case events.Withdraw(key):
+            case events.WithdrawAttempt(key):
                 self.fleet.stop(key, also_sent=False)
-            case events.Cancel(key):
+            case events.CancelAttempt(key):
                 self.fleet.stop(key, also_sent=True)
             case events.Delegate():
                 self._assistants.place(action)
-            case events.Dismiss(assistance):
+            case events.CancelDelegation(assistance):
                 self._assistants.dismiss(assistance)
-            case events.Give(ask, share):
+            case events.SendDelegationReport(ask, share):
                 self._give(ask, share)
             case events.Reply():
                 self._reply(action)
@@ -134,27 +137,27 @@
                 self._tell(action)
 
     def _reply(self, told: events.Reply) -> None:
-        reply = self._replies.pop(told.ask, None)
+        reply = self._replies.pop(told.request_number, None)
         if reply is not None:
             reply(told.outcome)
             if told.due:
                 # What this turn costs shows on the clock at the next one.
                 loop = asyncio.get_running_loop()
                 loop.call_soon(
-                    lambda: desks.note_replied(
+                    lambda: dispatch.record_reply(
                         self.desk, told, time.monotonic()
                     )
                 )
 
-    def _give(self, ask: int, share: events.Share) -> None:
+    def _give(self, ask: int, share: events.DelegationReport) -> None:
         give = self._givers.get(ask)
-        if share.last:
+        if share.is_last:
             self._givers.pop(ask, None)
         if give is not None:
             give(share)
 
     def _set_timer(self) -> None:
-        wake = self.desk.next_wake()
+        wake = self.desk.find_next_deadline()
         if self._timer is not None:
             if wake is not None and self._timer.when() == wake:
                 return
@@ -170,4 +173,4 @@
             late = now - self._timer.when()
             self.desk.controls.lags.note_own(late, now)
         self._timer = None
-        self.post(events.Ticked())
+        self.post(events.ClockTicked())
--- a/fuchsiahaven/relay/silences.py
+++ b/fuchsiahaven/relay/silences.py
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        desk: states.Desk,
+        desk: states.Router,
         log: journal.Journal,
         counted: traffic.Traffic,
     ) -> None:
@@ -56,14 +56,16 @@
         """Take in what a host tells; raises ValueError."""
         told = read(body)
         if told.data_centre == self._desk.host.data_centre:
-            self._desk.centres.take_word(told, time.monotonic())
+            self._desk.centre_health.take_word(told, time.monotonic())
 
     def _look(self, now: float) -> None:
-        found = self._desk.centres.list_noticed()
+        found = self._desk.centre_health.list_noticed()
         if self._told:
             if found == self._told and now < self._due:
                 return
-        elif not rooms.list_untold(self._desk.index, self._desk.centres, now):
+        elif not rooms.list_untold(
+            self._desk.index, self._desk.centre_health, now
+        ):
             return
         self._told = found
         self._due = now + centres.WORD_S / 2
--- a/fuchsiahaven/routing/asks.py
+++ b/fuchsiahaven/routing/active_requests.py
@@ -13,13 +13,13 @@
 #: The way to a caller that is taken into account at most: what a caller with
 #: a slow line loses there is its own, and its answer may not go out at once
 #: with hardly anything in it.
-LONGEST_AWAY_S: Final = 0.04
-OK: Final = 200
-FAILURES: Final = 500
+MAX_TRANSIT_S: Final = 0.04
+OK_STATUS: Final = 200
+MIN_FAILURE_STATUS: Final = 500
 
 #: How soon asking again may help, in seconds. A full target has room again
 #: after about one request's work; an entry that lapsed is back in two.
-RETRY_AFTER: Final = {
+RETRY_AFTER_S: Final = {
     coverage.Reason.NO_REPLICA: 1.0,
     coverage.Reason.OVERLOADED: 0.1,
     coverage.Reason.REFUSED: 0.1,
@@ -33,11 +33,11 @@
     coverage.Reason.QUARANTINED: 1.0,
 }
 #: A target has to come, or an order to be taken back.
-UNSERVED: Final = frozenset(
+UNSERVED_REASONS: Final = frozenset(
     (coverage.Reason.NO_REPLICA, coverage.Reason.EVACUATED)
 )
 #: There are targets, which take no more just now.
-FULL: Final = frozenset(
+OVERLOAD_REASONS: Final = frozenset(
     (
         coverage.Reason.OVERLOADED,
         coverage.Reason.REFUSED,
@@ -46,7 +46,7 @@
 )
 
 
-class Taken(NamedTuple):
+class RoutedRequest(NamedTuple):
     """Hold a request whose route is known and that may be begun.
 
     `priority` is 0 for the most urgent, `version` the configuration's.
@@ -59,7 +59,7 @@
     priority: int
 
 
-class Flight(NamedTuple):
+class PartAttempt(NamedTuple):
     """Describe one sending that has not ended.
 
     `instance` is empty where another host sends it and has not told where.
@@ -67,7 +67,7 @@
 
     number: int
     instance: str
-    sent: float
+    sent_at: float
 
 
 class Part(NamedTuple):
@@ -83,32 +83,32 @@
     knows yet whether the target that lost it has ended.
     """
 
-    flights: tuple[Flight, ...] = ()
-    tried: tuple[str, ...] = ()
-    sent: int = 0
-    number: int = 0
+    in_flight: tuple[PartAttempt, ...] = ()
+    tried_targets: tuple[str, ...] = ()
+    sent_count: int = 0
+    last_number: int = 0
     answer: events.Answer | None = None
-    failed: events.Answer | None = None
+    failed_answer: events.Answer | None = None
     reason: coverage.Reason | None = None
     lost: bool = False
     may_have_run: bool = False
-    refusers: tuple[str, ...] = ()
-    asked_again: int = 0
-    doubted: bool = False
-    spared: bool = False
+    refused_by: tuple[str, ...] = ()
+    resent_count: int = 0
+    awaits_target_check: bool = False
+    deferred: bool = False
 
     @property
-    def targets(self) -> int:
+    def target_count(self) -> int:
         """Count the targets to which it was sent."""
-        return self.sent - self.asked_again
+        return self.sent_count - self.resent_count
 
     @property
-    def attempts(self) -> int:
+    def used_attempts(self) -> int:
         """Count the sendings that ran or may run."""
-        return self.sent - len(self.refusers)
+        return self.sent_count - len(self.refused_by)
 
 
-class Ask(NamedTuple):
+class ActiveRequest(NamedTuple):
     """Hold one request under way.
 
     At `cut` what is in hand is worth more than what may still come; `ends` is
@@ -121,43 +121,43 @@
     request: events.Request
     route: configs.Route
     version: int
-    cut: float
-    ends: float
+    cutoff: float
+    reply_deadline: float
     parts: dict[str, Part]
-    open: set[str]
-    tries: list[str]
-    told: set[str]
-    assists: bool = False
+    open_parts: set[str]
+    attempt_log: list[str]
+    reported: set[str]
+    is_delegated: bool = False
 
     @property
-    def gathers(self) -> bool:
+    def is_gather(self) -> bool:
         """Tell whether the parts are shards to be merged."""
         return isinstance(self.route.way, configs.Gather)
 
 
-def begin(
+def start_request(
     number: int,
     request: events.Request,
     route: configs.Route,
     version: int,
     services: tuple[str, ...],
-    own: float = margins.LEAST_S,
-) -> Ask:
+    host_margin: float = margins.MIN_MARGIN_S,
+) -> ActiveRequest:
     """Begin an ask that reaches the services given.
 
     `own` is how many seconds before the objective this host has to decide on
     the answer, beside the caller's way.
     """
-    arrived = request.arrived
-    margin = own + min(request.away, LONGEST_AWAY_S)
-    ends = min(arrived + route.timeout, request.deadline - margin)
-    return Ask(
+    arrived = request.arrived_at
+    margin = host_margin + min(request.transit_s, MAX_TRANSIT_S)
+    reply_deadline = min(arrived + route.timeout, request.deadline - margin)
+    return ActiveRequest(
         number,
         request,
         route,
         version,
         arrived + route.objective - margin,
-        ends,
+        reply_deadline,
         dict.fromkeys(services, Part()),
         set(services),
         [],
@@ -165,122 +165,127 @@
     )
 
 
-def list_open(ask: Ask) -> list[str]:
+def list_open_parts(active: ActiveRequest) -> list[str]:
     """List the parts that are neither in nor lost, in the route's order."""
-    return [service for service in ask.parts if service in ask.open]
+    return [service for service in active.parts if service in active.open_parts]
 
 
-def is_idle(ask: Ask, service: str) -> bool:
+def is_part_idle(active: ActiveRequest, service: str) -> bool:
     """Tell whether nothing is under way for a part, nor looked into."""
-    part = ask.parts[service]
-    return not part.flights and not part.doubted
+    part = active.parts[service]
+    return not part.in_flight and not part.awaits_target_check
 
 
-def list_flights(ask: Ask) -> list[events.FlightKey]:
+def list_in_flight(active: ActiveRequest) -> list[events.AttemptKey]:
     """List the sendings to targets that have not ended."""
     return [
-        events.FlightKey(ask.number, service, flight.number)
-        for service, part in ask.parts.items()
-        for flight in part.flights
-        if flight.instance
+        events.AttemptKey(active.number, service, attempt.number)
+        for service, part in active.parts.items()
+        for attempt in part.in_flight
+        if attempt.instance
     ]
 
 
-def count_missing(ask: Ask) -> int:
+def count_missing(active: ActiveRequest) -> int:
     """Count the parts that are not in."""
-    return sum(1 for part in ask.parts.values() if part.answer is None)
+    return sum(1 for part in active.parts.values() if part.answer is None)
 
 
-def is_enough(ask: Ask) -> bool:
+def has_enough_parts(active: ActiveRequest) -> bool:
     """Tell whether what is in makes an answer."""
-    return _covers(ask, count_missing(ask))
+    return _has_coverage(active, count_missing(active))
 
 
-def is_hopeless(ask: Ask) -> bool:
+def is_unanswerable(active: ActiveRequest) -> bool:
     """Tell whether too much is lost for what may still come to matter."""
-    return not _covers(ask, sum(1 for it in ask.parts.values() if it.lost))
+    return not _has_coverage(
+        active, sum(1 for it in active.parts.values() if it.lost)
+    )
 
 
-def count_spare(ask: Ask) -> int:
+def count_tolerable_losses(active: ActiveRequest) -> int:
     """Count how many more parts may be lost before no answer can be made."""
-    lost = sum(1 for part in ask.parts.values() if part.lost)
-    most = len(ask.parts)
+    lost = sum(1 for part in active.parts.values() if part.lost)
+    total = len(active.parts)
     return next(
-        (it for it in range(most) if not _covers(ask, lost + it + 1)), 0
+        (it for it in range(total) if not _has_coverage(active, lost + it + 1)),
+        0,
     )
 
 
-def _covers(ask: Ask, missing: int) -> bool:
-    total = len(ask.parts)
+def _has_coverage(active: ActiveRequest, missing: int) -> bool:
+    total = len(active.parts)
     needed = float(total)
-    if isinstance(ask.route.way, configs.Gather):
-        needed *= ask.route.way.coverage
+    if isinstance(active.route.way, configs.Gather):
+        needed *= active.route.way.coverage
     covered = total - missing
     return covered > 0 and covered >= needed
 
 
-def is_over(ask: Ask, now: float) -> bool:
+def must_reply(active: ActiveRequest, now: float) -> bool:
     """Tell whether the caller is to be told now.
 
     Past the objective an answer that covers enough goes out at once: a part
     that is missing costs the caller less than an answer that comes late.
     What can no longer cover enough is not held back until its deadline.
     """
-    if not ask.open or now >= ask.ends:
+    if not active.open_parts or now >= active.reply_deadline:
         return True
-    if is_hopeless(ask):
+    if is_unanswerable(active):
         return True
-    return ask.gathers and now >= ask.cut and is_enough(ask)
+    return (
+        active.is_gather and now >= active.cutoff and has_enough_parts(active)
+    )
 
 
-def build_outcome(ask: Ask) -> events.Outcome:
+def build_outcome(active: ActiveRequest) -> events.Outcome:
     """Build what the caller is told."""
-    if is_enough(ask):
-        return _build_answer(ask)
-    if not ask.gathers:
-        failed = next(iter(ask.parts.values())).failed
-        if failed is not None:
-            return events.Relayed(failed)
-    return _build_failure(ask)
+    if has_enough_parts(active):
+        return _build_answer(active)
+    if not active.is_gather:
+        failed_answer = next(iter(active.parts.values())).failed_answer
+        if failed_answer is not None:
+            return events.RelayedAnswer(failed_answer)
+    return _build_failure(active)
 
 
-def say_ran(ask: Ask) -> errors.Ran:
+def compute_ran(active: ActiveRequest) -> errors.Ran:
     """Say whether any target may have run any part of this."""
-    parts = ask.parts.values()
-    if any(part.answer or part.failed for part in parts):
+    parts = active.parts.values()
+    if any(part.answer or part.failed_answer for part in parts):
         return errors.Ran.YES
-    if any(part.may_have_run or part.flights for part in parts):
+    if any(part.may_have_run or part.in_flight for part in parts):
         return errors.Ran.UNKNOWN
     return errors.Ran.NO
 
 
-def _build_answer(ask: Ask) -> events.Outcome:
+def _build_answer(active: ActiveRequest) -> events.Outcome:
     answers = [
-        part.answer for part in ask.parts.values() if part.answer is not None
+        part.answer for part in active.parts.values() if part.answer is not None
     ]
-    if not isinstance(ask.route.way, configs.Gather):
-        return events.Relayed(answers[0])
-    return events.Merged(
+    if not isinstance(active.route.way, configs.Gather):
+        return events.RelayedAnswer(answers[0])
+    return events.MergedAnswer(
         tuple(answer.signature for answer in answers),
-        len(ask.parts) - len(answers),
+        len(active.parts) - len(answers),
         merges.merge_records(
-            [answer.body for answer in answers], ask.route.way.limit
+            [answer.body for answer in answers], active.route.way.limit
         ),
     )
 
 
-def _build_failure(ask: Ask) -> errors.Failure:
-    parts = ask.parts.values()
+def _build_failure(active: ActiveRequest) -> errors.Failure:
+    parts = active.parts.values()
     reasons = [coverage.Reason.TIMED_OUT]
-    if is_hopeless(ask):
+    if is_unanswerable(active):
         reasons = [it.reason for it in parts if it.lost and it.reason]
-    detail = f'{count_missing(ask)} of {len(parts)} missing: {reasons[0]}'
+    detail = f'{count_missing(active)} of {len(parts)} missing: {reasons[0]}'
     return errors.make_failure(
         _choose_kind(reasons),
         SOURCE,
         detail,
-        retry_after=max(RETRY_AFTER[reason] for reason in reasons),
-        ran=say_ran(ask),
+        retry_after=max(RETRY_AFTER_S[reason] for reason in reasons),
+        ran=compute_ran(active),
     )
 
 
@@ -289,8 +294,8 @@
         return errors.Kind.TIMED_OUT
     if coverage.Reason.QUARANTINED in reasons:
         return errors.Kind.QUARANTINED
-    if UNSERVED.issuperset(reasons):
+    if UNSERVED_REASONS.issuperset(reasons):
         return errors.Kind.NO_ROUTE
-    if FULL.issuperset(reasons):
+    if OVERLOAD_REASONS.issuperset(reasons):
         return errors.Kind.OVERLOADED
     return errors.Kind.INCOMPLETE
--- a/fuchsiahaven/routing/admission.py
+++ b/fuchsiahaven/routing/admission.py
@@ -4,10 +4,10 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
-    asks,
+    active_requests,
+    completions,
     configs,
     customers,
-    endings,
     events,
     quotas,
     returns,
@@ -23,7 +23,9 @@
 advise = returns.advise
 
 
-def admit(desk: states.Desk, event: events.Asked, now: float) -> quotas.Charged:
+def admit(
+    desk: states.Router, event: events.RequestReceived, now: float
+) -> quotas.Charged:
     """Take a request in, have it wait, or say why it is refused."""
     route = _find_route(desk, event.request)
     if isinstance(route, errors.Failure):
@@ -34,8 +36,8 @@
     if isinstance(admitted, errors.Failure):
         return admitted
     request, customer = admitted
-    taken = asks.Taken(
-        event.ask,
+    taken = active_requests.RoutedRequest(
+        event.number,
         request,
         route,
         desk.index.configuration.version,
@@ -50,7 +52,7 @@
 
 
 def refuse_late(
-    desk: states.Desk, ask: asks.Ask, now: float
+    desk: states.Router, ask: active_requests.ActiveRequest, now: float
 ) -> list[events.Action] | None:
     """Refuse what has waited here too long; None where it may go on.
 
@@ -58,54 +60,58 @@
     trial or for a connection, maybe while the host stood still, is checked
     again, as long as it can be refused as one that has not run.
     """
-    if any(part.sent or part.flights for part in ask.parts.values()):
+    if any(part.sent_count or part.in_flight for part in ask.parts.values()):
         return None
     wait = _find_stale_wait(desk, ask)
     if not wait:
         return None
-    return endings.refuse_late(desk, ask, customers.make_stale(wait), now)
+    return completions.refuse_unsent(desk, ask, customers.make_stale(wait), now)
 
 
-def may_leave(desk: states.Desk, key: events.FlightKey) -> bool:
+def may_leave(desk: states.Router, key: events.AttemptKey) -> bool:
     """Tell whether a sending that has waited for a connection may leave.
 
     Of a query over several parts others have left by then.
     """
-    ask = desk.asks.get(key.ask)
-    if ask is None or len(ask.parts) > 1 or ask.parts[key.service].sent > 1:
+    ask = desk.active_requests.get(key.request_number)
+    if (
+        ask is None
+        or len(ask.parts) > 1
+        or ask.parts[key.service].sent_count > 1
+    ):
         return True
     return not _find_stale_wait(desk, ask)
 
 
-def find_asked(desk: states.Desk, request: events.Request) -> customers.Asked:
+def find_asked(desk: states.Router, request: events.Request) -> customers.Asked:
     """Find what a refused request asked for; nothing without customers."""
     index = desk.index
     if index.configuration.customers is None:
         return customers.NOBODY
-    path = request.target.partition('?')[0]
+    path = request.uri.partition('?')[0]
     route = configs.find_route(index, request.host, path)
-    customer = index.customers.get(request.key)
+    customer = index.customers.get(request.key_digest)
     return customers.Asked(
         '' if route is None else route.name,
         '' if customer is None else customer.name,
     )
 
 
-def list_services(desk: states.Desk, route: configs.Route) -> tuple[str, ...]:
+def list_services(desk: states.Router, route: configs.Route) -> tuple[str, ...]:
     """List the services that a request reaches, one of a split in turn."""
     way = route.way
     if not isinstance(way, configs.Split):
         return configs.list_services(way)
-    place = desk.split_places.get(route.name)
+    place = desk.split_positions.get(route.name)
     if place is None:
         place = desk.draw()
-    choice = splits.choose(way, place)
-    desk.split_places[route.name] = choice.place
+    choice = splits.choose_service(way, place)
+    desk.split_positions[route.name] = choice.position
     return (choice.service,)
 
 
 def _find_route(
-    desk: states.Desk, request: events.Request
+    desk: states.Router, request: events.Request
 ) -> configs.Route | errors.Failure:
     if not desk.index.configuration.version:
         return errors.make_failure(
@@ -114,7 +120,7 @@
             'no configuration yet',
             retry_after=START_S,
         )
-    path = request.target.partition('?')[0]
+    path = request.uri.partition('?')[0]
     route = configs.find_route(desk.index, request.host, path)
     if route is None:
         return errors.make_failure(
@@ -123,14 +129,16 @@
     return route
 
 
-def _find_stale_wait(desk: states.Desk, ask: asks.Ask) -> float:
-    if ask.assists or ask.route.public or not ask.request.customer:
+def _find_stale_wait(
+    desk: states.Router, ask: active_requests.ActiveRequest
+) -> float:
+    if ask.is_delegated or ask.route.public or not ask.request.customer:
         return 0.0
     return desk.controls.freshness.compute_wait()
 
 
 def _find_quarantine(
-    desk: states.Desk, request: events.Request, now: float
+    desk: states.Router, request: events.Request, now: float
 ) -> errors.Failure | None:
     """Refuse a request that is not to be sent now."""
     wait = desk.suspects.compute_wait(request.identity, now)
@@ -140,5 +148,5 @@
         errors.Kind.QUARANTINED,
         SOURCE,
         request.identity.digest,
-        retry_after=round(wait, endings.WAIT_DIGITS),
+        retry_after=round(wait, completions.WAIT_DIGITS),
     )
--- a/fuchsiahaven/routing/assist_codecs.py
+++ b/fuchsiahaven/routing/assist_codecs.py
@@ -48,30 +48,30 @@
     lag: NotRequired[int]
 
 
-def write_assist(assist: events.Assist, now: float) -> bytes:
+def write_assist(assist: events.DelegatedRequest, now: float) -> bytes:
     """Write a request for assistance."""
     request = assist.request
     written = WrittenAssist(
         id=request.request_id,
         method=request.method,
-        target=request.target,
+        target=request.uri,
         fields=[list(it) for it in (*request.fields, *request.credentials)],
         body=base64.b64encode(request.body).decode(),
-        route=assist.route,
+        route=assist.route_name,
         objective=int(assist.objective * MILLISECONDS),
-        limit=assist.limit,
+        limit=assist.record_limit,
         services=list(assist.services),
-        avoid=list(assist.avoid),
-        counts=assist.counts,
-        again=assist.again,
-        wait=int((assist.ends - now) * MILLISECONDS),
+        avoid=list(assist.avoided_targets),
+        counts=assist.counts_load,
+        again=assist.is_retry,
+        wait=int((assist.deadline - now) * MILLISECONDS),
     )
     if request.customer:
         written['customer'] = request.customer
     return _dump(written)
 
 
-def read_assist(text: bytes, now: float) -> events.Assist:
+def read_assist(text: bytes, now: float) -> events.DelegatedRequest:
     """Read a request for assistance; raises codecs.Malformed."""
     try:
         return _read_assist(json.loads(text), now)
@@ -79,26 +79,26 @@
         raise codecs.Malformed(repr(error)) from error
 
 
-def write_share(share: events.Share) -> bytes:
+def write_share(share: events.DelegationReport) -> bytes:
     """Write a share as one line."""
     written = WrittenShare(
         parts=[list(part) for part in share.parts],
         body=base64.b64encode(share.body).decode(),
         pending=[list(part) for part in share.pending],
         lost=[list(part) for part in share.lost],
-        last=share.last,
+        last=share.is_last,
     )
-    if share.silent:
-        written['silent'] = list(share.silent)
+    if share.silent_centres:
+        written['silent'] = list(share.silent_centres)
     if share.suspect is not None:
         written['suspect'] = suspect_codecs.write_news(share.suspect)
-    lag = int(share.lag * MILLISECONDS)
+    lag = int(share.lag_s * MILLISECONDS)
     if lag:
         written['lag'] = lag
     return b'%s\n' % _dump(written)
 
 
-def read_share(text: bytes) -> events.Share:
+def read_share(text: bytes) -> events.DelegationReport:
     """Read a line that holds a share; raises codecs.Malformed."""
     try:
         return _read_share(json.loads(text))
@@ -110,7 +110,7 @@
     return json.dumps(written, separators=(',', ':')).encode()
 
 
-def _read_assist(row: WrittenAssist, now: float) -> events.Assist:
+def _read_assist(row: WrittenAssist, now: float) -> events.DelegatedRequest:
     ends = now + row['wait'] / MILLISECONDS
     request = events.Request(
         row['id'],
@@ -123,7 +123,7 @@
         ends,
         customer=str(row.get('customer', '')),
     )
-    return events.Assist(
+    return events.DelegatedRequest(
         request,
         row['route'],
         row['objective'] / MILLISECONDS,
@@ -136,10 +136,10 @@
     )
 
 
-def _read_share(row: WrittenShare) -> events.Share:
+def _read_share(row: WrittenShare) -> events.DelegationReport:
     suspect = row.get('suspect')
-    return events.Share(
-        tuple(events.PartIn(*part) for part in row['parts']),
+    return events.DelegationReport(
+        tuple(events.ReceivedPart(*part) for part in row['parts']),
         base64.b64decode(row['body']),
         tuple(_read_out(part) for part in row['pending']),
         tuple(_read_out(part) for part in row['lost']),
@@ -150,6 +150,6 @@
     )
 
 
-def _read_out(row: list[str | bool]) -> events.PartOut:
+def _read_out(row: list[str | bool]) -> events.MissingPart:
     service, instance, arrived = row
-    return events.PartOut(str(service), str(instance), bool(arrived))
+    return events.MissingPart(str(service), str(instance), bool(arrived))
--- a/fuchsiahaven/routing/assists.py
+++ b/fuchsiahaven/routing/assists.py
@@ -8,12 +8,12 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.routing import (
-    asks,
+    active_requests,
+    attempts,
     configs,
     events,
     merges,
     states,
-    tries,
 )
 
 Actions = list[events.Action]
@@ -25,96 +25,117 @@
 BEGUN: Final = ''
 
 
-def take(desk: states.Desk, event: events.Assisted, now: float) -> Actions:
+def take(
+    desk: states.Router, event: events.DelegatedRequestReceived, now: float
+) -> Actions:
     """Send the parts that another host asks for."""
     ask = _begin(desk, event, now)
-    desk.asks[ask.number] = ask
+    desk.active_requests[ask.number] = ask
     actions: Actions = []
-    for service in tries.order_unsent(desk, ask, now):
-        if not event.assist.counts or _count_in(desk, event, service, now):
-            actions.extend(tries.send_first(desk, ask, service, now))
-    for when in (ask.cut, ask.ends):
-        desk.set_timer(when, states.CutDue(ask.number))
+    for service in attempts.order_unsent(desk, ask, now):
+        if not event.assist.counts_load or _count_in(desk, event, service, now):
+            actions.extend(attempts.send_first(desk, ask, service, now))
+    for when in (ask.cutoff, ask.reply_deadline):
+        desk.set_timer(when, states.CutoffTimer(ask.number))
     return [*actions, *settle(desk, ask, now)]
 
 
 def _count_in(
-    desk: states.Desk, event: events.Assisted, service: str, now: float
+    desk: states.Router,
+    event: events.DelegatedRequestReceived,
+    service: str,
+    now: float,
 ) -> bool:
-    ask = desk.asks[event.ask]
-    if event.assist.again:
-        return tries.count_repeat(desk, ask, service, now)
-    desk.find_budget(service).note_request(now)
+    ask = desk.active_requests[event.number]
+    if event.assist.is_retry:
+        return attempts.charge_delegated_retry(desk, ask, service, now)
+    desk.get_budget(service).record_request(now)
     return True
 
 
-def settle(desk: states.Desk, ask: asks.Ask, now: float) -> Actions:
+def settle(
+    desk: states.Router, ask: active_requests.ActiveRequest, now: float
+) -> Actions:
     """Tell what is due to be told.
 
     What is in when most should be goes out as one merged share; what comes
     later goes out by itself, because the other host may have got that part
     from another target by then and has to be able to leave it out.
     """
-    over = not ask.open or now >= ask.ends
-    first = BEGUN not in ask.told
-    if first and not over and now < ask.cut:
+    over = not ask.open_parts or now >= ask.reply_deadline
+    first = BEGUN not in ask.reported
+    if first and not over and now < ask.cutoff:
         return []
     settled = [
         service
         for service in ask.parts
-        if service not in ask.open and service not in ask.told
+        if service not in ask.open_parts and service not in ask.reported
     ]
     if not (settled or first or over):
         return []
-    ask.told.update(settled, (BEGUN,))
+    ask.reported.update(settled, (BEGUN,))
     shares = _make_shares(ask, settled, first=first, over=over)
-    silent = tuple(sorted(desk.centres.list_noticed()))
+    silent = tuple(sorted(desk.centre_health.list_noticed()))
     suspect = desk.suspects.make_report(ask.request.identity, now)
     lag = desk.controls.lags.tell_own(now)
     actions: Actions = [
-        events.Give(
+        events.SendDelegationReport(
             ask.number,
-            share._replace(silent=silent, suspect=suspect, lag=lag),
+            share._replace(silent_centres=silent, suspect=suspect, lag_s=lag),
         )
         for share in shares
     ]
     if over:
-        desk.asks.pop(ask.number, None)
-        flights = asks.list_flights(ask)
-        actions.extend(events.Withdraw(key) for key in flights)
+        desk.active_requests.pop(ask.number, None)
+        flights = active_requests.list_in_flight(ask)
+        actions.extend(events.WithdrawAttempt(key) for key in flights)
     return actions
 
 
-def _begin(desk: states.Desk, event: events.Assisted, now: float) -> asks.Ask:
+def _begin(
+    desk: states.Router, event: events.DelegatedRequestReceived, now: float
+) -> active_requests.ActiveRequest:
     assist = event.assist
     route = configs.Route(
-        assist.route,
+        assist.route_name,
         '',
         '',
         configurations.Repeat.IDEMPOTENT,
-        assist.ends - now,
+        assist.deadline - now,
         assist.objective,
         1,
         0,
-        configs.Gather(assist.services, assist.limit, 0),
+        configs.Gather(assist.services, assist.record_limit, 0),
     )
     version = desk.index.configuration.version
-    ask = asks.begin(event.ask, assist.request, route, version, assist.services)
-    hold = min(tries.find_delay(desk, ask), LATEST_SHARE * assist.objective)
-    ask = ask._replace(cut=now + hold, ends=assist.ends, assists=True)
-    if assist.again:
-        ask.told.add(BEGUN)
-        part = asks.Part(tried=assist.avoid)
+    ask = active_requests.start_request(
+        event.number, assist.request, route, version, assist.services
+    )
+    hold = min(
+        attempts.compute_hedge_delay(desk, ask), LATEST_SHARE * assist.objective
+    )
+    ask = ask._replace(
+        cutoff=now + hold, reply_deadline=assist.deadline, is_delegated=True
+    )
+    if assist.is_retry:
+        ask.reported.add(BEGUN)
+        part = active_requests.Part(tried_targets=assist.avoided_targets)
         ask.parts.update(dict.fromkeys(ask.parts, part))
     return ask
 
 
 def _make_shares(
-    ask: asks.Ask, settled: list[str], *, first: bool, over: bool
-) -> list[events.Share]:
+    ask: active_requests.ActiveRequest,
+    settled: list[str],
+    *,
+    first: bool,
+    over: bool,
+) -> list[events.DelegationReport]:
     answered = [it for it in settled if ask.parts[it].answer is not None]
     lost = [_tell_part(ask, it) for it in settled if it not in answered]
-    waiting = [_tell_part(ask, it) for it in asks.list_open(ask)]
+    waiting = [
+        _tell_part(ask, it) for it in active_requests.list_open_parts(ask)
+    ]
     if over:
         lost.extend(waiting)
         waiting = []
@@ -123,27 +144,31 @@
         return [share._replace(pending=tuple(waiting), lost=tuple(lost))]
     shares = [_make_share(ask, [service], last=False) for service in answered]
     if shares and over and not lost:
-        shares[-1] = shares[-1]._replace(last=True)
+        shares[-1] = shares[-1]._replace(is_last=True)
     elif lost or over:
         share = _make_share(ask, [], over)
         shares.append(share._replace(lost=tuple(lost)))
     return shares
 
 
-def _make_share(ask: asks.Ask, services: list[str], last: bool) -> events.Share:
+def _make_share(
+    ask: active_requests.ActiveRequest, services: list[str], last: bool
+) -> events.DelegationReport:
     parts = []
     bodies = []
     for service in services:
         answer = ask.parts[service].answer
         if answer is not None:
-            parts.append(events.PartIn(service, answer.signature))
+            parts.append(events.ReceivedPart(service, answer.signature))
             bodies.append(answer.body)
     assert isinstance(ask.route.way, configs.Gather)
     body = merges.merge_records(bodies, ask.route.way.limit)
-    return events.Share(tuple(parts), body, (), (), last)
+    return events.DelegationReport(tuple(parts), body, (), (), last)
 
 
-def _tell_part(ask: asks.Ask, service: str) -> events.PartOut:
+def _tell_part(
+    ask: active_requests.ActiveRequest, service: str
+) -> events.MissingPart:
     part = ask.parts[service]
-    tried = part.tried[-1] if part.tried else ''
-    return events.PartOut(service, tried, part.sent > 0)
+    tried = part.tried_targets[-1] if part.tried_targets else ''
+    return events.MissingPart(service, tried, part.sent_count > 0)
--- /dev/null
+++ b/fuchsiahaven/routing/completions.py
@@ -0,0 +1,244 @@
+"""End an ask: one reply to its caller, and an account of it for the log."""
+
+import itertools
+import math
+from typing import Final
+
+from fuchsiahaven.core import errors
+from fuchsiahaven.routing import (
+    active_requests,
+    assists,
+    customers,
+    events,
+    returns,
+    standings,
+    states,
+)
+
+Actions = list[events.Action]
+
+#: An answer decided later than this after its moment had waited for a part.
+MAX_REPLY_DELAY_S: Final = 0.03
+#: Digits after the point of the seconds that a caller is told to wait.
+WAIT_DIGITS: Final = 2
+#: How many parts a line of the log tells of; a query may have hundreds.
+MAX_LOGGED_PARTS: Final = 6
+
+
+def complete_if_ready(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    """Reply if nothing that may still come is worth the wait."""
+    if active.is_delegated:
+        return assists.settle(router, active, now)
+    if not active_requests.must_reply(active, now):
+        return []
+    return complete(router, active, now)
+
+
+def complete(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    """Reply to the caller; what waits to be sent is not needed any more."""
+    outcome = _add_retry_after(
+        router, active, active_requests.build_outcome(active), now
+    )
+    _settle_charge(router, active, now)
+    router.active_requests.pop(active.number, None)
+    due = (
+        active.cutoff
+        if active.open_parts and isinstance(outcome, events.MergedAnswer)
+        else 0
+    )
+    if now > active.cutoff + MAX_REPLY_DELAY_S:
+        # It waited for parts, not for its moment.
+        due = 0
+    return [
+        events.Reply(active.number, outcome, due),
+        _summarize(active, name_result(outcome), now),
+        *[
+            events.WithdrawAttempt(key)
+            for key in active_requests.list_in_flight(active)
+        ],
+        *_cancel_silent_helpers(router, active.number, now),
+    ]
+
+
+def refuse_unsent(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    failure: errors.Failure,
+    now: float,
+) -> Actions:
+    """Refuse an ask that was begun and of which nothing has left."""
+    router.controls.quotas.end(active.number, now, ran=False)
+    router.active_requests.pop(active.number, None)
+    failure = returns.advise(router, failure, active.request, now)
+    return [
+        events.Reply(active.number, failure),
+        _summarize(active, name_result(failure), now),
+    ]
+
+
+def _settle_charge(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> None:
+    """Charge nobody for a request that has not run."""
+    ran = active_requests.compute_ran(active) is not errors.Ran.NO
+    router.controls.quotas.end(active.number, now, ran=ran)
+
+
+def _add_retry_after(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    outcome: events.Outcome,
+    now: float,
+) -> events.Outcome:
+    """Have the caller of a request that is not sent on come back after that."""
+    if not isinstance(outcome, errors.Failure):
+        return outcome
+    outcome = returns.advise(router, outcome, active.request, now)
+    wait = router.suspects.compute_wait(active.request.identity, now)
+    if wait <= (outcome.retry_after or 0):
+        return outcome
+    return outcome._replace(retry_after=round(wait, WAIT_DIGITS))
+
+
+def _cancel_silent_helpers(
+    router: states.Router, number: int, now: float
+) -> Actions:
+    """End the assistance of hosts that have told nothing by the end.
+
+    One that is paused or overloaded would send all parts of the search when
+    it comes to them, long after its answer. Parts that were sent again end
+    without blame for the host that sent them.
+    """
+    keys = [
+        key
+        for key, delegation in router.delegations.items()
+        if key.request_number == number
+        and len(delegation.unreported) == len(delegation.attempt_numbers)
+    ]
+    for key in keys:
+        delegation = router.delegations.pop(key)
+        if delegation.is_retry:
+            continue
+        attempt_key = events.AttemptKey(key.request_number, '', key.number)
+        until = now + standings.TRIAL_S
+        router.helper_health.note_lost(
+            delegation.helper.name, attempt_key, until, 'silent'
+        )
+    return [events.CancelDelegation(cancelled) for cancelled in keys]
+
+
+def abandon(router: states.Router, number: int, now: float) -> Actions:
+    """End the work for a caller that has left.
+
+    What may not be repeated runs on: it has been asked for, and breaking it
+    off would leave nobody knowing whether it was done.
+    """
+    active = router.active_requests.pop(number, None)
+    if active is None:
+        # It may wait for a word about its customer.
+        router.controls.quotas.end(number, now, ran=False)
+        return []
+    _settle_charge(router, active, now)
+    in_flight = active_requests.list_in_flight(active)
+    actions: Actions = [events.WithdrawAttempt(key) for key in in_flight]
+    if not active.route.at_most_once:
+        actions = [events.CancelAttempt(key) for key in in_flight]
+        actions.extend(_cancel_delegations(router, number))
+    return [*actions, _summarize(active, 'abandoned', now)]
+
+
+def _cancel_delegations(router: states.Router, number: int) -> Actions:
+    """End the assistance for an ask, without blame for whoever gives it."""
+    keys = [key for key in router.delegations if key.request_number == number]
+    for key in keys:
+        helper = router.delegations.pop(key).helper
+        attempt_key = events.AttemptKey(key.request_number, '', key.number)
+        router.helper_health.note_dropped(helper.name, attempt_key)
+    return [events.CancelDelegation(cancelled) for cancelled in keys]
+
+
+def refuse(
+    number: int,
+    request: events.Request,
+    failure: errors.Failure,
+    version: int,
+    now: float,
+    caller: customers.Asked = customers.NOBODY,
+) -> Actions:
+    """Refuse a request that has no route or cannot be served."""
+    took = now - request.arrived_at
+    result = failure.kind.value
+    summary = events.RequestSummary(
+        request.request_id, caller.route, version, result, took, 0, 0, 0, ()
+    )
+    summary = summary._replace(
+        digest=request.identity.digest,
+        customer=caller.customer,
+        why=failure.detail if caller.route else '',
+    )
+    return [events.Reply(number, failure), summary]
+
+
+def name_result(outcome: events.Outcome) -> str:
+    """Name an outcome for the log."""
+    match outcome:
+        case events.RelayedAnswer(answer):
+            return f'relayed {answer.status}'
+        case events.MergedAnswer(_, missing, _):
+            return 'partial' if missing else 'complete'
+        case errors.Failure(kind):
+            return f'{kind} ran={outcome.ran}'
+
+
+def _summarize(
+    active: active_requests.ActiveRequest, result: str, now: float
+) -> events.RequestSummary:
+    return events.RequestSummary(
+        active.request.request_id,
+        active.route.name,
+        active.version,
+        result,
+        now - active.request.arrived_at,
+        len(active.parts),
+        active_requests.count_missing(active),
+        sum(max(0, part.last_number - 1) for part in active.parts.values()),
+        tuple(active.attempt_log[:MAX_LOGGED_PARTS]),
+        _list_missing(active, now),
+        active.route.objective,
+        active.is_delegated,
+        active.request.identity.digest,
+        active.request.customer,
+    )
+
+
+def _list_missing(
+    active: active_requests.ActiveRequest, now: float
+) -> tuple[str, ...]:
+    """List what became of the first few parts that lack."""
+    missing = {
+        service: part
+        for service, part in active.parts.items()
+        if part.answer is None and (part.in_flight or part.reason)
+    }
+    return tuple(
+        f'{service}: {_describe_part(part, now)}'
+        for service, part in itertools.islice(missing.items(), MAX_LOGGED_PARTS)
+    )
+
+
+def _describe_part(part: active_requests.Part, now: float) -> str:
+    waits = [
+        f'waits at {attempt.instance or "a helper"}{_show_wait(attempt, now)}'
+        for attempt in part.in_flight
+    ]
+    return '; '.join(waits) or str(part.reason)
+
+
+def _show_wait(attempt: active_requests.PartAttempt, now: float) -> str:
+    waited = now - attempt.sent_at
+    # A part that was to be hurried counts as sent long ago.
+    return f' for {waited:.3f} s' if math.isfinite(waited) else ''
--- a/fuchsiahaven/routing/crashes.py
+++ b/fuchsiahaven/routing/crashes.py
@@ -5,14 +5,14 @@
 
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
-    asks,
-    endings,
+    active_requests,
+    attempts,
+    completions,
     events,
     instances,
     losses,
     states,
     trials,
-    tries,
 )
 
 Actions = list[events.Action]
@@ -20,11 +20,14 @@
 #: How long the losses of a query over shards are gathered, in seconds. Others
 #: that were under way there repeat the part that was lost first; a trial
 #: elsewhere does not end their second target.
-GATHER_S: Final = 0.005
+LOSS_GATHERING_S: Final = 0.005
 
 
-def note_loss(
-    desk: states.Desk, key: events.FlightKey, aloft: states.Aloft, now: float
+def record_loss(
+    router: states.Router,
+    key: events.AttemptKey,
+    in_flight: states.InFlightAttempt,
+    now: float,
 ) -> Actions | None:
     """Take in that a sending ended with its connection.
 
@@ -32,192 +35,201 @@
     target has ended. A target that was leaving may end what it has not
     finished, and is not looked at.
     """
-    instance = desk.directory.by_name.get(aloft.instance)
+    instance = router.directory.by_name.get(in_flight.instance)
     if instance is None:
         return []
     loss = losses.Loss(
         key,
-        aloft.identity,
-        aloft.request_id,
+        in_flight.identity,
+        in_flight.request_id,
         instance,
-        aloft.purpose,
-        aloft.sent,
+        in_flight.purpose,
+        in_flight.sent_at,
         now,
     )
-    match desk.losses.note(loss):
-        case losses.Word.ENDED:
-            return _take_crashes(desk, [loss], now)
-        case losses.Word.UNKNOWN:
-            due = states.DoubtDue(aloft.identity, key)
-            desk.set_timer(now + losses.LOOK_S, due)
+    match router.losses.record_loss(loss):
+        case losses.TargetFate.EXITED:
+            return _record_crashes(router, [loss], now)
+        case losses.TargetFate.UNKNOWN:
+            timer = states.TargetCheckTimer(in_flight.identity, key)
+            router.set_timer(now + losses.TARGET_CHECK_TIMEOUT_S, timer)
             return None
     return []
 
 
-def take_reached(desk: states.Desk, name: str, now: float) -> Actions:
+def handle_connection(router: states.Router, name: str, now: float) -> Actions:
     """Take in that a target lives: its connections were reset."""
-    return _go_on_all(desk, desk.losses.take(name), now)
+    return _continue_parts(router, router.losses.pop_losses(name), now)
 
 
-def take_end(desk: states.Desk, name: str, now: float) -> Actions:
+def handle_exit(router: states.Router, name: str, now: float) -> Actions:
     """Take in that a target has ended."""
-    found = desk.losses.note_ended(name, now)
-    return [*_take_crashes(desk, found, now), *_go_on_all(desk, found, now)]
+    target_losses = router.losses.record_exit(name, now)
+    return [
+        *_record_crashes(router, target_losses, now),
+        *_continue_parts(router, target_losses, now),
+    ]
 
 
-def take_directory(
-    desk: states.Desk, directory: instances.Directory, now: float
+def handle_directory(
+    router: states.Router, directory: instances.Directory, now: float
 ) -> Actions:
     """Take in which targets have started again."""
     actions: Actions = []
-    for name in desk.losses.list_restarted(directory):
-        actions.extend(take_end(desk, name, now))
+    for name in router.losses.list_restarted(directory):
+        actions.extend(handle_exit(router, name, now))
     return actions
 
 
-def stop_doubting(
-    desk: states.Desk, due: states.DoubtDue, now: float
+def handle_check_timeout(
+    router: states.Router, timer: states.TargetCheckTimer, now: float
 ) -> Actions:
     """Go on with a part of which the pool could not tell in time."""
-    return _go_on(desk, due.identity, due.key, now)
+    return _continue_part(router, timer.identity, timer.key, now)
 
 
-def take_news(desk: states.Desk, news: events.Suspected, now: float) -> Actions:
+def handle_suspect_reports(
+    router: states.Router, event: events.SuspectsReported, now: float
+) -> Actions:
     """Take in what other hosts know against requests."""
     actions: Actions = []
-    own = desk.host.name
-    for one in news.found:
-        if desk.suspects.merge_report(one, now, own):
-            actions.extend(_describe(desk, one.identity, now, passed_on=False))
-            actions.extend(_hold_back(desk, one.identity, now))
+    own_name = router.host.name
+    for report in event.reports:
+        if router.suspects.merge_report(report, now, own_name):
+            actions.extend(
+                _build_report(router, report.identity, now, broadcast=False)
+            )
+            actions.extend(_withdraw_unsent(router, report.identity, now))
     return actions
 
 
-def note_success(
-    desk: states.Desk,
+def record_success(
+    router: states.Router,
     identity: request_identities.Identity,
-    key: events.FlightKey,
+    key: events.AttemptKey,
     now: float,
 ) -> Actions:
     """Take in that a target has run a part of a request to its end."""
-    if not desk.suspects.record_success(identity, key.service, key):
+    if not router.suspects.record_success(identity, key.service, key):
         return []
-    _release(desk, identity, now)
-    return _tell(desk, identity, now)
+    _resume_waiting(router, identity, now)
+    return _report_suspicion(router, identity, now)
 
 
 def end_trial(
-    desk: states.Desk,
+    router: states.Router,
     identity: request_identities.Identity,
-    key: events.FlightKey,
+    key: events.AttemptKey,
     now: float,
 ) -> None:
     """Take in that a sending has ended, in whatever way."""
-    if desk.suspects.end_trial(identity, key):
-        _release(desk, identity, now)
+    if router.suspects.end_trial(identity, key):
+        _resume_waiting(router, identity, now)
 
 
-def _take_crashes(
-    desk: states.Desk, found: Iterable[losses.Loss], now: float
+def _record_crashes(
+    router: states.Router, target_losses: Iterable[losses.Loss], now: float
 ) -> Actions:
     actions: Actions = []
-    for loss in found:
-        actions.append(_tell_crash(loss))
+    for loss in target_losses:
+        actions.append(_report_crash(loss))
         crash = suspects.Crash(
             loss.key.service,
             loss.instance.name,
             loss.key,
-            loss.sent,
-            loss.lost,
+            loss.sent_at,
+            loss.lost_at,
         )
-        if desk.suspects.record_crash(loss.identity, crash, now):
-            actions.extend(_tell(desk, loss.identity, now))
-            actions.extend(_hold_back(desk, loss.identity, now))
+        if router.suspects.record_crash(loss.identity, crash, now):
+            actions.extend(_report_suspicion(router, loss.identity, now))
+            actions.extend(_withdraw_unsent(router, loss.identity, now))
     return actions
 
 
-def _tell_crash(loss: losses.Loss) -> events.Crash:
-    return events.Crash(
+def _report_crash(loss: losses.Loss) -> events.CrashReport:
+    return events.CrashReport(
         loss.instance.name,
         loss.key.service,
         loss.request_id,
         loss.identity.digest,
         loss.purpose,
         loss.key.number,
-        loss.lost - loss.sent,
+        loss.lost_at - loss.sent_at,
     )
 
 
-def _tell(
-    desk: states.Desk, identity: request_identities.Identity, now: float
+def _report_suspicion(
+    router: states.Router, identity: request_identities.Identity, now: float
 ) -> Actions:
     """Tell the log, and other hosts if they are to know."""
-    passed_on = desk.suspects.admit_report(identity, now)
-    return _describe(desk, identity, now, passed_on=passed_on)
+    broadcast = router.suspects.admit_report(identity, now)
+    return _build_report(router, identity, now, broadcast=broadcast)
 
 
-def _describe(
-    desk: states.Desk,
+def _build_report(
+    router: states.Router,
     identity: request_identities.Identity,
     now: float,
     *,
-    passed_on: bool,
+    broadcast: bool,
 ) -> Actions:
-    news = desk.suspects.make_report(identity, now)
-    return [] if news is None else [events.Suspicion(news, passed_on)]
+    report = router.suspects.make_report(identity, now)
+    return (
+        [] if report is None else [events.SuspicionChanged(report, broadcast)]
+    )
 
 
-def _hold_back(
-    desk: states.Desk, identity: request_identities.Identity, now: float
+def _withdraw_unsent(
+    router: states.Router, identity: request_identities.Identity, now: float
 ) -> Actions:
     """Keep what has not left yet from leaving; look at what waits."""
-    _release(desk, identity, now)
+    _resume_waiting(router, identity, now)
     return [
-        events.Withdraw(key)
-        for ask in desk.asks.values()
-        if ask.request.identity == identity
-        for key in asks.list_flights(ask)
+        events.WithdrawAttempt(key)
+        for active in router.active_requests.values()
+        if active.request.identity == identity
+        for key in active_requests.list_in_flight(active)
     ]
 
 
-def _release(
-    desk: states.Desk, identity: request_identities.Identity, now: float
+def _resume_waiting(
+    router: states.Router, identity: request_identities.Identity, now: float
 ) -> None:
     """Have the parts that wait for a trial looked at."""
-    if identity in desk.suspects.waiting_ids:
-        desk.set_timer(now, states.HeldDue(identity))
+    if identity in router.suspects.waiting_ids:
+        router.set_timer(now, states.TrialTimer(identity))
 
 
-def _go_on_all(
-    desk: states.Desk, found: Iterable[losses.Loss], now: float
+def _continue_parts(
+    router: states.Router, target_losses: Iterable[losses.Loss], now: float
 ) -> Actions:
     actions: Actions = []
-    for loss in found:
-        actions.extend(_go_on(desk, loss.identity, loss.key, now))
+    for loss in target_losses:
+        actions.extend(_continue_part(router, loss.identity, loss.key, now))
     return actions
 
 
-def _go_on(
-    desk: states.Desk,
+def _continue_part(
+    router: states.Router,
     identity: request_identities.Identity,
-    key: events.FlightKey,
+    key: events.AttemptKey,
     now: float,
 ) -> Actions:
     """Go on with a part that waited for word of its target."""
-    end_trial(desk, identity, key, now)
-    ask = desk.asks.get(key.ask)
-    part = None if ask is None else ask.parts.get(key.service)
-    if ask is None or part is None or not part.doubted:
+    end_trial(router, identity, key, now)
+    active = router.active_requests.get(key.request_number)
+    part = None if active is None else active.parts.get(key.service)
+    if active is None or part is None or not part.awaits_target_check:
         return []
-    ask.parts[key.service] = part._replace(doubted=False)
-    if key.service not in ask.open:
+    active.parts[key.service] = part._replace(awaits_target_check=False)
+    if key.service not in active.open_parts:
         return []
-    gate = trials.find_gate(desk, ask, now)
-    if ask.gathers and gate is suspects.SendPermission.TRIAL:
+    permission = trials.get_permission(router, active, now)
+    if active.is_gather and permission is suspects.SendPermission.TRIAL:
         # The trial is chosen among all parts that are lost by then.
-        trials.wait(desk, ask)
-        due = states.HeldDue(identity)
-        desk.set_timer(now + GATHER_S, due)
+        trials.wait_for_trial(router, active)
+        timer = states.TrialTimer(identity)
+        router.set_timer(now + LOSS_GATHERING_S, timer)
         return []
-    actions = tries.send_again(desk, ask, key.service, now)
-    return [*actions, *endings.settle(desk, ask, now)]
+    actions = attempts.retry_part(router, active, key.service, now)
+    return [*actions, *completions.complete_if_ready(router, active, now)]
--- a/fuchsiahaven/routing/customers.py
+++ b/fuchsiahaven/routing/customers.py
@@ -42,7 +42,9 @@
     """
     if index.configuration.customers is None:
         return Admitted(request, None)
-    shown = authentication.Credentials(request.key, bool(request.credentials))
+    shown = authentication.Credentials(
+        request.key_digest, bool(request.credentials)
+    )
     found = authentication.authenticate(
         index.customers, shown, known.compute_wait(), public=route.public
     )
@@ -62,7 +64,7 @@
     identity = request_identities.identify(
         asker,
         request.method.encode('latin-1'),
-        request.target.encode('latin-1'),
+        request.uri.encode('latin-1'),
         request.body,
     )
     return request._replace(
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -10,20 +10,20 @@
 
 from fuchsiahaven.core import coverage, suspects
 from fuchsiahaven.routing import (
-    arrivals,
-    asks,
-    choices,
+    active_requests,
+    attempt_results,
+    attempts,
+    completions,
     configs,
     crashes,
-    endings,
     events,
     places,
     plans,
     rooms,
-    second_sendings,
     states,
+    target_selection,
     trials,
-    tries,
+    wide_hedges,
 )
 
 Actions = list[events.Action]
@@ -43,7 +43,10 @@
 
 
 def hedge(
-    desk: states.Desk, ask: asks.Ask, slow: list[str], now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    slow: list[str],
+    now: float,
 ) -> Actions:
     """Have slow parts of a wide query sent to another target by helpers.
 
@@ -51,13 +54,13 @@
     know best which of them answer just now.
     """
     if (
-        trials.find_gate(desk, ask, now)
+        trials.get_permission(desk, ask, now)
         is not suspects.SendPermission.UNRESTRICTED
     ):
         return []
     shared: dict[places.Host, list[str]] = {}
     for service in slow:
-        if ask.parts[service].sent < ask.route.attempts:
+        if ask.parts[service].sent_count < ask.route.attempts:
             silent = _find_silent(desk, ask, service)
             helper = plans.find_second_helper(
                 desk,
@@ -68,9 +71,9 @@
                 silent=silent.data_centre if silent else '',
             )
             shared.setdefault(helper or desk.host, []).append(service)
-    worth = second_sendings.count_worth(ask, len(slow), now)
-    kept = second_sendings.keep_worth(desk.host, shared, worth)
-    actions = tries.hedge_all(desk, ask, kept.pop(desk.host, []), now)
+    worth = wide_hedges.count_useful_hedges(ask, len(slow), now)
+    kept = wide_hedges.select_hedges(desk.host, shared, worth)
+    actions = attempts.hedge_parts(desk, ask, kept.pop(desk.host, []), now)
     for helper, services in kept.items():
         # The helper sees to the shared bound on repeats.
         planned = plans.Plan(helper, tuple(services))
@@ -79,123 +82,130 @@
 
 
 def _find_silent(
-    desk: states.Desk, ask: asks.Ask, service: str
+    desk: states.Router, ask: active_requests.ActiveRequest, service: str
 ) -> places.Host | None:
     """Find the host that was asked for a part and has told nothing of it."""
-    flight = ask.parts[service].flights[0]
-    if flight.instance or flight.sent == OVERDUE:
+    flight = ask.parts[service].in_flight[0]
+    if flight.instance or flight.sent_at == OVERDUE:
         return None
     helpers = [
         known.helper
-        for key, known in desk.assistance.items()
-        if key.ask == ask.number and service in known.left
+        for key, known in desk.delegations.items()
+        if key.request_number == ask.number and service in known.unreported
     ]
     return helpers[0] if helpers else None
 
 
 def start(
-    desk: states.Desk, ask: asks.Ask, planned: plans.Plan, now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    planned: plans.Plan,
+    now: float,
 ) -> events.Delegate:
     """Ask a helper for parts."""
     assert isinstance(ask.route.way, configs.Gather)
-    key = events.AssistKey(ask.number, desk.take_number())
-    sent = max(ask.parts[it].sent for it in planned.services)
-    assist = events.Assist(
+    key = events.DelegationKey(ask.number, desk.next_number())
+    sent = max(ask.parts[it].sent_count for it in planned.services)
+    assist = events.DelegatedRequest(
         ask.request,
         ask.route.name,
         ask.route.objective,
         ask.route.way.limit,
         planned.services,
-        tries.find_end(desk, ask, sent, now),
+        attempts.compute_deadline(desk, ask, sent, now),
         tuple(_list_tried(ask, planned.services)),
-        counts=configs.is_wide(ask.route.way),
-        again=any(ask.parts[it].sent for it in planned.services),
+        counts_load=configs.is_wide(ask.route.way),
+        is_retry=any(ask.parts[it].sent_count for it in planned.services),
     )
     flights = {}
     for service in planned.services:
         flights[service] = _launch(ask, service, now)
-        if not assist.counts:
-            desk.find_budget(service).note_request(now)
+        if not assist.counts_load:
+            desk.get_budget(service).record_request(now)
     left = set(planned.services)
     helper = planned.helper
-    known = states.Assistance(helper, flights, left, assist.again)
-    desk.assistance[key] = known
-    if not known.again:
+    known = states.Delegation(helper, flights, left, assist.is_retry)
+    desk.delegations[key] = known
+    if not known.is_retry:
         # Parts that are sent again are often not in when the answer goes out.
         # Waited for like others, three of them make their data centre look
         # cut off, and a host that is asked for few searches refuses the next.
-        desk.helpers.note_sent(helper.name, _make_flight(key), now)
-        desk.centres.note_sent(helper.data_centre, helper.name, now)
+        desk.helper_health.note_sent(helper.name, _make_flight(key), now)
+        desk.centre_health.note_sent(helper.data_centre, helper.name, now)
     return events.Delegate(key, helper, assist)
 
 
-def take_share(desk: states.Desk, event: events.Shared, now: float) -> Actions:
+def take_share(
+    desk: states.Router, event: events.DelegationReportReceived, now: float
+) -> Actions:
     """Take in what a helper has gathered."""
-    known = desk.assistance.get(event.key)
+    known = desk.delegations.get(event.key)
     if known is None:
         return []
     flight = _make_flight(event.key)
-    desk.helpers.note_answered(known.helper.name, flight, now, None)
-    desk.controls.lags.note(known.helper.name, event.share.lag, now)
-    desk.centres.note_heard(known.helper.data_centre)
+    desk.helper_health.note_answered(known.helper.name, flight, now, None)
+    desk.controls.lags.note(known.helper.name, event.share.lag_s, now)
+    desk.centre_health.note_heard(known.helper.data_centre)
     if known.helper.data_centre == desk.host.data_centre:
-        desk.centres.take_hints(event.share.silent, now)
-    if event.share.last:
-        desk.assistance.pop(event.key)
-    number = event.key.ask
+        desk.centre_health.take_hints(event.share.silent_centres, now)
+    if event.share.is_last:
+        desk.delegations.pop(event.key)
+    number = event.key.request_number
     actions = _take_suspect(desk, event.share, now)
     actions.extend(_take_parts(desk, number, known, event.share, now))
-    if event.share.last:
-        outs = _make_outs(known.left, arrived=True)
+    if event.share.is_last:
+        outs = _make_outs(known.unreported, arrived=True)
         actions.extend(_lose_parts(desk, number, known, outs, now))
-    ask = desk.asks.get(number)
+    ask = desk.active_requests.get(number)
     if ask is not None:
-        actions.extend(endings.settle(desk, ask, now))
+        actions.extend(completions.complete_if_ready(desk, ask, now))
     return actions
 
 
 def take_failure(
-    desk: states.Desk, event: events.Unassisted, now: float
+    desk: states.Router, event: events.DelegationFailed, now: float
 ) -> Actions:
     """Send for the parts directly that a helper will not bring."""
-    known = desk.assistance.pop(event.key, None)
+    known = desk.delegations.pop(event.key, None)
     if known is None:
         return []
     pause = REFUSED_S
-    match event.absence:
-        case events.Absence.LOST:
-            desk.centres.note_failed(
+    match event.fault:
+        case events.HelperFault.NO_ANSWER:
+            desk.centre_health.note_failed(
                 known.helper.data_centre, known.helper.name
             )
-        case events.Absence.REFUSES:
-            desk.centres.note_heard(known.helper.data_centre)
-        case events.Absence.STARTS:
-            desk.centres.note_heard(known.helper.data_centre)
+        case events.HelperFault.REFUSED:
+            desk.centre_health.note_heard(known.helper.data_centre)
+        case events.HelperFault.STARTING:
+            desk.centre_health.note_heard(known.helper.data_centre)
             pause = STARTING_S
     flight = _make_flight(event.key)
-    desk.helpers.note_lost(known.helper.name, flight, now + pause, event.why)
-    outs = _make_outs(known.left, arrived=event.asked)
-    return _lose_parts(desk, event.key.ask, known, outs, now)
+    desk.helper_health.note_lost(
+        known.helper.name, flight, now + pause, event.cause
+    )
+    outs = _make_outs(known.unreported, arrived=event.may_have_arrived)
+    return _lose_parts(desk, event.key.request_number, known, outs, now)
 
 
 def _take_parts(
-    desk: states.Desk,
+    desk: states.Router,
     number: int,
-    known: states.Assistance,
-    share: events.Share,
+    known: states.Delegation,
+    share: events.DelegationReport,
     now: float,
 ) -> Actions:
-    ask = desk.asks.get(number)
+    ask = desk.active_requests.get(number)
     services = [part.service for part in share.parts]
-    known.left.difference_update(services)
+    known.unreported.difference_update(services)
     if ask is None:
         return []
     actions: Actions = []
     for service in services:
-        key = events.FlightKey(number, service, known.flights[service])
+        key = events.AttemptKey(number, service, known.attempt_numbers[service])
         identity = ask.request.identity
-        actions.extend(crashes.note_success(desk, identity, key, now))
-    if ask.open.issuperset(services):
+        actions.extend(crashes.record_success(desk, identity, key, now))
+    if ask.open_parts.issuperset(services):
         _accept(ask, share)
     else:
         # The records of parts that came from elsewhere meanwhile cannot be
@@ -207,111 +217,134 @@
         _hurry(ask, known, waiting)
     if share.pending:
         # They are looked at as soon as this is done with.
-        desk.set_timer(now, states.HedgeDue(number, again=False))
+        desk.set_timer(now, states.HedgeTimer(number, recurs=False))
     return actions
 
 
 def _take_suspect(
-    desk: states.Desk, share: events.Share, now: float
+    desk: states.Router, share: events.DelegationReport, now: float
 ) -> Actions:
     """Take in what a helper knows against a request, before its parts."""
     if share.suspect is None:
         return []
-    return crashes.take_news(desk, events.Suspected((share.suspect,)), now)
+    return crashes.handle_suspect_reports(
+        desk, events.SuspectsReported((share.suspect,)), now
+    )
 
 
-def _list_tried(ask: asks.Ask, services: Iterable[str]) -> list[str]:
-    return [name for it in services for name in ask.parts[it].tried if name]
+def _list_tried(
+    ask: active_requests.ActiveRequest, services: Iterable[str]
+) -> list[str]:
+    return [
+        name for it in services for name in ask.parts[it].tried_targets if name
+    ]
 
 
-def _launch(ask: asks.Ask, service: str, now: float) -> int:
+def _launch(
+    ask: active_requests.ActiveRequest, service: str, now: float
+) -> int:
     part = ask.parts[service]
-    number = part.number + 1
+    number = part.last_number + 1
     ask.parts[service] = part._replace(
-        flights=(*part.flights, asks.Flight(number, '', now)),
-        sent=part.sent + 1,
-        number=number,
+        in_flight=(
+            *part.in_flight,
+            active_requests.PartAttempt(number, '', now),
+        ),
+        sent_count=part.sent_count + 1,
+        last_number=number,
     )
     return number
 
 
-def _accept(ask: asks.Ask, share: events.Share) -> None:
+def _accept(
+    ask: active_requests.ActiveRequest, share: events.DelegationReport
+) -> None:
     body = share.body
     for part in share.parts:
-        answer = events.Answer(asks.OK, (), part.signature, body)
+        answer = events.Answer(
+            active_requests.OK_STATUS, (), part.signature, body
+        )
         before = ask.parts[part.service]
         ask.parts[part.service] = before._replace(answer=answer)
-        ask.open.discard(part.service)
+        ask.open_parts.discard(part.service)
         # The records of all of them stand in the body of the first.
         body = b''
 
 
 def _hurry(
-    ask: asks.Ask, known: states.Assistance, waiting: events.PartOut
+    ask: active_requests.ActiveRequest,
+    known: states.Delegation,
+    waiting: events.MissingPart,
 ) -> None:
     """Have a part that the helper still waits for sent elsewhere as well."""
     part = ask.parts[waiting.service]
-    number = known.flights[waiting.service]
+    number = known.attempt_numbers[waiting.service]
     ask.parts[waiting.service] = part._replace(
-        flights=tuple(
-            flight._replace(sent=OVERDUE) if flight.number == number else flight
-            for flight in part.flights
+        in_flight=tuple(
+            flight._replace(sent_at=OVERDUE)
+            if flight.number == number
+            else flight
+            for flight in part.in_flight
         ),
-        tried=(*part.tried, waiting.instance),
+        tried_targets=(*part.tried_targets, waiting.instance),
     )
 
 
 def _make_outs(
     services: Iterable[str], *, arrived: bool
-) -> list[events.PartOut]:
-    return [events.PartOut(service, '', arrived) for service in services]
+) -> list[events.MissingPart]:
+    return [events.MissingPart(service, '', arrived) for service in services]
 
 
 def _lose_parts(
-    desk: states.Desk,
+    desk: states.Router,
     number: int,
-    known: states.Assistance,
-    outs: Iterable[events.PartOut],
+    known: states.Delegation,
+    outs: Iterable[events.MissingPart],
     now: float,
 ) -> Actions:
-    ask = desk.asks.get(number)
+    ask = desk.active_requests.get(number)
     failed = []
     passed = None
     for out in outs:
-        known.left.discard(out.service)
-        if ask is None or out.service not in ask.open:
+        known.unreported.discard(out.service)
+        if ask is None or out.service not in ask.open_parts:
             continue
-        key = events.FlightKey(number, out.service, known.flights[out.service])
+        key = events.AttemptKey(
+            number, out.service, known.attempt_numbers[out.service]
+        )
         crashes.end_trial(desk, ask.request.identity, key, now)
-        part = arrivals.land(ask, key)
-        ask.tries.append(f'{out.service} {out.instance} {known.helper.name}')
+        part = attempt_results.remove_attempt(ask, key)
+        ask.attempt_log.append(
+            f'{out.service} {out.instance} {known.helper.name}'
+        )
         ask.parts[out.service] = part._replace(
-            sent=part.sent - (not out.arrived),
-            tried=(*part.tried, out.instance),
-            may_have_run=part.may_have_run or out.arrived,
+            sent_count=part.sent_count - (not out.may_have_arrived),
+            tried_targets=(*part.tried_targets, out.instance),
+            may_have_run=part.may_have_run or out.may_have_arrived,
             reason=coverage.Reason.UNREACHABLE,
         )
         failed.append(out.service)
-        if not out.arrived:
+        if not out.may_have_arrived:
             passed = _find_passed(desk, known)
     if ask is None:
         return []
     return [
         *send_again(desk, ask, failed, now, passed),
-        *endings.settle(desk, ask, now),
+        *completions.complete_if_ready(desk, ask, now),
     ]
 
 
 def _find_passed(
-    desk: states.Desk, known: states.Assistance
+    desk: states.Router, known: states.Delegation
 ) -> places.Host | None:
     """Find the host that is not asked again: one that is behind."""
     return known.helper if rooms.is_contended(desk.index) else None
 
 
 def send_again(
-    desk: states.Desk,
-    ask: asks.Ask,
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
     failed: Iterable[str],
     now: float,
     passed: places.Host | None = None,
@@ -329,7 +362,7 @@
     accept them as to answer, and more than they accept.
     """
     if (
-        trials.find_gate(desk, ask, now)
+        trials.get_permission(desk, ask, now)
         is not suspects.SendPermission.UNRESTRICTED
     ):
         return _try_one(desk, ask, failed, now)
@@ -348,7 +381,7 @@
             shared.setdefault(helper, []).append(service)
     actions: Actions = []
     for service in own:
-        actions.extend(tries.send_again(desk, ask, service, now))
+        actions.extend(attempts.retry_part(desk, ask, service, now))
     for helper, services in shared.items():
         planned = plans.Plan(helper, tuple(services))
         actions.append(start(desk, ask, planned, now))
@@ -356,43 +389,49 @@
 
 
 def _try_one(
-    desk: states.Desk, ask: asks.Ask, failed: Iterable[str], now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    failed: Iterable[str],
+    now: float,
 ) -> Actions:
     """Have one part of a suspect request sent again, by whoever is to."""
     actions: Actions = []
     for service in failed:
         helper = None
-        gate = trials.find_gate(desk, ask, now)
+        gate = trials.get_permission(desk, ask, now)
         if _is_handed_on(ask) and gate is suspects.SendPermission.TRIAL:
             if _may_hand_on(desk, ask, service, now):
                 helper = plans.find_second_helper(desk, ask, service, now)
         if helper is None:
-            actions.extend(tries.send_again(desk, ask, service, now))
+            actions.extend(attempts.retry_part(desk, ask, service, now))
             continue
         planned = plans.Plan(helper, (service,))
         actions.append(start(desk, ask, planned, now))
-        number = ask.parts[service].number
-        key = events.FlightKey(ask.number, service, number)
-        actions.extend(trials.begin(desk, ask, key, now))
+        number = ask.parts[service].last_number
+        key = events.AttemptKey(ask.number, service, number)
+        actions.extend(trials.begin_trial(desk, ask, key, now))
     return actions
 
 
-def _is_handed_on(ask: asks.Ask) -> bool:
+def _is_handed_on(ask: active_requests.ActiveRequest) -> bool:
     """Tell whether hosts on duty send what failed; a helper asks nobody."""
-    return configs.is_wide_way(ask.route.way) and not ask.assists
+    return configs.is_wide_way(ask.route.way) and not ask.is_delegated
 
 
 def _may_hand_on(
-    desk: states.Desk, ask: asks.Ask, service: str, now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    service: str,
+    now: float,
 ) -> bool:
     """Tell whether another host may send a part that one host did not bring."""
     part = ask.parts[service]
-    if part.flights or part.sent >= ask.route.attempts:
+    if part.in_flight or part.sent_count >= ask.route.attempts:
         return False
-    if part.number >= MOST_HANDINGS:
+    if part.last_number >= MOST_HANDINGS:
         return False
-    return choices.has_candidate(desk, service, part, now)
+    return target_selection.has_candidate(desk, service, part, now)
 
 
-def _make_flight(key: events.AssistKey) -> events.FlightKey:
-    return events.FlightKey(key.ask, '', key.number)
+def _make_flight(key: events.DelegationKey) -> events.AttemptKey:
+    return events.AttemptKey(key.request_number, '', key.number)
--- /dev/null
+++ b/fuchsiahaven/routing/dispatch.py
@@ -0,0 +1,361 @@
+"""Decide what a host does with each event: `handle(desk, event, now)`."""
+
+from fuchsiahaven.core import errors, rendezvous, request_identities, suspects
+from fuchsiahaven.routing import (
+    active_requests,
+    admission,
+    assists,
+    attempt_results,
+    attempts,
+    completions,
+    configs,
+    crashes,
+    delegations,
+    events,
+    plans,
+    quota_words,
+    reaches,
+    states,
+)
+
+Actions = list[events.Action]
+
+
+def handle_event(
+    router: states.Router, event: events.Event, now: float
+) -> Actions:
+    """Take in an event and return what is to be done."""
+    actions = _dispatch_event(router, event, now)
+    actions.extend(router.target_health.take_changes())
+    actions.extend(router.helper_health.take_changes())
+    if router.controls.quotas.has_news:
+        actions.extend(_apply_quota_decisions(router, now))
+    return actions
+
+
+def _apply_quota_decisions(router: states.Router, now: float) -> Actions:
+    """Go on with what was decided on by a word about its customer."""
+    actions: Actions = []
+    decisions, messages, next_check = router.controls.quotas.take_news()
+    for routed, failure in decisions:
+        if failure is None:
+            actions.extend(_start_request(router, routed, now))
+            continue
+        request = routed.request
+        caller = admission.find_asked(router, request)
+        failure = admission.advise(router, failure, request, now)
+        refusal = completions.refuse(
+            routed.number, request, failure, routed.version, now, caller
+        )
+        actions.extend(refusal)
+    if next_check is not None:
+        router.set_timer(next_check, states.QuotaTimer())
+    return [*actions, *messages]
+
+
+def _dispatch_event(
+    router: states.Router, event: events.Event, now: float
+) -> Actions:
+    match event:
+        case events.RequestReceived():
+            return _handle_request(router, event, now)
+        case events.TargetAnswered():
+            return attempt_results.handle_answer(router, event, now)
+        case events.TargetRefused():
+            return attempt_results.handle_refusal(router, event, now)
+        case events.AttemptBroken():
+            return attempt_results.handle_fault(router, event, now)
+        case events.AttemptUnsent():
+            return attempt_results.handle_unsent(router, event, now)
+        case events.DelegationReportReceived():
+            return delegations.take_share(router, event, now)
+        case events.DelegationFailed():
+            return delegations.take_failure(router, event, now)
+        case events.DelegatedRequestReceived():
+            return assists.take(router, event, now)
+        case events.RequestAbandoned(number):
+            return completions.abandon(router, number, now)
+        case (
+            events.TargetConnected()
+            | events.TargetExited()
+            | events.DirectoryChanged()
+            | events.SuspectsReported()
+        ):
+            return _handle_target_event(router, event, now)
+        case events.ClockTicked():
+            return _fire_timers(router, now)
+        case events.ReviewDue():
+            return _review_centres(router, now)
+    _update_state(router, event, now)
+    return []
+
+
+def record_reply(
+    router: states.Router, reply: events.Reply, now: float
+) -> None:
+    """Take in when a reply was written that waited for its last moment."""
+    router.reply_margin.record_delay(now - reply.due)
+
+
+def find_obstacle(router: states.Router, now: float) -> str:
+    """Say why no new work should come to this host; empty if it may."""
+    missing_state = find_missing_state(router)
+    if missing_state:
+        return missing_state
+    if reaches.is_cut_off(router, now):
+        return 'too few targets can be reached'
+    if router.index.configuration.customers is None:
+        return ''
+    if router.controls.freshness.compute_wait():
+        return 'no recent word of which keys are valid'
+    return ''
+
+
+def find_missing_state(router: states.Router) -> str:
+    """Say what this host has yet to learn before it can serve anything."""
+    if not router.index.configuration.version:
+        return 'no configuration yet'
+    if not router.directory.by_name and not router.directory.withheld:
+        return 'no targets yet'
+    return ''
+
+
+def _review_centres(router: states.Router, now: float) -> Actions:
+    router.losses.expire_old(now)
+    router.suspects.expire_suspects(now)
+    return [
+        events.TargetStatusReport(name, 'left out', 'the data centre is silent')
+        for name in router.centre_health.review(now)
+    ]
+
+
+def _handle_target_event(
+    router: states.Router,
+    event: events.TargetConnected
+    | events.TargetExited
+    | events.DirectoryChanged
+    | events.SuspectsReported,
+    now: float,
+) -> Actions:
+    match event:
+        case events.TargetConnected(instance):
+            _record_connection(router, instance)
+            return crashes.handle_connection(router, instance, now)
+        case events.TargetExited(instance):
+            return crashes.handle_exit(router, instance, now)
+        case events.DirectoryChanged():
+            return _update_directory(router, event, now)
+        case events.SuspectsReported():
+            return crashes.handle_suspect_reports(router, event, now)
+
+
+def _record_connection(router: states.Router, instance: str) -> None:
+    router.target_health.note_reached(instance)
+    target = router.directory.by_name.get(instance)
+    if target is not None:
+        router.centre_health.note_heard(target.data_centre)
+
+
+def _update_directory(
+    router: states.Router, event: events.DirectoryChanged, now: float
+) -> Actions:
+    directory = event.directory
+    router.warmups.note_targets(router.directory, directory, now)
+    router.directory = directory
+    router.update_wide_centres()
+    router.target_health.keep_only(directory.by_name)
+    return crashes.handle_directory(router, directory, now)
+
+
+def _update_state(
+    router: states.Router, event: events.Event, now: float
+) -> None:
+    match event:
+        case quota_words.Heard():
+            router.controls.quotas.hear(event, now)
+        case events.ConfigurationReceived(configuration):
+            if configuration.version > router.index.configuration.version:
+                router.index = configs.build_index(configuration)
+                router.update_wide_centres()
+                customers = configuration.customers or ()
+                router.controls.quotas.note_customers(customers, now)
+        case events.HostsChanged(host_count, hosts):
+            router.host_count = max(1, host_count)
+            router.hosts = tuple(
+                it for it in hosts if it.name != router.host.name
+            )
+            router.centre_health.note_hosts((*router.hosts, router.host))
+            router.controls.lags.note_hosts(hosts)
+            router.warmups.note_hosts(hosts, now)
+            router.controls.quotas.note_hosts(hosts, now)
+
+
+def _handle_request(
+    router: states.Router, event: events.RequestReceived, now: float
+) -> Actions:
+    version = router.index.configuration.version
+    routed = admission.admit(router, event, now)
+    if isinstance(routed, errors.Failure):
+        request = event.request
+        caller = admission.find_asked(router, request)
+        routed = admission.advise(router, routed, request, now)
+        return completions.refuse(
+            event.number, request, routed, version, now, caller
+        )
+    if isinstance(routed, active_requests.RoutedRequest):
+        return _start_request(router, routed, now)
+    # It waits for a word about its customer.
+    return []
+
+
+def _start_request(
+    router: states.Router, routed: active_requests.RoutedRequest, now: float
+) -> Actions:
+    route = routed.route
+    services = admission.list_services(router, route)
+    reaches.note_asked(router, route, now)
+    host_margin = router.reply_margin.estimate_margin(route.way)
+    active = active_requests.start_request(
+        routed.number,
+        routed.request,
+        route,
+        routed.version,
+        services,
+        host_margin,
+    )
+    router.active_requests[active.number] = active
+    attempts.mark_unservable_parts(router, active, now)
+    actions: Actions = []
+    if not active_requests.is_unanswerable(active):
+        actions = _send_parts(router, active, now)
+    # What cannot be served is refused before anything is sent, so that the
+    # refusal can say that nothing has run.
+    completion = completions.complete_if_ready(router, active, now)
+    if not completion:
+        _set_timers(router, active, now)
+    return [*actions, *completion]
+
+
+def _send_parts(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    actions = _delegate_parts(router, active, now)
+    for service in attempts.list_unsent(active):
+        router.get_budget(service).record_request(now)
+    return [*actions, *_send_unsent(router, active, now)]
+
+
+def _delegate_parts(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    """Have other hosts gather what they are to; they ask nobody else."""
+    permission = router.suspects.get_permission(active.request.identity, now)
+    if (
+        active.is_delegated
+        or permission is not suspects.SendPermission.UNRESTRICTED
+    ):
+        return []
+    return [
+        delegations.start(router, active, planned, now)
+        for planned in plans.plan(router, active, now)
+    ]
+
+
+def _send_unsent(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    actions: Actions = []
+    for service in attempts.order_unsent(router, active, now):
+        actions.extend(attempts.send_first(router, active, service, now))
+    return actions
+
+
+def _set_timers(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> None:
+    hedge_delay = attempts.compute_hedge_delay(router, active)
+    router.set_timer(now + hedge_delay, states.HedgeTimer(active.number))
+    for deadline in (active.cutoff, active.reply_deadline):
+        if deadline > now:
+            router.set_timer(deadline, states.CutoffTimer(active.number))
+
+
+def _fire_timers(router: states.Router, now: float) -> Actions:
+    actions: Actions = []
+    while (timer := router.pop_timer(now)) is not None:
+        actions.extend(_fire_timer(router, timer, now))
+    return actions
+
+
+def _fire_timer(
+    router: states.Router, timer: states.Timer, now: float
+) -> Actions:
+    match timer:
+        case states.TargetCheckTimer():
+            return crashes.handle_check_timeout(router, timer, now)
+        case states.TrialTimer(identity):
+            return _resume_waiting(router, identity, now)
+        case states.QuotaTimer():
+            router.controls.quotas.check(now)
+            return []
+    active = router.active_requests.get(timer.request_number)
+    if active is None:
+        return []
+    match timer:
+        case states.HedgeTimer(_, recurs):
+            return _hedge_slow_parts(router, active, now, recurs=recurs)
+        case states.CutoffTimer():
+            return completions.complete_if_ready(router, active, now)
+
+
+def _resume_waiting(
+    router: states.Router, identity: request_identities.Identity, now: float
+) -> Actions:
+    """Go on with what waited for the trial of a request."""
+    actions: Actions = []
+    for number in sorted(router.suspects.waiting_ids.pop(identity, ())):
+        active = router.active_requests.get(number)
+        if active is not None:
+            actions.extend(_resume_request(router, active, now))
+    return actions
+
+
+def _resume_request(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> Actions:
+    idle = [
+        it
+        for it in active_requests.list_open_parts(active)
+        if active_requests.is_part_idle(active, it)
+    ]
+    lost = [it for it in idle if active.parts[it].last_number]
+    refusal = admission.refuse_late(router, active, now)
+    if refusal is not None:
+        return refusal
+    # Each request is tried at another of the shards that several have lost.
+    ranked = rendezvous.rank(active.request.identity.digest, lost)
+    return [
+        *delegations.send_again(router, active, ranked, now),
+        *_delegate_parts(router, active, now),
+        *_send_unsent(router, active, now),
+        *completions.complete_if_ready(router, active, now),
+    ]
+
+
+def _hedge_slow_parts(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    now: float,
+    *,
+    recurs: bool,
+) -> Actions:
+    action = active.route.way
+    slow = attempts.list_slow_parts(router, active, now)
+    if recurs and active.open_parts:
+        # What the budget did not allow now it may allow then, and a second
+        # sending may be worth it for what was sent again meanwhile.
+        interval = attempts.compute_hedge_delay(router, active) / 2
+        router.set_timer(now + interval, states.HedgeTimer(active.number))
+    if configs.is_wide_way(action):
+        return delegations.hedge(router, active, slow, now)
+    return attempts.hedge_parts(router, active, slow, now)
--- a/fuchsiahaven/routing/events.py
+++ b/fuchsiahaven/routing/events.py
@@ -29,15 +29,15 @@
 
     request_id: str
     method: str
-    target: str
+    uri: str
     host: str
     fields: Fields
     body: bytes
-    arrived: float
+    arrived_at: float
     deadline: float
-    away: float = 0.0
+    transit_s: float = 0.0
     identity: request_identities.Identity = request_identities.UNKNOWN
-    key: str = ''
+    key_digest: str = ''
     credentials: Fields = ()
     customer: str = ''
 
@@ -52,10 +52,10 @@
     load: messages.Load | None = None
 
 
-class FlightKey(NamedTuple):
+class AttemptKey(NamedTuple):
     """Identify one sending: the ask, its part, and which of its sendings."""
 
-    ask: int
+    request_number: int
     service: str
     number: int
 
@@ -68,42 +68,42 @@
     RETRY = 'retry'
 
 
-class Asked(NamedTuple):
+class RequestReceived(NamedTuple):
     """Bring a request in under a new number."""
 
-    ask: int
+    number: int
     request: Request
 
 
-class Abandoned(NamedTuple):
+class RequestAbandoned(NamedTuple):
     """Tell that the caller has left without its answer."""
 
-    ask: int
+    number: int
 
 
-class Answered(NamedTuple):
+class TargetAnswered(NamedTuple):
     """Bring an answer that belongs to a request, good or bad."""
 
-    key: FlightKey
+    key: AttemptKey
     answer: Answer
 
 
-class Refused(NamedTuple):
+class TargetRefused(NamedTuple):
     """Bring a target's word that it has not run a request."""
 
-    key: FlightKey
+    key: AttemptKey
     reason: messages.RefusalReason
     load: messages.Load | None = None
 
 
-class Broken(NamedTuple):
+class AttemptBroken(NamedTuple):
     """Bring a fault after the request had left: it may have run."""
 
-    key: FlightKey
+    key: AttemptKey
     fault: messages.Fault
 
 
-class Unsent(NamedTuple):
+class AttemptUnsent(NamedTuple):
     """Tell that a request did not leave this host and will not.
 
     `unreachable` tells that no connection could be had, as opposed to one
@@ -111,57 +111,57 @@
     taken back, which says nothing of the target.
     """
 
-    key: FlightKey
+    key: AttemptKey
     unreachable: bool
     withdrawn: bool = False
 
 
-class Reached(NamedTuple):
+class TargetConnected(NamedTuple):
     """Tell that a connection to a target has just been opened."""
 
     instance: str
 
 
-class Ended(NamedTuple):
+class TargetExited(NamedTuple):
     """Tell that the process of a target has ended: its port is closed."""
 
     instance: str
 
 
-class Suspected(NamedTuple):
+class SuspectsReported(NamedTuple):
     """Bring what other hosts know against requests."""
 
-    found: tuple[suspects.SuspectReport, ...]
+    reports: tuple[suspects.SuspectReport, ...]
 
 
-class Ticked(NamedTuple):
+class ClockTicked(NamedTuple):
     """Bring the passing of time."""
 
 
-class Reviewed(NamedTuple):
+class ReviewDue(NamedTuple):
     """Tell that it is time to see which data centres have fallen silent."""
 
 
-class Configured(NamedTuple):
+class ConfigurationReceived(NamedTuple):
     """Bring a configuration; a lower version changes nothing."""
 
     configuration: configs.Configuration
 
 
-class Directed(NamedTuple):
+class DirectoryChanged(NamedTuple):
     """Bring the targets there are now."""
 
     directory: instances.Directory
 
 
-class Counted(NamedTuple):
+class HostsChanged(NamedTuple):
     """Bring how many hosts share the bounds on load, and those known."""
 
-    total: int
+    host_count: int
     hosts: tuple[places.Host, ...] = ()
 
 
-class Assist(NamedTuple):
+class DelegatedRequest(NamedTuple):
     """Ask another host to gather some parts of a query near it.
 
     `route` names whose usual times to go by, `objective` is in seconds and
@@ -173,24 +173,24 @@
     """
 
     request: Request
-    route: str
+    route_name: str
     objective: float
-    limit: int
+    record_limit: int
     services: tuple[str, ...]
-    ends: float
-    avoid: tuple[str, ...] = ()
-    counts: bool = False
-    again: bool = False
+    deadline: float
+    avoided_targets: tuple[str, ...] = ()
+    counts_load: bool = False
+    is_retry: bool = False
 
 
-class PartIn(NamedTuple):
+class ReceivedPart(NamedTuple):
     """State that a part is in, with the signature of its answer."""
 
     service: str
     signature: str
 
 
-class PartOut(NamedTuple):
+class MissingPart(NamedTuple):
     """State what became of a part that is not in.
 
     `instance` is the target that was tried, if any; `arrived` tells whether
@@ -199,10 +199,10 @@
 
     service: str
     instance: str
-    arrived: bool
+    may_have_arrived: bool
 
 
-class Share(NamedTuple):
+class DelegationReport(NamedTuple):
     """Bring some parts of a query from the host that gathers them.
 
     `body` holds the greatest records of all parts that are in. The `pending`
@@ -211,116 +211,116 @@
     request. `lag` is by how many seconds that host is behind its work.
     """
 
-    parts: tuple[PartIn, ...]
+    parts: tuple[ReceivedPart, ...]
     body: bytes
-    pending: tuple[PartOut, ...]
-    lost: tuple[PartOut, ...]
-    last: bool
-    silent: tuple[str, ...] = ()
+    pending: tuple[MissingPart, ...]
+    lost: tuple[MissingPart, ...]
+    is_last: bool
+    silent_centres: tuple[str, ...] = ()
     suspect: suspects.SuspectReport | None = None
-    lag: float = 0.0
+    lag_s: float = 0.0
 
 
-class AssistKey(NamedTuple):
+class DelegationKey(NamedTuple):
     """Identify one request for assistance: the ask, and which of its own."""
 
-    ask: int
+    request_number: int
     number: int
 
 
-class Shared(NamedTuple):
+class DelegationReportReceived(NamedTuple):
     """Bring what the host that assists has sent."""
 
-    key: AssistKey
-    share: Share
+    key: DelegationKey
+    share: DelegationReport
 
 
-class Absence(enum.Enum):
+class HelperFault(enum.Enum):
     """Say why a host does not assist.
 
     Nothing was heard of one that is LOST. One that REFUSES is stopping, say;
     one that STARTS will know enough in a moment.
     """
 
-    LOST = enum.auto()
-    REFUSES = enum.auto()
-    STARTS = enum.auto()
+    NO_ANSWER = enum.auto()
+    REFUSED = enum.auto()
+    STARTING = enum.auto()
 
 
-class Unassisted(NamedTuple):
+class DelegationFailed(NamedTuple):
     """Tell that assistance has broken off, or was never asked for.
 
     `asked` tells whether the request may have reached the other host, `why`
     what was seen, for the log.
     """
 
-    key: AssistKey
-    asked: bool
-    why: str
-    absence: Absence = Absence.LOST
+    key: DelegationKey
+    may_have_arrived: bool
+    cause: str
+    fault: HelperFault = HelperFault.NO_ANSWER
 
 
-class Assisted(NamedTuple):
+class DelegatedRequestReceived(NamedTuple):
     """Bring another host's request for assistance under a new number."""
 
-    ask: int
-    assist: Assist
+    number: int
+    assist: DelegatedRequest
 
 
-class Send(NamedTuple):
+class SendAttempt(NamedTuple):
     """Ask for a request to be sent to a target.
 
     `fresh` asks for a connection that is proven to work just now, because
     the request may not be repeated.
     """
 
-    key: FlightKey
+    key: AttemptKey
     instance: instances.Instance
     request: Request
-    ends: float
-    fresh: bool
+    deadline: float
+    fresh_connection: bool
 
 
 class Delegate(NamedTuple):
     """Ask for assistance to be asked of another host."""
 
-    key: AssistKey
+    key: DelegationKey
     helper: places.Host
-    assist: Assist
+    assist: DelegatedRequest
 
 
-class Dismiss(NamedTuple):
+class CancelDelegation(NamedTuple):
     """Ask for assistance to end: the caller has left."""
 
-    key: AssistKey
+    key: DelegationKey
 
 
-class Give(NamedTuple):
+class SendDelegationReport(NamedTuple):
     """Send a share to the host that asked for assistance."""
 
-    ask: int
-    share: Share
+    request_number: int
+    share: DelegationReport
 
 
-class Withdraw(NamedTuple):
+class WithdrawAttempt(NamedTuple):
     """Ask for a request not to be sent if it has not left yet."""
 
-    key: FlightKey
+    key: AttemptKey
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Ask for work at a target to end: the caller has left."""
 
-    key: FlightKey
+    key: AttemptKey
 
 
-class Relayed(NamedTuple):
+class RelayedAnswer(NamedTuple):
     """Give a caller the answer of one target as it is."""
 
     answer: Answer
 
 
-class Merged(NamedTuple):
+class MergedAnswer(NamedTuple):
     """Give a caller the greatest records of the parts that are in."""
 
     signatures: tuple[str, ...]
@@ -328,7 +328,7 @@
     body: bytes
 
 
-Outcome = Relayed | Merged | errors.Failure
+Outcome = RelayedAnswer | MergedAnswer | errors.Failure
 
 
 class Reply(NamedTuple):
@@ -337,12 +337,12 @@
     `due` is when it was to be decided, where that moment was waited for.
     """
 
-    ask: int
+    request_number: int
     outcome: Outcome
     due: float = 0.0
 
 
-class Story(NamedTuple):
+class RequestSummary(NamedTuple):
     """Tell what was decided for one request, for the log.
 
     `tries` lists, for the parts that did not go as planned, what was tried:
@@ -371,7 +371,7 @@
     why: str = ''
 
 
-class Crash(NamedTuple):
+class CrashReport(NamedTuple):
     """Tell that a target ended while it may have run a request, for the log.
 
     `sending` counts the sendings of that part, from 1; `took` is the time in
@@ -387,44 +387,59 @@
     took: float
 
 
-class Suspicion(NamedTuple):
+class SuspicionChanged(NamedTuple):
     """Tell what is known against a request from now on, for the log.
 
     With `passed_on` other hosts are to be told as well.
     """
 
-    news: suspects.SuspectReport
-    passed_on: bool
+    report: suspects.SuspectReport
+    broadcast: bool
 
 
-class Belief(NamedTuple):
+class TargetStatusReport(NamedTuple):
     """Tell that a target is left out from now on, or used again, and why."""
 
     target: str
-    text: str
-    why: str
+    status: str
+    reason: str
 
 
 Event = (
-    Asked
-    | Abandoned
-    | Answered
-    | Refused
-    | Broken
-    | Unsent
-    | Reached
-    | Ended
-    | Suspected
-    | Ticked
-    | Reviewed
-    | Configured
-    | Directed
-    | Counted
-    | Shared
-    | Unassisted
-    | Assisted
+    RequestReceived
+    | RequestAbandoned
+    | TargetAnswered
+    | TargetRefused
+    | AttemptBroken
+    | AttemptUnsent
+    | TargetConnected
+    | TargetExited
+    | SuspectsReported
+    | ClockTicked
+    | ReviewDue
+    | ConfigurationReceived
+    | DirectoryChanged
+    | HostsChanged
+    | DelegationReportReceived
+    | DelegationFailed
+    | DelegatedRequestReceived
     | quota_words.Heard
 )
 #: What is only told: to the log, or to other hosts.
-Told = Story | Crash | Suspicion | Belief | quota_words.Tell
-Action = Delegate | Dismiss | Give | Send | Withdraw | Cancel | Reply | Told
+Notification = (
+    RequestSummary
+    | CrashReport
+    | SuspicionChanged
+    | TargetStatusReport
+    | quota_words.Tell
+)
+Action = (
+    Delegate
+    | CancelDelegation
+    | SendDelegationReport
+    | SendAttempt
+    | WithdrawAttempt
+    | CancelAttempt
+    | Reply
+    | Notification
+)
--- a/fuchsiahaven/routing/losses.py
+++ b/fuchsiahaven/routing/losses.py
@@ -14,36 +14,36 @@
 
 #: How long a loss is remembered, in seconds: a target's next start enters
 #: itself within that.
-REMEMBER_S: Final = 5.0
+LOSS_RETENTION_S: Final = 5.0
 #: How long a part waits for word of its target, in seconds: a connection takes
 #: a round trip and what the target needs to accept it.
-LOOK_S: Final = 0.05
+TARGET_CHECK_TIMEOUT_S: Final = 0.05
 #: Losses and ends remembered at most; one target has a few under way.
-MOST: Final = 512
+MAX_ENTRIES: Final = 512
 
 
-class Word(enum.Enum):
+class TargetFate(enum.Enum):
     """Say what is known of the target of a loss.
 
     SENT_LATE tells that it had ended before the request left, which therefore
     never ran there.
     """
 
-    ENDED = enum.auto()
-    SENT_LATE = enum.auto()
+    EXITED = enum.auto()
+    EXITED_BEFORE = enum.auto()
     UNKNOWN = enum.auto()
 
 
 class Loss(NamedTuple):
     """Describe a sending that ended with its connection."""
 
-    key: events.FlightKey
+    key: events.AttemptKey
     identity: request_identities.Identity
     request_id: str
     instance: instances.Instance
     purpose: events.Purpose
-    sent: float
-    lost: float
+    sent_at: float
+    lost_at: float
 
 
 class Losses:
@@ -51,65 +51,79 @@
 
     def __init__(self) -> None:
         """Start with nothing lost."""
-        self._lost: dict[events.FlightKey, Loss] = {}
-        self._ended: dict[str, float] = {}
+        self._losses: dict[events.AttemptKey, Loss] = {}
+        self._exits: dict[str, float] = {}
 
-    def note(self, loss: Loss) -> Word:
+    def record_loss(self, loss: Loss) -> TargetFate:
         """Take in a loss; tell what is known of its target."""
-        ended = self._ended.get(loss.instance.name)
-        if ended is not None:
-            return Word.ENDED if loss.sent < ended else Word.SENT_LATE
-        _make_room(self._lost)
-        self._lost[loss.key] = loss
-        return Word.UNKNOWN
-
-    def note_ended(self, name: str, now: float) -> list[Loss]:
+        exited_at = self._exits.get(loss.instance.name)
+        if exited_at is not None:
+            return (
+                TargetFate.EXITED
+                if loss.sent_at < exited_at
+                else TargetFate.EXITED_BEFORE
+            )
+        _evict_oldest(self._losses)
+        self._losses[loss.key] = loss
+        return TargetFate.UNKNOWN
+
+    def record_exit(self, name: str, now: float) -> list[Loss]:
         """Take in that a target has ended; return what was lost there."""
-        found = self.take(name)
-        if name not in self._ended:
-            _make_room(self._ended)
-            self._ended[name] = now
-        return found
+        target_losses = self.pop_losses(name)
+        if name not in self._exits:
+            _evict_oldest(self._exits)
+            self._exits[name] = now
+        return target_losses
 
-    def take(self, name: str) -> list[Loss]:
+    def pop_losses(self, name: str) -> list[Loss]:
         """Return and forget what was lost at a target."""
-        found = [it for it in self._lost.values() if it.instance.name == name]
-        for loss in found:
-            self._lost.pop(loss.key)
-        return found
+        target_losses = [
+            it for it in self._losses.values() if it.instance.name == name
+        ]
+        for loss in target_losses:
+            self._losses.pop(loss.key)
+        return target_losses
 
     def list_restarted(self, directory: instances.Directory) -> list[str]:
         """List the targets of losses that have started again under their id."""
-        if not self._lost:
+        if not self._losses:
             return []
-        current = {one.id: one for one in directory.by_name.values()}
+        current = {
+            instance.id: instance for instance in directory.by_name.values()
+        }
         return sorted(
             {
                 loss.instance.name
-                for loss in self._lost.values()
+                for loss in self._losses.values()
                 if _is_restarted(loss.instance, current)
             }
         )
 
-    def forget_old(self, now: float) -> None:
+    def expire_old(self, now: float) -> None:
         """Forget what is too old to be told of any more."""
-        since = now - REMEMBER_S
-        self._lost = {
-            key: loss for key, loss in self._lost.items() if loss.lost >= since
+        since = now - LOSS_RETENTION_S
+        self._losses = {
+            key: loss
+            for key, loss in self._losses.items()
+            if loss.lost_at >= since
         }
-        self._ended = {
-            name: ended for name, ended in self._ended.items() if ended >= since
+        self._exits = {
+            name: exited_at
+            for name, exited_at in self._exits.items()
+            if exited_at >= since
         }
 
 
 def _is_restarted(
-    one: instances.Instance, current: Mapping[str, instances.Instance]
+    instance: instances.Instance, current: Mapping[str, instances.Instance]
 ) -> bool:
-    now = current.get(one.id)
-    return now is not None and now.born > one.born
+    current_instance = current.get(instance.id)
+    return (
+        current_instance is not None and current_instance.born > instance.born
+    )
 
 
-def _make_room(table: dict[Any, Any]) -> None:
+def _evict_oldest(table: dict[Any, Any]) -> None:
     """Drop the oldest entry of a table that is full."""
-    if len(table) >= MOST:
+    if len(table) >= MAX_ENTRIES:
         table.pop(next(iter(table)))
--- a/fuchsiahaven/routing/margins.py
+++ b/fuchsiahaven/routing/margins.py
@@ -14,24 +14,24 @@
 #: Never so little that an idle host's timers, which fire a few milliseconds
 #: late, make answers late; nor so much that one stall of the host would empty
 #: the answers after it.
-LEAST_S: Final = 0.006
-MOST_S: Final = 0.02
+MIN_MARGIN_S: Final = 0.006
+MAX_MARGIN_S: Final = 0.02
 #: Weights of a new figure, as usual for round trips (RFC 6298), and how many
 #: deviations beyond the mean are kept back: a late answer costs nine tenths,
 #: a millisecond less some hundredths.
 MEAN_WEIGHT: Final = 0.125
 DEVIATION_WEIGHT: Final = 0.25
-DEVIATIONS: Final = 2.0
+MARGIN_DEVIATIONS: Final = 2.0
 #: What no host sees of its own answers: the kernel on both sides and the
 #: caller's reading of it.
-UNSEEN_S: Final = 0.002
+UNOBSERVED_DELAY_S: Final = 0.002
 #: Bytes of an answer beside its records, and of a part's signature in it.
-HEAD_BYTES: Final = 250
+RESPONSE_HEAD_BYTES: Final = 250
 SIGNATURE_BYTES: Final = 30
 RECORD_BYTES: Final = 16
 
 
-class Delay(NamedTuple):
+class ReplyDelay(NamedTuple):
     """Hold by how many seconds this host's answers left too late."""
 
     mean: float = 0.002
@@ -43,40 +43,44 @@
 
     def __init__(self) -> None:
         """Start with nothing seen; the link is in bytes a second if known."""
-        self.link = 0.0
-        self._delay = Delay()
+        self.link_bytes_per_s = 0.0
+        self._delay = ReplyDelay()
 
-    def note(self, late: float) -> None:
+    def record_delay(self, delay_s: float) -> None:
         """Take in by how many seconds an answer left after it was due."""
-        self._delay = note(self._delay, late)
+        self._delay = update_delay(self._delay, delay_s)
 
-    def estimate(self, way: configs.Way) -> float:
+    def estimate_margin(self, action: configs.Way) -> float:
         """Return how many seconds to keep back for an answer on this way."""
-        return estimate(self._delay) + estimate_transfer(way, self.link)
+        return estimate_margin(self._delay) + estimate_transfer(
+            action, self.link_bytes_per_s
+        )
 
 
-def note(delay: Delay, late: float) -> Delay:
+def update_delay(delay: ReplyDelay, delay_s: float) -> ReplyDelay:
     """Take in by how much one answer left after it was due."""
-    gap = late - delay.mean
-    return Delay(
-        delay.mean + MEAN_WEIGHT * gap,
-        delay.deviation + DEVIATION_WEIGHT * (abs(gap) - delay.deviation),
+    error = delay_s - delay.mean
+    return ReplyDelay(
+        delay.mean + MEAN_WEIGHT * error,
+        delay.deviation + DEVIATION_WEIGHT * (abs(error) - delay.deviation),
     )
 
 
-def estimate(delay: Delay) -> float:
+def estimate_margin(delay: ReplyDelay) -> float:
     """Return what to keep back for this host's own delay, in seconds."""
-    wanted = UNSEEN_S + delay.mean + DEVIATIONS * delay.deviation
-    return min(MOST_S, max(LEAST_S, wanted))
+    margin = (
+        UNOBSERVED_DELAY_S + delay.mean + MARGIN_DEVIATIONS * delay.deviation
+    )
+    return min(MAX_MARGIN_S, max(MIN_MARGIN_S, margin))
 
 
-def estimate_transfer(way: configs.Way, link: float) -> float:
+def estimate_transfer(action: configs.Way, link_bytes_per_s: float) -> float:
     """Return how long an answer takes on this host's link, in seconds.
 
     `link` is in bytes a second; 0 where it is not known.
     """
-    if not isinstance(way, configs.Gather) or not link:
+    if not isinstance(action, configs.Gather) or not link_bytes_per_s:
         return 0.0
-    signatures = SIGNATURE_BYTES * len(way.shards)
-    size = HEAD_BYTES + signatures + RECORD_BYTES * way.limit
-    return size / link
+    signatures = SIGNATURE_BYTES * len(action.shards)
+    size = RESPONSE_HEAD_BYTES + signatures + RECORD_BYTES * action.limit
+    return size / link_bytes_per_s
--- a/fuchsiahaven/routing/plans.py
+++ b/fuchsiahaven/routing/plans.py
@@ -7,14 +7,14 @@
 
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.routing import (
-    asks,
-    choices,
+    active_requests,
     configs,
     duties,
     lags,
     places,
     standings,
     states,
+    target_selection,
 )
 
 #: Fewer parts than this are asked for directly: the detour costs about as
@@ -32,12 +32,18 @@
     services: tuple[str, ...]
 
 
-def plan(desk: states.Desk, ask: asks.Ask, now: float) -> list[Plan]:
+def plan(
+    desk: states.Router, ask: active_requests.ActiveRequest, now: float
+) -> list[Plan]:
     """Plan which parts of a query go through which helper."""
     way = ask.route.way
     if not isinstance(way, configs.Gather):
         return []
-    unsent = [it for it in asks.list_open(ask) if not ask.parts[it].number]
+    unsent = [
+        it
+        for it in active_requests.list_open_parts(ask)
+        if not ask.parts[it].last_number
+    ]
     centres = _list_centres(desk, ask, unsent, now)
     planned = []
     for duty, services in _share_out(desk, way, centres).items():
@@ -50,19 +56,22 @@
 
 
 def _list_centres(
-    desk: states.Desk, ask: asks.Ask, services: Iterable[str], now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    services: Iterable[str],
+    now: float,
 ) -> dict[str, set[str]]:
     """List in which data centres each part has targets that may be asked."""
     centres: dict[str, set[str]] = {}
     for service in services:
         part = ask.parts[service]
-        found = choices.list_candidates(desk, service, part, now)
+        found = target_selection.list_candidates(desk, service, part, now)
         centres[service] = {one.data_centre for one in found}
     return centres
 
 
 def _share_out(
-    desk: states.Desk, way: configs.Gather, centres: dict[str, set[str]]
+    desk: states.Router, way: configs.Gather, centres: dict[str, set[str]]
 ) -> dict[duties.Duty, list[str]]:
     """Share parts out among duties; near ones of a narrow query are not."""
     if configs.is_wide(way):
@@ -152,7 +161,11 @@
 
 
 def find_second_centre(
-    desk: states.Desk, ask: asks.Ask, service: str, silent: str, now: float
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
+    service: str,
+    silent: str,
+    now: float,
 ) -> str:
     """Find the data centre whose hosts are to send a part a second time.
 
@@ -162,7 +175,7 @@
     and has told nothing.
     """
     part = ask.parts[service]
-    candidates = choices.list_candidates(desk, service, part, now)
+    candidates = target_selection.list_candidates(desk, service, part, now)
     found = {one.data_centre for one in candidates}
     if desk.host.data_centre not in found:
         found = found - {silent} or found
@@ -170,8 +183,8 @@
 
 
 def find_second_helper(
-    desk: states.Desk,
-    ask: asks.Ask,
+    desk: states.Router,
+    ask: active_requests.ActiveRequest,
     service: str,
     now: float,
     *,
@@ -191,7 +204,7 @@
 
 
 def find_helper(
-    desk: states.Desk,
+    desk: states.Router,
     duty: duties.Duty,
     now: float,
     *,
@@ -211,21 +224,23 @@
         return None if chosen.name == desk.host.name else chosen
     near = [
         host
-        for host in desk.centres.list_hosts(duty.data_centre)
+        for host in desk.centre_health.list_hosts(duty.data_centre)
         if host.name != desk.host.name and _is_alive(desk, host, now)
     ]
     return _choose_helper(desk, near, now) if near else None
 
 
 def _list_on_duty(
-    desk: states.Desk, duty: duties.Duty, now: float
+    desk: states.Router, duty: duties.Duty, now: float
 ) -> list[places.Host]:
     """List the hosts on duty; those after them take the place of the dead.
 
     All hosts are ranked, whoever of them is alive: that is known already, and
     only the first few have to be looked at.
     """
-    ranked = duties.rank_hosts(duty, desk.centres.list_hosts(duty.data_centre))
+    ranked = duties.rank_hosts(
+        duty, desk.centre_health.list_hosts(duty.data_centre)
+    )
     alive = (
         host
         for host in ranked
@@ -234,14 +249,14 @@
     return list(itertools.islice(alive, duties.ON_DUTY))
 
 
-def _is_alive(desk: states.Desk, host: places.Host, now: float) -> bool:
-    if desk.centres.is_silent(host.data_centre):
+def _is_alive(desk: states.Router, host: places.Host, now: float) -> bool:
+    if desk.centre_health.is_silent(host.data_centre):
         return False
-    return not standings.is_dead(desk.helpers.get(host.name), now)
+    return not standings.is_dead(desk.helper_health.get(host.name), now)
 
 
 def _prefer_prompt(
-    desk: states.Desk, on_duty: Sequence[places.Host], now: float
+    desk: states.Router, on_duty: Sequence[places.Host], now: float
 ) -> places.Host:
     """Leave some work of a host that is behind to the next one on duty."""
     first, *others = on_duty
@@ -253,20 +268,20 @@
     return others[0] if given else first
 
 
-def _is_late(desk: states.Desk, host: places.Host, now: float) -> bool:
-    known = desk.helpers.get(host.name)
+def _is_late(desk: states.Router, host: places.Host, now: float) -> bool:
+    known = desk.helper_health.get(host.name)
     return standings.measure_silence(known, now) is not None
 
 
 def _choose_helper(
-    desk: states.Desk, helpers: list[places.Host], now: float
+    desk: states.Router, helpers: list[places.Host], now: float
 ) -> places.Host:
     best = helpers[0]
     least = float('inf')
     for host in helpers:
-        known = desk.helpers.get(host.name)
+        known = desk.helper_health.get(host.name)
         cost = standings.estimate_helper(known, now)
-        cost *= 1 + choices.SPREAD * desk.draw()
+        cost *= 1 + target_selection.ESTIMATE_SPREAD_FRACTION * desk.draw()
         if cost < least:
             least = cost
             best = host
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -14,7 +14,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
-    asks,
+    active_requests,
     configs,
     places,
     quota_buckets,
@@ -54,7 +54,7 @@
     and `due` until when it may answer; `ends` is when to give up.
     """
 
-    taken: asks.Taken
+    taken: active_requests.RoutedRequest
     limit: quota_slots.Limit
     left: tuple[int, ...]
     ends: float
@@ -74,7 +74,7 @@
 class Decided(NamedTuple):
     """Hold a request that has its token, or the failure to refuse it with."""
 
-    taken: asks.Taken
+    taken: active_requests.RoutedRequest
     failure: errors.Failure | None
 
 
@@ -86,7 +86,7 @@
     due: float | None
 
 
-Charged = errors.Failure | asks.Taken | Waiting
+Charged = errors.Failure | active_requests.RoutedRequest | Waiting
 
 
 def _wait_never() -> float:
@@ -139,7 +139,10 @@
         self._purse.keep_only(frozenset(self._customers))
 
     def charge(
-        self, customer: configs.Customer, taken: asks.Taken, now: float
+        self,
+        customer: configs.Customer,
+        taken: active_requests.RoutedRequest,
+        now: float,
     ) -> Charged:
         """Charge a request to its customer, or say why it is refused.
 
@@ -295,7 +298,7 @@
 
     def _take_given(
         self, waiting: Waiting, given: quota_buckets.Given, now: float
-    ) -> asks.Taken | None:
+    ) -> active_requests.RoutedRequest | None:
         """Take what a holder gave; None if that is nothing."""
         customer = waiting.limit.customer
         if not given.tokens:
@@ -340,7 +343,7 @@
 
 def _list_decided(done: Charged, waiting: Waiting) -> list[Decided]:
     match done:
-        case asks.Taken():
+        case active_requests.RoutedRequest():
             return [Decided(done, None)]
         case errors.Failure():
             return [Decided(waiting.taken, done)]
--- a/fuchsiahaven/routing/reaches.py
+++ b/fuchsiahaven/routing/reaches.py
@@ -27,24 +27,24 @@
 TRIED: Final = 4
 
 
-def note_asked(desk: states.Desk, route: configs.Route, now: float) -> None:
+def note_asked(desk: states.Router, route: configs.Route, now: float) -> None:
     """Count a request on a route."""
-    known = desk.asked.get(route.name)
+    known = desk.route_usage.get(route.name)
     weight = 1.0
     if known is not None:
-        weight += known.weight * _decay(now - known.noted)
-    desk.asked[route.name] = states.Asked(route, weight, now)
+        weight += known.weight * _decay(now - known.updated_at)
+    desk.route_usage[route.name] = states.RouteUsage(route, weight, now)
 
 
-def is_cut_off(desk: states.Desk, now: float) -> bool:
+def is_cut_off(desk: states.Router, now: float) -> bool:
     """Tell whether most of what callers ask could not be served now."""
-    by_parts = bool(desk.centres.list_silent()) and rooms.is_contended(
+    by_parts = bool(desk.centre_health.list_silent()) and rooms.is_contended(
         desk.index
     )
     total = 0.0
     blocked = 0.0
     for known in _list_asked(desk, by_parts=by_parts):
-        weight = known.weight * _decay(now - known.noted)
+        weight = known.weight * _decay(now - known.updated_at)
         if by_parts:
             weight = max(weight, LEAST_WEIGHT) * _count_parts(known.route.way)
         total += weight
@@ -53,18 +53,20 @@
     return blocked > BLOCKED_SHARE * total
 
 
-def _list_asked(desk: states.Desk, *, by_parts: bool) -> list[states.Asked]:
+def _list_asked(
+    desk: states.Router, *, by_parts: bool
+) -> list[states.RouteUsage]:
     """List the routes that were asked here lately.
 
     Inside a data centre that is cut off, `by_parts` adds the wide ones that
     others beside this host are asked: callers move only if all hosts say that
     they are not ready, also those that are asked little themselves.
     """
-    known = dict(desk.asked)
+    known = dict(desk.route_usage)
     if by_parts:
         for route in desk.index.configuration.routes:
             if configs.is_wide_way(route.way):
-                idle = states.Asked(route, 0.0, 0.0)
+                idle = states.RouteUsage(route, 0.0, 0.0)
                 known.setdefault(route.name, idle)
     return list(known.values())
 
@@ -73,15 +75,15 @@
     return len(way.shards) if isinstance(way, configs.Gather) else 1
 
 
-def misses_targets(desk: states.Desk, now: float) -> bool:
+def misses_targets(desk: states.Router, now: float) -> bool:
     """Tell whether ways should be tried that no request takes just now.
 
     What is left out is sent nothing, and would not be heard of again.
     """
-    return bool(desk.centres.list_silent()) or is_cut_off(desk, now)
+    return bool(desk.centre_health.list_silent()) or is_cut_off(desk, now)
 
 
-def list_doubtful(desk: states.Desk, now: float) -> set[str]:
+def list_doubtful(desk: states.Router, now: float) -> set[str]:
     """List the targets to which the way is in doubt, to try it again.
 
     Of a silent data centre it takes some, others each time: one connection
@@ -90,9 +92,9 @@
     found = {
         name
         for name in desk.directory.by_name
-        if standings.is_doubtful(desk.standings.get(name), now)
+        if standings.is_doubtful(desk.target_health.get(name), now)
     }
-    for centre in desk.centres.list_silent():
+    for centre in desk.centre_health.list_silent():
         there = [
             name
             for name, one in desk.directory.by_name.items()
@@ -104,7 +106,7 @@
     return found
 
 
-def _is_blocked(desk: states.Desk, way: configs.Way, now: float) -> bool:
+def _is_blocked(desk: states.Router, way: configs.Way, now: float) -> bool:
     services = configs.list_services(way)
     lost = sum(1 for it in services if _is_out_of_reach(desk, it, now))
     if not isinstance(way, configs.Gather):
@@ -112,7 +114,7 @@
     return len(services) - lost < way.coverage * len(services)
 
 
-def _is_out_of_reach(desk: states.Desk, service: str, now: float) -> bool:
+def _is_out_of_reach(desk: states.Router, service: str, now: float) -> bool:
     """Tell whether there are targets of a service, all of them in doubt.
 
     A service without any target is so for every host, and no reason to send
@@ -123,11 +125,11 @@
 
 
 def _is_doubtful(
-    desk: states.Desk, one: instances.Instance, now: float
+    desk: states.Router, one: instances.Instance, now: float
 ) -> bool:
-    if desk.centres.is_silent(one.data_centre):
+    if desk.centre_health.is_silent(one.data_centre):
         return True
-    return standings.is_doubtful(desk.standings.get(one.name), now)
+    return standings.is_doubtful(desk.target_health.get(one.name), now)
 
 
 def _decay(age: float) -> float:
--- a/fuchsiahaven/routing/returns.py
+++ b/fuchsiahaven/routing/returns.py
@@ -46,7 +46,7 @@
 
 
 def advise(
-    desk: states.Desk,
+    desk: states.Router,
     failure: errors.Failure,
     request: events.Request,
     now: float,
@@ -81,8 +81,10 @@
 
 
 def _find_priority(index: configs.Index, request: events.Request) -> int:
-    path = request.target.partition('?')[0]
+    path = request.uri.partition('?')[0]
     route = configs.find_route(index, request.host, path)
     if route is None:
         return index.priorities.ranks[-1]
-    return customers.find_priority(index.customers.get(request.key), route)
+    return customers.find_priority(
+        index.customers.get(request.key_digest), route
+    )
--- a/fuchsiahaven/routing/standings.py
+++ b/fuchsiahaven/routing/standings.py
@@ -43,7 +43,7 @@
     """
 
     stats: target_stats.TargetStats = target_stats.NO_STATS
-    aloft: Mapping[events.FlightKey, float] = {}
+    aloft: Mapping[events.AttemptKey, float] = {}
     failures: int = 0
     down: float = 0.0
     trial: float = 0.0
@@ -58,13 +58,13 @@
     def __init__(self) -> None:
         """Start with no target seen."""
         self._known: dict[str, Standing] = {}
-        self._changes: list[events.Belief] = []
+        self._changes: list[events.TargetStatusReport] = []
 
     def get(self, name: str) -> Standing:
         """Return the standing of a target."""
         return self._known.get(name, UNSEEN)
 
-    def take_changes(self) -> list[events.Belief]:
+    def take_changes(self) -> list[events.TargetStatusReport]:
         """Return which targets were left out or came back since last time."""
         changes = self._changes
         self._changes = []
@@ -76,7 +76,7 @@
             if not self._known[name].aloft:
                 self._known.pop(name)
 
-    def note_sent(self, name: str, key: events.FlightKey, now: float) -> None:
+    def note_sent(self, name: str, key: events.AttemptKey, now: float) -> None:
         """Count a request out."""
         known = self.get(name)
         trial = known.trial
@@ -91,7 +91,7 @@
     def note_answered(
         self,
         name: str,
-        key: events.FlightKey,
+        key: events.AttemptKey,
         now: float,
         load: messages.Load | None,
     ) -> None:
@@ -111,7 +111,9 @@
         landed = _land(known, key)
         self._set(name, landed._replace(stats=stats, failures=0, down=0))
 
-    def note_failed(self, name: str, key: events.FlightKey, now: float) -> None:
+    def note_failed(
+        self, name: str, key: events.AttemptKey, now: float
+    ) -> None:
         """Take in that an answer told of a failure.
 
         How soon it came is left out: what fails at once would look like the
@@ -123,7 +125,7 @@
         self._set(name, known, 'its answers fail')
 
     def note_refused(
-        self, name: str, event: events.Refused, now: float
+        self, name: str, event: events.TargetRefused, now: float
     ) -> None:
         """Take in that a target refused a request without running it."""
         known = self.get(name)
@@ -132,7 +134,9 @@
             stats = target_stats.record_load(stats, event.load, now)
         self._known[name] = _land(known, event.key)._replace(stats=stats)
 
-    def note_broken(self, name: str, event: events.Broken, now: float) -> None:
+    def note_broken(
+        self, name: str, event: events.AttemptBroken, now: float
+    ) -> None:
         """Take in that a request ended with an unknown outcome."""
         known = self.get(name)
         stats = target_stats.record_fault(known.stats, now)
@@ -146,7 +150,9 @@
             known = _leave_out(known, now)
         self._set(name, known, event.fault.value)
 
-    def note_unsent(self, name: str, event: events.Unsent, now: float) -> None:
+    def note_unsent(
+        self, name: str, event: events.AttemptUnsent, now: float
+    ) -> None:
         """Take in that a request did not leave."""
         known = _land(self.get(name), event.key)
         known = known._replace(
@@ -156,7 +162,7 @@
             known = _leave_out(known, now)
         self._set(name, known, 'no connection')
 
-    def note_dropped(self, name: str, key: events.FlightKey) -> None:
+    def note_dropped(self, name: str, key: events.AttemptKey) -> None:
         """Take in that this host gave a request up; nobody is to blame."""
         known = _land(self.get(name), key)
         self._known[name] = known._replace(
@@ -170,7 +176,7 @@
             self._set(name, known._replace(failures=0, down=0))
 
     def note_lost(
-        self, name: str, key: events.FlightKey, until: float, why: str
+        self, name: str, key: events.AttemptKey, until: float, why: str
     ) -> None:
         """Leave a host that broke off its assistance out for a while."""
         known = self.get(name)
@@ -192,14 +198,20 @@
         before = self.get(name)
         self._known[name] = known
         if known.down > before.down and not before.down:
-            self._changes.append(events.Belief(name, 'left out', why))
+            self._changes.append(
+                events.TargetStatusReport(name, 'left out', why)
+            )
         elif (
             known.stats.failure_record.ejected_until
             > before.stats.failure_record.ejected_until
         ):
-            self._changes.append(events.Belief(name, 'ejected', why))
+            self._changes.append(
+                events.TargetStatusReport(name, 'ejected', why)
+            )
         elif before.down and not known.down:
-            self._changes.append(events.Belief(name, 'used again', why))
+            self._changes.append(
+                events.TargetStatusReport(name, 'used again', why)
+            )
 
 
 def measure_silence(known: Standing, now: float) -> float | None:
@@ -324,6 +336,6 @@
     )
 
 
-def _land(known: Standing, key: events.FlightKey) -> Standing:
+def _land(known: Standing, key: events.AttemptKey) -> Standing:
     aloft = {other: sent for other, sent in known.aloft.items() if other != key}
     return known._replace(aloft=aloft)
--- a/fuchsiahaven/routing/states.py
+++ b/fuchsiahaven/routing/states.py
@@ -8,7 +8,7 @@
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.queries import hedges
 from fuchsiahaven.routing import (
-    asks,
+    active_requests,
     budgets,
     centres,
     configs,
@@ -23,43 +23,43 @@
 )
 
 
-class HedgeDue(NamedTuple):
+class HedgeTimer(NamedTuple):
     """Look at which parts of an ask are worth a second sending.
 
     With `again` they are looked at once more, a little later.
     """
 
-    ask: int
-    again: bool = True
+    request_number: int
+    recurs: bool = True
 
 
-class CutDue(NamedTuple):
+class CutoffTimer(NamedTuple):
     """See whether what is in hand makes an answer, or the time is over."""
 
-    ask: int
+    request_number: int
 
 
-class DoubtDue(NamedTuple):
+class TargetCheckTimer(NamedTuple):
     """Go on with a part whose target nobody could look at."""
 
     identity: request_identities.Identity
-    key: events.FlightKey
+    key: events.AttemptKey
 
 
-class HeldDue(NamedTuple):
+class TrialTimer(NamedTuple):
     """Look at the asks that wait for the trial of a request."""
 
     identity: request_identities.Identity
 
 
-class QuotaDue(NamedTuple):
+class QuotaTimer(NamedTuple):
     """Look at the requests that wait for a word about their customer."""
 
 
-Due = HedgeDue | CutDue | DoubtDue | HeldDue | QuotaDue
+Timer = HedgeTimer | CutoffTimer | TargetCheckTimer | TrialTimer | QuotaTimer
 
 
-class Aloft(NamedTuple):
+class InFlightAttempt(NamedTuple):
     """Describe a sending that has not ended, also after its ask has.
 
     `extra` tells that it was charged to the budget of repeats, `ends` is the
@@ -68,16 +68,16 @@
 
     instance: str
     purpose: events.Purpose
-    sent: float
+    sent_at: float
     route: str
-    extra: bool
+    charged: bool
     data_centre: str = ''
-    ends: float = float('inf')
+    deadline: float = float('inf')
     request_id: str = ''
     identity: request_identities.Identity = request_identities.UNKNOWN
 
 
-class Assistance(NamedTuple):
+class Delegation(NamedTuple):
     """Describe parts that another host gathers.
 
     `flights` maps each service to the number of its sending; `left` are those
@@ -86,20 +86,20 @@
     """
 
     helper: places.Host
-    flights: Mapping[str, int]
-    left: set[str]
-    again: bool = False
+    attempt_numbers: Mapping[str, int]
+    unreported: set[str]
+    is_retry: bool = False
 
 
-class Asked(NamedTuple):
+class RouteUsage(NamedTuple):
     """Hold how often a route was asked lately, as a sum that decays."""
 
     route: configs.Route
     weight: float
-    noted: float
+    updated_at: float
 
 
-class Desk:
+class Router:
     """Own all that one host decides by."""
 
     def __init__(
@@ -116,21 +116,21 @@
         self.hosts: tuple[places.Host, ...] = ()
         self.index = configs.build_index(configs.NOTHING)
         self.directory = instances.EMPTY
-        self.standings = standings.Standings()
-        self.asks: dict[int, asks.Ask] = {}
-        self.helpers = standings.Standings()
-        self.assistance: dict[events.AssistKey, Assistance] = {}
-        self.aloft: dict[events.FlightKey, Aloft] = {}
-        self.windows: dict[str, hedges.Window] = {}
-        self.asked: dict[str, Asked] = {}
-        self.split_places: dict[str, float] = {}
+        self.target_health = standings.Standings()
+        self.active_requests: dict[int, active_requests.ActiveRequest] = {}
+        self.helper_health = standings.Standings()
+        self.delegations: dict[events.DelegationKey, Delegation] = {}
+        self.in_flight: dict[events.AttemptKey, InFlightAttempt] = {}
+        self.latency_windows: dict[str, hedges.Window] = {}
+        self.route_usage: dict[str, RouteUsage] = {}
+        self.split_positions: dict[str, float] = {}
         self._budgets: dict[str, budgets.Budget] = {}
-        self._timers: list[tuple[float, int, Due]] = []
+        self._timers: list[tuple[float, int, Timer]] = []
         self._order = itertools.count()
         self._wide_centres: frozenset[str] = frozenset()
-        self._centres = centres.Centres(host.data_centre)
-        self._centres.note_hosts((host,))
-        self._margin = margins.Margin()
+        self._centre_health = centres.Centres(host.data_centre)
+        self._centre_health.note_hosts((host,))
+        self._reply_margin = margins.Margin()
         self._losses = losses.Losses()
         self._suspects = suspects.Suspects()
         self._warmups = warmups.Warmups(host)
@@ -142,14 +142,14 @@
         return self._controls
 
     @property
-    def centres(self) -> centres.Centres:
+    def centre_health(self) -> centres.Centres:
         """Return what is known of the way to other data centres."""
-        return self._centres
+        return self._centre_health
 
     @property
-    def margin(self) -> margins.Margin:
+    def reply_margin(self) -> margins.Margin:
         """Return what this host keeps back from the objective."""
-        return self._margin
+        return self._reply_margin
 
     @property
     def losses(self) -> losses.Losses:
@@ -166,7 +166,7 @@
         """Return which targets are cold, and what they get from here."""
         return self._warmups
 
-    def count_wide_centres(self) -> None:
+    def update_wide_centres(self) -> None:
         """Note which data centres hold targets of wide queries.
 
         Their hosts on duty are the ones that send repeats. A data centre that
@@ -176,17 +176,17 @@
         than others, and would still take their part.
         """
         self._wide_centres = self.directory.evacuated.union(
-            one.data_centre
+            instance.data_centre
             for service in self.index.wide
-            for one in self.directory.by_service.get(service, ())
+            for instance in self.directory.by_service.get(service, ())
         )
 
-    def find_wide_centres(self) -> frozenset[str]:
+    def list_wide_centres(self) -> frozenset[str]:
         """Find the data centres whose hosts on duty send repeats."""
-        known = self._centres.list_settled()
-        return self._wide_centres & known or known
+        settled = self._centre_health.list_settled()
+        return self._wide_centres & settled or settled
 
-    def find_budget(self, service: str) -> budgets.Budget:
+    def get_budget(self, service: str) -> budgets.Budget:
         """Find the budget of repeats at a service."""
         budget = self._budgets.get(service)
         if budget is None:
@@ -194,26 +194,26 @@
             self._budgets[service] = budget
         return budget
 
-    def take_number(self) -> int:
+    def next_number(self) -> int:
         """Take a number that no other caller of this gets."""
         return next(self._order)
 
-    def change_extra_load(self, extra_load: places.ExtraLoad) -> None:
+    def update_extra_load(self, extra_load: places.ExtraLoad) -> None:
         """Take another bound on repeats, for what was counted as well."""
         self.extra_load = extra_load
         for budget in self._budgets.values():
-            budget.terms = extra_load
+            budget.extra_load = extra_load
 
-    def set_timer(self, when: float, due: Due) -> None:
+    def set_timer(self, deadline: float, timer: Timer) -> None:
         """Have something looked at then."""
-        heapq.heappush(self._timers, (when, next(self._order), due))
+        heapq.heappush(self._timers, (deadline, next(self._order), timer))
 
-    def pop_due(self, now: float) -> Due | None:
+    def pop_timer(self, now: float) -> Timer | None:
         """Take the next thing that is due."""
         if not self._timers or self._timers[0][0] > now:
             return None
         return heapq.heappop(self._timers)[2]
 
-    def next_wake(self) -> float | None:
+    def find_next_deadline(self) -> float | None:
         """Return when something is due next."""
         return self._timers[0][0] if self._timers else None
--- a/fuchsiahaven/routing/waitings.py
+++ b/fuchsiahaven/routing/waitings.py
@@ -11,13 +11,13 @@
 from fuchsiahaven.core.queries import hedges
 from fuchsiahaven.routing import (
     admission,
+    attempts,
+    completions,
     configs,
     customers,
-    endings,
     events,
     returns,
     states,
-    tries,
     turns,
 )
 
@@ -38,45 +38,45 @@
     STOPPING = 'the host stops'
 
 
-New = events.Asked | events.Assisted
+New = events.RequestReceived | events.DelegatedRequestReceived
 Work = turns.Work[New]
 
 
-def weigh(desk: states.Desk, event: New, now: float) -> Work | None:
+def weigh(desk: states.Router, event: New, now: float) -> Work | None:
     """Weigh new work; None if it is refused in less time than that takes."""
     match event:
-        case events.Asked():
+        case events.RequestReceived():
             return _weigh_request(desk, event, now)
-        case events.Assisted(number, assist):
+        case events.DelegatedRequestReceived(number, assist):
             name = assist.request.customer
             return turns.Work(
                 number,
                 name,
-                _find_priority(desk, name, assist.route),
+                _find_priority(desk, name, assist.route_name),
                 len(assist.services),
-                assist.ends,
+                assist.deadline,
                 _find_latest(desk, assist, now),
                 now,
                 event,
             )
 
 
-def find_priority(desk: states.Desk, work: Work) -> int:
+def find_priority(desk: states.Router, work: Work) -> int:
     """Find the priority of work by the configuration in force."""
     match work.what:
-        case events.Asked():
+        case events.RequestReceived():
             weighed = _weigh_request(desk, work.what, work.came)
             return work.priority if weighed is None else weighed.priority
-        case events.Assisted(_, assist):
-            return _find_priority(desk, work.customer, assist.route)
+        case events.DelegatedRequestReceived(_, assist):
+            return _find_priority(desk, work.customer, assist.route_name)
 
 
 def hand_back(
-    desk: states.Desk, work: Work, why: Why, now: float
+    desk: states.Router, work: Work, why: Why, now: float
 ) -> list[events.Action]:
     """Refuse work as not begun."""
     match work.what:
-        case events.Asked(number, request):
+        case events.RequestReceived(number, request):
             failure = errors.make_failure(
                 errors.Kind.OVERLOADED,
                 SOURCE,
@@ -86,23 +86,30 @@
             failure = returns.advise(desk, failure, request, now)
             asked = admission.find_asked(desk, request)
             version = desk.index.configuration.version
-            return endings.refuse(number, request, failure, version, now, asked)
-        case events.Assisted(number, assist):
+            return completions.refuse(
+                number, request, failure, version, now, asked
+            )
+        case events.DelegatedRequestReceived(number, assist):
             lost = tuple(
-                events.PartOut(service, '', arrived=False)
+                events.MissingPart(service, '', may_have_arrived=False)
                 for service in assist.services
             )
-            share = events.Share((), b'', (), lost, last=True)
-            return [events.Give(number, share), _tell(desk, work, why, now)]
+            share = events.DelegationReport((), b'', (), lost, is_last=True)
+            return [
+                events.SendDelegationReport(number, share),
+                _tell(desk, work, why, now),
+            ]
 
 
-def _tell(desk: states.Desk, work: Work, why: Why, now: float) -> events.Story:
+def _tell(
+    desk: states.Router, work: Work, why: Why, now: float
+) -> events.RequestSummary:
     """Tell that parts go back unsent."""
-    assert isinstance(work.what, events.Assisted)
+    assert isinstance(work.what, events.DelegatedRequestReceived)
     assist = work.what.assist
-    return events.Story(
+    return events.RequestSummary(
         assist.request.request_id,
-        assist.route,
+        assist.route_name,
         desk.index.configuration.version,
         HANDED_BACK,
         now - work.came,
@@ -119,21 +126,21 @@
 
 
 def _weigh_request(
-    desk: states.Desk, event: events.Asked, now: float
+    desk: states.Router, event: events.RequestReceived, now: float
 ) -> Work | None:
     request = event.request
-    path = request.target.partition('?')[0]
+    path = request.uri.partition('?')[0]
     route = configs.find_route(desk.index, request.host, path)
-    customer = desk.index.customers.get(request.key)
+    customer = desk.index.customers.get(request.key_digest)
     if route is None or not (customer or route.public):
         return None
-    ends = min(request.arrived + route.timeout, request.deadline)
+    ends = min(request.arrived_at + route.timeout, request.deadline)
     return turns.Work(
-        event.ask,
+        event.number,
         '' if customer is None else customer.name,
         customers.find_priority(customer, route),
         _count_parts(route.way),
-        request.arrived + route.objective,
+        request.arrived_at + route.objective,
         ends - _find_least(desk, route.name),
         now,
         event,
@@ -145,28 +152,33 @@
     return len(way.shards) if isinstance(way, configs.Gather) else 1
 
 
-def _find_latest(desk: states.Desk, assist: events.Assist, now: float) -> float:
+def _find_latest(
+    desk: states.Router, assist: events.DelegatedRequest, now: float
+) -> float:
     """Find until when parts may wait; handed back, others may send them.
 
     The most urgent ones wait here: where all hosts are behind, the way to
     another one would cost them more than their turn.
     """
-    latest = assist.ends - _find_least(desk, assist.route)
+    latest = assist.deadline - _find_least(desk, assist.route_name)
     told = desk.index.priorities
     most = min((*told.routes.values(), *told.customers.values()), default=0)
-    own = _find_priority(desk, assist.request.customer, assist.route)
+    own = _find_priority(desk, assist.request.customer, assist.route_name)
     if own <= most:
         return latest
     return min(latest, now + HANDED_BACK_SHARE * assist.objective)
 
 
-def _find_priority(desk: states.Desk, customer: str, route: str) -> int:
+def _find_priority(desk: states.Router, customer: str, route: str) -> int:
     """Find how urgent work for another host is, by the names it tells."""
     told = desk.index.priorities
     usual = told.routes.get(route, UNKNOWN_PRIORITY)
     return told.customers.get(customer, usual)
 
 
-def _find_least(desk: states.Desk, route: str) -> float:
+def _find_least(desk: states.Router, route: str) -> float:
     """Find how long targets take at the least, 0 where nothing is known."""
-    return desk.windows.get(route, hedges.EMPTY).delay_s / tries.MEDIANS
+    return (
+        desk.latency_windows.get(route, hedges.EMPTY).delay_s
+        / attempts.MAX_HEDGE_MEDIANS
+    )
--- a/fuchsiahaven/routing/second_sendings.py
+++ b/fuchsiahaven/routing/wide_hedges.py
@@ -3,38 +3,44 @@
 from collections.abc import Mapping
 from typing import Final
 
-from fuchsiahaven.routing import asks, places
+from fuchsiahaven.routing import active_requests, places
 
 #: A second sending with less than this before the answer is decided, in
 #: seconds, is hardly in by then: asking another host for it, its target's work
 #: and reading what comes take as long.
-AGAIN_S: Final = 0.01
+MIN_HEDGE_TIME_S: Final = 0.01
 
 
-def count_worth(ask: asks.Ask, slow: int, now: float) -> int:
+def count_useful_hedges(
+    active: active_requests.ActiveRequest, slow: int, now: float
+) -> int:
     """Count how many of so many slow parts are worth a second sending.
 
     All of them where they may still be in when the answer is decided: it is
     worth more with them. Later those without which there is no answer; any
     more would keep this host from reading what comes and from answering.
     """
-    if ask.cut - now >= AGAIN_S:
+    if active.cutoff - now >= MIN_HEDGE_TIME_S:
         return slow
-    return max(0, slow - asks.count_spare(ask))
+    return max(0, slow - active_requests.count_tolerable_losses(active))
 
 
-def keep_worth(
-    host: places.Host, shared: Mapping[places.Host, list[str]], worth: int
+def select_hedges(
+    host: places.Host,
+    parts_by_host: Mapping[places.Host, list[str]],
+    limit: int,
 ) -> dict[places.Host, list[str]]:
     """Keep so many parts, with as few other hosts to ask as that takes.
 
     `shared` maps each host to what it would send, this one included.
     """
-    order = sorted(shared, key=lambda it: (it != host, -len(shared[it])))
-    kept = {}
-    for helper in order:
-        services = shared[helper][:worth]
-        worth -= len(services)
+    hosts = sorted(
+        parts_by_host, key=lambda it: (it != host, -len(parts_by_host[it]))
+    )
+    selected = {}
+    for helper in hosts:
+        services = parts_by_host[helper][:limit]
+        limit -= len(services)
         if services:
-            kept[helper] = services
-    return kept
+            selected[helper] = services
+    return selected
--- a/tests/platform/test_exchanges.py
+++ b/tests/platform/test_exchanges.py
@@ -9,7 +9,7 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges, headers
 from fuchsiahaven.routing import events
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SIGNED = {headers.SIGNATURE: 'abc', headers.REQUEST_ID: 'id-1'}
 LONG = 'k' * 8192
@@ -17,7 +17,7 @@
 SHOWN = exchanges.digest_key(KEY)
 #: What bytes that are no text are digested to; no configuration can hold it.
 NO_TEXT = request_identities.identify('', b'\xff\x00\x80').digest
-(INSTANCE,) = desk_rig.make_instances(['records'], 1)
+(INSTANCE,) = router_rig.make_instances(['records'], 1)
 
 
 def make_message(
@@ -27,17 +27,19 @@
     return exchanges.Message('/a/1?x=y', status, tuple(fields.items()), body)
 
 
-def make_send(fields: Mapping[str, str]) -> events.Send:
+def make_send(fields: Mapping[str, str]) -> events.SendAttempt:
     """Make a sending of a request with the fields given."""
     message = make_message(0, fields)._replace(method='GET')
     request = exchanges.read_request(message, 50.0)
-    key = events.FlightKey(1, 'records', 1)
-    return events.Send(key, INSTANCE, request, 51.0, fresh=False)
+    key = events.AttemptKey(1, 'records', 1)
+    return events.SendAttempt(
+        key, INSTANCE, request, 51.0, fresh_connection=False
+    )
 
 
 def read(
     status: int, fields: Mapping[str, str]
-) -> events.Answered | events.Refused | events.Broken:
+) -> events.TargetAnswered | events.TargetRefused | events.AttemptBroken:
     """Read an answer of a target."""
     return exchanges.read_answer(make_send({}), make_message(status, fields))
 
@@ -57,7 +59,7 @@
         }
     )
     request = send.request
-    assert (request.host, request.target) == ('shop.example', '/a/1?x=y')
+    assert (request.host, request.uri) == ('shop.example', '/a/1?x=y')
     assert request.deadline == pytest.approx(50.25)
     written = exchanges.write_request(send, 50.125)
     assert dict(written) == {
@@ -84,9 +86,9 @@
         'connection': 'close',
     }
     event = read(200, fields)
-    assert isinstance(event, events.Answered)
+    assert isinstance(event, events.TargetAnswered)
     assert event.answer.load == messages.Load(3, 1, 8)
-    written = exchanges.write_outcome(events.Relayed(event.answer))
+    written = exchanges.write_outcome(events.RelayedAnswer(event.answer))
     assert dict(written.fields) == {**SIGNED, 'content-type': 'x/y'}
 
 
@@ -108,17 +110,17 @@
     it, leaves the outcome unknown.
     """
     event = read(status, fields)
-    assert isinstance(event, events.Broken)
+    assert isinstance(event, events.AttemptBroken)
     assert event.fault is messages.Fault.MALFORMED
 
 
 def test_takes_a_refusal_only_with_the_word_for_it() -> None:
     """Full, and another process at the address: neither has run it."""
     full = read(503, {headers.NOT_RUN: '1', headers.LOAD: '2,12,2'})
-    assert isinstance(full, events.Refused)
+    assert isinstance(full, events.TargetRefused)
     assert full.reason is messages.RefusalReason.SHED
     other = read(421, {})
-    assert isinstance(other, events.Refused)
+    assert isinstance(other, events.TargetRefused)
     assert other.reason is messages.RefusalReason.LEAVING
 
 
@@ -146,7 +148,7 @@
 
 def test_states_which_parts_an_answer_holds() -> None:
     """Signatures and the number missing stand in the head."""
-    merged = events.Merged(('a', 'b'), 1, b'x' * 16)
+    merged = events.MergedAnswer(('a', 'b'), 1, b'x' * 16)
     fields = dict(exchanges.write_outcome(merged).fields)
     assert fields[headers.PARTS] == 'a, b'
     assert fields[headers.MISSING] == '1'
@@ -221,7 +223,7 @@
     """Any other field shows no key, and is no error of the program."""
     fields = tuple((headers.KEY, it) for it in told)
     message = exchanges.Message('/a/1', 0, fields, b'', 'GET')
-    assert exchanges.read_request(message, 50.0).key == wanted
+    assert exchanges.read_request(message, 50.0).key_digest == wanted
 
 
 @given(strategies.lists(strategies.binary(max_size=40), max_size=3))
@@ -230,7 +232,10 @@
     raw = [(headers.KEY.encode(), it) for it in told]
     fields = exchanges.read_fields(raw)
     message = exchanges.Message('/a/1', 0, fields, b'', 'GET')
-    assert len(exchanges.read_request(message, 50.0).key) in {0, len(SHOWN)}
+    assert len(exchanges.read_request(message, 50.0).key_digest) in {
+        0,
+        len(SHOWN),
+    }
 
 
 def test_drops_the_name_of_a_customer_that_a_caller_sends() -> None:
--- a/tests/relay/test_accounts.py
+++ b/tests/relay/test_accounts.py
@@ -3,7 +3,9 @@
 from fuchsiahaven.relay import accounts
 from fuchsiahaven.routing import events
 
-STORY = events.Story('id', 'route', 7, 'complete', 0.03, 20, 1, 2, (), ())
+STORY = events.RequestSummary(
+    'id', 'route', 7, 'complete', 0.03, 20, 1, 2, (), ()
+)
 
 
 def note(counted: accounts.Accounts, customer: str, times: int = 1) -> None:
--- a/tests/relay/test_assistants.py
+++ b/tests/relay/test_assistants.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.relay import assistants, traffic
 from fuchsiahaven.routing import events, places
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SOON_S = 1.0
 
@@ -17,11 +17,11 @@
     request = events.Request(
         'r', 'GET', '/search/', 'shop.example', (), b'', now, now + SOON_S
     )
-    assist = events.Assist(
+    assist = events.DelegatedRequest(
         request, 'search', 0.1, 3, ('shard-a',), now + SOON_S
     )
-    helper = places.Host(f'host-{number}', address, desk_rig.HOST.data_centre)
-    return events.Delegate(events.AssistKey(1, number), helper, assist)
+    helper = places.Host(f'host-{number}', address, router_rig.HOST.data_centre)
+    return events.Delegate(events.DelegationKey(1, number), helper, assist)
 
 
 async def sweep_late() -> list[events.Event]:
@@ -46,7 +46,7 @@
             report,
             time.monotonic,
             traffic.Traffic(),
-            desk_rig.HOST.data_centre,
+            router_rig.HOST.data_centre,
         )
         stack.callback(owner.close)
         host, port = server.sockets[0].getsockname()
@@ -63,4 +63,4 @@
     through those that they have asked.
     """
     (first,) = asyncio.run(sweep_late())
-    assert isinstance(first, events.Unassisted)
+    assert isinstance(first, events.DelegationFailed)
--- a/tests/relay/test_encodings.py
+++ b/tests/relay/test_encodings.py
@@ -93,7 +93,7 @@
             assert 'fuchsiahaven-missing-parts: 0' in head
             assert len(body) == 3 * 16
             assert near.meters.outcomes['complete'] == 1
-            helper = near.desk.helpers.get(far.settings.host.name)
+            helper = near.desk.helper_health.get(far.settings.host.name)
             assert helper.stats.latency
 
     peers.run(check())
--- a/tests/relay/test_fleets.py
+++ b/tests/relay/test_fleets.py
@@ -17,14 +17,16 @@
     """Take requests and answer none."""
 
 
-def make_send(target: instances.Instance, ask: int) -> events.Send:
+def make_send(target: instances.Instance, ask: int) -> events.SendAttempt:
     """Ask for a request to be sent that may take half a minute."""
     now = time.monotonic()
     request = events.Request(
         f'id-{ask}', 'GET', '/a/1', 'shop.example', FIELDS, b'', now, now + 30
     )
-    key = events.FlightKey(ask, 'records', 1)
-    return events.Send(key, target, request, now + 30, fresh=False)
+    key = events.AttemptKey(ask, 'records', 1)
+    return events.SendAttempt(
+        key, target, request, now + 30, fresh_connection=False
+    )
 
 
 def test_sends_elsewhere_what_waits_at_a_target_that_is_left_out() -> None:
@@ -38,7 +40,7 @@
         reported: list[events.Event] = []
         async with peers.listen(be_silent) as server:
             target = server.as_instance()
-            desk = states.Desk(HOST, EXTRA, float)
+            desk = states.Router(HOST, EXTRA, float)
             desk.directory = instances.build_directory([target])
             fleet = fleets.Fleet(
                 desk, reported.append, time.monotonic, traffic.Traffic()
@@ -53,9 +55,9 @@
             fleet.close()
         return told
 
-    waiting = events.FlightKey(2, 'records', 1)
+    waiting = events.AttemptKey(2, 'records', 1)
     reported = asyncio.run(run())
-    assert reported[1:] == [events.Unsent(waiting, unreachable=False)]
+    assert reported[1:] == [events.AttemptUnsent(waiting, unreachable=False)]
 
 
 def test_gives_up_what_waits_at_an_earlier_start_of_a_target() -> None:
@@ -70,7 +72,7 @@
         reported: list[events.Event] = []
         async with peers.listen(be_silent) as server:
             first = server.as_instance()
-            desk = states.Desk(HOST, EXTRA, float)
+            desk = states.Router(HOST, EXTRA, float)
             desk.directory = instances.build_directory([first])
             fleet = fleets.Fleet(
                 desk, reported.append, time.monotonic, traffic.Traffic()
@@ -89,4 +91,7 @@
 
     reported = asyncio.run(run())
     lost = messages.Fault.CONNECTION_LOST
-    assert events.Broken(events.FlightKey(1, 'records', 1), lost) in reported
+    assert (
+        events.AttemptBroken(events.AttemptKey(1, 'records', 1), lost)
+        in reported
+    )
--- a/tests/relay/test_meters.py
+++ b/tests/relay/test_meters.py
@@ -9,7 +9,9 @@
 COUNTED = traffic.Traffic()
 COUNTED.find(traffic.Kind.SHARES, far=True).sent += 570
 GAUGES = meters.Gauges(7, 0.5, 40, 6, 12, 30, 67, 2, 5, 3)
-STORY = events.Story('id', 'route', 7, 'complete', 0.03, 20, 1, 2, (), ())
+STORY = events.RequestSummary(
+    'id', 'route', 7, 'complete', 0.03, 20, 1, 2, (), ()
+)
 
 
 def test_counts_each_latency_in_all_bounds_above_it() -> None:
--- a/tests/relay/test_orders.py
+++ b/tests/relay/test_orders.py
@@ -6,9 +6,9 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.relay import meters, orders, pages, traffic
 from fuchsiahaven.routing import configs, events
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
-ROUTE = desk_rig.make_route(configs.Single('records'), prefix='/one/')
+ROUTE = router_rig.make_route(configs.Single('records'), prefix='/one/')
 CUSTOMERS = (
     configs.Customer('hot', ('hot-key',)),
     configs.Customer('urgent', ('urgent-key',), priority=0),
@@ -21,12 +21,12 @@
 
     def __init__(self, customers: tuple[configs.Customer, ...] | None) -> None:
         """Put a route in force."""
-        self.rig = desk_rig.Rig([], desk_rig.make_instances(['records']))
+        self.rig = router_rig.Rig([], router_rig.make_instances(['records']))
         self.begun: list[events.Event] = []
         self.done: list[events.Action] = []
         self.configure(2, customers)
         self.order = orders.Order(
-            self.rig.desk, self.begun.append, self.done.append
+            self.rig.router, self.begun.append, self.done.append
         )
 
     def configure(
@@ -47,18 +47,22 @@
             b'',
             now,
             now + wait,
-            key=key,
+            key_digest=key,
         )
-        self.order.take(events.Asked(number, request))
+        self.order.take(events.RequestReceived(number, request))
 
     def list_begun(self) -> list[int]:
         """List the numbers of what was begun."""
-        return [it.ask for it in self.begun if isinstance(it, events.Asked)]
+        return [
+            it.number
+            for it in self.begun
+            if isinstance(it, events.RequestReceived)
+        ]
 
     def list_refused(self) -> list[int]:
         """List the numbers of what was refused as not run."""
         return [
-            it.ask
+            it.request_number
             for it in self.done
             if isinstance(it, events.Reply)
             and isinstance(it.outcome, errors.Failure)
@@ -220,7 +224,7 @@
         bench = Bench(CUSTOMERS)
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _loop, _context: None)
-        bench.order = orders.Order(bench.rig.desk, bench.begun.append, fail)
+        bench.order = orders.Order(bench.rig.router, bench.begun.append, fail)
         bench.ask(0, 'hot-key')
         bench.ask(1, 'hot-key', wait=-0.1)
         bench.ask(2, 'hot-key')
