--- a/tests/relay/test_pools.py
+++ b/tests/relay/test_pools.py
@@ -11,7 +11,12 @@
 from fuchsiahaven.routing import events
 from tests.relay import peers
 
-ENDS = (events.Answered, events.Refused, events.Broken, events.Unsent)
+ENDS = (
+    events.TargetAnswered,
+    events.TargetRefused,
+    events.AttemptBroken,
+    events.AttemptUnsent,
+)
 
 
 class Bench:
@@ -27,7 +32,9 @@
         self.pool.seats = seats
         self._last = 0
 
-    def send(self, wait: float = 5, *, fresh: bool = False) -> events.FlightKey:
+    def send(
+        self, wait: float = 5, *, fresh: bool = False
+    ) -> events.AttemptKey:
         """Send a request that ends after so many seconds."""
         self._last += 1
         now = time.monotonic()
@@ -44,9 +51,9 @@
             now,
             now + wait,
         )
-        key = events.FlightKey(self._last, 'records', 1)
+        key = events.AttemptKey(self._last, 'records', 1)
         self.pool.place(
-            events.Send(key, self.instance, request, now + wait, fresh)
+            events.SendAttempt(key, self.instance, request, now + wait, fresh)
         )
         return key
 
@@ -72,7 +79,7 @@
             bench = Bench(server)
             bench.send()
             first = await bench.take_end()
-            assert isinstance(first, events.Answered)
+            assert isinstance(first, events.TargetAnswered)
             assert first.answer.body == b'x' * 16
             bench.send()
             await bench.take_end(2)
@@ -102,7 +109,7 @@
             bench = Bench(server)
             bench.send()
             end = await bench.take_end()
-            assert isinstance(end, events.Answered)
+            assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'y' * 32
 
     peers.run(check())
@@ -158,9 +165,9 @@
         async with peers.listen(script) as server:
             bench = Bench(server)
             bench.send()
-            assert isinstance(await bench.take_end(), events.Broken)
+            assert isinstance(await bench.take_end(), events.AttemptBroken)
             bench.send()
-            assert isinstance(await bench.take_end(2), events.Broken)
+            assert isinstance(await bench.take_end(2), events.AttemptBroken)
             assert len(server.heads) == 2
             assert server.connections >= 2
 
@@ -188,7 +195,7 @@
             await bench.take_end()
             bench.send()
             end = await bench.take_end(2)
-            assert isinstance(end, events.Answered)
+            assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'id-2'
             assert server.connections == 1
 
@@ -207,7 +214,7 @@
             bench = Bench(server)
             bench.send()
             end = await bench.take_end()
-            assert isinstance(end, events.Answered)
+            assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'ok'
             bench.send()
             await bench.take_end(2)
@@ -261,7 +268,9 @@
         async with peers.listen(peers.answer_with(b'')) as server:
             bench = Bench(server)
         key = bench.send()
-        assert await bench.take_end() == events.Unsent(key, unreachable=True)
+        assert await bench.take_end() == events.AttemptUnsent(
+            key, unreachable=True
+        )
 
     peers.run(check())
 
@@ -281,7 +290,7 @@
             bench.pool.sweep(time.monotonic() + 0.1)
             assert not bench.list_ends()
             bench.pool.sweep(time.monotonic() + 0.5)
-            timed_out = events.Broken(key, messages.Fault.TIMED_OUT)
+            timed_out = events.AttemptBroken(key, messages.Fault.TIMED_OUT)
             assert bench.list_ends() == [timed_out]
 
     peers.run(check())
@@ -313,7 +322,7 @@
             await peers.wait_for(lambda: server.heads)
             bench.pool.stop(first, also_sent=False)
             bench.pool.stop(second, also_sent=False)
-            unsent = events.Unsent(second, False, withdrawn=True)
+            unsent = events.AttemptUnsent(second, False, withdrawn=True)
             assert bench.list_ends() == [unsent]
 
     peers.run(check())
@@ -338,11 +347,11 @@
             bench = Bench(server)
             bench.send()
             await peers.wait_for(lambda: bench.pool.count_links() == 1)
-            await peers.wait_for(lambda: bench.count(events.Reached))
+            await peers.wait_for(lambda: bench.count(events.TargetConnected))
             target.close()
             for link in tuple(bench.pool._busy):
                 link.connection_lost(None)
-            await peers.wait_for(lambda: bench.count(events.Ended))
+            await peers.wait_for(lambda: bench.count(events.TargetExited))
 
     peers.run(check())
 
@@ -354,8 +363,10 @@
         async with peers.listen(reset) as server:
             bench = Bench(server)
             bench.send()
-            assert isinstance(await bench.take_end(), events.Broken)
-            await peers.wait_for(lambda: bench.count(events.Reached) == 2)
-            assert not bench.count(events.Ended)
+            assert isinstance(await bench.take_end(), events.AttemptBroken)
+            await peers.wait_for(
+                lambda: bench.count(events.TargetConnected) == 2
+            )
+            assert not bench.count(events.TargetExited)
 
     peers.run(check())
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -236,8 +236,8 @@
             await search(host)
             path.write_text(test_settings.TEXT.replace('=56', '=7'))
             await peers.wait_for(lambda: host.desk.extra_load.slack == 7)
-            budget = host.desk.find_budget(worlds.SHARDS[0])
-            assert budget.terms.slack == 7
+            budget = host.desk.get_budget(worlds.SHARDS[0])
+            assert budget.extra_load.slack == 7
             path.write_text('node=')
             await asyncio.sleep(0.05)
             assert host.desk.extra_load.slack == 7
--- a/tests/relay/test_silences.py
+++ b/tests/relay/test_silences.py
@@ -14,13 +14,13 @@
     configuration = host.desk.index.configuration._replace(
         version=1_000_000, customers=()
     )
-    host.runner.post(events.Configured(configuration))
+    host.runner.post(events.ConfigurationReceived(configuration))
 
 
 def lose_north(host: process.Process) -> None:
     """Have a host hear nothing of what it has sent to the north."""
     for name in ('a', 'b', 'c'):
-        host.desk.centres.note_sent('north', name, time.monotonic())
+        host.desk.centre_health.note_sent('north', name, time.monotonic())
 
 
 def test_tells_the_hosts_beside_it_and_takes_it_back() -> None:
@@ -33,10 +33,10 @@
             for host in finders:
                 put_customers(host)
                 lose_north(host)
-            known = asked.desk.centres
+            known = asked.desk.centre_health
             await peers.wait_for(lambda: known.is_silent('north'))
             assert not known.list_noticed()
-            finders[0].desk.centres.note_heard('north')
+            finders[0].desk.centre_health.note_heard('north')
             await peers.wait_for(lambda: not known.is_silent('north'))
 
     peers.run(check())
--- a/tests/routing/quota_model.py
+++ b/tests/routing/quota_model.py
@@ -8,7 +8,7 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.routing import (
-    asks,
+    active_requests,
     configs,
     events,
     places,
@@ -154,12 +154,12 @@
         request = events.Request(
             f'id-{number}', 'GET', '/', 'shop.example', (), b'', 0, 0
         )
-        taken = asks.Taken(number, request, ROUTE, 1, 1)
+        taken = active_requests.RoutedRequest(number, request, ROUTE, 1, 1)
         self._asked[host.name, number] = (self.now, customer.name)
         life = self._lives[host.name]
         done = life.charge(customer, taken, self.now)
         match done:
-            case asks.Taken():
+            case active_requests.RoutedRequest():
                 self._settle(host.name, quotas.Decided(done, None))
             case errors.Failure():
                 self._settle(host.name, quotas.Decided(taken, done))
--- a/tests/routing/desk_rig.py
+++ b/tests/routing/router_rig.py
@@ -8,7 +8,7 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     instances,
     places,
@@ -16,13 +16,13 @@
 )
 
 HOST: Final = places.Host('host-1', '10.0.0.1:7000', 'north')
-EXTRA: Final = places.ExtraLoad(0.2, 40.0, 10.0)
+EXTRA_LOAD: Final = places.ExtraLoad(0.2, 40.0, 10.0)
 IDEMPOTENT: Final = configurations.Repeat.IDEMPOTENT
-ONCE: Final = configurations.Repeat.AT_MOST_ONCE
+AT_MOST_ONCE: Final = configurations.Repeat.AT_MOST_ONCE
 
 
 def make_route(
-    way: configs.Way,
+    action: configs.Way,
     *,
     prefix: str = '/search/',
     repeat: configurations.Repeat = IDEMPOTENT,
@@ -38,7 +38,7 @@
         0.1,
         attempts,
         1,
-        way,
+        action,
     )
 
 
@@ -73,15 +73,15 @@
     ) -> None:
         """Put the routes in force, as version 1."""
         self.now = 100.0
-        self.desk = states.Desk(HOST, EXTRA, float)
-        self.sent: list[events.Send] = []
+        self.router = states.Router(HOST, EXTRA_LOAD, float)
+        self.sent: list[events.SendAttempt] = []
         self.replies: list[events.Reply] = []
-        self.stories: list[events.Story] = []
-        self.others: list[events.Action] = []
-        self._last = 0
+        self.summaries: list[events.RequestSummary] = []
+        self.other_actions: list[events.Action] = []
+        self._last_number = 0
         self.configure(1, routes)
-        self.post(events.Counted(hosts))
-        self.direct(targets)
+        self.post(events.HostsChanged(hosts))
+        self.set_targets(targets)
 
     def configure(
         self,
@@ -93,55 +93,58 @@
         configuration = configs.Configuration(
             version, tuple(routes), (), configs.Limits(), customers
         )
-        self.post(events.Configured(configuration))
+        self.post(events.ConfigurationReceived(configuration))
 
-    def direct(self, targets: Iterable[instances.Instance]) -> None:
+    def set_targets(self, targets: Iterable[instances.Instance]) -> None:
         """Bring the targets there are."""
-        self.post(events.Directed(instances.build_directory(targets)))
+        self.post(events.DirectoryChanged(instances.build_directory(targets)))
 
-    def ask(
-        self, target: str = '/search/1', wait: float = 0.8, away: float = 0.006
+    def send_request(
+        self,
+        uri: str = '/search/1',
+        wait: float = 0.8,
+        transit_s: float = 0.006,
     ) -> int:
         """Bring a request; return its number."""
         request = events.Request(
-            f'id-{self._last + 1}',
+            f'id-{self._last_number + 1}',
             'GET',
-            target,
+            uri,
             'shop.example',
             (),
             b'',
             self.now,
             self.now + wait,
-            away,
-            request_identities.identify('shop.example', target.encode()),
+            transit_s,
+            request_identities.identify('shop.example', uri.encode()),
         )
-        return self.bring(request)
+        return self.submit(request)
 
-    def bring(self, request: events.Request) -> int:
+    def submit(self, request: events.Request) -> int:
         """Bring a request as it was read; return its number."""
-        self._last += 1
-        self.post(events.Asked(self._last, request))
-        return self._last
+        self._last_number += 1
+        self.post(events.RequestReceived(self._last_number, request))
+        return self._last_number
 
     def answer(
-        self, send: events.Send, body: bytes = b'', status: int = 200
+        self, send: events.SendAttempt, body: bytes = b'', status: int = 200
     ) -> None:
         """Bring the answer to a sending."""
         signature = f'signed {send.key.service} {send.key.number}'
         answer = events.Answer(status, (), signature, body)
-        self.post(events.Answered(send.key, answer))
+        self.post(events.TargetAnswered(send.key, answer))
 
     def refuse(
         self,
-        send: events.Send,
+        send: events.SendAttempt,
         reason: messages.RefusalReason = messages.RefusalReason.SHED,
     ) -> None:
         """Bring a refusal that says not run."""
-        self.post(events.Refused(send.key, reason))
+        self.post(events.TargetRefused(send.key, reason))
 
-    def break_off(
+    def break_attempt(
         self,
-        send: events.Send,
+        send: events.SendAttempt,
         fault: messages.Fault = messages.Fault.CONNECTION_LOST,
     ) -> None:
         """Bring the end of a sending with unknown outcome.
@@ -149,53 +152,57 @@
         The target lives, and accepts the connection by which its pool looks
         whether it does.
         """
-        self.post(events.Broken(send.key, fault))
+        self.post(events.AttemptBroken(send.key, fault))
         if fault is messages.Fault.CONNECTION_LOST:
-            self.post(events.Reached(send.instance.name))
+            self.post(events.TargetConnected(send.instance.name))
 
-    def end_target(self, send: events.Send) -> None:
+    def end_target(self, send: events.SendAttempt) -> None:
         """Bring the end of a target that runs a sending."""
-        self.post(events.Broken(send.key, messages.Fault.CONNECTION_LOST))
-        self.post(events.Ended(send.instance.name))
+        self.post(
+            events.AttemptBroken(send.key, messages.Fault.CONNECTION_LOST)
+        )
+        self.post(events.TargetExited(send.instance.name))
 
     def fail_to_send(
         self,
-        send: events.Send,
+        send: events.SendAttempt,
         *,
         unreachable: bool = True,
         withdrawn: bool = False,
     ) -> None:
         """Bring word that a sending has not left."""
-        self.post(events.Unsent(send.key, unreachable, withdrawn))
+        self.post(events.AttemptUnsent(send.key, unreachable, withdrawn))
 
-    def pass_time(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         """Let time pass, timer by timer."""
         end = self.now + seconds
-        while (wake := self.desk.next_wake()) is not None and wake <= end:
-            self.now = max(self.now, wake)
-            self.post(events.Ticked())
+        while (
+            deadline := self.router.find_next_deadline()
+        ) is not None and deadline <= end:
+            self.now = max(self.now, deadline)
+            self.post(events.ClockTicked())
         self.now = end
 
     def post(self, event: events.Event) -> None:
         """Bring an event and keep what is to be done."""
-        for action in desks.handle(self.desk, event, self.now):
+        for action in dispatch.handle_event(self.router, event, self.now):
             match action:
-                case events.Send():
+                case events.SendAttempt():
                     self.sent.append(action)
                 case events.Reply():
                     self.replies.append(action)
-                case events.Story():
-                    self.stories.append(action)
+                case events.RequestSummary():
+                    self.summaries.append(action)
                 case _:
-                    self.others.append(action)
+                    self.other_actions.append(action)
 
-    def take_sent(self) -> list[events.Send]:
+    def pop_sent(self) -> list[events.SendAttempt]:
         """Return what was sent since the last time."""
-        taken = self.sent
+        sent = self.sent
         self.sent = []
-        return taken
+        return sent
 
-    def take_outcome(self) -> events.Outcome:
+    def pop_outcome(self) -> events.Outcome:
         """Return the one outcome that was replied since the last time."""
         (reply,) = self.replies
         self.replies = []
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -6,34 +6,34 @@
 from fuchsiahaven.routing import (
     admission,
     configs,
-    desks,
+    dispatch,
     events,
     facts,
     freshness,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 REVOKE_S: Final = 5.0
 KEY: Final = '12ab'
 CUSTOMERS: Final = (configs.Customer('shop', (KEY,)),)
-SINGLE: Final = desk_rig.make_route(configs.Single('records'))
-WIDE: Final = desk_rig.make_route(
+SINGLE: Final = router_rig.make_route(configs.Single('records'))
+WIDE: Final = router_rig.make_route(
     configs.Gather(('one', 'two'), 3, 0.5), prefix='/wide/'
 )
 
 
-class Rig(desk_rig.Rig):
+class Rig(router_rig.Rig):
     """Own the decisions of a host whose knowledge of keys is fresh."""
 
     def __init__(self, *, public: bool = False) -> None:
         """Put routes with customers in force."""
         routes = (SINGLE._replace(public=public), WIDE)
-        targets = desk_rig.make_instances(('records', 'one', 'two'))
+        targets = router_rig.make_instances(('records', 'one', 'two'))
         super().__init__(routes, targets)
         self.configure(2, routes, CUSTOMERS)
-        keys = self.desk.controls.freshness
+        keys = self.router.controls.freshness
         keys.revoke_s = REVOKE_S
-        keys.note_configuration(self.desk.index.configuration)
+        keys.note_configuration(self.router.index.configuration)
         keys.record_read(keys.read_clock(), facts.NO_ERA)
 
     def show(self, target: str = '/search/1') -> int:
@@ -47,13 +47,13 @@
             b'',
             self.now,
             self.now + 0.8,
-            key=KEY,
+            key_digest=KEY,
         )
-        return self.bring(request)
+        return self.submit(request)
 
     def stand_still(self) -> None:
         """Have the host be frozen for longer than keys may live."""
-        self.desk.controls.freshness.confirmed_at -= REVOKE_S
+        self.router.controls.freshness.confirmed_at -= REVOKE_S
 
 
 def test_refuses_what_waited_for_a_connection_while_the_host_stood_still() -> (
@@ -63,10 +63,10 @@
     rig = Rig()
     rig.show()
     send = rig.sent[0]
-    assert admission.may_leave(rig.desk, send.key)
+    assert admission.may_leave(rig.router, send.key)
     rig.stand_still()
-    assert not admission.may_leave(rig.desk, send.key)
-    rig.post(events.Unsent(send.key, unreachable=False))
+    assert not admission.may_leave(rig.router, send.key)
+    rig.post(events.AttemptUnsent(send.key, unreachable=False))
     outcome = rig.replies[0].outcome
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.STALE_KEYS
@@ -80,8 +80,8 @@
     rig = Rig()
     rig.show('/wide/1')
     rig.stand_still()
-    assert all(admission.may_leave(rig.desk, it.key) for it in rig.sent)
-    rig.post(events.Unsent(rig.sent[0].key, unreachable=True))
+    assert all(admission.may_leave(rig.router, it.key) for it in rig.sent)
+    rig.post(events.AttemptUnsent(rig.sent[0].key, unreachable=True))
     assert not rig.replies
     assert len(rig.sent) == 3
 
@@ -91,17 +91,17 @@
     rig = Rig(public=True)
     rig.show()
     rig.stand_still()
-    assert admission.may_leave(rig.desk, rig.sent[0].key)
-    rig.post(events.Unsent(rig.sent[0].key, unreachable=True))
+    assert admission.may_leave(rig.router, rig.sent[0].key)
+    rig.post(events.AttemptUnsent(rig.sent[0].key, unreachable=True))
     assert not rig.replies
 
 
 def test_is_not_ready_while_it_has_to_refuse_keys() -> None:
     """Symptom: callers are sent to a host that refuses nearly all of them."""
     rig = Rig()
-    assert not desks.find_obstacle(rig.desk, rig.now)
+    assert not dispatch.find_obstacle(rig.router, rig.now)
     rig.stand_still()
-    assert desks.find_obstacle(rig.desk, rig.now)
+    assert dispatch.find_obstacle(rig.router, rig.now)
     rig.show()
     outcome = rig.replies[0].outcome
     assert isinstance(outcome, errors.Failure)
--- a/tests/routing/test_capacities.py
+++ b/tests/routing/test_capacities.py
@@ -15,7 +15,7 @@
     quota_holders,
     quota_slots,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SMALL = tuple(
     places.Host(f'small-{number}', f'10.0.1.{number}:1', 'north', 0.361)
@@ -157,10 +157,10 @@
 
     A host of the version before has passed its entry on.
     """
-    own = desk_rig.HOST._replace(capacity=2.151)
+    own = router_rig.HOST._replace(capacity=2.151)
     quota = places.Quota(10.0, 0.1, 20.0)
     limit = quota_slots.Limit('shop', 10.0, 20.0)
     slots = quota_slots.split(limit, quota, (own.data_centre,))
     holders = quota_holders.Holders(own)
-    holders.note_hosts((desk_rig.HOST,))
+    holders.note_hosts((router_rig.HOST,))
     assert holders.holds(limit, slots, 0)
--- a/tests/routing/test_centres.py
+++ b/tests/routing/test_centres.py
@@ -5,30 +5,30 @@
     assist_codecs,
     centres,
     configs,
-    desks,
+    dispatch,
     events,
     places,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 10, 0.85))
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 10, 0.85))
 
 
-def make_rig() -> desk_rig.Rig:
+def make_rig() -> router_rig.Rig:
     """Make a host with four shards near and six in the south."""
-    near = desk_rig.make_instances(SHARDS[:4], 2)
-    far = desk_rig.make_instances(SHARDS[4:], 2, 'south')
-    rig = desk_rig.Rig([SEARCH], [*near, *far])
+    near = router_rig.make_instances(SHARDS[:4], 2)
+    far = router_rig.make_instances(SHARDS[4:], 2, 'south')
+    rig = router_rig.Rig([SEARCH], [*near, *far])
     review(rig, 0.1)
     return rig
 
 
-def review(rig: desk_rig.Rig, seconds: float) -> None:
+def review(rig: router_rig.Rig, seconds: float) -> None:
     """Let time pass, with a review each tenth of a second."""
     for _ in range(round(seconds * 10)):
-        rig.pass_time(0.1)
-        rig.post(events.Reviewed())
+        rig.advance_time(0.1)
+        rig.post(events.ReviewDue())
 
 
 def test_leaves_out_a_data_centre_that_is_cut_off() -> None:
@@ -39,52 +39,52 @@
     of all of them is enough to refuse at once and to report not ready.
     """
     rig = make_rig()
-    rig.ask()
-    for send in rig.take_sent():
+    rig.send_request()
+    for send in rig.pop_sent():
         if send.instance.data_centre == 'north':
             rig.answer(send)
     review(rig, 0.4)
-    assert desks.find_obstacle(rig.desk, rig.now)
+    assert dispatch.find_obstacle(rig.router, rig.now)
     rig.replies = []
-    rig.take_sent()
-    rig.ask()
-    assert not rig.take_sent()
+    rig.pop_sent()
+    rig.send_request()
+    assert not rig.pop_sent()
     assert rig.replies
 
 
 def test_comes_back_with_the_first_sign_of_life() -> None:
     """A connection that can be had proves the way."""
     rig = make_rig()
-    rig.ask()
-    sent = rig.take_sent()
+    rig.send_request()
+    sent = rig.pop_sent()
     review(rig, 0.4)
     far = [it for it in sent if it.instance.data_centre == 'south']
-    rig.post(events.Reached(far[0].instance.name))
-    rig.ask()
-    assert any(it.instance.data_centre == 'south' for it in rig.take_sent())
+    rig.post(events.TargetConnected(far[0].instance.name))
+    rig.send_request()
+    assert any(it.instance.data_centre == 'south' for it in rig.pop_sent())
 
 
 def test_takes_broken_connections_of_many_for_a_cut() -> None:
     """A cut that resets connections is seen without any wait."""
     rig = make_rig()
-    rig.ask()
-    for send in rig.take_sent():
+    rig.send_request()
+    for send in rig.pop_sent():
         if send.instance.data_centre == 'south':
             # No other connection can be had either.
             lost = messages.Fault.CONNECTION_LOST
-            rig.post(events.Broken(send.key, lost))
+            rig.post(events.AttemptBroken(send.key, lost))
     review(rig, 0.1)
-    assert rig.desk.centres.is_silent('south')
+    assert rig.router.centre_health.is_silent('south')
 
 
 def test_takes_one_silent_target_for_no_cut() -> None:
     """The others there answer."""
     rig = make_rig()
-    rig.ask()
-    for send in rig.take_sent()[:-1]:
+    rig.send_request()
+    for send in rig.pop_sent()[:-1]:
         rig.answer(send)
     review(rig, 1)
-    assert not rig.desk.centres.list_silent()
+    assert not rig.router.centre_health.list_silent()
 
 
 def test_does_not_judge_others_after_it_stood_still_itself() -> None:
@@ -108,16 +108,16 @@
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
 
 
-def make_wide_rig() -> desk_rig.Rig:
+def make_wide_rig() -> router_rig.Rig:
     """Make a host with a near and a far target of each of many shards."""
-    route = desk_rig.make_route(configs.Gather(WIDE, 5, 0.9))
-    near = desk_rig.make_instances(WIDE, 1)
+    route = router_rig.make_route(configs.Gather(WIDE, 5, 0.9))
+    near = router_rig.make_instances(WIDE, 1)
     far = [
         one._replace(name=f'{one.name}-far', data_centre='south')
         for one in near
     ]
-    rig = desk_rig.Rig([route], [*near, *far])
-    rig.post(events.Counted(8, (desk_rig.HOST, *HELPERS)))
+    rig = router_rig.Rig([route], [*near, *far])
+    rig.post(events.HostsChanged(8, (router_rig.HOST, *HELPERS)))
     review(rig, 0.1)
     return rig
 
@@ -130,52 +130,70 @@
     on duty know it after the first one.
     """
     rig = make_wide_rig()
-    rig.ask()
-    delegates = [it for it in rig.others if isinstance(it, events.Delegate)]
-    share = events.Share((), b'', (), (), last=False, silent=('south',))
-    rig.post(events.Shared(delegates[0].key, share))
-    assert rig.desk.centres.is_silent('south')
+    rig.send_request()
+    delegates = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
+    share = events.DelegationReport(
+        (), b'', (), (), is_last=False, silent_centres=('south',)
+    )
+    rig.post(events.DelegationReportReceived(delegates[0].key, share))
+    assert rig.router.centre_health.is_silent('south')
     # Nobody's word is passed on, and it is forgotten where nobody repeats it.
-    assert not rig.desk.centres.list_noticed()
+    assert not rig.router.centre_health.list_noticed()
     review(rig, centres.HINT_S + 0.2)
-    assert not rig.desk.centres.is_silent('south')
+    assert not rig.router.centre_health.is_silent('south')
 
 
 def test_does_not_believe_a_host_elsewhere_about_a_third_data_centre() -> None:
     """What the south does not reach the north may reach."""
-    rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS, 2, 'south'))
+    rig = router_rig.Rig(
+        [SEARCH], router_rig.make_instances(SHARDS, 2, 'south')
+    )
     far = places.Host('far', '10.0.8.1:7000', 'south')
-    rig.post(events.Counted(2, (desk_rig.HOST, far)))
-    rig.ask()
-    (delegate,) = [it for it in rig.others if isinstance(it, events.Delegate)]
-    share = events.Share((), b'', (), (), last=False, silent=('north', 'west'))
-    rig.post(events.Shared(delegate.key, share))
-    assert not rig.desk.centres.list_silent()
+    rig.post(events.HostsChanged(2, (router_rig.HOST, far)))
+    rig.send_request()
+    (delegate,) = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
+    share = events.DelegationReport(
+        (), b'', (), (), is_last=False, silent_centres=('north', 'west')
+    )
+    rig.post(events.DelegationReportReceived(delegate.key, share))
+    assert not rig.router.centre_health.list_silent()
 
 
 def test_tells_who_asks_for_help_what_is_silent() -> None:
     """The word goes with the shares, and survives the way."""
     rig = make_wide_rig()
     for name in ('a', 'b', 'c'):
-        rig.desk.centres.note_sent('south', name, rig.now)
+        rig.router.centre_health.note_sent('south', name, rig.now)
     review(rig, 0.5)
-    assert rig.desk.centres.list_noticed() == {'south'}
+    assert rig.router.centre_health.list_noticed() == {'south'}
     request = events.Request('id', 'GET', '/', '', (), b'', rig.now, rig.now)
-    assist = events.Assist(request, 'r', 0.1, 5, WIDE[:2], rig.now + 1)
-    rig.others = []
-    rig.post(events.Assisted(99, assist))
-    for send in rig.take_sent():
+    assist = events.DelegatedRequest(
+        request, 'r', 0.1, 5, WIDE[:2], rig.now + 1
+    )
+    rig.other_actions = []
+    rig.post(events.DelegatedRequestReceived(99, assist))
+    for send in rig.pop_sent():
         rig.answer(send)
-    (give,) = [it for it in rig.others if isinstance(it, events.Give)]
+    (give,) = [
+        it
+        for it in rig.other_actions
+        if isinstance(it, events.SendDelegationReport)
+    ]
     line = assist_codecs.write_share(give.share)
-    assert assist_codecs.read_share(line).silent == ('south',)
+    assert assist_codecs.read_share(line).silent_centres == ('south',)
 
 
-def find_wait(rig: desk_rig.Rig) -> float:
+def find_wait(rig: router_rig.Rig) -> float:
     """Find how long the parts that were just asked for may take."""
-    delegates = [it for it in rig.others if isinstance(it, events.Delegate)]
-    rig.others = []
-    return delegates[0].assist.ends - rig.now
+    delegates = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
+    rig.other_actions = []
+    return delegates[0].assist.deadline - rig.now
 
 
 def test_waits_longer_for_a_paused_target_while_others_are_cut_off() -> None:
@@ -186,16 +204,16 @@
     of two other data centres is cut off there are targets in the other.
     """
     rig = make_wide_rig()
-    rig.ask()
+    rig.send_request()
     find_wait(rig)
     west = places.Host('far', '10.0.8.1:7000', 'west')
     south = west._replace(name='farther', data_centre='south')
-    rig.post(events.Counted(9, (desk_rig.HOST, *HELPERS, south, west)))
-    rig.desk.centres.take_hints(('south',), rig.now)
-    rig.ask()
+    rig.post(events.HostsChanged(9, (router_rig.HOST, *HELPERS, south, west)))
+    rig.router.centre_health.take_hints(('south',), rig.now)
+    rig.send_request()
     usual = find_wait(rig)
-    rig.desk.centres.take_hints(('south', 'west'), rig.now)
-    rig.ask()
+    rig.router.centre_health.take_hints(('south', 'west'), rig.now)
+    rig.send_request()
     assert find_wait(rig) > 2 * usual
 
 
--- a/tests/routing/test_codecs.py
+++ b/tests/routing/test_codecs.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from fuchsiahaven.routing import codecs, configs, facts
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
-ROUTE = desk_rig.make_route(configs.Single('one'))
-PUBLIC = desk_rig.make_route(configs.Single('two'), prefix='/public/')
+ROUTE = router_rig.make_route(configs.Single('one'))
+PUBLIC = router_rig.make_route(configs.Single('two'), prefix='/public/')
 CUSTOMERS = (
     configs.Customer('shop', ('12ab', '34cd'), 0, 2.5, 4.0),
     configs.Customer('bank'),
--- a/tests/routing/test_configs.py
+++ b/tests/routing/test_configs.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fuchsiahaven.routing import configs
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
 def test_finds_the_longest_prefix(path: str, found: str | None) -> None:
     """Prefixes end with a slash: a longer word is another path."""
     way = configs.Single('one')
-    routes = [desk_rig.make_route(way, prefix=it) for it in ('/a/', '/a/b/')]
+    routes = [router_rig.make_route(way, prefix=it) for it in ('/a/', '/a/b/')]
     index = configs.build_index(
         configs.Configuration(1, tuple(routes), (), configs.Limits())
     )
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -8,15 +8,15 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges, headers
 from fuchsiahaven.routing import (
+    active_requests,
     admission,
     assist_codecs,
-    asks,
     configs,
     customers,
     events,
     places,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 KEY: Final = 'wbr9bc582dm2buc7takh'
 OTHER: Final = 'k-2'
@@ -24,9 +24,9 @@
 BANK: Final = configs.Customer('bank', (exchanges.digest_key(OTHER),))
 SHARDS: Final = tuple(f'shard-{number:02}' for number in range(10))
 RECORDS: Final = ('records',)
-SINGLE: Final = desk_rig.make_route(configs.Single('records'), prefix='/one/')
-SEARCH: Final = desk_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
-PUBLIC: Final = desk_rig.make_route(
+SINGLE: Final = router_rig.make_route(configs.Single('records'), prefix='/one/')
+SEARCH: Final = router_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
+PUBLIC: Final = router_rig.make_route(
     configs.Single('records'), prefix='/public/'
 )._replace(public=True)
 ROUTES: Final = (SINGLE, SEARCH, PUBLIC)
@@ -36,16 +36,16 @@
 def make_rig(
     held: tuple[configs.Customer, ...] | None = (SHOP, BANK),
     data_centre: str = 'north',
-) -> desk_rig.Rig:
+) -> router_rig.Rig:
     """Make a host with two customers."""
-    targets = desk_rig.make_instances((*SHARDS, *RECORDS), 3, data_centre)
-    rig = desk_rig.Rig((), targets)
+    targets = router_rig.make_instances((*SHARDS, *RECORDS), 3, data_centre)
+    rig = router_rig.Rig((), targets)
     rig.configure(2, ROUTES, held)
     return rig
 
 
 def read(
-    rig: desk_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
+    rig: router_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
 ) -> events.Request:
     """Read a request with the keys that are shown."""
     fields = [
@@ -59,15 +59,15 @@
     return exchanges.read_request(message, rig.now)
 
 
-def take_refusal(rig: desk_rig.Rig) -> tuple[int, events.Story]:
+def take_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
     """Return the status and the line of the one refusal."""
-    outcome = rig.take_outcome()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
-    assert not rig.take_sent()
-    return exchanges.write_failure(outcome).status, rig.stories.pop()
+    assert not rig.pop_sent()
+    return exchanges.write_failure(outcome).status, rig.summaries.pop()
 
 
-def show(rig: desk_rig.Rig, send: events.Send) -> str:
+def show(rig: router_rig.Rig, send: events.SendAttempt) -> str:
     """Return the customer that a target is shown, and that it sees no key."""
     fields = exchanges.write_request(send, rig.now)
     assert KEY not in str(fields)
@@ -79,35 +79,35 @@
 def test_shows_targets_the_name_in_place_of_the_key() -> None:
     """Symptom: whoever reads a target's log can ask as the customer."""
     rig = make_rig()
-    rig.bring(read(rig, '/one/1', KEY))
-    (send,) = rig.take_sent()
+    rig.submit(read(rig, '/one/1', KEY))
+    (send,) = rig.pop_sent()
     assert show(rig, send) == 'shop'
     rig.answer(send)
-    assert rig.stories.pop().customer == 'shop'
+    assert rig.summaries.pop().customer == 'shop'
 
 
 def test_names_the_customer_on_second_sendings_and_repeats() -> None:
     """Each way to a second target is a copy of the first request."""
     rig = make_rig()
-    rig.bring(read(rig, '/one/1', KEY))
-    rig.pass_time(0.09)
-    first, second = rig.take_sent()
+    rig.submit(read(rig, '/one/1', KEY))
+    rig.advance_time(0.09)
+    first, second = rig.pop_sent()
     assert (show(rig, first), show(rig, second)) == ('shop', 'shop')
-    rig.bring(read(rig, '/one/2', KEY, request_id='id-2'))
-    (send,) = rig.take_sent()
+    rig.submit(read(rig, '/one/2', KEY, request_id='id-2'))
+    (send,) = rig.pop_sent()
     rig.refuse(send)
-    (again,) = rig.take_sent()
+    (again,) = rig.pop_sent()
     assert show(rig, again) == 'shop'
-    rig.break_off(again, messages.Fault.MALFORMED)
-    for repeat in rig.take_sent():
+    rig.break_attempt(again, messages.Fault.MALFORMED)
+    for repeat in rig.pop_sent():
         assert show(rig, repeat) == 'shop'
 
 
 def test_names_the_customer_at_each_shard() -> None:
     """Parts are requests of the same customer."""
     rig = make_rig()
-    rig.bring(read(rig, '/search/1', KEY))
-    sent = rig.take_sent()
+    rig.submit(read(rig, '/search/1', KEY))
+    sent = rig.pop_sent()
     assert {show(rig, send) for send in sent} == {'shop'}
     assert len(sent) == len(SHARDS)
 
@@ -134,9 +134,11 @@
     rig = make_rig(data_centre='south')
     routes = (SEARCH._replace(public=public),)
     rig.configure(3, routes, (SHOP, BANK))
-    rig.post(events.Counted(2, (desk_rig.HOST, HELPER)))
-    rig.bring(read(rig, path, *shown))
-    (delegate,) = [it for it in rig.others if isinstance(it, events.Delegate)]
+    rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
+    rig.submit(read(rig, path, *shown))
+    (delegate,) = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
     text = assist_codecs.write_assist(delegate.assist, rig.now)
     assert KEY.encode() not in text
     assert b'strange' not in text
@@ -147,8 +149,10 @@
     assert request.identity == delegate.assist.request.identity
 
     helper = make_rig()
-    helper.post(events.Assisted(1, assist._replace(request=request)))
-    sent = helper.take_sent()
+    helper.post(
+        events.DelegatedRequestReceived(1, assist._replace(request=request))
+    )
+    sent = helper.pop_sent()
     assert {show(helper, send) for send in sent} == {wanted}
 
 
@@ -165,7 +169,7 @@
 ) -> None:
     """The line tells the route and why, and the answer only that it is so."""
     rig = make_rig()
-    rig.bring(read(rig, '/one/1', *shown))
+    rig.submit(read(rig, '/one/1', *shown))
     status, story = take_refusal(rig)
     assert status == 401
     assert (story.route, story.why) == ('route /one/', why)
@@ -177,17 +181,17 @@
     """Given again, it is valid again."""
     rig = make_rig()
     rig.configure(3, ROUTES, (SHOP._replace(keys=()), BANK))
-    rig.bring(read(rig, '/one/1', KEY))
+    rig.submit(read(rig, '/one/1', KEY))
     assert take_refusal(rig)[0] == 401
     rig.configure(4, ROUTES, (SHOP, BANK))
-    rig.bring(read(rig, '/one/1', KEY))
-    assert [show(rig, send) for send in rig.take_sent()] == ['shop']
+    rig.submit(read(rig, '/one/1', KEY))
+    assert [show(rig, send) for send in rig.pop_sent()] == ['shop']
 
 
 def test_needs_keys_where_no_customer_is_left() -> None:
     """Symptom: the last customer is removed, and everybody is served."""
     rig = make_rig(())
-    rig.bring(read(rig, '/one/1', KEY))
+    rig.submit(read(rig, '/one/1', KEY))
     assert take_refusal(rig)[0] == 401
 
 
@@ -195,8 +199,8 @@
 def test_a_public_route_asks_for_no_key(shown: tuple[str, ...]) -> None:
     """A strange key turns nobody away, and names nobody."""
     rig = make_rig()
-    rig.bring(read(rig, '/public/1', *shown))
-    (send,) = rig.take_sent()
+    rig.submit(read(rig, '/public/1', *shown))
+    (send,) = rig.pop_sent()
     assert show(rig, send) == ''
 
 
@@ -205,9 +209,9 @@
 
     A host that has just started says when to come back.
     """
-    rig = desk_rig.Rig((), ())
-    rig.desk.index = configs.build_index(configs.NOTHING)
-    rig.bring(read(rig, '/one/1', KEY))
+    rig = router_rig.Rig((), ())
+    rig.router.index = configs.build_index(configs.NOTHING)
+    rig.submit(read(rig, '/one/1', KEY))
     status, story = take_refusal(rig)
     assert (status, story.result) == (503, errors.Kind.NOT_READY)
 
@@ -215,7 +219,7 @@
 def test_tells_that_there_is_no_route_whatever_is_shown() -> None:
     """A path that leads nowhere is no matter of keys."""
     rig = make_rig()
-    rig.bring(read(rig, '/none/1'))
+    rig.submit(read(rig, '/none/1'))
     assert take_refusal(rig)[0] == 404
 
 
@@ -224,8 +228,8 @@
     rig = make_rig()
     identities = set()
     for key in (KEY, OTHER):
-        rig.bring(read(rig, '/one/1', key))
-        (send,) = rig.take_sent()
+        rig.submit(read(rig, '/one/1', key))
+        (send,) = rig.pop_sent()
         identities.add(send.request.identity)
         assert send.request.identity.customer in {'shop', 'bank'}
     assert len(identities) == 2
@@ -237,20 +241,20 @@
 ) -> None:
     """A customer that has none is as urgent as its route."""
     rig = make_rig((SHOP._replace(priority=priority),))
-    asked = events.Asked(7, read(rig, '/one/1', KEY))
-    taken = admission.admit(rig.desk, asked, rig.now)
-    assert isinstance(taken, asks.Taken)
+    asked = events.RequestReceived(7, read(rig, '/one/1', KEY))
+    taken = admission.admit(rig.router, asked, rig.now)
+    assert isinstance(taken, active_requests.RoutedRequest)
     assert taken.priority == wanted
 
 
 def test_sends_what_it_sent_where_there_are_no_customers() -> None:
     """Whatever a caller shows is between it and the target."""
     rig = make_rig(None)
-    rig.bring(read(rig, '/one/1', KEY))
-    (send,) = rig.take_sent()
+    rig.submit(read(rig, '/one/1', KEY))
+    (send,) = rig.pop_sent()
     written = dict(exchanges.write_request(send, rig.now))
     assert written[headers.KEY] == f'Token {KEY}'
     assert headers.CUSTOMER not in written
     rig.answer(send)
-    story = rig.stories.pop()
+    story = rig.summaries.pop()
     assert (story.customer, story.why) == ('', '')
--- a/tests/routing/test_delegations.py
+++ b/tests/routing/test_delegations.py
@@ -10,10 +10,10 @@
     places,
     plans,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
 HELPER = places.Host('host-9', '10.0.9.1:7000', 'south')
 
 
@@ -22,41 +22,43 @@
     return letter.encode() * 16
 
 
-def make_entry() -> desk_rig.Rig:
+def make_entry() -> router_rig.Rig:
     """Make a host whose shards all have their targets in the south."""
-    targets = desk_rig.make_instances(SHARDS, 2, 'south')
-    rig = desk_rig.Rig([SEARCH], targets)
-    rig.post(events.Counted(2, (desk_rig.HOST, HELPER)))
+    targets = router_rig.make_instances(SHARDS, 2, 'south')
+    rig = router_rig.Rig([SEARCH], targets)
+    rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
     return rig
 
 
-def take_delegate(rig: desk_rig.Rig) -> events.Delegate:
+def take_delegate(rig: router_rig.Rig) -> events.Delegate:
     """Return the one request for assistance."""
-    (delegate,) = [it for it in rig.others if isinstance(it, events.Delegate)]
-    rig.others = []
+    (delegate,) = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
+    rig.other_actions = []
     return delegate
 
 
 def make_share(
     services: tuple[str, ...], body: bytes = b'', *, last: bool = False
-) -> events.Share:
+) -> events.DelegationReport:
     """Make a share of parts that are in."""
-    parts = tuple(events.PartIn(it, f'signed {it}') for it in services)
-    return events.Share(parts, body, (), (), last)
+    parts = tuple(events.ReceivedPart(it, f'signed {it}') for it in services)
+    return events.DelegationReport(parts, body, (), (), last)
 
 
 def test_sends_one_request_for_all_parts_that_are_far() -> None:
     """Nothing crosses but the request and the merged records."""
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    assert not rig.take_sent()
+    assert not rig.pop_sent()
     assert set(delegate.assist.services) == set(SHARDS)
     body = record('b') + record('a')
     share = make_share(SHARDS, body, last=True)
-    rig.post(events.Shared(delegate.key, share))
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    rig.post(events.DelegationReportReceived(delegate.key, share))
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert (outcome.body, outcome.missing) == (body, 0)
     assert len(set(outcome.signatures)) == 10
 
@@ -64,17 +66,19 @@
 def test_sends_what_still_waits_at_a_helper_to_another_target() -> None:
     """The helper waits for one target, which is not asked a second time."""
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    waiting = events.PartOut(SHARDS[0], f'{SHARDS[0]}-0', arrived=True)
+    waiting = events.MissingPart(
+        SHARDS[0], f'{SHARDS[0]}-0', may_have_arrived=True
+    )
     share = make_share(SHARDS[1:])._replace(pending=(waiting,))
-    rig.post(events.Shared(delegate.key, share))
-    rig.pass_time(0)
-    (hedge,) = rig.take_sent()
+    rig.post(events.DelegationReportReceived(delegate.key, share))
+    rig.advance_time(0)
+    (hedge,) = rig.pop_sent()
     assert hedge.instance.name == f'{SHARDS[0]}-1'
     rig.answer(hedge, record('z'))
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert outcome.body == record('z')
 
 
@@ -88,17 +92,17 @@
     may have sent them, and no third one follows.
     """
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    rig.post(events.Unassisted(delegate.key, asked, 'status 503'))
-    sent = rig.take_sent()
+    rig.post(events.DelegationFailed(delegate.key, asked, 'status 503'))
+    sent = rig.pop_sent()
     assert {send.key.service for send in sent} == set(SHARDS)
     for send in sent:
-        rig.break_off(send)
-    assert len(rig.take_sent()) == more
+        rig.break_attempt(send)
+    assert len(rig.pop_sent()) == more
     # A helper that broke off is left out for a while.
-    rig.ask()
-    assert not any(isinstance(it, events.Delegate) for it in rig.others)
+    rig.send_request()
+    assert not any(isinstance(it, events.Delegate) for it in rig.other_actions)
 
 
 def test_says_why_a_helper_is_left_out() -> None:
@@ -108,10 +112,14 @@
     looked alike.
     """
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    rig.post(events.Unassisted(delegate.key, False, 'status 503'))
-    whys = [it.why for it in rig.others if isinstance(it, events.Belief)]
+    rig.post(events.DelegationFailed(delegate.key, False, 'status 503'))
+    whys = [
+        it.reason
+        for it in rig.other_actions
+        if isinstance(it, events.TargetStatusReport)
+    ]
     assert whys == ['no help: status 503']
 
 
@@ -122,20 +130,20 @@
     and what the helper brings in the end is not mixed with their answers.
     """
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    rig.pass_time(0.045)
-    assert not rig.take_sent()
-    rig.pass_time(0.02)
-    sent = rig.take_sent()
+    rig.advance_time(0.045)
+    assert not rig.pop_sent()
+    rig.advance_time(0.02)
+    sent = rig.pop_sent()
     assert len(sent) == 10
     rig.answer(sent[0], record('q'))
     late = make_share(SHARDS, record('z') * 2, last=True)
-    rig.post(events.Shared(delegate.key, late))
+    rig.post(events.DelegationReportReceived(delegate.key, late))
     for send in sent[1:]:
         rig.answer(send, record('p'))
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert outcome.body == record('q') + record('p')
 
 
@@ -148,23 +156,23 @@
     the host that asked from reading the first answers.
     """
     route = SEARCH._replace(objective=0.059)
-    targets = desk_rig.make_instances(SHARDS, 2, 'south')
-    rig = desk_rig.Rig([route], targets)
-    rig.post(events.Counted(2, (desk_rig.HOST, HELPER)))
-    rig.ask()
-    rig.pass_time(0.04)
-    assert not rig.take_sent()
-    rig.pass_time(0.01)
-    assert len(rig.take_sent()) == 10
+    targets = router_rig.make_instances(SHARDS, 2, 'south')
+    rig = router_rig.Rig([route], targets)
+    rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
+    rig.send_request()
+    rig.advance_time(0.04)
+    assert not rig.pop_sent()
+    rig.advance_time(0.01)
+    assert len(rig.pop_sent()) == 10
 
 
 def test_dismisses_a_helper_when_the_caller_leaves() -> None:
     """Work for nobody ends at the targets of the helper as well."""
     rig = make_entry()
-    number = rig.ask()
+    number = rig.send_request()
     delegate = take_delegate(rig)
-    rig.post(events.Abandoned(number))
-    assert events.Dismiss(delegate.key) in rig.others
+    rig.post(events.RequestAbandoned(number))
+    assert events.CancelDelegation(delegate.key) in rig.other_actions
 
 
 def test_thinks_no_worse_of_a_helper_that_it_dismissed() -> None:
@@ -174,24 +182,24 @@
     that breaks off, which is left out for two seconds.
     """
     rig = make_entry()
-    number = rig.ask()
+    number = rig.send_request()
     delegate = take_delegate(rig)
-    rig.post(events.Abandoned(number))
-    rig.post(events.Unassisted(delegate.key, True, 'connection_lost'))
-    rig.others = []
-    rig.ask()
+    rig.post(events.RequestAbandoned(number))
+    rig.post(events.DelegationFailed(delegate.key, True, 'connection_lost'))
+    rig.other_actions = []
+    rig.send_request()
     assert take_delegate(rig).helper == HELPER
 
 
 def test_asks_no_help_for_a_few_parts() -> None:
     """The detour pays only for many parts."""
     few = plans.FEWEST - 1
-    near = desk_rig.make_instances(SHARDS[few:])
-    far = desk_rig.make_instances(SHARDS[:few], 2, 'south')
-    rig = desk_rig.Rig([SEARCH], [*near, *far])
-    rig.post(events.Counted(2, (desk_rig.HOST, HELPER)))
-    rig.ask()
-    assert len(rig.take_sent()) == 10
+    near = router_rig.make_instances(SHARDS[few:])
+    far = router_rig.make_instances(SHARDS[:few], 2, 'south')
+    rig = router_rig.Rig([SEARCH], [*near, *far])
+    rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
+    rig.send_request()
+    assert len(rig.pop_sent()) == 10
 
 
 class Helping:
@@ -199,19 +207,25 @@
 
     def __init__(self) -> None:
         """Take a request for assistance."""
-        self.rig = desk_rig.Rig([], desk_rig.make_instances(SHARDS))
+        self.rig = router_rig.Rig([], router_rig.make_instances(SHARDS))
         now = self.rig.now
         request = events.Request(
             'id-1', 'GET', '/search/1', '', (), b'', now, now + 0.8
         )
-        self.assist = events.Assist(request, 'route', 0.1, 2, SHARDS, now + 0.8)
-        self.rig.post(events.Assisted(1, self.assist))
-        self.sent = self.rig.take_sent()
+        self.assist = events.DelegatedRequest(
+            request, 'route', 0.1, 2, SHARDS, now + 0.8
+        )
+        self.rig.post(events.DelegatedRequestReceived(1, self.assist))
+        self.sent = self.rig.pop_sent()
 
-    def take_shares(self) -> list[events.Share]:
+    def take_shares(self) -> list[events.DelegationReport]:
         """Return what was given to the other host."""
-        found = [it for it in self.rig.others if isinstance(it, events.Give)]
-        self.rig.others = []
+        found = [
+            it
+            for it in self.rig.other_actions
+            if isinstance(it, events.SendDelegationReport)
+        ]
+        self.rig.other_actions = []
         return [give.share for give in found]
 
 
@@ -221,7 +235,7 @@
     for place, send in enumerate(helping.sent):
         helping.rig.answer(send, record('abcdefghij'[place]))
     (share,) = helping.take_shares()
-    assert share.last
+    assert share.is_last
     assert len(share.parts) == 10
     assert share.body == record('j') + record('i')
 
@@ -232,17 +246,17 @@
     for send in helping.sent[2:]:
         helping.rig.answer(send)
     assert not helping.take_shares()
-    helping.rig.pass_time(0.045)
+    helping.rig.advance_time(0.045)
     (share,) = helping.take_shares()
-    assert (len(share.parts), share.last) == (8, False)
+    assert (len(share.parts), share.is_last) == (8, False)
     assert {out.service for out in share.pending} == {
         send.key.service for send in helping.sent[:2]
     }
     helping.rig.answer(helping.sent[0], record('x'))
     (late,) = helping.take_shares()
-    assert (late.body, late.last) == (record('x'), False)
+    assert (late.body, late.is_last) == (record('x'), False)
     helping.rig.answer(helping.sent[1])
-    assert helping.take_shares()[-1].last
+    assert helping.take_shares()[-1].is_last
 
 
 def test_tells_with_the_last_part_that_it_is_the_last() -> None:
@@ -250,37 +264,37 @@
     helping = Helping()
     for send in helping.sent[2:]:
         helping.rig.answer(send)
-    helping.rig.pass_time(0.045)
+    helping.rig.advance_time(0.045)
     helping.take_shares()
     for send, last in zip(helping.sent[:2], (False, True), strict=True):
         helping.rig.answer(send)
         (share,) = helping.take_shares()
-        assert (len(share.parts), share.last) == (1, last)
+        assert (len(share.parts), share.is_last) == (1, last)
 
 
 def test_sends_each_part_once_and_tells_what_is_lost() -> None:
     """The host that asked decides whether a part is sent again."""
     helping = Helping()
-    helping.rig.break_off(helping.sent[0])
+    helping.rig.break_attempt(helping.sent[0])
     helping.rig.refuse(helping.sent[1])
-    assert not helping.rig.take_sent()
+    assert not helping.rig.pop_sent()
     for send in helping.sent[2:]:
         helping.rig.answer(send)
     (share,) = helping.take_shares()
     assert {out.service for out in share.lost} == {
         send.key.service for send in helping.sent[:2]
     }
-    assert all(out.arrived for out in share.lost)
+    assert all(out.may_have_arrived for out in share.lost)
 
 
 def test_ends_with_the_time_it_was_given() -> None:
     """A helper keeps nothing for longer than the caller waits."""
     helping = Helping()
-    helping.rig.pass_time(0.9)
+    helping.rig.advance_time(0.9)
     shares = helping.take_shares()
-    assert shares[-1].last
+    assert shares[-1].is_last
     assert len(shares[-1].lost) == 10
-    assert not helping.rig.desk.asks
+    assert not helping.rig.router.active_requests
 
 
 def test_reads_what_it_writes() -> None:
@@ -290,8 +304,8 @@
     text = assist_codecs.write_assist(helping.assist, now)
     read = assist_codecs.read_assist(text, now)
     assert read.services == helping.assist.services
-    assert abs(read.ends - helping.assist.ends) < 0.002
-    out = events.PartOut('a', 'b', arrived=False)
+    assert abs(read.deadline - helping.assist.deadline) < 0.002
+    out = events.MissingPart('a', 'b', may_have_arrived=False)
     share = make_share(SHARDS, record('a'))._replace(pending=(out,))
     line = assist_codecs.write_share(share)
     assert line.count(b'\n') == 1
@@ -305,16 +319,16 @@
     been answered without it, and sends their parts.
     """
     rig = make_entry()
-    rig.ask()
+    rig.send_request()
     delegate = take_delegate(rig)
-    rig.pass_time(0.07)
-    for send in rig.take_sent():
+    rig.advance_time(0.07)
+    for send in rig.pop_sent():
         rig.answer(send)
     assert rig.replies
-    assert events.Dismiss(delegate.key) in rig.others
+    assert events.CancelDelegation(delegate.key) in rig.other_actions
     rig.replies = []
-    rig.ask()
-    assert not any(isinstance(it, events.Delegate) for it in rig.others)
+    rig.send_request()
+    assert not any(isinstance(it, events.Delegate) for it in rig.other_actions)
 
 
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
@@ -324,19 +338,21 @@
 ]
 
 
-def make_member(coverage: float = 0.95, objective: float = 0.1) -> desk_rig.Rig:
+def make_member(
+    coverage: float = 0.95, objective: float = 0.1
+) -> router_rig.Rig:
     """Make one of 63 hosts, with two near targets of each shard."""
-    route = desk_rig.make_route(configs.Gather(WIDE, 2, coverage))
+    route = router_rig.make_route(configs.Gather(WIDE, 2, coverage))
     route = route._replace(objective=objective)
-    rig = desk_rig.Rig([route], desk_rig.make_instances(WIDE, 2))
-    rig.post(events.Counted(63, (desk_rig.HOST, *FLEET)))
+    rig = router_rig.Rig([route], router_rig.make_instances(WIDE, 2))
+    rig.post(events.HostsChanged(63, (router_rig.HOST, *FLEET)))
     return rig
 
 
-def take_delegates(rig: desk_rig.Rig) -> list[events.Delegate]:
+def take_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
     """Return what was asked of other hosts since the last time."""
-    taken = [it for it in rig.others if isinstance(it, events.Delegate)]
-    rig.others = []
+    taken = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
+    rig.other_actions = []
     return taken
 
 
@@ -348,37 +364,41 @@
     and gave the parts up. Those on duty may repeat several times.
     """
     rig = make_member()
-    rig.ask()
+    rig.send_request()
     first = take_delegates(rig)
     for delegate in first:
         services = delegate.assist.services
         lost = tuple(
-            events.PartOut(it, f'{it}-0', arrived=True) for it in services[:6]
+            events.MissingPart(it, f'{it}-0', may_have_arrived=True)
+            for it in services[:6]
         )
         share = make_share(services[6:], last=True)._replace(lost=lost)
-        rig.post(events.Shared(delegate.key, share))
+        rig.post(events.DelegationReportReceived(delegate.key, share))
     assert not rig.replies
     again = take_delegates(rig)
-    assert {it.assist.again for it in again} == {True}
-    assert all(it.assist.counts for it in again)
+    assert {it.assist.is_retry for it in again} == {True}
+    assert all(it.assist.counts_load for it in again)
     wanted = {it for one in first for it in one.assist.services[:6]}
     assert {it for one in again for it in one.assist.services} == wanted
     for delegate in again:
         assert {f'{it}-0' for it in delegate.assist.services} <= set(
-            delegate.assist.avoid
+            delegate.assist.avoided_targets
         )
         share = make_share(delegate.assist.services, last=True)
-        rig.post(events.Shared(delegate.key, share))
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+        rig.post(events.DelegationReportReceived(delegate.key, share))
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert not outcome.missing
 
 
-def make_late_share(delegate: events.Delegate, waiting: int) -> events.Share:
+def make_late_share(
+    delegate: events.Delegate, waiting: int
+) -> events.DelegationReport:
     """Make a share without the first so many parts, which are still out."""
     services = delegate.assist.services
     pending = tuple(
-        events.PartOut(it, f'{it}-0', arrived=True) for it in services[:waiting]
+        events.MissingPart(it, f'{it}-0', may_have_arrived=True)
+        for it in services[:waiting]
     )
     return make_share(services[waiting:])._replace(pending=pending)
 
@@ -397,15 +417,15 @@
     it makes the answer late. Without enough parts there is no answer at all.
     """
     rig = make_member(0.8, 0.059)
-    rig.ask()
+    rig.send_request()
     first = take_delegates(rig)
     rig.now += when
     for delegate in first:
         share = make_late_share(delegate, waiting)
         waiting -= len(share.pending)
-        rig.post(events.Shared(delegate.key, share))
-    rig.pass_time(0)
-    sent = [it.key.service for it in rig.take_sent()]
+        rig.post(events.DelegationReportReceived(delegate.key, share))
+    rig.advance_time(0)
+    sent = [it.key.service for it in rig.pop_sent()]
     for second in take_delegates(rig):
         sent.extend(second.assist.services)
     assert len(sent) == again
@@ -414,45 +434,46 @@
 def test_gives_a_part_up_that_failed_as_often_as_it_may() -> None:
     """A route allows two attempts: what fails at both is sent no more."""
     rig = make_member()
-    rig.ask()
+    rig.send_request()
     for attempt in range(2):
         delegates = take_delegates(rig)
         assert delegates
         for delegate in delegates:
             lost = tuple(
-                events.PartOut(it, f'{it}-{attempt}', arrived=True)
+                events.MissingPart(it, f'{it}-{attempt}', may_have_arrived=True)
                 for it in delegate.assist.services
             )
             share = make_share((), last=True)._replace(lost=lost)
-            rig.post(events.Shared(delegate.key, share))
+            rig.post(events.DelegationReportReceived(delegate.key, share))
     assert not take_delegates(rig)
-    assert not rig.take_sent()
+    assert not rig.pop_sent()
     assert rig.replies
 
 
-def hand_back(rig: desk_rig.Rig) -> tuple[str, list[events.Delegate]]:
+def hand_back(rig: router_rig.Rig) -> tuple[str, list[events.Delegate]]:
     """Hand the parts of one chunk back; return by whom, and who is asked."""
-    rig.ask()
+    rig.send_request()
     first = take_delegates(rig)[0]
     lost = tuple(
-        events.PartOut(it, '', arrived=False) for it in first.assist.services
+        events.MissingPart(it, '', may_have_arrived=False)
+        for it in first.assist.services
     )
     share = make_share((), last=True)._replace(lost=lost)
-    rig.post(events.Shared(first.key, share))
+    rig.post(events.DelegationReportReceived(first.key, share))
     return first.helper.name, take_delegates(rig)
 
 
 def test_parts_that_a_busy_host_hands_back_go_to_the_other_on_duty() -> None:
     """Symptom: parts go back and forth with a host that has no time."""
     rig = make_member()
-    (route,) = rig.desk.index.configuration.routes
+    (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
     rig.configure(2, [public], (configs.Customer('hot', ('key',)),))
     helper, again = hand_back(rig)
     (delegate,) = again
     assert delegate.helper.name != helper
-    assert not delegate.assist.again
-    assert not rig.take_sent()
+    assert not delegate.assist.is_retry
+    assert not rig.pop_sent()
 
 
 def test_parts_go_back_to_the_same_host_without_customers() -> None:
@@ -461,10 +482,10 @@
     assert [it.helper.name for it in again] == [helper]
 
 
-def make_competing() -> desk_rig.Rig:
+def make_competing() -> router_rig.Rig:
     """Make one of 63 hosts whose callers are of customers."""
     rig = make_member()
-    (route,) = rig.desk.index.configuration.routes
+    (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
     rig.configure(2, [public], (configs.Customer('hot', ('key',)),))
     return rig
@@ -473,11 +494,15 @@
 def test_parts_that_wait_at_a_host_that_dies_go_elsewhere_at_once() -> None:
     """Symptom: parts in the queue of a dead host are lost with it."""
     rig = make_competing()
-    rig.ask()
+    rig.send_request()
     first = take_delegates(rig)[0]
-    rig.take_sent()
-    rig.post(events.Unassisted(first.key, asked=True, why='broken'))
-    moved = {it.key.service for it in rig.take_sent()}
+    rig.pop_sent()
+    rig.post(
+        events.DelegationFailed(
+            first.key, may_have_arrived=True, cause='broken'
+        )
+    )
+    moved = {it.key.service for it in rig.pop_sent()}
     for delegate in take_delegates(rig):
         assert delegate.helper.name != first.helper.name
         moved.update(delegate.assist.services)
@@ -488,7 +513,7 @@
     """Symptom: a query goes round among hosts that take none of its parts."""
     rig = make_competing()
     for _ in range(20):
-        rig.ask()
+        rig.send_request()
         rounds = 0
         while asked := take_delegates(rig):
             rounds += 1
@@ -496,28 +521,29 @@
             for delegate in asked:
                 services = delegate.assist.services
                 lost = tuple(
-                    events.PartOut(it, '', arrived=False) for it in services
+                    events.MissingPart(it, '', may_have_arrived=False)
+                    for it in services
                 )
                 share = make_share((), last=True)._replace(lost=lost)
-                rig.post(events.Shared(delegate.key, share))
-        for send in rig.take_sent():
+                rig.post(events.DelegationReportReceived(delegate.key, share))
+        for send in rig.pop_sent():
             rig.answer(send, record('a'))
-        outcome = rig.take_outcome()
-        assert isinstance(outcome, events.Merged)
+        outcome = rig.pop_outcome()
+        assert isinstance(outcome, events.MergedAnswer)
         assert outcome.missing == 0
-        rig.pass_time(1)
+        rig.advance_time(1)
 
 
 def make_refusal(
     delegate: events.Delegate,
-    absence: events.Absence = events.Absence.STARTS,
-) -> events.Unassisted:
+    absence: events.HelperFault = events.HelperFault.STARTING,
+) -> events.DelegationFailed:
     """Refuse assistance."""
-    return events.Unassisted(delegate.key, False, 'status', absence)
+    return events.DelegationFailed(delegate.key, False, 'status', absence)
 
 
 def count_hosts_asked(
-    rig: desk_rig.Rig, delegates: list[events.Delegate]
+    rig: router_rig.Rig, delegates: list[events.Delegate]
 ) -> int:
     """Refuse assistance as a host that has just started; count who is asked."""
     asked = set()
@@ -536,7 +562,7 @@
     all 45 parts itself; 63 hosts opened connections to targets that take 54.
     """
     rig = make_member()
-    rig.ask()
+    rig.send_request()
     first = take_delegates(rig)
     chunks = len(first)
     rig.post(make_refusal(first[0]))
@@ -544,28 +570,28 @@
     (handed,) = [set(it.assist.services) for it in again]
     assert handed == set(first[0].assist.services)
     assert again[0].helper != first[0].helper
-    assert not again[0].assist.again
-    assert not rig.take_sent()
+    assert not again[0].assist.is_retry
+    assert not rig.pop_sent()
     # In the end it sends the parts itself: somebody has to.
     asked = count_hosts_asked(rig, [*first[1:], *again])
     assert asked <= chunks * delegations.MOST_HANDINGS
-    assert {send.key.service for send in rig.take_sent()} == set(WIDE)
+    assert {send.key.service for send in rig.pop_sent()} == set(WIDE)
 
 
 def test_asks_a_host_again_soon_that_has_just_started() -> None:
     """One that starts is ready in a moment, one that stops is not."""
-    absences = events.Absence
+    absences = events.HelperFault
     for absence, left_out in (
-        (absences.STARTS, False),
-        (absences.REFUSES, True),
+        (absences.STARTING, False),
+        (absences.REFUSED, True),
     ):
         rig = make_member()
-        rig.ask()
+        rig.send_request()
         delegate = take_delegates(rig)[0]
         rig.post(make_refusal(delegate, absence))
-        rig.pass_time(delegations.STARTING_S + 0.1)
-        rig.others = []
-        rig.ask()
+        rig.advance_time(delegations.STARTING_S + 0.1)
+        rig.other_actions = []
+        rig.send_request()
         asked = {it.helper for it in take_delegates(rig)}
         assert (delegate.helper not in asked) == left_out
 
@@ -580,21 +606,21 @@
         places.Host(f'far-{number}', f'10.0.9.{number}:7000', 'south')
         for number in range(3)
     ]
-    targets = desk_rig.make_instances(SHARDS, 2, 'south')
-    rig = desk_rig.Rig([SEARCH], targets)
-    rig.post(events.Counted(4, (desk_rig.HOST, *south)))
-    rig.ask()
+    targets = router_rig.make_instances(SHARDS, 2, 'south')
+    rig = router_rig.Rig([SEARCH], targets)
+    rig.post(events.HostsChanged(4, (router_rig.HOST, *south)))
+    rig.send_request()
     refused = take_delegates(rig)
-    rig.ask()
+    rig.send_request()
     refused += take_delegates(rig)
-    rig.ask()
+    rig.send_request()
     refused += take_delegates(rig)
     for delegate in refused:
-        rig.post(make_refusal(delegate, events.Absence.REFUSES))
+        rig.post(make_refusal(delegate, events.HelperFault.REFUSED))
     assert len({it.helper for it in refused}) == len(south)
-    rig.post(events.Reviewed())
-    rig.post(events.Reviewed())
-    assert not rig.desk.centres.is_silent('south')
+    rig.post(events.ReviewDue())
+    rig.post(events.ReviewDue())
+    assert not rig.router.centre_health.is_silent('south')
 
 
 def test_does_not_ask_for_ever_what_may_not_be_repeated() -> None:
@@ -604,7 +630,7 @@
     bound on repeats, and each says at once that it has not sent the part.
     """
     rig = make_member()
-    rig.ask()
+    rig.send_request()
     delegates = take_delegates(rig)
     arrived = True
     asked = 0
@@ -612,9 +638,9 @@
         delegate = delegates.pop()
         services = delegate.assist.services
         asked += len(services)
-        lost = tuple(events.PartOut(it, '', arrived) for it in services)
+        lost = tuple(events.MissingPart(it, '', arrived) for it in services)
         share = make_share((), last=True)._replace(lost=lost)
         arrived = False
-        rig.post(events.Shared(delegate.key, share))
+        rig.post(events.DelegationReportReceived(delegate.key, share))
         delegates += take_delegates(rig)
     assert asked <= delegations.MOST_HANDINGS * len(WIDE)
--- a/tests/routing/test_desks.py
+++ b/tests/routing/test_dispatch.py
@@ -5,69 +5,71 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import configs, events, margins
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(20))
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 3, 0.85))
-SINGLE = desk_rig.make_route(configs.Single('records'), prefix='/one/')
-ONCE = desk_rig.make_route(
-    configs.Single('records'), prefix='/once/', repeat=desk_rig.ONCE
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 3, 0.85))
+SINGLE = router_rig.make_route(configs.Single('records'), prefix='/one/')
+AT_MOST_ONCE = router_rig.make_route(
+    configs.Single('records'), prefix='/once/', repeat=router_rig.AT_MOST_ONCE
 )
-RECORDS = ('records',)
+SERVICES = ('records',)
 
 
-def make_search() -> desk_rig.Rig:
+def make_search() -> router_rig.Rig:
     """Make a host with twenty shards of two targets each."""
-    return desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS))
+    return router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS))
 
 
-def make_single(count: int = 3) -> desk_rig.Rig:
+def make_single(count: int = 3) -> router_rig.Rig:
     """Make a host with one service for requests to one target."""
-    targets = desk_rig.make_instances(RECORDS, count)
-    return desk_rig.Rig([SINGLE, ONCE], targets)
+    targets = router_rig.make_instances(SERVICES, count)
+    return router_rig.Rig([SINGLE, AT_MOST_ONCE], targets)
 
 
-def record(letter: str) -> bytes:
+def make_record(letter: str) -> bytes:
     """Make a record of 16 bytes."""
     return letter.encode() * 16
 
 
-def test_asks_each_shard_once_and_merges_the_greatest_records() -> None:
+def test_sends_to_each_shard_once_and_merges_top_records() -> None:
     """Four records of all shards are there; the greatest three go out."""
     rig = make_search()
-    rig.ask()
-    sent = rig.take_sent()
+    rig.send_request()
+    sent = rig.pop_sent()
     assert sorted(send.key.service for send in sent) == list(SHARDS)
     for number, send in enumerate(sent):
-        rig.answer(send, record('abcd'[number]) if number < 4 else b'')
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
-    assert outcome.body == record('d') + record('c') + record('b')
+        rig.answer(send, make_record('abcd'[number]) if number < 4 else b'')
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
+    assert outcome.body == make_record('d') + make_record('c') + make_record(
+        'b'
+    )
     assert outcome.missing == 0
     assert len(outcome.signatures) == len(set(outcome.signatures)) == 20
 
 
-def test_answers_at_the_objective_with_what_is_in() -> None:
+def test_answers_partially_at_the_objective() -> None:
     """Symptom: a whole query is late because one shard is.
 
     Eighteen of twenty parts are in when the objective is near and two targets
     are paused; 85 % are enough, so the answer goes out and says what lacks.
     """
     rig = make_search()
-    rig.ask()
-    for send in rig.take_sent()[2:]:
+    rig.send_request()
+    for send in rig.pop_sent()[2:]:
         rig.answer(send)
-    rig.pass_time(0.087)
+    rig.advance_time(0.087)
     assert not rig.replies
-    rig.pass_time(0.002)
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    rig.advance_time(0.002)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert (outcome.missing, len(outcome.signatures)) == (2, 18)
 
 
 @pytest.mark.parametrize('away', [0.002, 0.0064, 0.0128])
-def test_answers_so_that_the_caller_has_it_by_the_objective(
-    away: float,
+def test_answer_reaches_the_caller_by_the_objective(
+    transit_s: float,
 ) -> None:
     """Symptom: partial answers reach callers a millisecond after objective.
 
@@ -76,81 +78,81 @@
     is 13 to 14 ms on its way, and all that was held so long is late.
     """
     rig = make_search()
-    rig.ask(away=away)
-    for send in rig.take_sent()[2:]:
+    rig.send_request(transit_s=transit_s)
+    for send in rig.pop_sent()[2:]:
         rig.answer(send)
-    rig.pass_time(0.1 - away - margins.LEAST_S - 0.001)
+    rig.advance_time(0.1 - transit_s - margins.MIN_MARGIN_S - 0.001)
     assert not rig.replies
-    rig.pass_time(0.002)
-    assert isinstance(rig.take_outcome(), events.Merged)
+    rig.advance_time(0.002)
+    assert isinstance(rig.pop_outcome(), events.MergedAnswer)
 
 
-def test_keeps_to_itself_for_callers_very_far_away() -> None:
+def test_bounds_the_transit_time_of_distant_callers() -> None:
     """A caller with a slow line still gets more than what came at once."""
     rig = make_search()
-    rig.ask(away=0.5)
-    for send in rig.take_sent()[2:]:
+    rig.send_request(transit_s=0.5)
+    for send in rig.pop_sent()[2:]:
         rig.answer(send)
     assert not rig.replies
-    rig.pass_time(0.06)
-    assert isinstance(rig.take_outcome(), events.Merged)
+    rig.advance_time(0.06)
+    assert isinstance(rig.pop_outcome(), events.MergedAnswer)
 
 
 def test_waits_past_the_objective_for_enough_parts() -> None:
     """Sixteen of twenty parts are too few: one more ends the wait at once."""
     rig = make_search()
-    rig.ask()
-    sent = rig.take_sent()
+    rig.send_request()
+    sent = rig.pop_sent()
     for send in sent[4:]:
         rig.answer(send)
-    rig.pass_time(0.2)
+    rig.advance_time(0.2)
     assert not rig.replies
     rig.answer(sent[0])
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert outcome.missing == 3
 
 
-def test_tells_at_the_timeout_that_parts_may_have_run() -> None:
+def test_reports_unknown_execution_at_the_timeout() -> None:
     """A query without enough parts ends at the timeout of its route."""
     rig = make_search()
-    rig.ask(wait=3)
-    rig.pass_time(0.79)
+    rig.send_request(wait=3)
+    rig.advance_time(0.79)
     assert not rig.replies
-    rig.pass_time(0.02)
-    outcome = rig.take_outcome()
+    rig.advance_time(0.02)
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.TIMED_OUT
     assert outcome.ran is errors.Ran.UNKNOWN
 
 
-def test_refuses_at_once_what_too_few_targets_are_left_for() -> None:
+def test_refuses_at_once_with_too_few_targets() -> None:
     """Symptom: callers wait until their deadline for what cannot come.
 
     Four of twenty shards have no target, 85 % are needed: nothing is sent, so
     that the refusal can say that nothing has run.
     """
-    rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS[4:]))
-    rig.ask()
-    assert not rig.take_sent()
-    outcome = rig.take_outcome()
+    rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS[4:]))
+    rig.send_request()
+    assert not rig.pop_sent()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert (outcome.ran, outcome.retry_after) == (errors.Ran.NO, 1)
 
 
-def test_hedges_what_is_slow_at_another_target() -> None:
+def test_hedges_a_slow_part_at_another_target() -> None:
     """The first target is paused: the second one is asked, and wins."""
     rig = make_search()
-    rig.ask()
-    sent = rig.take_sent()
+    rig.send_request()
+    sent = rig.pop_sent()
     for send in sent[1:]:
         rig.answer(send)
-    rig.pass_time(0.05)
-    (hedge,) = rig.take_sent()
+    rig.advance_time(0.05)
+    (hedge,) = rig.pop_sent()
     assert hedge.key.service == sent[0].key.service
     assert hedge.instance != sent[0].instance
     rig.answer(hedge)
-    assert isinstance(rig.take_outcome(), events.Merged)
+    assert isinstance(rig.pop_outcome(), events.MergedAnswer)
     # The late answer of the first finds nobody, and nothing is sent twice.
     rig.answer(sent[0])
     assert not rig.replies
@@ -162,33 +164,33 @@
     One host of four may use a quarter of the slack of 40, with a margin, and
     a fifth of its own requests.
     """
-    targets = desk_rig.make_instances(SHARDS)
-    rig = desk_rig.Rig([SEARCH], targets, hosts=4)
+    targets = router_rig.make_instances(SHARDS)
+    rig = router_rig.Rig([SEARCH], targets, hosts=4)
     for _ in range(50):
-        rig.ask()
-        rig.pass_time(0.02)
-    first = [send for send in rig.take_sent() if send.key.number == 1]
-    rig.pass_time(1)
-    counted = rig.desk.find_budget(SHARDS[0])
+        rig.send_request()
+        rig.advance_time(0.02)
+    first = [send for send in rig.pop_sent() if send.key.number == 1]
+    rig.advance_time(1)
+    budget = rig.router.get_budget(SHARDS[0])
     assert len(first) <= 50 * 20
-    assert counted.count_left(rig.now, 4) >= 0
+    assert budget.count_remaining(rig.now, 4) >= 0
 
 
 def test_sends_a_part_to_no_more_targets_than_allowed() -> None:
     """Both attempts are used up: the part is lost, and no third is sent."""
     rig = make_single()
-    rig.ask('/one/1')
-    (first,) = rig.take_sent()
-    rig.break_off(first)
-    (second,) = rig.take_sent()
-    rig.break_off(second)
-    assert not rig.take_sent()
-    outcome = rig.take_outcome()
+    rig.send_request('/one/1')
+    (first,) = rig.pop_sent()
+    rig.break_attempt(first)
+    (second,) = rig.pop_sent()
+    rig.break_attempt(second)
+    assert not rig.pop_sent()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.ran is errors.Ran.UNKNOWN
 
 
-def test_never_repeats_what_may_have_run_once() -> None:
+def test_never_resends_at_most_once_that_may_have_run() -> None:
     """Symptom: a refund is paid twice.
 
     The connection breaks after the request has left; whether it ran is not
@@ -196,38 +198,38 @@
     run.
     """
     rig = make_single()
-    rig.ask('/once/1')
-    (send,) = rig.take_sent()
-    assert send.fresh
-    rig.break_off(send)
-    rig.pass_time(1)
-    assert not rig.take_sent()
-    outcome = rig.take_outcome()
+    rig.send_request('/once/1')
+    (send,) = rig.pop_sent()
+    assert send.fresh_connection
+    rig.break_attempt(send)
+    rig.advance_time(1)
+    assert not rig.pop_sent()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.ran is errors.Ran.UNKNOWN
 
 
-def test_repeats_a_request_that_was_refused_as_not_run() -> None:
+def test_retries_a_request_refused_as_not_run() -> None:
     """A refusal says not run, so even a refund may go to another target."""
     rig = make_single()
-    rig.ask('/once/1')
-    (first,) = rig.take_sent()
+    rig.send_request('/once/1')
+    (first,) = rig.pop_sent()
     rig.refuse(first)
-    (second,) = rig.take_sent()
+    (second,) = rig.pop_sent()
     assert second.instance != first.instance
     rig.answer(second)
-    assert isinstance(rig.take_outcome(), events.Relayed)
+    assert isinstance(rig.pop_outcome(), events.RelayedAnswer)
 
 
 def test_says_not_run_when_every_target_refused() -> None:
     """All targets are full: the refusal is true and says when to return."""
     rig = make_single(2)
-    rig.ask('/once/1')
-    (first,) = rig.take_sent()
+    rig.send_request('/once/1')
+    (first,) = rig.pop_sent()
     rig.refuse(first)
-    (second,) = rig.take_sent()
+    (second,) = rig.pop_sent()
     rig.refuse(second)
-    outcome = rig.take_outcome()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.OVERLOADED
     assert (outcome.ran, outcome.retry_after) == (errors.Ran.NO, 0.1)
@@ -236,75 +238,79 @@
 def test_hedges_no_request_that_runs_at_most_once() -> None:
     """A refund that takes long is waited for."""
     rig = make_single()
-    rig.ask('/once/1')
-    rig.take_sent()
-    rig.pass_time(0.7)
-    assert not rig.take_sent()
+    rig.send_request('/once/1')
+    rig.pop_sent()
+    rig.advance_time(0.7)
+    assert not rig.pop_sent()
 
 
-def test_counts_nothing_as_sent_that_did_not_leave() -> None:
+def test_unsent_attempts_do_not_count() -> None:
     """Connections are refused: each target is tried until one takes it."""
     rig = make_single(4)
-    rig.ask('/once/1')
+    rig.send_request('/once/1')
     for _ in range(3):
-        (send,) = rig.take_sent()
+        (send,) = rig.pop_sent()
         rig.fail_to_send(send)
-    (send,) = rig.take_sent()
+    (send,) = rig.pop_sent()
     rig.answer(send)
-    assert isinstance(rig.take_outcome(), events.Relayed)
+    assert isinstance(rig.pop_outcome(), events.RelayedAnswer)
 
 
-def test_relays_the_failure_of_a_target_after_the_attempts() -> None:
+def test_relays_the_last_failure_after_all_attempts() -> None:
     """Both targets answer 500: the second one's own words go out."""
     rig = make_single()
-    rig.ask('/one/1')
-    (first,) = rig.take_sent()
+    rig.send_request('/one/1')
+    (first,) = rig.pop_sent()
     rig.answer(first, status=500)
-    (second,) = rig.take_sent()
+    (second,) = rig.pop_sent()
     rig.answer(second, status=500)
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Relayed)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.RelayedAnswer)
     assert outcome.answer.status == 500
 
 
-def test_takes_no_failure_of_a_shard_for_a_part() -> None:
+def test_retries_a_shard_that_answers_with_a_failure() -> None:
     """A shard's signed failure is no part, so its other target is asked."""
     rig = make_search()
-    rig.ask()
-    sent = rig.take_sent()
-    rig.answer(sent[0], record('z'), status=500)
-    (again,) = rig.take_sent()
+    rig.send_request()
+    sent = rig.pop_sent()
+    rig.answer(sent[0], make_record('z'), status=500)
+    (again,) = rig.pop_sent()
     assert again.key.service == sent[0].key.service
 
 
 @pytest.mark.parametrize(
     ('target', 'cancelled'), [('/one/1', True), ('/once/1', False)]
 )
-def test_ends_work_for_a_caller_that_left(target: str, cancelled: bool) -> None:
+def test_cancels_work_for_a_caller_that_left(uri: str, cancelled: bool) -> None:
     """Work for nobody ends, unless breaking it off leaves it half done."""
     rig = make_single()
-    number = rig.ask(target)
-    (send,) = rig.take_sent()
-    rig.post(events.Abandoned(number))
-    wanted = events.Cancel(send.key) if cancelled else events.Withdraw(send.key)
-    assert rig.others == [wanted]
+    number = rig.send_request(uri)
+    (send,) = rig.pop_sent()
+    rig.post(events.RequestAbandoned(number))
+    expected = (
+        events.CancelAttempt(send.key)
+        if cancelled
+        else events.WithdrawAttempt(send.key)
+    )
+    assert rig.other_actions == [expected]
     assert not rig.replies
 
 
-def test_avoids_the_targets_of_a_data_centre_that_is_farther() -> None:
+def test_prefers_targets_of_the_near_data_centre() -> None:
     """With both idle the near target is asked."""
-    near = desk_rig.make_instances(RECORDS, 1)
-    far = desk_rig.make_instances(RECORDS, 2, 'south')[1:]
-    rig = desk_rig.Rig([SINGLE], [*far, *near])
+    near = router_rig.make_instances(SERVICES, 1)
+    far = router_rig.make_instances(SERVICES, 2, 'south')[1:]
+    rig = router_rig.Rig([SINGLE], [*far, *near])
     for _ in range(5):
-        rig.ask('/one/1')
-        (send,) = rig.take_sent()
+        rig.send_request('/one/1')
+        (send,) = rig.pop_sent()
         assert send.instance == near[0]
-        rig.pass_time(0.01)
+        rig.advance_time(0.01)
         rig.answer(send)
 
 
-def test_passes_over_a_target_that_is_paused() -> None:
+def test_avoids_a_paused_target() -> None:
     """Symptom: each request of a host waits out the same pause.
 
     A target usually answers in 10 ms and has now said nothing for 60 ms: the
@@ -312,55 +318,55 @@
     """
     rig = make_single(2)
     for _ in range(4):
-        rig.ask('/once/1')
-        (send,) = rig.take_sent()
-        rig.pass_time(0.01)
+        rig.send_request('/once/1')
+        (send,) = rig.pop_sent()
+        rig.advance_time(0.01)
         rig.answer(send)
-    rig.ask('/once/1')
-    (paused,) = rig.take_sent()
-    rig.pass_time(0.06)
-    rig.ask('/once/1')
-    (other,) = rig.take_sent()
+    rig.send_request('/once/1')
+    (paused,) = rig.pop_sent()
+    rig.advance_time(0.06)
+    rig.send_request('/once/1')
+    (other,) = rig.pop_sent()
     assert other.instance != paused.instance
 
 
-def test_sends_nothing_new_to_a_target_that_leaves() -> None:
+def test_sends_nothing_to_a_removed_target() -> None:
     """A target that is gone from the directory gets no request."""
     rig = make_single(2)
-    rig.direct(desk_rig.make_instances(RECORDS, 1))
+    rig.set_targets(router_rig.make_instances(SERVICES, 1))
     for _ in range(6):
-        rig.ask('/one/1')
-    assert {send.instance.name for send in rig.take_sent()} == {'records-0'}
+        rig.send_request('/one/1')
+    assert {send.instance.name for send in rig.pop_sent()} == {'records-0'}
 
 
-def test_passes_over_an_address_that_another_target_has_now() -> None:
+def test_avoids_an_address_reused_by_another_target() -> None:
     """Symptom: every second request is refused for seconds.
 
     Another process has taken over the address of a target and says that it is
     not meant. The directory is old, so the target is left out for a while.
     """
     rig = make_single(2)
-    rig.ask('/one/1')
-    (first,) = rig.take_sent()
+    rig.send_request('/one/1')
+    (first,) = rig.pop_sent()
     rig.refuse(first, messages.RefusalReason.LEAVING)
-    rig.answer(rig.take_sent()[0])
-    rig.ask('/one/1')
-    assert rig.take_sent()[0].instance != first.instance
+    rig.answer(rig.pop_sent()[0])
+    rig.send_request('/one/1')
+    assert rig.pop_sent()[0].instance != first.instance
 
 
-def test_keeps_the_version_that_a_request_began_with() -> None:
+def test_keeps_the_version_a_request_started_with() -> None:
     """A version that comes meanwhile changes nothing for what is under way."""
     rig = make_search()
-    rig.ask()
-    sent = rig.take_sent()
-    other = desk_rig.make_route(configs.Gather(SHARDS[:2], 3, 0.85))
-    rig.configure(2, [other])
+    rig.send_request()
+    sent = rig.pop_sent()
+    other_route = router_rig.make_route(configs.Gather(SHARDS[:2], 3, 0.85))
+    rig.configure(2, [other_route])
     for send in sent:
         rig.answer(send)
-    outcome = rig.take_outcome()
-    assert isinstance(outcome, events.Merged)
+    outcome = rig.pop_outcome()
+    assert isinstance(outcome, events.MergedAnswer)
     assert len(outcome.signatures) == 20
-    assert rig.stories[-1].version == 1
+    assert rig.summaries[-1].version == 1
 
 
 def test_ignores_an_older_version() -> None:
@@ -368,24 +374,24 @@
     rig = make_search()
     rig.configure(3, [SEARCH])
     rig.configure(2, [])
-    rig.ask()
-    assert rig.take_sent()
+    rig.send_request()
+    assert rig.pop_sent()
 
 
-def test_tells_what_has_no_route() -> None:
+def test_answers_not_found_without_a_route() -> None:
     """A path below no prefix is not found; nothing is sent."""
     rig = make_search()
-    rig.ask('/elsewhere/1')
-    outcome = rig.take_outcome()
+    rig.send_request('/elsewhere/1')
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.NOT_FOUND
 
 
-def test_says_not_ready_without_a_configuration() -> None:
+def test_answers_not_ready_without_a_configuration() -> None:
     """A host that has just started refuses, and does not say not found."""
-    rig = desk_rig.Rig([], [])
-    rig.desk.index = configs.build_index(configs.NOTHING)
-    rig.ask()
-    outcome = rig.take_outcome()
+    rig = router_rig.Rig([], [])
+    rig.router.index = configs.build_index(configs.NOTHING)
+    rig.send_request()
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.NOT_READY
--- a/tests/routing/test_duties.py
+++ b/tests/routing/test_duties.py
@@ -12,11 +12,11 @@
     places,
     plans,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:03}' for number in range(90))
 GATHER = configs.Gather(SHARDS, 2, 0.9)
-SEARCH = desk_rig.make_route(GATHER)
+SEARCH = router_rig.make_route(GATHER)
 NORTH = tuple(
     places.Host(f'north-{number}', f'10.0.2.{number}:1', 'north')
     for number in range(8)
@@ -30,21 +30,21 @@
 CENTRES = ('north', 'south', 'east', 'west', 'far')
 
 
-def make_rig(hosts: tuple[places.Host, ...] = NORTH) -> desk_rig.Rig:
+def make_rig(hosts: tuple[places.Host, ...] = NORTH) -> router_rig.Rig:
     """Make a host among others, with a near and a far target for each shard."""
-    near = desk_rig.make_instances(SHARDS, 1)
-    both = desk_rig.make_instances(SHARDS, 2, 'south')
+    near = router_rig.make_instances(SHARDS, 1)
+    both = router_rig.make_instances(SHARDS, 2, 'south')
     far = [one for one in both if one.name.endswith('-1')]
-    rig = desk_rig.Rig([SEARCH], [*near, *far])
+    rig = router_rig.Rig([SEARCH], [*near, *far])
     total = len(hosts) + 1
-    rig.post(events.Counted(total, (desk_rig.HOST, *hosts)))
+    rig.post(events.HostsChanged(total, (router_rig.HOST, *hosts)))
     return rig
 
 
-def list_delegates(rig: desk_rig.Rig) -> list[events.Delegate]:
+def list_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
     """Return the requests for assistance since the last time."""
-    found = [it for it in rig.others if isinstance(it, events.Delegate)]
-    rig.others = []
+    found = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
+    rig.other_actions = []
     return found
 
 
@@ -55,10 +55,10 @@
     for it sends itself.
     """
     rig = make_rig()
-    rig.ask()
+    rig.send_request()
     delegates = list_delegates(rig)
     asked = [it for one in delegates for it in one.assist.services]
-    asked.extend(send.key.service for send in rig.take_sent())
+    asked.extend(send.key.service for send in rig.pop_sent())
     assert sorted(asked) == list(SHARDS)
     assert all(len(one.assist.services) == 15 for one in delegates)
     assert len(delegates) >= 4
@@ -84,14 +84,14 @@
     the one that takes over, which has not been asked yet.
     """
     rig = make_rig()
-    rig.ask()
+    rig.send_request()
     first = list_delegates(rig)
-    rig.pass_time(0.06)
+    rig.advance_time(0.06)
     second = list_delegates(rig)
     by_services = {one.assist.services[0]: one.helper for one in first}
     assert second
     for one in second:
-        assert one.assist.again
+        assert one.assist.is_retry
         assert by_services.get(one.assist.services[0]) != one.helper
 
 
@@ -113,21 +113,21 @@
     assert duties.ON_DUTY * used / on_duty + total / others <= 1.000001
 
 
-def make_far_rig(name: str = 'far-1') -> desk_rig.Rig:
+def make_far_rig(name: str = 'far-1') -> router_rig.Rig:
     """Make a host of a data centre that has no targets, two others have."""
     targets = [
-        *desk_rig.make_instances(SHARDS, 1),
+        *router_rig.make_instances(SHARDS, 1),
         *[
             one._replace(name=f'{one.name}-south', id=f'{one.name}-south')
-            for one in desk_rig.make_instances(SHARDS, 1, 'south')
+            for one in router_rig.make_instances(SHARDS, 1, 'south')
         ],
     ]
-    rig = desk_rig.Rig([SEARCH], targets)
+    rig = router_rig.Rig([SEARCH], targets)
     host = places.Host(name, '10.0.9.1:1', 'far')
     beside = places.Host('far-9', '10.0.9.9:1', 'far')
-    rig.desk.host = host
+    rig.router.host = host
     hosts = (host, beside, *NORTH, *SOUTH)
-    rig.post(events.Counted(len(hosts), hosts))
+    rig.post(events.HostsChanged(len(hosts), hosts))
     return rig
 
 
@@ -141,7 +141,7 @@
     chosen = collections.Counter[str]()
     for number in range(40):
         rig = make_far_rig(f'far-{number}')
-        rig.ask()
+        rig.send_request()
         helpers = {one.helper.data_centre for one in list_delegates(rig)}
         assert len(helpers) == 1
         chosen.update(helpers)
@@ -157,7 +157,7 @@
     """
     for number in range(8):
         rig = make_split_rig(f'north-{number}')
-        rig.ask()
+        rig.send_request()
         far = [
             it for it in list_delegates(rig) if it.helper.data_centre != 'north'
         ]
@@ -166,21 +166,21 @@
         assert sum(len(it.assist.services) for it in far) >= 36
 
 
-def make_split_rig(name: str) -> desk_rig.Rig:
+def make_split_rig(name: str) -> router_rig.Rig:
     """Make a host among five data centres, each with two fifths of shards."""
     targets = [
         one._replace(data_centre=CENTRES[(place + number) % len(CENTRES)])
         for place, shard in enumerate(SHARDS)
-        for number, one in enumerate(desk_rig.make_instances([shard]))
+        for number, one in enumerate(router_rig.make_instances([shard]))
     ]
-    rig = desk_rig.Rig([SEARCH], targets)
-    rig.desk.host = places.Host(name, '10.0.0.1:1', CENTRES[0])
+    rig = router_rig.Rig([SEARCH], targets)
+    rig.router.host = places.Host(name, '10.0.0.1:1', CENTRES[0])
     hosts = tuple(
         places.Host(f'{centre}-{number}', f'10.0.{place}.{number}:1', centre)
         for place, centre in enumerate(CENTRES)
         for number in range(8)
     )
-    rig.post(events.Counted(len(hosts), hosts))
+    rig.post(events.HostsChanged(len(hosts), hosts))
     return rig
 
 
@@ -192,15 +192,15 @@
     that are left of a quick search.
     """
     rig = make_far_rig()
-    rig.ask()
+    rig.send_request()
     first = list_delegates(rig)[0]
     waiting = tuple(
-        events.PartOut(service, _find_target(rig, service, first), True)
+        events.MissingPart(service, _find_target(rig, service, first), True)
         for service in first.assist.services[:2]
     )
-    share = events.Share((), b'', waiting, (), last=False)
-    rig.post(events.Shared(first.key, share))
-    rig.pass_time(0)
+    share = events.DelegationReport((), b'', waiting, (), is_last=False)
+    rig.post(events.DelegationReportReceived(first.key, share))
+    rig.advance_time(0)
     (second,) = list_delegates(rig)
     assert second.assist.services == first.assist.services[:2]
     centres = {first.helper.data_centre, second.helper.data_centre}
@@ -208,10 +208,10 @@
 
 
 def _find_target(
-    rig: desk_rig.Rig, service: str, delegate: events.Delegate
+    rig: router_rig.Rig, service: str, delegate: events.Delegate
 ) -> str:
     centre = delegate.helper.data_centre
-    found = rig.desk.directory.by_service[service]
+    found = rig.router.directory.by_service[service]
     return next(one.name for one in found if one.data_centre == centre)
 
 
@@ -223,14 +223,14 @@
         self.rig = make_rig()
         self._last = 100
 
-    def assist(self, avoid: tuple[str, ...] = ()) -> list[events.Send]:
+    def assist(self, avoid: tuple[str, ...] = ()) -> list[events.SendAttempt]:
         """Take a request for one part; return what is sent."""
         self._last += 1
         now = self.rig.now
         request = events.Request(
             f'id-{self._last}', 'GET', '/', '', (), b'', now, now + 0.8
         )
-        assist = events.Assist(
+        assist = events.DelegatedRequest(
             request,
             'route',
             0.1,
@@ -238,16 +238,20 @@
             SHARDS[:1],
             now + 0.8,
             avoid,
-            counts=True,
-            again=bool(avoid),
+            counts_load=True,
+            is_retry=bool(avoid),
         )
-        self.rig.post(events.Assisted(self._last, assist))
-        return self.rig.take_sent()
+        self.rig.post(events.DelegatedRequestReceived(self._last, assist))
+        return self.rig.pop_sent()
 
-    def take_shares(self) -> list[events.Share]:
+    def take_shares(self) -> list[events.DelegationReport]:
         """Return what was given to the other host."""
-        found = [it for it in self.rig.others if isinstance(it, events.Give)]
-        self.rig.others = []
+        found = [
+            it
+            for it in self.rig.other_actions
+            if isinstance(it, events.SendDelegationReport)
+        ]
+        self.rig.other_actions = []
         return [give.share for give in found]
 
 
@@ -273,7 +277,7 @@
     sent = [helping.assist((first.instance.name,)) for _ in range(30)]
     assert sum(1 for it in sent if it) == 10
     lost = helping.take_shares()[-1].lost
-    assert not any(out.arrived for out in lost)
+    assert not any(out.may_have_arrived for out in lost)
 
 
 def test_a_repeat_that_does_not_come_speaks_against_nobody() -> None:
@@ -285,28 +289,30 @@
     Its hosts on duty were left out as silent, too.
     """
     rig = make_far_rig()
-    rig.ask()
+    rig.send_request()
     first = list_delegates(rig)
     for one in first:
         waiting = tuple(
-            events.PartOut(service, _find_target(rig, service, one), True)
+            events.MissingPart(service, _find_target(rig, service, one), True)
             for service in one.assist.services[:1]
         )
         parts = tuple(
-            events.PartIn(service, f'signed {service}')
+            events.ReceivedPart(service, f'signed {service}')
             for service in one.assist.services[1:]
         )
-        share = events.Share(parts, b'', waiting, (), last=False)
-        rig.post(events.Shared(one.key, share))
-    rig.pass_time(0)
+        share = events.DelegationReport(parts, b'', waiting, (), is_last=False)
+        rig.post(events.DelegationReportReceived(one.key, share))
+    rig.advance_time(0)
     assert len(list_delegates(rig)) >= centres.FEWEST_SILENT
-    rig.pass_time(0.1)
-    assert rig.take_outcome()
+    rig.advance_time(0.1)
+    assert rig.pop_outcome()
     for _ in range(6):
-        rig.pass_time(0.1)
-        rig.post(events.Reviewed())
-    assert not rig.desk.centres.list_silent()
-    assert not any(isinstance(it, events.Belief) for it in rig.others)
+        rig.advance_time(0.1)
+        rig.post(events.ReviewDue())
+    assert not rig.router.centre_health.list_silent()
+    assert not any(
+        isinstance(it, events.TargetStatusReport) for it in rig.other_actions
+    )
 
 
 def test_takes_the_first_share_as_the_sample_of_a_helper() -> None:
@@ -316,14 +322,14 @@
     that the host looked silent after 25 ms of the 30 that it usually takes.
     """
     rig = make_far_rig()
-    rig.ask()
+    rig.send_request()
     one = list_delegates(rig)[0]
-    rig.pass_time(0.03)
+    rig.advance_time(0.03)
     for service in one.assist.services[:5]:
-        part = events.PartIn(service, f'signed {service}')
-        share = events.Share((part,), b'', (), (), last=False)
-        rig.post(events.Shared(one.key, share))
-    known = rig.desk.helpers.get(one.helper.name)
+        part = events.ReceivedPart(service, f'signed {service}')
+        share = events.DelegationReport((part,), b'', (), (), is_last=False)
+        rig.post(events.DelegationReportReceived(one.key, share))
+    known = rig.router.helper_health.get(one.helper.name)
     assert abs(known.stats.latency - 0.03) < 0.001
 
 
--- a/tests/routing/test_evacuations.py
+++ b/tests/routing/test_evacuations.py
@@ -5,14 +5,14 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     instances,
     places,
     states,
     warmups,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SEARCH = configs.Gather(('a', 'b', 'c'), 5, 0.5)
 SINGLE = configs.Single('records')
@@ -28,24 +28,26 @@
             data_centre=centre,
         )
         for centre in centres
-        for one in desk_rig.make_instances(('a', 'b', 'c', 'records'), 1)
+        for one in router_rig.make_instances(('a', 'b', 'c', 'records'), 1)
     ]
 
 
-def make_rig(*centres: str) -> desk_rig.Rig:
+def make_rig(*centres: str) -> router_rig.Rig:
     """Make a host with a search, a single route and one that runs once."""
     routes = (
-        desk_rig.make_route(SEARCH),
-        desk_rig.make_route(SINGLE, prefix='/one/'),
-        desk_rig.make_route(SINGLE, prefix=ONCE_PREFIX, repeat=desk_rig.ONCE),
+        router_rig.make_route(SEARCH),
+        router_rig.make_route(SINGLE, prefix='/one/'),
+        router_rig.make_route(
+            SINGLE, prefix=ONCE_PREFIX, repeat=router_rig.AT_MOST_ONCE
+        ),
     )
-    return desk_rig.Rig(routes, make_targets(*centres))
+    return router_rig.Rig(routes, make_targets(*centres))
 
 
-def evacuate(rig: desk_rig.Rig, targets: list[instances.Instance]) -> None:
+def evacuate(rig: router_rig.Rig, targets: list[instances.Instance]) -> None:
     """Have the own data centre evacuated."""
     directory = instances.build_directory(targets, {'north'})
-    rig.post(events.Directed(directory))
+    rig.post(events.DirectoryChanged(directory))
 
 
 @pytest.mark.parametrize('target', ['/search/1', '/one/1', '/once/1'])
@@ -53,8 +55,8 @@
     """The own data centre is dearer to leave, and is left all the same."""
     rig = make_rig('north', 'south')
     evacuate(rig, make_targets('north', 'south'))
-    rig.ask(target)
-    sent = rig.take_sent()
+    rig.send_request(target)
+    sent = rig.pop_sent()
     assert sent
     assert {one.instance.data_centre for one in sent} == {'south'}
 
@@ -66,13 +68,13 @@
     there; what fails there, and what is slow, goes elsewhere.
     """
     rig = make_rig('north', 'south')
-    rig.ask()
-    first = rig.take_sent()
+    rig.send_request()
+    first = rig.pop_sent()
     assert {one.instance.data_centre for one in first} == {'north'}
     evacuate(rig, make_targets('north', 'south'))
-    rig.break_off(first[0])
-    rig.pass_time(0.09)
-    again = rig.take_sent()
+    rig.break_attempt(first[0])
+    rig.advance_time(0.09)
+    again = rig.pop_sent()
     assert {one.key.service for one in again} == {'a', 'b', 'c'}
     assert {one.instance.data_centre for one in again} == {'south'}
 
@@ -80,11 +82,11 @@
 def test_takes_what_an_evacuated_target_still_answers() -> None:
     """What was under way ends in peace, and counts."""
     rig = make_rig('north', 'south')
-    rig.ask('/one/1')
-    (sent,) = rig.take_sent()
+    rig.send_request('/one/1')
+    (sent,) = rig.pop_sent()
     evacuate(rig, make_targets('north', 'south'))
     rig.answer(sent, b'record')
-    assert isinstance(rig.take_outcome(), events.Relayed)
+    assert isinstance(rig.pop_outcome(), events.RelayedAnswer)
 
 
 @pytest.mark.parametrize('target', ['/search/1', '/one/1', '/once/1'])
@@ -98,50 +100,50 @@
     """
     rig = make_rig('north')
     evacuate(rig, make_targets('north'))
-    assert not desks.find_obstacle(rig.desk, rig.now)
-    rig.ask(target)
-    outcome = rig.take_outcome()
+    assert not dispatch.find_obstacle(rig.router, rig.now)
+    rig.send_request(target)
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.ran is errors.Ran.NO
     assert 'evacuated' in outcome.detail
     assert outcome.retry_after == 5
-    assert not rig.take_sent()
+    assert not rig.pop_sent()
 
 
 def test_uses_a_data_centre_again_when_the_order_is_taken_back() -> None:
     """The targets there are cold, and their entries say so a little later."""
     rig = make_rig('north', 'south')
     evacuate(rig, make_targets('north', 'south'))
-    rig.direct(make_targets('north', 'south'))
+    rig.set_targets(make_targets('north', 'south'))
     for data_centre in ('south', 'north'):
-        rig.ask('/one/1')
-        (sent,) = rig.take_sent()
+        rig.send_request('/one/1')
+        (sent,) = rig.pop_sent()
         assert sent.instance.data_centre == data_centre
         rig.answer(sent)
-        rig.pass_time(warmups.RETURN_S)
+        rig.advance_time(warmups.RETURN_S)
 
 
 def test_heeds_an_order_for_a_data_centre_that_is_cut_off() -> None:
     """With one cut off and the other evacuated, callers are refused at once."""
     rig = make_rig('north', 'south')
     for peer in ('a', 'b', 'c'):
-        rig.desk.centres.note_sent('south', peer, rig.now)
-        rig.desk.centres.note_failed('south', peer)
-    rig.desk.centres.review(rig.now)
-    rig.desk.centres.review(rig.now)
+        rig.router.centre_health.note_sent('south', peer, rig.now)
+        rig.router.centre_health.note_failed('south', peer)
+    rig.router.centre_health.review(rig.now)
+    rig.router.centre_health.review(rig.now)
     evacuate(rig, make_targets('north', 'south'))
-    rig.ask()
-    assert isinstance(rig.take_outcome(), errors.Failure)
-    assert not rig.take_sent()
+    rig.send_request()
+    assert isinstance(rig.pop_outcome(), errors.Failure)
+    assert not rig.pop_sent()
 
 
 def test_ignores_an_order_for_a_data_centre_that_does_not_exist() -> None:
     """An operator's slip takes nothing out of use."""
     rig = make_rig('north')
     directory = instances.build_directory(make_targets('north'), {'nowhere'})
-    rig.post(events.Directed(directory))
-    rig.ask('/one/1')
-    assert rig.take_sent()
+    rig.post(events.DirectoryChanged(directory))
+    rig.send_request('/one/1')
+    assert rig.pop_sent()
 
 
 def test_shares_repeats_as_before_while_a_data_centre_is_evacuated() -> None:
@@ -156,17 +158,19 @@
     targets = [
         one._replace(name=f'{one.name}{centre}', data_centre=centre)
         for centre in ('north', 'south')
-        for one in desk_rig.make_instances(shards, 1)
+        for one in router_rig.make_instances(shards, 1)
     ]
-    desk = states.Desk(desk_rig.HOST, desk_rig.EXTRA, float)
-    route = desk_rig.make_route(wide)
+    desk = states.Router(router_rig.HOST, router_rig.EXTRA_LOAD, float)
+    route = router_rig.make_route(wide)
     configuration = configs.Configuration(1, (route,), (), configs.Limits())
-    desks.handle(desk, events.Configured(configuration), 1)
+    dispatch.handle_event(desk, events.ConfigurationReceived(configuration), 1)
     other = places.Host('host-2', '10.0.0.2:7000', 'south')
-    desks.handle(desk, events.Counted(2, (desk_rig.HOST, other)), 1)
+    dispatch.handle_event(
+        desk, events.HostsChanged(2, (router_rig.HOST, other)), 1
+    )
     directory = instances.build_directory(targets)
-    desks.handle(desk, events.Directed(directory), 1)
-    before = desk.find_wide_centres()
+    dispatch.handle_event(desk, events.DirectoryChanged(directory), 1)
+    before = desk.list_wide_centres()
     directory = instances.build_directory(targets, {'south'})
-    desks.handle(desk, events.Directed(directory), 2)
-    assert desk.find_wide_centres() == before == {'north', 'south'}
+    dispatch.handle_event(desk, events.DirectoryChanged(directory), 2)
+    assert desk.list_wide_centres() == before == {'north', 'south'}
--- a/tests/routing/test_lags.py
+++ b/tests/routing/test_lags.py
@@ -12,10 +12,10 @@
     lags,
     places,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:03}' for number in range(90))
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 2, 0.9))
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.9))
 HOSTS = tuple(
     places.Host(f'host-{number}', f'10.0.2.{number}:1', 'north')
     for number in range(2, 10)
@@ -23,36 +23,42 @@
 SECONDS = strategies.floats(0, 20)
 
 
-def make_rig() -> desk_rig.Rig:
+def make_rig() -> router_rig.Rig:
     """Make a host among others of its data centre."""
-    rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS, 1))
-    rig.post(events.Counted(len(HOSTS) + 1, (desk_rig.HOST, *HOSTS)))
+    rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 1))
+    rig.post(events.HostsChanged(len(HOSTS) + 1, (router_rig.HOST, *HOSTS)))
     return rig
 
 
-def find_pair(rig: desk_rig.Rig) -> tuple[places.Host, ...]:
+def find_pair(rig: router_rig.Rig) -> tuple[places.Host, ...]:
     """Find two hosts on duty for one chunk that are others."""
-    hosts = rig.desk.centres.list_hosts('north')
+    hosts = rig.router.centre_health.list_hosts('north')
     for shard in SHARDS[:: duties.CHUNK]:
         ranked = duties.rank_hosts(duties.Duty('north', shard), hosts)
         pair = tuple(ranked[: duties.ON_DUTY])
-        if desk_rig.HOST not in pair:
+        if router_rig.HOST not in pair:
             return pair
     raise AssertionError('this host is on duty for all')
 
 
-def count_asked(rig: desk_rig.Rig, name: str) -> int:
+def count_asked(rig: router_rig.Rig, name: str) -> int:
     """Ask a few times; count how often a host is asked for parts."""
     asked = 0
     for _ in range(40):
-        rig.ask()
-        found = [it for it in rig.others if isinstance(it, events.Delegate)]
-        rig.others = []
+        rig.send_request()
+        found = [
+            it for it in rig.other_actions if isinstance(it, events.Delegate)
+        ]
+        rig.other_actions = []
         asked += sum(it.helper.name == name for it in found)
         for one in found:
-            share = events.Share((), b'', (), (), last=True)
-            lag = rig.desk.controls.lags.fade(one.helper.name, rig.now)
-            rig.post(events.Shared(one.key, share._replace(lag=lag)))
+            share = events.DelegationReport((), b'', (), (), is_last=True)
+            lag = rig.router.controls.lags.fade(one.helper.name, rig.now)
+            rig.post(
+                events.DelegationReportReceived(
+                    one.key, share._replace(lag_s=lag)
+                )
+            )
     return asked
 
 
@@ -78,12 +84,12 @@
 
 def test_a_share_tells_the_lag_only_where_there_is_one() -> None:
     """Hosts of the version before pass over it; on time, it costs nothing."""
-    share = events.Share((), b'', (), (), last=True)
+    share = events.DelegationReport((), b'', (), (), is_last=True)
     for lag, told in ((0.0, None), (0.0004, None), (0.03, 30)):
-        line = assist_codecs.write_share(share._replace(lag=lag))
+        line = assist_codecs.write_share(share._replace(lag_s=lag))
         assert json.loads(line).get('lag') == told
         read = assist_codecs.read_share(line)
-        assert read.lag == (told or 0) / 1000
+        assert read.lag_s == (told or 0) / 1000
 
 
 def test_hosts_that_are_alike_measure_no_lag() -> None:
@@ -100,7 +106,7 @@
     usual = make_rig()
     first, second = find_pair(usual)
     rig = make_rig()
-    rig.desk.controls.lags.note(first.name, 0.1, rig.now)
+    rig.router.controls.lags.note(first.name, 0.1, rig.now)
     before = (count_asked(usual, first.name), count_asked(usual, second.name))
     after = (count_asked(rig, first.name), count_asked(rig, second.name))
     assert after[0] < before[0]
@@ -111,6 +117,6 @@
     """A host that was behind has its work back within seconds."""
     rig = make_rig()
     first, _ = find_pair(rig)
-    rig.desk.controls.lags.note(first.name, 0.1, rig.now)
-    rig.pass_time(6.0)
-    assert rig.desk.controls.lags.fade(first.name, rig.now) == 0
+    rig.router.controls.lags.note(first.name, 0.1, rig.now)
+    rig.advance_time(6.0)
+    assert rig.router.controls.lags.fade(first.name, rig.now) == 0
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -2,35 +2,41 @@
 
 from fuchsiahaven.routing import configs, margins
 
-WIDE = configs.Gather(tuple(f's{number}' for number in range(90)), 50, 0.95)
+WIDE_GATHER = configs.Gather(
+    tuple(f's{number}' for number in range(90)), 50, 0.95
+)
 
 
-def settle(late: float) -> float:
+def estimate_after(delay_s: float) -> float:
     """See a hundred answers leave so late; return what is kept back then."""
-    delay = margins.Delay()
+    delay = margins.ReplyDelay()
     for _ in range(100):
-        delay = margins.note(delay, late)
-    return margins.estimate(delay)
+        delay = margins.update_delay(delay, delay_s)
+    return margins.estimate_margin(delay)
 
 
-def test_keeps_back_what_a_busy_host_needs() -> None:
+def test_margin_covers_the_delay_of_a_busy_host() -> None:
     """Symptom: on hosts of half a core most answers come just too late.
 
     An answer over 90 shards takes 8 ms from the moment that was chosen until
     it has left; callers had it 2 ms after the objective.
     """
-    assert 0.008 < settle(0.008) < 0.012
+    assert 0.008 < estimate_after(0.008) < 0.012
 
 
-def test_bounds_what_is_kept_back() -> None:
+def test_margin_is_bounded() -> None:
     """A host that stalls once does not answer with nothing from then on."""
-    assert settle(0.0) == margins.LEAST_S
-    assert settle(2.0) == margins.MOST_S
+    assert estimate_after(0.0) == margins.MIN_MARGIN_S
+    assert estimate_after(2.0) == margins.MAX_MARGIN_S
 
 
-def test_leaves_time_for_the_way_through_a_small_link() -> None:
+def test_margin_covers_the_transfer_on_a_small_link() -> None:
     """Ninety signatures and fifty records take 4 ms at 8.4 Mbit/s."""
-    link = 8.4 * 125_000
-    assert 0.003 < margins.estimate_transfer(WIDE, link) < 0.005
-    assert not margins.estimate_transfer(WIDE, 0)
-    assert not margins.estimate_transfer(configs.Single('one'), link)
+    link_bytes_per_s = 8.4 * 125_000
+    assert (
+        0.003 < margins.estimate_transfer(WIDE_GATHER, link_bytes_per_s) < 0.005
+    )
+    assert not margins.estimate_transfer(WIDE_GATHER, 0)
+    assert not margins.estimate_transfer(
+        configs.Single('one'), link_bytes_per_s
+    )
--- a/tests/routing/test_offers.py
+++ b/tests/routing/test_offers.py
@@ -4,174 +4,181 @@
 
 from fuchsiahaven.core import request_identities, suspects, trial_offers
 from fuchsiahaven.routing import configs, events, places
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = ('a', 'b', 'c')
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
-ONE = request_identities.identify('shop.example', b'/search/1')
-MOMENT = suspects.SuspectReport(ONE, 0, 1, 0.0, (), ('b',))
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
+IDENTITY = request_identities.identify('shop.example', b'/search/1')
+REPORT = suspects.SuspectReport(IDENTITY, 0, 1, 0.0, (), ('b',))
 #: Hosts that go before and after the rig's own, for this request.
-RANKED = sorted(
+RANKED_HOSTS = sorted(
     (f'other-{number}' for number in range(20)),
-    key=lambda it: trial_offers.wins_trial(ONE, desk_rig.HOST.name, it),
+    key=lambda it: trial_offers.wins_trial(IDENTITY, router_rig.HOST.name, it),
 )
-FIRST, LAST = RANKED[0], RANKED[-1]
+FIRST_HOST, LAST_HOST = RANKED_HOSTS[0], RANKED_HOSTS[-1]
 
 
-def make(*news: suspects.SuspectReport) -> desk_rig.Rig:
+def make_rig(*reports: suspects.SuspectReport) -> router_rig.Rig:
     """Make a host among others that has heard of a moment, and more."""
-    rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS, 3))
+    rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 3))
     others = [
-        places.Host(name, '10.0.0.2:7000', 'north') for name in (FIRST, LAST)
+        places.Host(name, '10.0.0.2:7000', 'north')
+        for name in (FIRST_HOST, LAST_HOST)
     ]
-    rig.post(events.Counted(3, (desk_rig.HOST, *others)))
-    for one in news:
-        rig.post(events.Suspected((one,)))
-    rig.others.clear()
+    rig.post(events.HostsChanged(3, (router_rig.HOST, *others)))
+    for report in reports:
+        rig.post(events.SuspectsReported((report,)))
+    rig.other_actions.clear()
     return rig
 
 
-def list_told(rig: desk_rig.Rig) -> list[suspects.SuspectReport]:
+def list_broadcast(rig: router_rig.Rig) -> list[suspects.SuspectReport]:
     """List what other hosts are told."""
     return [
-        it.news
-        for it in rig.others
-        if isinstance(it, events.Suspicion) and it.passed_on
+        it.report
+        for it in rig.other_actions
+        if isinstance(it, events.SuspicionChanged) and it.broadcast
     ]
 
 
-def test_tells_of_a_trial_before_it_begins() -> None:
+def test_announces_a_trial_before_it_begins() -> None:
     """Symptom: hosts asked at one moment end a target each."""
-    rig = make(MOMENT)
-    rig.ask()
-    (told,) = list_told(rig)
-    assert (told.host, told.crashes) == (desk_rig.HOST.name, 1)
+    rig = make_rig(REPORT)
+    rig.send_request()
+    (announced,) = list_broadcast(rig)
+    assert (announced.host, announced.crashes) == (router_rig.HOST.name, 1)
     # A host of the version before refuses what is to wait.
-    assert not told.wait_s
-    assert not rig.take_sent()
-    rig.pass_time(trial_offers.OFFER_WAIT_S)
-    (trial,) = rig.take_sent()
-    assert trial.fresh
-    assert len(list_told(rig)) == 1
+    assert not announced.wait_s
+    assert not rig.pop_sent()
+    rig.advance_time(trial_offers.OFFER_WAIT_S)
+    (trial,) = rig.pop_sent()
+    assert trial.fresh_connection
+    assert len(list_broadcast(rig)) == 1
 
 
-@pytest.mark.parametrize('name', [FIRST, LAST])
-def test_one_of_two_hosts_goes_on(name: str) -> None:
+@pytest.mark.parametrize('name', [FIRST_HOST, LAST_HOST])
+def test_one_of_two_offering_hosts_proceeds(name: str) -> None:
     """Both offer at once, and each hears of the other."""
-    rig = make(MOMENT)
-    rig.ask()
-    rig.post(events.Suspected((MOMENT._replace(host=name),)))
-    rig.pass_time(trial_offers.OFFER_WAIT_S)
-    assert len(rig.take_sent()) == (name == LAST)
+    rig = make_rig(REPORT)
+    rig.send_request()
+    rig.post(events.SuspectsReported((REPORT._replace(host=name),)))
+    rig.advance_time(trial_offers.OFFER_WAIT_S)
+    assert len(rig.pop_sent()) == (name == LAST_HOST)
 
 
-def test_goes_on_with_all_parts_once_another_host_cleared_it() -> None:
+def test_sends_all_parts_once_another_host_cleared_it() -> None:
     """Nothing is tried twice, and nothing innocent is refused."""
-    rig = make(MOMENT, MOMENT._replace(host=LAST))
-    rig.ask()
-    rig.pass_time(0.02)
-    assert not rig.take_sent()
-    rig.post(events.Suspected((suspects.SuspectReport(ONE, 1, 0, 0.0),)))
-    rig.pass_time(0)
-    assert len(rig.take_sent()) == len(SHARDS)
-
-
-def test_does_not_wait_for_ever_for_another_host() -> None:
+    rig = make_rig(REPORT, REPORT._replace(host=LAST_HOST))
+    rig.send_request()
+    rig.advance_time(0.02)
+    assert not rig.pop_sent()
+    rig.post(
+        events.SuspectsReported((suspects.SuspectReport(IDENTITY, 1, 0, 0.0),))
+    )
+    rig.advance_time(0)
+    assert len(rig.pop_sent()) == len(SHARDS)
+
+
+def test_waits_a_bounded_time_for_another_host() -> None:
     """The host that offered to try it has died, or was cut off.
 
     Those that waited for it offer it again: they are not to go all at once.
     """
-    rig = make(MOMENT, MOMENT._replace(host=FIRST))
-    rig.ask()
-    rig.pass_time(0.04)
-    assert len(list_told(rig)) == 1
-    assert not rig.take_sent()
-    rig.pass_time(trial_offers.OFFER_WAIT_S)
-    (trial,) = rig.take_sent()
+    rig = make_rig(REPORT, REPORT._replace(host=FIRST_HOST))
+    rig.send_request()
+    rig.advance_time(0.04)
+    assert len(list_broadcast(rig)) == 1
+    assert not rig.pop_sent()
+    rig.advance_time(trial_offers.OFFER_WAIT_S)
+    (trial,) = rig.pop_sent()
     rig.answer(trial)
-    rig.pass_time(0)
-    for send in rig.take_sent():
+    rig.advance_time(0)
+    for send in rig.pop_sent():
         rig.answer(send)
-    assert isinstance(rig.take_outcome(), events.Merged)
+    assert isinstance(rig.pop_outcome(), events.MergedAnswer)
 
 
-def test_waits_for_no_host_once_it_is_late() -> None:
+def test_does_not_wait_past_the_objective() -> None:
     """One host after the other offers to try it, and dies."""
-    rig = make(MOMENT)
-    rig.ask()
+    rig = make_rig(REPORT)
+    rig.send_request()
     for number in range(20):
-        assert not rig.take_sent()
-        name = RANKED[number]
-        rig.post(events.Suspected((MOMENT._replace(host=name),)))
-        rig.pass_time(0.005)
-    rig.pass_time(0.001)
-    assert len(rig.take_sent()) == 1
+        assert not rig.pop_sent()
+        name = RANKED_HOSTS[number]
+        rig.post(events.SuspectsReported((REPORT._replace(host=name),)))
+        rig.advance_time(0.005)
+    rig.advance_time(0.001)
+    assert len(rig.pop_sent()) == 1
 
 
-def test_hands_each_offer_on_once() -> None:
+def test_forwards_each_offer_once() -> None:
     """Symptom: two hosts offer, and a fleet tells itself of it all over again.
 
     Each is heard from many hosts, in turns, before and after one is left to
     the other.
     """
-    for own in (desk_rig.HOST.name, FIRST):
-        known = suspects.Suspects()
-        known.merge_report(MOMENT, 50.0, own)
-        known.offer_trial(ONE, 50.0)
-        handed_on = 0
+    for own_name in (router_rig.HOST.name, FIRST_HOST):
+        suspect_table = suspects.Suspects()
+        suspect_table.merge_report(REPORT, 50.0, own_name)
+        suspect_table.offer_trial(IDENTITY, 50.0)
+        forwarded = 0
         for number in range(60):
             now = 50.001 + number / 1000
-            news = MOMENT._replace(host=(LAST, RANKED[1])[number % 2])
-            handed_on += known.is_new_report(news, now)
-            known.merge_report(news, now, own)
-        assert handed_on == 2
+            report = REPORT._replace(
+                host=(LAST_HOST, RANKED_HOSTS[1])[number % 2]
+            )
+            forwarded += suspect_table.is_new_report(report, now)
+            suspect_table.merge_report(report, now, own_name)
+        assert forwarded == 2
 
 
-def test_does_not_wait_for_itself() -> None:
+def test_does_not_wait_for_its_own_offer() -> None:
     """Its offer comes round to it once its trial has ended in a refusal."""
-    rig = make(MOMENT)
-    rig.ask()
-    rig.pass_time(trial_offers.OFFER_WAIT_S)
-    (trial,) = rig.take_sent()
-    rig.desk.suspects.end_trial(ONE, trial.key)
-    rig.post(events.Suspected((MOMENT._replace(host=desk_rig.HOST.name),)))
-    assert not rig.desk.suspects.offers.compute_delay(ONE, 0.4, rig.now)
-
-
-def test_what_was_under_way_waits_for_no_host() -> None:
+    rig = make_rig(REPORT)
+    rig.send_request()
+    rig.advance_time(trial_offers.OFFER_WAIT_S)
+    (trial,) = rig.pop_sent()
+    rig.router.suspects.end_trial(IDENTITY, trial.key)
+    rig.post(
+        events.SuspectsReported((REPORT._replace(host=router_rig.HOST.name),))
+    )
+    assert not rig.router.suspects.offers.compute_delay(IDENTITY, 0.4, rig.now)
+
+
+def test_active_requests_do_not_wait_for_other_hosts() -> None:
     """Guard against innocent requests that are late where a rack died."""
-    rig = make()
-    rig.ask()
-    lost, *others = rig.take_sent()
+    rig = make_rig()
+    rig.send_request()
+    lost, *others = rig.pop_sent()
     for send in others:
         rig.answer(send)
-    rig.post(events.Suspected((MOMENT._replace(host=FIRST),)))
+    rig.post(events.SuspectsReported((REPORT._replace(host=FIRST_HOST),)))
     rig.end_target(lost)
     # The losses of a query are gathered, as without other hosts.
-    rig.pass_time(0.005)
-    (trial,) = rig.take_sent()
-    assert trial.fresh
-    assert not any(news.host for news in list_told(rig))
+    rig.advance_time(0.005)
+    (trial,) = rig.pop_sent()
+    assert trial.fresh_connection
+    assert not any(report.host for report in list_broadcast(rig))
 
 
-def test_a_fleet_of_one_waits_for_nobody() -> None:
+def test_a_single_host_does_not_wait() -> None:
     """There is nobody to hear of the trial."""
-    rig = desk_rig.Rig([SEARCH], desk_rig.make_instances(SHARDS, 3))
-    rig.post(events.Suspected((MOMENT,)))
-    rig.ask()
-    assert len(rig.take_sent()) == 1
+    rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 3))
+    rig.post(events.SuspectsReported((REPORT,)))
+    rig.send_request()
+    assert len(rig.pop_sent()) == 1
 
 
-def test_tells_of_few_first_trials() -> None:
+def test_bounds_announcements_of_first_trials() -> None:
     """A rack that dies makes many innocent requests suspect at once."""
-    rig = make()
+    rig = make_rig()
     count = 3 * suspects.REPORT_BURST
     for number in range(count):
         path = f'/search/{number}'
         identity = request_identities.identify('shop.example', path.encode())
-        news = MOMENT._replace(identity=identity)
-        rig.post(events.Suspected((news,)))
-        rig.ask(path)
-    assert len(list_told(rig)) == suspects.REPORT_BURST
+        report = REPORT._replace(identity=identity)
+        rig.post(events.SuspectsReported((report,)))
+        rig.send_request(path)
+    assert len(list_broadcast(rig)) == suspects.REPORT_BURST
     # What is not told of does not wait either.
-    assert len(rig.take_sent()) == count - suspects.REPORT_BURST
+    assert len(rig.pop_sent()) == count - suspects.REPORT_BURST
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -10,19 +10,21 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     instances,
     places,
     states,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS: Final = tuple(f'shard-{number}' for number in range(6))
 ROUTES: Final = (
-    desk_rig.make_route(configs.Gather(SHARDS, 2, 0.8)),
-    desk_rig.make_route(
-        configs.Single('records'), prefix='/one/', repeat=desk_rig.ONCE
+    router_rig.make_route(configs.Gather(SHARDS, 2, 0.8)),
+    router_rig.make_route(
+        configs.Single('records'),
+        prefix='/one/',
+        repeat=router_rig.AT_MOST_ONCE,
     ),
 )
 HOSTS: Final = tuple(
@@ -31,28 +33,32 @@
 )
 REPLICAS: Final = 3
 #: One way to a target, how long it takes to accept a connection, and to run.
-WAY_S: Final = 0.001
-ACCEPT_S: Final = 0.006
-RUN_S: Final = 0.02
+ONE_WAY_S: Final = 0.001
+ACCEPT_DELAY_S: Final = 0.006
+WORK_S: Final = 0.02
 #: How soon another process stands in for a target that ended, and hosts know.
-BACK_S: Final = 2.0
+REPLACEMENT_DELAY_S: Final = 2.0
 #: How soon news of a host reach the others, and what is in the store.
-TOLD_S: Final = 0.003
-STORED_S: Final = 0.6
+BROADCAST_DELAY_S: Final = 0.003
+STORE_DELAY_S: Final = 0.6
 #: After its third target a request reaches no more than so many others, from
 #: hosts that were in touch for so long.
-IN_TOUCH_S: Final = 4.0
-MOST_AFTER: Final = 3
-DEADLY: Final = 'death'
-ENDS: Final = (events.Answered, events.Broken, events.Unsent)
+PROPAGATION_S: Final = 4.0
+MAX_LATE_ARRIVALS: Final = 3
+DEADLY_PATH: Final = 'death'
+END_EVENTS: Final = (
+    events.TargetAnswered,
+    events.AttemptBroken,
+    events.AttemptUnsent,
+)
 
 
 class Step(NamedTuple):
     """Say what callers, or a fault, do after a pause in seconds."""
 
-    pause: float
+    pause_s: float
     host: int
-    what: str
+    action: str
 
 
 class Fleet:
@@ -61,48 +67,52 @@
     def __init__(self) -> None:
         """Start everything."""
         self.now = 100.0
-        self.ended: list[float] = []
-        self.reached: list[float] = []
+        self.exits: list[float] = []
+        self.deadly_arrivals: list[float] = []
         self.outcomes: dict[str, list[events.Outcome]] = {}
         self._order = itertools.count()
-        self._due: list[tuple[float, int, int, events.Event]] = []
+        self._pending: list[tuple[float, int, int, events.Event]] = []
         self._numbers = itertools.count(1)
         self._paths: dict[tuple[int, int], str] = {}
-        self._aloft: dict[tuple[int, events.FlightKey], events.Send] = {}
-        self._left: set[tuple[int, events.FlightKey]] = set()
-        self._stored: dict[
+        self._in_flight: dict[
+            tuple[int, events.AttemptKey], events.SendAttempt
+        ] = {}
+        self._departed: set[tuple[int, events.AttemptKey]] = set()
+        self._store: dict[
             request_identities.Identity, suspects.SuspectReport
         ] = {}
         names = (*SHARDS, 'records')
-        self._targets = desk_rig.make_instances(names, REPLICAS)
-        self.desks = [self._make_desk(host) for host in HOSTS]
+        self._targets = router_rig.make_instances(names, REPLICAS)
+        self.routers = [self._make_router(host) for host in HOSTS]
 
-    def _make_desk(self, host: places.Host) -> states.Desk:
-        desk = states.Desk(host, desk_rig.EXTRA, float)
+    def _make_router(self, host: places.Host) -> states.Router:
+        router = states.Router(host, router_rig.EXTRA_LOAD, float)
         configuration = configs.Configuration(1, ROUTES, (), configs.Limits())
-        news = tuple(self._stored.values())
+        reports = tuple(self._store.values())
         directory = instances.build_directory(self._targets)
         for event in (
-            events.Configured(configuration),
-            events.Counted(len(HOSTS), HOSTS),
-            events.Directed(directory),
-            events.Suspected(news),
+            events.ConfigurationReceived(configuration),
+            events.HostsChanged(len(HOSTS), HOSTS),
+            events.DirectoryChanged(directory),
+            events.SuspectsReported(reports),
         ):
-            desks.handle(desk, event, self.now)
-        return desk
+            dispatch.handle_event(router, event, self.now)
+        return router
 
-    def play(self, steps: list[Step]) -> None:
+    def run(self, steps: list[Step]) -> None:
         """Take steps, and let what is under way end."""
         for step in steps:
-            self.run_to(self.now + step.pause)
-            match step.what:
+            self.run_to(self.now + step.pause_s)
+            match step.action:
                 case 'start':
-                    self.desks[step.host] = self._make_desk(HOSTS[step.host])
+                    self.routers[step.host] = self._make_router(
+                        HOSTS[step.host]
+                    )
                 case path:
-                    self.ask(step.host, path)
+                    self.send_request(step.host, path)
         self.run_to(self.now + 1)
 
-    def ask(self, host: int, path: str) -> None:
+    def send_request(self, host: int, path: str) -> None:
         """Bring a request to a host."""
         number = next(self._numbers)
         self._paths[host, number] = path
@@ -117,145 +127,159 @@
             self.now + 0.8,
             identity=request_identities.identify('shop.example', path.encode()),
         )
-        self.post(host, events.Asked(number, request))
+        self.post(host, events.RequestReceived(number, request))
 
-    def run_to(self, when: float) -> None:
+    def run_to(self, end: float) -> None:
         """Let time pass."""
-        while (due := self._find_next()) <= when:
-            self.now = max(self.now, due)
-            self._tick()
-            while self._due and self._due[0][0] <= self.now:
-                self._take(*heapq.heappop(self._due)[2:])
-        self.now = when
-
-    def _tick(self) -> None:
-        for number, desk in enumerate(self.desks):
-            wake = desk.next_wake()
-            if wake is not None and wake <= self.now:
-                self.post(number, events.Ticked())
-
-    def _find_next(self) -> float:
-        wakes = [desk.next_wake() for desk in self.desks]
-        times = [wake for wake in wakes if wake is not None]
-        times.extend(due[0] for due in self._due[:1])
+        while (moment := self._find_next_moment()) <= end:
+            self.now = max(self.now, moment)
+            self._fire_timers()
+            while self._pending and self._pending[0][0] <= self.now:
+                self._deliver(*heapq.heappop(self._pending)[2:])
+        self.now = end
+
+    def _fire_timers(self) -> None:
+        for number, router in enumerate(self.routers):
+            deadline = router.find_next_deadline()
+            if deadline is not None and deadline <= self.now:
+                self.post(number, events.ClockTicked())
+
+    def _find_next_moment(self) -> float:
+        deadlines = [router.find_next_deadline() for router in self.routers]
+        times = [deadline for deadline in deadlines if deadline is not None]
+        times.extend(entry[0] for entry in self._pending[:1])
         return min(times, default=float('inf'))
 
     def post(self, host: int, event: events.Event) -> None:
         """Bring an event to a host and do what it asks for."""
-        for action in desks.handle(self.desks[host], event, self.now):
+        for action in dispatch.handle_event(
+            self.routers[host], event, self.now
+        ):
             match action:
-                case events.Send():
+                case events.SendAttempt():
                     self._send(host, action)
-                case events.Withdraw(key):
+                case events.WithdrawAttempt(key):
                     self._withdraw(host, key)
                 case events.Reply(number, outcome):
                     path = self._paths.pop((host, number))
                     self.outcomes.setdefault(path, []).append(outcome)
-                case events.Suspicion(news, passed_on=True):
-                    self._tell(host, news)
+                case events.SuspicionChanged(report, broadcast=True):
+                    self._broadcast(host, report)
 
-    def _add(self, after: float, host: int, event: events.Event) -> None:
-        item = (self.now + after, next(self._order), host, event)
-        heapq.heappush(self._due, item)
+    def _schedule(self, delay_s: float, host: int, event: events.Event) -> None:
+        item = (self.now + delay_s, next(self._order), host, event)
+        heapq.heappush(self._pending, item)
 
-    def _add_all(
-        self, after: float, event: events.Event, but: int | None = None
+    def _schedule_all(
+        self, delay_s: float, event: events.Event, excluded: int | None = None
     ) -> None:
         for number, _ in enumerate(HOSTS):
-            if number != but:
-                self._add(after, number, event)
-
-    def _tell(self, host: int, news: suspects.SuspectReport) -> None:
-        told = events.Suspected((news,))
-        self._add_all(TOLD_S, told, but=host)
-        if news.crashes > 1 or not news.crashes:
-            self._add_all(STORED_S, told, but=host)
-        if news.crashes > 1 or news.identity in self._stored:
-            self._stored[news.identity] = news._replace(host='')
-
-    def _send(self, host: int, send: events.Send) -> None:
-        self._aloft[host, send.key] = send
+            if number != excluded:
+                self._schedule(delay_s, number, event)
+
+    def _broadcast(self, host: int, report: suspects.SuspectReport) -> None:
+        event = events.SuspectsReported((report,))
+        self._schedule_all(BROADCAST_DELAY_S, event, excluded=host)
+        if report.crashes > 1 or not report.crashes:
+            self._schedule_all(STORE_DELAY_S, event, excluded=host)
+        if report.crashes > 1 or report.identity in self._store:
+            self._store[report.identity] = report._replace(host='')
+
+    def _send(self, host: int, send: events.SendAttempt) -> None:
+        self._in_flight[host, send.key] = send
         # It leaves once its connection is open.
-        wait = ACCEPT_S + 2 * WAY_S if send.fresh else 0
-        self._add(wait, host, send_marker(send.key))
+        delay_s = ACCEPT_DELAY_S + 2 * ONE_WAY_S if send.fresh_connection else 0
+        self._schedule(delay_s, host, make_departure_marker(send.key))
 
-    def _withdraw(self, host: int, key: events.FlightKey) -> None:
-        if (host, key) in self._aloft and (host, key) not in self._left:
-            self._aloft.pop((host, key))
-            self.post(host, events.Unsent(key, False, withdrawn=True))
+    def _withdraw(self, host: int, key: events.AttemptKey) -> None:
+        if (host, key) in self._in_flight and (host, key) not in self._departed:
+            self._in_flight.pop((host, key))
+            self.post(host, events.AttemptUnsent(key, False, withdrawn=True))
 
-    def _take(self, host: int, event: events.Event) -> None:
-        if isinstance(event, events.Cancel):
-            self._leave(host, event.key)
+    def _deliver(self, host: int, event: events.Event) -> None:
+        if isinstance(event, events.CancelAttempt):
+            self._depart(host, event.key)
             return
-        if isinstance(event, ENDS):
-            if self._aloft.pop((host, event.key), None) is None:
+        if isinstance(event, END_EVENTS):
+            if self._in_flight.pop((host, event.key), None) is None:
                 return
-            self._left.discard((host, event.key))
+            self._departed.discard((host, event.key))
         self.post(host, event)
 
-    def _leave(self, host: int, key: events.FlightKey) -> None:
+    def _depart(self, host: int, key: events.AttemptKey) -> None:
         """Have a sending arrive at its target, if it has not ended."""
-        send = self._aloft.get((host, key))
+        send = self._in_flight.get((host, key))
         if send is None:
             return
-        self._left.add((host, key))
+        self._departed.add((host, key))
         if send.instance not in self._targets:
-            self._add(2 * WAY_S, host, events.Unsent(key, unreachable=True))
+            self._schedule(
+                2 * ONE_WAY_S, host, events.AttemptUnsent(key, unreachable=True)
+            )
             return
-        if DEADLY in send.request.target:
-            self.reached.append(self.now)
-            self.end_target(send.instance, RUN_S + WAY_S)
+        if DEADLY_PATH in send.request.uri:
+            self.deadly_arrivals.append(self.now)
+            self.end_target(send.instance, WORK_S + ONE_WAY_S)
             return
         answer = events.Answer(200, (), f'{key}', b'')
-        self._add(RUN_S + 2 * WAY_S, host, events.Answered(key, answer))
+        self._schedule(
+            WORK_S + 2 * ONE_WAY_S, host, events.TargetAnswered(key, answer)
+        )
 
     def list_targets(self) -> list[instances.Instance]:
         """List the targets, one of each service after the other."""
         return sorted(self._targets, key=lambda it: it.name[-1])
 
     def end_target(
-        self, target: instances.Instance, after: float = WAY_S
+        self, target: instances.Instance, delay_s: float = ONE_WAY_S
     ) -> None:
         """Have a target end, with all that is under way there."""
         self._targets.remove(target)
-        self.ended.append(self.now + after)
-        for (host, key), send in tuple(self._aloft.items()):
-            if send.instance == target and (host, key) in self._left:
+        self.exits.append(self.now + delay_s)
+        for (host, key), send in tuple(self._in_flight.items()):
+            if send.instance == target and (host, key) in self._departed:
                 lost = messages.Fault.CONNECTION_LOST
-                self._add(after, host, events.Broken(key, lost))
-        self._add_all(after + 2 * WAY_S, events.Ended(target.name))
-        again = target._replace(name=f'{target.name}+', id=f'{target.id}+')
-        self._targets.append(again)
+                self._schedule(delay_s, host, events.AttemptBroken(key, lost))
+        self._schedule_all(
+            delay_s + 2 * ONE_WAY_S, events.TargetExited(target.name)
+        )
+        replacement = target._replace(
+            name=f'{target.name}+', id=f'{target.id}+'
+        )
+        self._targets.append(replacement)
         directory = instances.build_directory(self._targets)
-        self._add_all(BACK_S, events.Directed(directory))
+        self._schedule_all(
+            REPLACEMENT_DELAY_S, events.DirectoryChanged(directory)
+        )
 
-    def count_late(self) -> int:
+    def count_late_arrivals(self) -> int:
         """Count what reached a target long after it had ended the third."""
-        ended = sorted(self.ended)
-        if len(ended) < 3:
+        exits = sorted(self.exits)
+        if len(exits) < 3:
             return 0
-        since = ended[2] + IN_TOUCH_S
-        return sum(1 for when in self.reached if when > since)
+        since = exits[2] + PROPAGATION_S
+        return sum(
+            1 for arrived_at in self.deadly_arrivals if arrived_at > since
+        )
 
 
-def send_marker(key: events.FlightKey) -> events.Event:
+def make_departure_marker(key: events.AttemptKey) -> events.Event:
     """Make what stands for the moment at which a sending leaves."""
-    return events.Cancel(key)  # type: ignore[return-value]
+    return events.CancelAttempt(key)  # type: ignore[return-value]
 
 
 def make_steps(*paths: str) -> strategies.SearchStrategy[list[Step]]:
     """Draw requests at any hosts, close together and far apart."""
     pauses = strategies.sampled_from((0.0, 0.002, 0.03, 0.4, 1.1, 5.0, 30.0))
-    whats = strategies.sampled_from((*paths, *paths, *paths, 'start'))
+    actions = strategies.sampled_from((*paths, *paths, *paths, 'start'))
     hosts = strategies.integers(0, len(HOSTS) - 1)
-    step = strategies.builds(Step, pauses, hosts, whats)
+    step = strategies.builds(Step, pauses, hosts, actions)
     return strategies.lists(step, min_size=4, max_size=24)
 
 
 @settings(max_examples=150)
 @given(make_steps('/search/death', '/search/1'))
-def test_reaches_few_targets_after_the_third_has_ended(
+def test_few_arrivals_after_the_third_exit(
     steps: list[Step],
 ) -> None:
     """Symptom: each host, and each that starts, finds out anew.
@@ -264,8 +288,8 @@
     know only what is in the store. Others are served beside it.
     """
     fleet = Fleet()
-    fleet.play(steps)
-    assert fleet.count_late() <= MOST_AFTER
+    fleet.run(steps)
+    assert fleet.count_late_arrivals() <= MAX_LATE_ARRIVALS
     # What nothing speaks against is never refused for it.
     for outcome in fleet.outcomes.get('/search/1', ()):
         if isinstance(outcome, errors.Failure):
@@ -274,11 +298,11 @@
 
 @settings(max_examples=100)
 @given(make_steps('/one/death', '/one/1'))
-def test_reaches_few_targets_that_may_run_it_once(steps: list[Step]) -> None:
+def test_few_arrivals_of_an_at_most_once_request(steps: list[Step]) -> None:
     """It is not repeated by a host, but by its callers."""
     fleet = Fleet()
-    fleet.play(steps)
-    assert fleet.count_late() <= MOST_AFTER
+    fleet.run(steps)
+    assert fleet.count_late_arrivals() <= MAX_LATE_ARRIVALS
 
 
 @settings(max_examples=100)
@@ -293,8 +317,8 @@
     strategies.sampled_from(('/search/death', '/one/death')),
     strategies.integers(1, 2),
 )
-def test_hosts_asked_at_one_moment_end_one_target(
-    asked: list[tuple[int, float]], path: str, moments: int
+def test_simultaneous_requests_end_one_target(
+    arrivals: list[tuple[int, float]], path: str, crashes: int
 ) -> None:
     """Symptom: each host tries a suspect request beside the others.
 
@@ -303,15 +327,15 @@
     """
     fleet = Fleet()
     identity = request_identities.identify('shop.example', path.encode())
-    news = suspects.SuspectReport(identity, 0, moments, 0.0, (), ('shard-1',))
+    report = suspects.SuspectReport(identity, 0, crashes, 0.0, (), ('shard-1',))
     for number, _ in enumerate(HOSTS):
-        fleet.post(number, events.Suspected((news,)))
+        fleet.post(number, events.SuspectsReported((report,)))
     fleet.run_to(fleet.now + 2)
-    for host, pause in asked:
-        fleet.run_to(fleet.now + pause)
-        fleet.ask(host, path)
+    for host, pause_s in arrivals:
+        fleet.run_to(fleet.now + pause_s)
+        fleet.send_request(host, path)
     fleet.run_to(fleet.now + 0.5)
-    assert len(fleet.reached) == 1
+    assert len(fleet.deadly_arrivals) == 1
 
 
 @settings(max_examples=60)
@@ -325,21 +349,21 @@
     ),
     strategies.integers(1, 12),
 )
-def test_serves_what_was_under_way_when_targets_ended_at_once(
-    asked: list[tuple[int, float]], count: int
+def test_serves_requests_active_when_targets_exit_at_once(
+    arrivals: list[tuple[int, float]], count: int
 ) -> None:
     """Symptom: what many callers ask for is refused because a rack died."""
     fleet = Fleet()
-    for host, pause in asked:
-        fleet.run_to(fleet.now + pause)
-        fleet.ask(host, '/search/1')
+    for host, pause_s in arrivals:
+        fleet.run_to(fleet.now + pause_s)
+        fleet.send_request(host, '/search/1')
     for target in fleet.list_targets()[:count]:
         fleet.end_target(target)
     fleet.run_to(fleet.now + 0.7)
     fleet.outcomes.clear()
     for number, _ in enumerate(HOSTS):
-        fleet.ask(number, '/search/1')
+        fleet.send_request(number, '/search/1')
     fleet.run_to(fleet.now + 0.7)
-    told = fleet.outcomes['/search/1']
-    assert len(told) == len(HOSTS)
-    assert all(isinstance(it, events.Merged) for it in told)
+    outcomes = fleet.outcomes['/search/1']
+    assert len(outcomes) == len(HOSTS)
+    assert all(isinstance(it, events.MergedAnswer) for it in outcomes)
--- a/tests/routing/test_reaches.py
+++ b/tests/routing/test_reaches.py
@@ -3,26 +3,26 @@
 import pytest
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import centres, configs, desks, events
-from tests.routing import desk_rig
+from fuchsiahaven.routing import centres, configs, dispatch, events
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
-SEARCH = desk_rig.make_route(configs.Gather(SHARDS, 3, 0.8))
-SINGLE = desk_rig.make_route(configs.Single('records'), prefix='/one/')
+SEARCH = router_rig.make_route(configs.Gather(SHARDS, 3, 0.8))
+SINGLE = router_rig.make_route(configs.Single('records'), prefix='/one/')
 
 
-def make_rig() -> desk_rig.Rig:
+def make_rig() -> router_rig.Rig:
     """Make a host with six near shards and four in another data centre."""
-    near = desk_rig.make_instances((*SHARDS[:6], 'records'))
-    far = desk_rig.make_instances(SHARDS[6:], 2, 'south')
-    return desk_rig.Rig([SEARCH, SINGLE], [*near, *far])
+    near = router_rig.make_instances((*SHARDS[:6], 'records'))
+    far = router_rig.make_instances(SHARDS[6:], 2, 'south')
+    return router_rig.Rig([SEARCH, SINGLE], [*near, *far])
 
 
-def cut_far(rig: desk_rig.Rig) -> list[events.Send]:
+def cut_far(rig: router_rig.Rig) -> list[events.SendAttempt]:
     """Ask, and let the near targets alone answer; return the other sends."""
-    rig.ask()
+    rig.send_request()
     silent = []
-    for send in rig.take_sent():
+    for send in rig.pop_sent():
         if send.instance.data_centre == 'south':
             silent.append(send)
         else:
@@ -39,39 +39,39 @@
     """
     rig = make_rig()
     cut_far(rig)
-    assert not desks.find_obstacle(rig.desk, rig.now)
-    rig.pass_time(0.3)
-    hedges = rig.take_sent()
-    rig.pass_time(0.45)
-    assert desks.find_obstacle(rig.desk, rig.now)
+    assert not dispatch.find_obstacle(rig.router, rig.now)
+    rig.advance_time(0.3)
+    hedges = rig.pop_sent()
+    rig.advance_time(0.45)
+    assert dispatch.find_obstacle(rig.router, rig.now)
     for send in hedges:
-        rig.post(events.Reached(send.instance.name))
+        rig.post(events.TargetConnected(send.instance.name))
         rig.answer(send)
-    assert not desks.find_obstacle(rig.desk, rig.now)
+    assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
 def test_stays_unready_when_what_hung_has_ended() -> None:
     """The end of what was under way proves nothing; a connection does."""
     rig = make_rig()
     hung = cut_far(rig)
-    rig.pass_time(0.7)
-    hung.extend(rig.take_sent())
+    rig.advance_time(0.7)
+    hung.extend(rig.pop_sent())
     for send in hung:
-        rig.break_off(send, messages.Fault.TIMED_OUT)
-    rig.pass_time(2)
-    assert desks.find_obstacle(rig.desk, rig.now)
+        rig.break_attempt(send, messages.Fault.TIMED_OUT)
+    rig.advance_time(2)
+    assert dispatch.find_obstacle(rig.router, rig.now)
     for send in hung:
-        rig.post(events.Reached(send.instance.name))
-    assert not desks.find_obstacle(rig.desk, rig.now)
+        rig.post(events.TargetConnected(send.instance.name))
+    assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
 def test_stays_ready_for_a_service_without_any_target() -> None:
     """No host could serve it, so sending callers elsewhere gains nothing."""
     rig = make_rig()
-    rig.direct(desk_rig.make_instances(SHARDS))
+    rig.set_targets(router_rig.make_instances(SHARDS))
     for _ in range(5):
-        rig.ask('/one/1')
-    assert not desks.find_obstacle(rig.desk, rig.now)
+        rig.send_request('/one/1')
+    assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
@@ -79,20 +79,20 @@
 NEAR = 30
 
 
-def make_wide_rig(*, customers: bool) -> desk_rig.Rig:
+def make_wide_rig(*, customers: bool) -> router_rig.Rig:
     """Make a host that reaches 30 of 45 shards without the other centre."""
-    wide = desk_rig.make_route(configs.Gather(WIDE, 3, 0.8))
+    wide = router_rig.make_route(configs.Gather(WIDE, 3, 0.8))
     targets = [
-        *desk_rig.make_instances((*WIDE[:NEAR], 'records')),
-        *desk_rig.make_instances(WIDE[NEAR:], 2, 'south'),
+        *router_rig.make_instances((*WIDE[:NEAR], 'records')),
+        *router_rig.make_instances(WIDE[NEAR:], 2, 'south'),
     ]
-    rig = desk_rig.Rig([], targets)
+    rig = router_rig.Rig([], targets)
     routes = (
         wide._replace(public=True),
         SINGLE._replace(public=True),
     )
     rig.post(
-        events.Configured(
+        events.ConfigurationReceived(
             configs.Configuration(
                 2, routes, (), configs.Limits(), () if customers else None
             )
@@ -101,11 +101,11 @@
     return rig
 
 
-def tell(rig: desk_rig.Rig, *silent: str) -> None:
+def tell(rig: router_rig.Rig, *silent: str) -> None:
     """Have two hosts beside it tell what they hear nothing of."""
     for name in ('host-2', 'host-3'):
         word = centres.Word(name, 'north', silent)
-        rig.desk.centres.take_word(word, rig.now)
+        rig.router.centre_health.take_word(word, rig.now)
 
 
 @pytest.mark.parametrize('customers', [True, False])
@@ -119,16 +119,16 @@
     """
     rig = make_wide_rig(customers=customers)
     for _ in range(5):
-        rig.ask('/one/1')
+        rig.send_request('/one/1')
     tell(rig, 'south')
-    assert bool(desks.find_obstacle(rig.desk, rig.now)) is customers
+    assert bool(dispatch.find_obstacle(rig.router, rig.now)) is customers
     tell(rig)
-    assert not desks.find_obstacle(rig.desk, rig.now)
+    assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
 def test_stays_ready_while_another_data_centre_is_cut_off() -> None:
     """The shards that it reaches suffice, so its callers are served here."""
     rig = make_wide_rig(customers=True)
-    rig.direct(desk_rig.make_instances((*WIDE, 'records')))
+    rig.set_targets(router_rig.make_instances((*WIDE, 'records')))
     tell(rig, 'south')
-    assert not desks.find_obstacle(rig.desk, rig.now)
+    assert not dispatch.find_obstacle(rig.router, rig.now)
--- a/tests/routing/test_returns.py
+++ b/tests/routing/test_returns.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import configs, events, returns
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 CALLERS: Final = 100
 ROUNDING_S: Final = 1e-9
@@ -14,7 +14,7 @@
 OUT_OF_REACH: Final = errors.make_failure(
     errors.Kind.INCOMPLETE, 'test', 'too few', retry_after=LEAST
 )
-ROUTE: Final = desk_rig.make_route(configs.Single('records'))
+ROUTE: Final = router_rig.make_route(configs.Single('records'))
 CUSTOMERS: Final = (
     configs.Customer('urgent', ('urgent-key',), priority=0),
     configs.Customer('calm', ('calm-key',)),
@@ -39,28 +39,28 @@
     assert min(urgent) >= returns.SOON_S
 
 
-def make_rig(customers: tuple[configs.Customer, ...] | None) -> desk_rig.Rig:
+def make_rig(customers: tuple[configs.Customer, ...] | None) -> router_rig.Rig:
     """Make a host whose draws are random, and targets of which none answers."""
-    rig = desk_rig.Rig([], desk_rig.make_instances(['records']))
+    rig = router_rig.Rig([], router_rig.make_instances(['records']))
     rig.configure(2, [ROUTE], customers)
-    rig.desk.draw = random.Random(1).random
+    rig.router.draw = random.Random(1).random
     return rig
 
 
-def make_request(rig: desk_rig.Rig, key: str, left: float) -> events.Request:
+def make_request(rig: router_rig.Rig, key: str, left: float) -> events.Request:
     """Make a request whose caller has so many seconds left."""
     request = events.Request(
         'id', 'GET', '/search/1', 'shop.example', (), b'', rig.now, 0.0
     )
-    return request._replace(key=key, deadline=rig.now + left)
+    return request._replace(key_digest=key, deadline=rig.now + left)
 
 
 def tell(
-    rig: desk_rig.Rig, key: str, left: float, failure: errors.Failure
+    rig: router_rig.Rig, key: str, left: float, failure: errors.Failure
 ) -> float:
     """Return when a caller that is refused now is to come back."""
     request = make_request(rig, key, left)
-    told = returns.advise(rig.desk, failure, request, rig.now).retry_after
+    told = returns.advise(rig.router, failure, request, rig.now).retry_after
     assert told is not None
     return told
 
@@ -105,7 +105,7 @@
     for kind in errors.Kind:
         failure = errors.make_failure(kind, 'test', retry_after=LEAST)
         request = make_request(rig, '', 2.5)
-        assert returns.advise(rig.desk, failure, request, rig.now) is failure
+        assert returns.advise(rig.router, failure, request, rig.now) is failure
 
 
 def test_a_time_that_is_known_is_not_spread() -> None:
@@ -119,11 +119,13 @@
 def test_refusals_of_a_host_that_cannot_trust_keys_are_spread() -> None:
     """Symptom: all callers come back at once after keys were withdrawn."""
     rig = make_rig(CUSTOMERS)
-    rig.desk.controls.freshness.revoke_s = 5.0
-    rig.desk.controls.freshness.note_configuration(rig.desk.index.configuration)
+    rig.router.controls.freshness.revoke_s = 5.0
+    rig.router.controls.freshness.note_configuration(
+        rig.router.index.configuration
+    )
     told = set()
     for _ in range(CALLERS):
-        rig.bring(make_request(rig, 'calm-key', 9.0))
+        rig.submit(make_request(rig, 'calm-key', 9.0))
         outcome = rig.replies[-1].outcome
         assert isinstance(outcome, errors.Failure)
         assert outcome.kind is errors.Kind.STALE_KEYS
--- a/tests/routing/test_split_loads.py
+++ b/tests/routing/test_split_loads.py
@@ -14,28 +14,28 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
-    desks,
+    dispatch,
     events,
     instances,
     places,
     states,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 PARTS = ('new', 'old', 'trial')
-HOSTS = 60
-STEADY = 0.1
-SHORT_OF_ROOM = 0.2
-EXTRA = places.ExtraLoad(0.2, 300.0, 10.0)
+HOST_COUNT = 60
+STEADY_TOLERANCE = 0.1
+SHORTAGE_TOLERANCE = 0.2
+EXTRA_LOAD = places.ExtraLoad(0.2, 300.0, 10.0)
 
 
-def make_configured(
+def make_configuration_event(
     version: int, weights: Sequence[float]
-) -> events.Configured:
+) -> events.ConfigurationReceived:
     """Put a split with these weights in force."""
     parts = map(configs.Weighted, PARTS, weights)
-    route = desk_rig.make_route(configs.Split(tuple(parts)))
-    return events.Configured(
+    route = router_rig.make_route(configs.Split(tuple(parts)))
+    return events.ConfigurationReceived(
         configs.Configuration(version, (route,), (), configs.Limits())
     )
 
@@ -45,68 +45,72 @@
 
     def __init__(self, seed: int, weights: Sequence[float]) -> None:
         """Start all hosts."""
-        self.numbers = random.Random(seed)
-        self.full: frozenset[str] = frozenset()
-        self.targets = desk_rig.make_instances(PARTS)
+        self.random = random.Random(seed)
+        self.full_parts: frozenset[str] = frozenset()
+        self.targets = router_rig.make_instances(PARTS)
         self.refusals: list[errors.Failure] = []
-        self.sent: collections.Counter[str] = collections.Counter()
-        self.ran: collections.Counter[str] = collections.Counter()
+        self.sent_counts: collections.Counter[str] = collections.Counter()
+        self.run_counts: collections.Counter[str] = collections.Counter()
         self.now = 100.0
-        self._configured = make_configured(1, weights)
-        self._order = 0
+        self._configuration_event = make_configuration_event(1, weights)
+        self._last_number = 0
         self._rates = [
-            self.numbers.lognormvariate(0, 1.5) for _ in range(HOSTS)
+            self.random.lognormvariate(0, 1.5) for _ in range(HOST_COUNT)
         ]
-        self.hosts = [self._start(number) for number in range(HOSTS)]
+        self.routers = [self._start(number) for number in range(HOST_COUNT)]
 
     def restart(self, share: float) -> None:
         """Start a share of the hosts again; they know nothing."""
-        for number in range(HOSTS):
-            if self.numbers.random() < share:
-                self.hosts[number] = self._start(number)
+        for number in range(HOST_COUNT):
+            if self.random.random() < share:
+                self.routers[number] = self._start(number)
 
     def configure(self, version: int, weights: Sequence[float]) -> None:
         """Change the weights on all hosts."""
-        self._configured = make_configured(version, weights)
-        for desk in self.hosts:
-            desks.handle(desk, self._configured, self.now)
+        self._configuration_event = make_configuration_event(version, weights)
+        for router in self.routers:
+            dispatch.handle_event(router, self._configuration_event, self.now)
 
-    def direct(self, targets: list[instances.Instance], gone: str = '') -> None:
+    def set_targets(
+        self, targets: list[instances.Instance], evacuated: str = ''
+    ) -> None:
         """Bring other targets to all hosts, those of a data centre gone."""
         self.targets = targets
-        for desk in self.hosts:
-            self._direct(desk, gone)
+        for router in self.routers:
+            self._set_targets(router, evacuated)
 
-    def ask(self, count: int) -> None:
+    def send_requests(self, count: int) -> None:
         """Ask for so much, each at a host by how often that is asked."""
-        numbers = range(HOSTS)
-        for number in self.numbers.choices(numbers, self._rates, k=count):
-            self.now += self.numbers.expovariate(40)
-            self._ask(self.hosts[number])
+        numbers = range(HOST_COUNT)
+        for number in self.random.choices(numbers, self._rates, k=count):
+            self.now += self.random.expovariate(40)
+            self._send_request(self.routers[number])
 
     def list_shares(self) -> dict[str, float]:
         """List the share of each part in what was asked since last time."""
-        total = sum(self.sent.values())
-        shares = {part: self.sent[part] / total for part in PARTS}
-        self.sent.clear()
+        total = sum(self.sent_counts.values())
+        shares = {part: self.sent_counts[part] / total for part in PARTS}
+        self.sent_counts.clear()
         return shares
 
-    def _start(self, number: int) -> states.Desk:
+    def _start(self, number: int) -> states.Router:
         host = places.Host(f'host-{number}', str(number), 'north')
-        desk = states.Desk(host, EXTRA, self.numbers.random)
-        desks.handle(desk, self._configured, self.now)
-        desks.handle(desk, events.Counted(HOSTS), self.now)
-        self._direct(desk, '')
-        return desk
-
-    def _direct(self, desk: states.Desk, gone: str) -> None:
-        directory = instances.build_directory(self.targets, (gone,))
-        desks.handle(desk, events.Directed(directory), self.now)
-
-    def _ask(self, desk: states.Desk) -> None:
-        self._order += 1
+        router = states.Router(host, EXTRA_LOAD, self.random.random)
+        dispatch.handle_event(router, self._configuration_event, self.now)
+        dispatch.handle_event(router, events.HostsChanged(HOST_COUNT), self.now)
+        self._set_targets(router, '')
+        return router
+
+    def _set_targets(self, router: states.Router, evacuated: str) -> None:
+        directory = instances.build_directory(self.targets, (evacuated,))
+        dispatch.handle_event(
+            router, events.DirectoryChanged(directory), self.now
+        )
+
+    def _send_request(self, router: states.Router) -> None:
+        self._last_number += 1
         request = events.Request(
-            f'id-{self._order}',
+            f'id-{self._last_number}',
             'GET',
             '/search/1',
             'shop.example',
@@ -116,59 +120,67 @@
             self.now + 0.8,
             0.006,
             request_identities.identify(
-                'shop.example', str(self._order).encode()
+                'shop.example', str(self._last_number).encode()
             ),
         )
-        asked = events.Asked(self._order, request)
-        left = desks.handle(desk, asked, self.now)
-        (part,) = self._find_part(desk, left)
-        self.sent[part] += 1
-        while left:
-            left = [it for one in left for it in self._react(desk, one, part)]
-
-    def _find_part(
-        self, desk: states.Desk, actions: list[events.Action]
+        received = events.RequestReceived(self._last_number, request)
+        pending = dispatch.handle_event(router, received, self.now)
+        (part,) = self._list_parts(router, pending)
+        self.sent_counts[part] += 1
+        while pending:
+            pending = [
+                it
+                for action in pending
+                for it in self._react(router, action, part)
+            ]
+
+    def _list_parts(
+        self, router: states.Router, actions: list[events.Action]
     ) -> list[str]:
-        sent = [it for it in actions if isinstance(it, events.Send)]
+        sent = [it for it in actions if isinstance(it, events.SendAttempt)]
         if sent:
             return [it.key.service for it in sent]
-        stories = [it for it in actions if isinstance(it, events.Story)]
-        assert stories
-        return [it.lacking[0].partition(':')[0] for it in stories]
+        summaries = [
+            it for it in actions if isinstance(it, events.RequestSummary)
+        ]
+        assert summaries
+        return [it.lacking[0].partition(':')[0] for it in summaries]
 
     def _react(
-        self, desk: states.Desk, action: events.Action, part: str
+        self, router: states.Router, action: events.Action, part: str
     ) -> list[events.Action]:
         match action:
-            case events.Send(key):
+            case events.SendAttempt(key):
                 # Nothing goes to another part than the one it is counted to.
                 assert key.service == part
-                if part in self.full:
+                if part in self.full_parts:
                     shed = messages.RefusalReason.SHED
-                    return desks.handle(
-                        desk, events.Refused(key, shed), self.now
+                    return dispatch.handle_event(
+                        router, events.TargetRefused(key, shed), self.now
                     )
-                self.ran[part] += 1
+                self.run_counts[part] += 1
                 answer = events.Answer(200, (), 'signed', b'')
-                return desks.handle(
-                    desk, events.Answered(key, answer), self.now
+                return dispatch.handle_event(
+                    router, events.TargetAnswered(key, answer), self.now
                 )
             case events.Reply(_, errors.Failure() as failure):
                 self.refusals.append(failure)
         return []
 
 
-def check_shares(fleet: Fleet, weights: Sequence[float], within: float) -> None:
+def check_shares(
+    fleet: Fleet, weights: Sequence[float], tolerance: float
+) -> None:
     """Check that each part has its share."""
-    found = fleet.list_shares()
+    shares = fleet.list_shares()
     total = sum(weights)
     for part, weight in zip(PARTS, weights, strict=True):
-        assert abs(found[part] - weight / total) <= within, (part, found)
+        assert abs(shares[part] - weight / total) <= tolerance, (part, shares)
 
 
 @pytest.mark.parametrize('weights', [(7, 2, 1), (0.9, 0.05, 0.05), (1, 1, 0)])
 @pytest.mark.parametrize('seed', range(4))
-def test_keeps_to_weights_at_hosts_that_start_again(
+def test_keeps_to_weights_on_restarting_hosts(
     seed: int, weights: tuple[float, float, float]
 ) -> None:
     """Symptom: after restarts the heaviest part gets nearly all.
@@ -177,9 +189,9 @@
     """
     fleet = Fleet(seed, weights)
     for _ in range(8):
-        fleet.ask(HOSTS)
+        fleet.send_requests(HOST_COUNT)
         fleet.restart(0.9)
-    check_shares(fleet, weights, STEADY)
+    check_shares(fleet, weights, STEADY_TOLERANCE)
 
 
 @pytest.mark.parametrize('seed', range(4))
@@ -190,53 +202,53 @@
     must not decide by the new ones.
     """
     fleet = Fleet(seed, (900, 50, 50))
-    fleet.ask(600)
-    check_shares(fleet, (900, 50, 50), STEADY)
+    fleet.send_requests(600)
+    check_shares(fleet, (900, 50, 50), STEADY_TOLERANCE)
     fleet.configure(2, (1, 1, 2))
-    fleet.ask(300)
-    check_shares(fleet, (1, 1, 2), STEADY)
+    fleet.send_requests(300)
+    check_shares(fleet, (1, 1, 2), STEADY_TOLERANCE)
     fleet.configure(3, (0.02, 0.08, 0))
-    fleet.ask(300)
-    check_shares(fleet, (0.02, 0.08, 0), STEADY)
+    fleet.send_requests(300)
+    check_shares(fleet, (0.02, 0.08, 0), STEADY_TOLERANCE)
 
 
-def make_short(fleet: Fleet, way: str) -> None:
+def remove_capacity(fleet: Fleet, shortage: str) -> None:
     """Take the room of the part `old` away."""
     others = [it for it in fleet.targets if it.service != 'old']
-    own = [it for it in fleet.targets if it.service == 'old']
-    match way:
+    own_targets = [it for it in fleet.targets if it.service == 'old']
+    match shortage:
         case 'full':
-            fleet.full = frozenset(('old',))
+            fleet.full_parts = frozenset(('old',))
         case 'gone':
-            fleet.direct(others)
+            fleet.set_targets(others)
         case 'evacuated':
-            away = [it._replace(data_centre='south') for it in own]
-            fleet.direct([*others, *away], 'south')
+            moved = [it._replace(data_centre='south') for it in own_targets]
+            fleet.set_targets([*others, *moved], 'south')
         case _:
-            cold = [it._replace(warming=5.0) for it in own]
-            for desk in fleet.hosts:
-                desk.warmups.terms = places.WarmUp(1.2, 3.0)
-            fleet.direct([*others, *cold])
+            cold = [it._replace(warming=5.0) for it in own_targets]
+            for router in fleet.routers:
+                router.warmups.terms = places.WarmUp(1.2, 3.0)
+            fleet.set_targets([*others, *cold])
 
 
 @pytest.mark.parametrize('way', ['full', 'gone', 'evacuated', 'cold'])
 @pytest.mark.parametrize('seed', range(3))
-def test_refuses_what_does_not_fit_and_moves_none(seed: int, way: str) -> None:
+def test_refuses_excess_without_moving_it(seed: int, shortage: str) -> None:
     """Shares hold while a part has no room, and beside new weights.
 
     What is refused was refused at once, and says when to come back.
     """
     fleet = Fleet(seed, (5, 4, 1))
-    fleet.ask(300)
-    check_shares(fleet, (5, 4, 1), STEADY)
-    make_short(fleet, way)
-    fleet.ask(200)
-    check_shares(fleet, (5, 4, 1), SHORT_OF_ROOM)
+    fleet.send_requests(300)
+    check_shares(fleet, (5, 4, 1), STEADY_TOLERANCE)
+    remove_capacity(fleet, shortage)
+    fleet.send_requests(200)
+    check_shares(fleet, (5, 4, 1), SHORTAGE_TOLERANCE)
     fleet.restart(0.3)
     fleet.configure(2, (30, 60, 10))
-    fleet.ask(200)
-    check_shares(fleet, (30, 60, 10), SHORT_OF_ROOM)
-    if way != 'cold':
+    fleet.send_requests(200)
+    check_shares(fleet, (30, 60, 10), SHORTAGE_TOLERANCE)
+    if shortage != 'cold':
         assert fleet.refusals
     for failure in fleet.refusals:
         assert failure.retry_after
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -5,7 +5,7 @@
 from fuchsiahaven.routing import configs, splits
 
 
-def test_splits_by_weight_from_the_first_requests_on() -> None:
+def test_follows_weights_from_the_first_requests() -> None:
     """Any ten requests in a row keep to weights of 7, 2 and 1."""
     split = configs.Split(
         tuple(
@@ -13,11 +13,11 @@
             for name, weight in (('x', 7.0), ('y', 2.0), ('z', 1.0))
         )
     )
-    saved = 0.5
+    position = 0.5
     chosen = []
     for _ in range(100):
-        choice = splits.choose(split, saved)
-        saved = choice.place
+        choice = splits.choose_service(split, position)
+        position = choice.position
         chosen.append(choice.service)
     for start in range(10, 90):
         counted = collections.Counter(chosen[start : start + 10])
@@ -25,9 +25,11 @@
         assert counted['z'] in {0, 1, 2}
 
 
-def test_leaves_out_a_service_without_weight() -> None:
+def test_excludes_a_service_without_weight() -> None:
     """It gets nothing, wherever on the circle a host begins or ends."""
     weights = (('x', 0.0), ('y', 0.1), ('z', 0.0))
-    split = configs.Split(tuple(configs.Weighted(*one) for one in weights))
-    for place in (0.0, 0.3, 1 - 2**-53, 1.0):
-        assert splits.choose(split, place).service == 'y'
+    split = configs.Split(
+        tuple(configs.Weighted(*weight) for weight in weights)
+    )
+    for position in (0.0, 0.3, 1 - 2**-53, 1.0):
+        assert splits.choose_service(split, position).service == 'y'
--- a/tests/routing/test_suspect_codecs.py
+++ b/tests/routing/test_suspect_codecs.py
@@ -34,7 +34,7 @@
 
 def test_a_share_tells_what_its_host_knows() -> None:
     """Who asked for help stops where the helper's targets ended."""
-    share = events.Share((), b'', (), (), last=True, suspect=NEWS)
+    share = events.DelegationReport((), b'', (), (), is_last=True, suspect=NEWS)
     written = assist_codecs.write_share(share)
     assert assist_codecs.read_share(written) == share
 
--- a/tests/routing/test_waitings.py
+++ b/tests/routing/test_waitings.py
@@ -2,36 +2,40 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import configs, events, waitings
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number}' for number in range(45))
-WIDE = desk_rig.make_route(configs.Gather(SHARDS, 3, 0.9))
-ONCE = desk_rig.make_route(
-    configs.Single('records'), prefix='/one/', repeat=desk_rig.ONCE
+WIDE = router_rig.make_route(configs.Gather(SHARDS, 3, 0.9))
+ONCE = router_rig.make_route(
+    configs.Single('records'), prefix='/one/', repeat=router_rig.AT_MOST_ONCE
 )
 HOT = configs.Customer('hot', ('hot-key',))
 URGENT = configs.Customer('urgent', ('urgent-key',), priority=0)
 
 
-def make_rig() -> desk_rig.Rig:
+def make_rig() -> router_rig.Rig:
     """Make a host with two customers, one of them urgent."""
-    rig = desk_rig.Rig([], desk_rig.make_instances([*SHARDS, 'records']))
+    rig = router_rig.Rig([], router_rig.make_instances([*SHARDS, 'records']))
     rig.configure(2, [WIDE, ONCE], (HOT, URGENT))
     return rig
 
 
-def make_asked(rig: desk_rig.Rig, key: str, target: str) -> events.Asked:
+def make_asked(
+    rig: router_rig.Rig, key: str, target: str
+) -> events.RequestReceived:
     """Make a request that shows a key."""
     request = events.Request(
         'id', 'GET', target, 'shop.example', (), b'', rig.now, rig.now + 0.8
     )
-    return events.Asked(7, request._replace(key=key))
+    return events.RequestReceived(7, request._replace(key_digest=key))
 
 
-def make_assisted(rig: desk_rig.Rig, customer: str) -> events.Assisted:
+def make_assisted(
+    rig: router_rig.Rig, customer: str
+) -> events.DelegatedRequestReceived:
     """Make another host's call for some parts."""
     request = make_asked(rig, '', '/search/1').request
-    assist = events.Assist(
+    assist = events.DelegatedRequest(
         request._replace(customer=customer),
         WIDE.name,
         WIDE.objective,
@@ -39,15 +43,15 @@
         SHARDS[:15],
         rig.now + 0.11,
     )
-    return events.Assisted(8, assist)
+    return events.DelegatedRequestReceived(8, assist)
 
 
 def test_a_wide_query_counts_by_its_parts() -> None:
     """Symptom: a customer of wide queries takes many times its share."""
     rig = make_rig()
     asked = make_asked(rig, 'hot-key', '/search/1')
-    work = waitings.weigh(rig.desk, asked, rig.now)
-    helped = waitings.weigh(rig.desk, make_assisted(rig, 'hot'), rig.now)
+    work = waitings.weigh(rig.router, asked, rig.now)
+    helped = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
     assert work is not None
     assert helped is not None
     assert (work.cost, work.customer, work.priority) == (45, 'hot', 1)
@@ -58,10 +62,10 @@
     """Symptom: a request that goes to one service is charged for all."""
     rig = make_rig()
     parts = tuple(configs.Weighted(it, 1.0) for it in ('records', 'trial'))
-    split = desk_rig.make_route(configs.Split(parts), prefix='/split/')
+    split = router_rig.make_route(configs.Split(parts), prefix='/split/')
     rig.configure(3, [split], (HOT,))
     asked = make_asked(rig, 'hot-key', '/split/1')
-    work = waitings.weigh(rig.desk, asked, rig.now)
+    work = waitings.weigh(rig.router, asked, rig.now)
     assert work is not None
     assert work.cost == 1
 
@@ -70,14 +74,14 @@
     """Symptom: a caller without a key waits among customers."""
     rig = make_rig()
     asked = make_asked(rig, 'nobody', '/search/1')
-    assert waitings.weigh(rig.desk, asked, rig.now) is None
+    assert waitings.weigh(rig.router, asked, rig.now) is None
 
 
 def test_goes_by_the_priority_in_force() -> None:
     """Symptom: queued work keeps a priority that was taken away."""
     rig = make_rig()
     works = [
-        waitings.weigh(rig.desk, event, rig.now)
+        waitings.weigh(rig.router, event, rig.now)
         for event in (
             make_asked(rig, 'urgent-key', '/search/1'),
             make_assisted(rig, 'urgent'),
@@ -87,45 +91,49 @@
     for work in works:
         assert work is not None
         assert work.priority == 0
-        assert waitings.find_priority(rig.desk, work) == 3
+        assert waitings.find_priority(rig.router, work) == 3
 
 
 def test_what_is_refused_has_not_run_and_never_will() -> None:
     """Symptom: a request that runs at most once runs after its refusal."""
     rig = make_rig()
     asked = make_asked(rig, 'hot-key', '/one/1')
-    work = waitings.weigh(rig.desk, asked, rig.now)
+    work = waitings.weigh(rig.router, asked, rig.now)
     assert work is not None
-    found = waitings.hand_back(rig.desk, work, waitings.Why.LATE, rig.now + 0.5)
+    found = waitings.hand_back(
+        rig.router, work, waitings.Why.LATE, rig.now + 0.5
+    )
     reply, story = found
     assert isinstance(reply, events.Reply)
     assert isinstance(reply.outcome, errors.Failure)
     assert reply.outcome.ran is errors.Ran.NO
     assert reply.outcome.retry_after
-    assert isinstance(story, events.Story)
+    assert isinstance(story, events.RequestSummary)
     assert 'waited 0.500 s' in story.why
-    assert not rig.desk.asks
+    assert not rig.router.active_requests
 
 
 def test_parts_go_back_as_not_sent() -> None:
     """Symptom: parts that wait too long spend an attempt of their query."""
     rig = make_rig()
-    work = waitings.weigh(rig.desk, make_assisted(rig, 'hot'), rig.now)
+    work = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
     assert work is not None
-    give, story = waitings.hand_back(rig.desk, work, waitings.Why.LATE, rig.now)
-    assert isinstance(give, events.Give)
-    assert give.share.last
+    give, story = waitings.hand_back(
+        rig.router, work, waitings.Why.LATE, rig.now
+    )
+    assert isinstance(give, events.SendDelegationReport)
+    assert give.share.is_last
     assert [it.service for it in give.share.lost] == list(SHARDS[:15])
-    assert not any(it.arrived for it in give.share.lost)
-    assert isinstance(story, events.Story)
+    assert not any(it.may_have_arrived for it in give.share.lost)
+    assert isinstance(story, events.RequestSummary)
     assert story.assists
 
 
 def test_only_the_less_urgent_are_handed_back_early() -> None:
     """Symptom: urgent parts go from one busy host to the next."""
     rig = make_rig()
-    hot = waitings.weigh(rig.desk, make_assisted(rig, 'hot'), rig.now)
-    urgent = waitings.weigh(rig.desk, make_assisted(rig, 'urgent'), rig.now)
+    hot = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
+    urgent = waitings.weigh(rig.router, make_assisted(rig, 'urgent'), rig.now)
     assert hot is not None
     assert urgent is not None
     assert hot.latest < hot.due
--- a/tests/routing/test_warmups.py
+++ b/tests/routing/test_warmups.py
@@ -13,15 +13,15 @@
     places,
     warmups,
 )
-from tests.routing import desk_rig
+from tests.routing import router_rig
 
 TERMS: Final = places.WarmUp(1.5, 5)
 STEP_S: Final = 0.05
 LAST_S: Final = 8.0
 SHARDS: Final = tuple(f's-{number:02}' for number in range(50))
 ROUTES: Final = (
-    desk_rig.make_route(configs.Gather(SHARDS, 5, 0.5)),
-    desk_rig.make_route(configs.Single('records'), prefix='/one/'),
+    router_rig.make_route(configs.Gather(SHARDS, 5, 0.5)),
+    router_rig.make_route(configs.Single('records'), prefix='/one/'),
 )
 COLD: Final = instances.Instance(
     'cold', 'cold', 'records', '10.0.1.1:80', 'north', 2, False, 60.0
@@ -162,12 +162,12 @@
     assert used >= 0.6 * (20 * TERMS.overage + TERMS.slack)
 
 
-def make_rig(rate: float, *targets: instances.Instance) -> desk_rig.Rig:
+def make_rig(rate: float, *targets: instances.Instance) -> router_rig.Rig:
     """Make a host that is not among those that may send to the targets."""
-    rig = desk_rig.Rig(ROUTES, targets)
-    rig.desk.warmups.terms = TERMS
+    rig = router_rig.Rig(ROUTES, targets)
+    rig.router.warmups.terms = TERMS
     configuration = make_index(rate).configuration._replace(version=2)
-    rig.post(events.Configured(configuration))
+    rig.post(events.ConfigurationReceived(configuration))
     return rig
 
 
@@ -178,8 +178,8 @@
     )
     rig = make_rig(0.0, COLD, warm)
     for _ in range(9):
-        rig.ask('/one/1')
-    assert {send.instance.name for send in rig.take_sent()} == {'warm'}
+        rig.send_request('/one/1')
+    assert {send.instance.name for send in rig.pop_sent()} == {'warm'}
 
 
 def test_leaves_out_at_once_what_only_cold_targets_could_take() -> None:
@@ -189,21 +189,21 @@
     are. Callers are told at once that nothing has run, and when to come back.
     """
     rig = make_rig(4.0, COLD)
-    rig.ask('/one/1')
-    outcome = rig.take_outcome()
+    rig.send_request('/one/1')
+    outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert outcome.ran is errors.Ran.NO
     assert 'warming' in outcome.detail
     assert outcome.retry_after
-    assert not rig.take_sent()
+    assert not rig.pop_sent()
 
 
 def test_uses_cold_targets_that_name_no_rate() -> None:
     """A service that names no rate is spared, but not at a caller's cost."""
     rig = make_rig(0.0, COLD)
     for _ in range(9):
-        rig.ask('/one/1')
-    assert len(rig.take_sent()) == 9
+        rig.send_request('/one/1')
+    assert len(rig.pop_sent()) == 9
 
 
 def test_a_target_counts_as_warm_in_the_end() -> None:
@@ -211,7 +211,7 @@
 
     Its last entry says that it is cold, and no other one comes.
     """
-    known = warmups.Warmups(desk_rig.HOST)
+    known = warmups.Warmups(router_rig.HOST)
     cold = COLD._replace(warming=3.0)
     known.note_targets(instances.EMPTY, instances.build_directory([cold]), 10)
     assert known.is_cold(cold, 13)
@@ -220,7 +220,7 @@
 
 def test_a_whole_data_centre_is_cold_when_it_is_used_again() -> None:
     """Its entries still say that it is warm; they are a heartbeat old."""
-    known = warmups.Warmups(desk_rig.HOST)
+    known = warmups.Warmups(router_rig.HOST)
     warm = COLD._replace(warming=0.0)
     evacuated = instances.build_directory([warm], {'north'})
     used = instances.build_directory([warm])
