--- a/bench/model.py
+++ b/bench/model.py
@@ -153,7 +153,7 @@
         if free > at:
             if isinstance(event, events.ClockTicked | events.ReviewDue):
                 known = self._hosts[host].controls.lags
-                known.note_own(free - at, at)
+                known.record_own(free - at, at)
             if self._lines.keep(host, event, at):
                 self._mark(host, free)
                 return
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -7,10 +7,10 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     instances,
-    places,
     states,
 )
 
@@ -61,7 +61,9 @@
     timeout: float = 1.2
     coverage: float = 0.95
     attempts: int = 2
-    extra_load: places.ExtraLoad = places.ExtraLoad(0.2, 166.0, 10.0)
+    extra_load: deployments.ExtraLoadLimit = deployments.ExtraLoadLimit(
+        0.2, 166.0, 10.0
+    )
     part: float = 0.0
     share: float = 0.0
     away: float = 0.0
@@ -140,11 +142,11 @@
     return made
 
 
-def _name_host(shape: Shape, number: int) -> places.Host:
+def _name_host(shape: Shape, number: int) -> deployments.Host:
     """Name a host; its number stands for its address."""
     centre = number % shape.data_centres
     name = f'host-{number:03}'
-    host = places.Host(name, str(number), f'dc-{centre}')
+    host = deployments.Host(name, str(number), f'dc-{centre}')
     if shape.told:
         return host._replace(capacity=count_cores(shape, number))
     return host
--- a/fuchsiahaven/platform/records.py
+++ b/fuchsiahaven/platform/records.py
@@ -13,9 +13,9 @@
 from fuchsiahaven.routing import (
     capacities,
     configs,
+    deployments,
     facts,
     instances,
-    places,
     suspect_codecs,
 )
 
@@ -74,7 +74,7 @@
     if key.subject is facts.Subject.EVACUATION:
         # The key alone is the order. Were a value that somebody spoilt to
         # undo it, targets would get work that operators have forbidden.
-        return places.Evacuation(key.name)
+        return deployments.Evacuation(key.name)
     try:
         row = json.loads(base64.b64decode(encoded, validate=True))
         return _read_value(key, row)
@@ -101,20 +101,20 @@
     return repr(error)
 
 
-def write_host(host: places.Host) -> tuple[str, str]:
+def write_host(host: deployments.Host) -> tuple[str, str]:
     """Write the key and the value by which other hosts find this one."""
     row: dict[str, str | float] = {
         'address': host.address,
         'zone': host.data_centre,
     }
-    row.update(capacities.write(host.capacity))
+    row.update(capacities.encode_capacity(host.capacity))
     text = json.dumps(row)
     return f'{HOSTS}{host.name}', base64.b64encode(text.encode()).decode()
 
 
 def write_quarantine(news: suspects.SuspectReport) -> tuple[str, str]:
     """Write the key and the value by which hosts learn of a quarantine."""
-    text = json.dumps(suspect_codecs.write_news(news))
+    text = json.dumps(suspect_codecs.encode_report(news))
     key = f'{QUARANTINES}{news.identity.digest}'
     return key, base64.b64encode(text.encode()).decode()
 
@@ -128,8 +128,10 @@
         case facts.Subject.QUARANTINE:
             return _read_quarantine(key.name, row)
         case _:
-            capacity = capacities.read(row)
-            return places.Host(key.name, row['address'], row['zone'], capacity)
+            capacity = capacities.decode_capacity(row)
+            return deployments.Host(
+                key.name, row['address'], row['zone'], capacity
+            )
 
 
 def _read_configuration(row: Mapping[str, Any]) -> configs.Configuration:
@@ -159,11 +161,11 @@
 
 def _read_limits(row: Mapping[str, Any]) -> configs.Limits:
     usual = configs.Limits()
-    head_ms = row.get('header_timeout_ms', usual.head * MILLISECONDS)
-    idle_ms = row.get('idle_timeout_ms', usual.idle * MILLISECONDS)
+    head_ms = row.get('header_timeout_ms', usual.head_timeout * MILLISECONDS)
+    idle_ms = row.get('idle_timeout_ms', usual.idle_timeout * MILLISECONDS)
     return configs.Limits(
-        int(row.get('max_header_bytes', usual.head_bytes)),
-        int(row.get('max_body_bytes', usual.body_bytes)),
+        int(row.get('max_header_bytes', usual.max_head_bytes)),
+        int(row.get('max_body_bytes', usual.max_body_bytes)),
         head_ms / MILLISECONDS,
         idle_ms / MILLISECONDS,
     )
@@ -187,7 +189,7 @@
     )
 
 
-def _read_way(row: Mapping[str, Any]) -> configs.Way:
+def _read_way(row: Mapping[str, Any]) -> configs.RouteAction:
     match row:
         case {'gather': shards}:
             return configs.Gather(
@@ -213,7 +215,7 @@
     if not slots:
         raise ValueError('no slots')
     return instances.Instance(
-        instances.name_start(name, born),
+        instances.make_start_name(name, born),
         name,
         _read_text(row['service']),
         _read_address(row['address']),
@@ -228,7 +230,7 @@
 def _read_quarantine(
     digest: str, row: Mapping[str, Any]
 ) -> suspects.SuspectReport:
-    news = suspect_codecs.read_news(row)
+    news = suspect_codecs.decode_report(row)
     if news.identity.digest != digest:
         raise ValueError('the entry of another request')
     return news
--- a/fuchsiahaven/platform/settings.py
+++ b/fuchsiahaven/platform/settings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Final, NamedTuple
 
-from fuchsiahaven.routing import capacities, places
+from fuchsiahaven.routing import capacities, deployments
 
 VARIABLE: Final = 'FUCHSIAHAVEN_SETTINGS'
 MILLISECONDS: Final = 1000
@@ -48,7 +48,7 @@
 class Reading(NamedTuple):
     """Return the settings, or every fault that was found."""
 
-    settings: places.Settings | None
+    settings: deployments.Settings | None
     faults: tuple[Fault, ...]
 
 
@@ -99,13 +99,15 @@
 
 def _build(
     lines: Mapping[str, str], numbers: Mapping[str, float]
-) -> places.Settings:
+) -> deployments.Settings:
     ports = lines['internal_ports'].split(',')
     # Other hosts are told the seeds' addresses, so the port that the seeds
     # name is the one where this host answers other hosts.
     peers = lines.get('listen.control') or f'{lines["ip"]}:{ports[0]}'
-    return places.Settings(
-        places.Host(lines['node'], peers, lines['zone'], _read_capacity(lines)),
+    return deployments.Settings(
+        deployments.Host(
+            lines['node'], peers, lines['zone'], _read_capacity(lines)
+        ),
         tuple(
             name.partition('.')[2]
             for name in lines
@@ -116,7 +118,7 @@
         f'{lines["ip"]}:{ports[-1]}',
         tuple(seed for seed in lines.get('seeds', '').split(',') if seed),
         lines['platform.address'],
-        places.ExtraLoad(
+        deployments.ExtraLoadLimit(
             numbers['bounds.retry_budget_ratio'],
             numbers['bounds.retry_slack'],
             numbers['bounds.retry_window_s'],
@@ -129,7 +131,7 @@
         _read_figure(lines.get('platform.writes_per_s', ''), USUAL_WRITES),
         _read_figure(
             lines.get('bounds.config_apply_ms', ''),
-            places.USUAL_APPLY_S * MILLISECONDS,
+            deployments.DEFAULT_APPLY_S * MILLISECONDS,
         )
         / MILLISECONDS,
         _read_quota(lines),
@@ -143,11 +145,11 @@
         cores = float(lines.get('limits.cores', '1'))
         capacity = cores * float(lines['limits.cpu_share'])
     except (KeyError, ValueError):
-        return places.UNTOLD
-    return capacities.bound(capacity)
+        return deployments.UNKNOWN_CAPACITY
+    return capacities.clamp(capacity)
 
 
-def _read_quota(lines: Mapping[str, str]) -> places.Quota | None:
+def _read_quota(lines: Mapping[str, str]) -> deployments.QuotaTolerance | None:
     """Read by how much quotas may be exceeded; not every deployment has any."""
     try:
         window, overage, slack = [float(lines.get(it, '')) for it in QUOTA]
@@ -157,7 +159,9 @@
         return None
     if window <= 0:
         return None
-    return places.Quota(window, max(0.0, overage), max(0.0, slack))
+    return deployments.QuotaTolerance(
+        window, max(0.0, overage), max(0.0, slack)
+    )
 
 
 def _read_revoke(lines: Mapping[str, str]) -> float | None:
@@ -168,7 +172,7 @@
     return revoke / MILLISECONDS or None
 
 
-def _read_warm_up(lines: Mapping[str, str]) -> places.WarmUp | None:
+def _read_warm_up(lines: Mapping[str, str]) -> deployments.WarmUpLimit | None:
     """Read the bound on cold targets; not every deployment has one."""
     told = [lines.get(name, '') for name in WARM_UP]
     try:
@@ -176,7 +180,7 @@
     except ValueError:
         return None
     bounded = math.isfinite(overage) and math.isfinite(slack)
-    return places.WarmUp(overage, slack) if bounded else None
+    return deployments.WarmUpLimit(overage, slack) if bounded else None
 
 
 def _read_figure(told: str, usual: float) -> float:
--- a/fuchsiahaven/platform/store.py
+++ b/fuchsiahaven/platform/store.py
@@ -7,7 +7,7 @@
 
 from fuchsiahaven.core import suspects
 from fuchsiahaven.platform import headers, records
-from fuchsiahaven.routing import events, facts, places
+from fuchsiahaven.routing import deployments, events, facts
 
 OK: Final = 200
 NOT_FOUND: Final = 404
@@ -140,7 +140,7 @@
     return Call('POST', f'/kv-keep/{lease}', b'{}')
 
 
-def enter_host(host: places.Host, lease: int) -> Call:
+def enter_host(host: deployments.Host, lease: int) -> Call:
     """Ask for the entry by which other hosts find this one."""
     # Under no condition: the entry is this host's alone.
     return _put(records.write_host(host), lease)
--- a/fuchsiahaven/relay/askers.py
+++ b/fuchsiahaven/relay/askers.py
@@ -8,7 +8,13 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.relay import listings
-from fuchsiahaven.routing import changes, codecs, facts, freshness, sources
+from fuchsiahaven.routing import (
+    changes,
+    facts,
+    freshness,
+    report_codecs,
+    sources,
+)
 
 #: How long a host that asks is kept waiting where there is nothing new.
 HOLD_S: Final = 0.7
@@ -19,7 +25,7 @@
 class State(NamedTuple):
     """Hold what is known; `lost` tells that the store cannot be read."""
 
-    ledger: facts.Ledger
+    ledger: facts.StoreView
     lost: bool
 
 
@@ -57,7 +63,7 @@
         Returns what to call if nobody waits for it any more.
         """
         fields = urllib.parse.parse_qs(asked)
-        cursor = codecs.read_cursor(fields.get('after', [''])[0])
+        cursor = report_codecs.decode_cursor(fields.get('after', [''])[0])
         told = fields.get('known', ['0'])[0]
         held = Held(
             cursor,
@@ -102,21 +108,28 @@
     def _has_news(self, cursor: facts.Cursor) -> bool:
         ledger, lost = self._find_state()
         known = ledger.revision > 0
-        age = time.monotonic() - ledger.read
-        changed = cursor != ledger.cursor or age > sources.STALE_S
+        age = time.monotonic() - ledger.read_at
+        changed = cursor != ledger.cursor or age > sources.MAX_REPORT_AGE_S
         return (known and changed) or lost
 
     def _tell(self, held: Held) -> None:
         now = time.monotonic()
         ledger, lost = self._find_state()
-        if held.cursor.life != ledger.cursor.life and not held.known:
+        if (
+            held.cursor.incarnation != ledger.cursor.incarnation
+            and not held.known
+        ):
             held.tell(self._listings.write(ledger, now, lost=lost))
             return
         report = changes.list_changes(
-            ledger, held.cursor, now, known=held.known
+            ledger, held.cursor, now, known_digest=held.known
         )
         proof = self._keys.make_proof(held.arrived)
-        held.tell(codecs.write_report(report._replace(lost=lost, proof=proof)))
+        held.tell(
+            report_codecs.encode_report(
+                report._replace(store_lost=lost, proof=proof)
+            )
+        )
 
 
 def _read_age(text: str) -> float | None:
--- a/fuchsiahaven/relay/assistants.py
+++ b/fuchsiahaven/relay/assistants.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges
 from fuchsiahaven.relay import encodings, idles, links, openers, traffic
-from fuchsiahaven.routing import assist_codecs, codecs, events
+from fuchsiahaven.routing import assist_codecs, events, report_codecs
 
 PATH: Final = '/v1/assist'
 OK: Final = 200
@@ -136,7 +136,7 @@
                 chunk = busy.unpacker.unpack(chunk)
             busy.received.extend(chunk)
             self._take_lines(busy)
-        except codecs.Malformed:
+        except report_codecs.MalformedReport:
             link.close(messages.Fault.MALFORMED)
 
     def _take_lines(self, busy: Busy) -> None:
--- a/fuchsiahaven/relay/calls.py
+++ b/fuchsiahaven/relay/calls.py
@@ -6,7 +6,7 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges, store
 from fuchsiahaven.relay import encodings, links, traffic
-from fuchsiahaven.routing import codecs, events
+from fuchsiahaven.routing import events, report_codecs
 
 
 class CallFailed(Exception):
@@ -54,7 +54,7 @@
         try:
             async with self._lock, asyncio.timeout(seconds):
                 return await self._call(call, connect_seconds, more)
-        except (OSError, TimeoutError, codecs.Malformed) as error:
+        except (OSError, TimeoutError, report_codecs.MalformedReport) as error:
             self.close()
             raise CallFailed(f'{self.address}: {error!r}') from error
 
--- a/fuchsiahaven/relay/confirmations.py
+++ b/fuchsiahaven/relay/confirmations.py
@@ -13,7 +13,13 @@
 
 from fuchsiahaven.platform import records, store
 from fuchsiahaven.relay import calls, decoders, journal, news, traffic
-from fuchsiahaven.routing import codecs, facts, freshness, places, sources
+from fuchsiahaven.routing import (
+    deployments,
+    facts,
+    freshness,
+    report_codecs,
+    sources,
+)
 
 PART: Final = 'keys'
 PATH: Final = '/v1/keys'
@@ -38,7 +44,7 @@
 
     def __init__(
         self,
-        settings: places.Settings,
+        settings: deployments.Settings,
         known: news.News,
         keys: freshness.Freshness,
         log: journal.Journal,
@@ -50,7 +56,7 @@
         self._keys = keys
         self._log = log
         tally = counted.find(traffic.Kind.STORE, far=True)
-        self.store = calls.Client(settings.store, tally)
+        self.store = calls.Client(settings.store_address, tally)
         self._peers = calls.Clients(counted)
         self._decoder = decoders.Decoder(log)
         self._failures = 0
@@ -84,7 +90,7 @@
     async def _try(self) -> bool:
         """Ask once; tell whether what is known is fresh by it."""
         hosts = facts.list_hosts(self._news.ledger)
-        source = sources.choose_second(
+        source = sources.choose_alternate(
             self._host, hosts, self._passed_over, random.random()
         )
         try:
@@ -96,7 +102,7 @@
                     await self._ask(address)
         except (
             calls.CallFailed,
-            codecs.Malformed,
+            report_codecs.MalformedReport,
             records.Malformed,
         ) as error:
             self._log.tell_request(
@@ -125,7 +131,7 @@
 
     async def _ask(self, address: str) -> None:
         """Ask a host; raises calls.CallFailed and codecs.Malformed."""
-        far = not sources.is_alike(self._host.address, address)
+        far = not sources.has_similar_prefix(self._host.address, address)
         client = self._peers.find(address, far=far)
         known = facts.find_configuration(self._news.ledger).version
         target = f'{PATH}?{urllib.parse.urlencode({VERSION: known})}'
@@ -135,7 +141,7 @@
         )
         if done.status != store.OK:
             raise calls.CallFailed(f'{address} answers {done.status}')
-        report = codecs.read_report(done.body)
+        report = report_codecs.decode_report(done.body)
         if not self._news.take_configuration(report):
             raise calls.CallFailed(f'{address} tells of era {report.era}')
         self._keys.record_proof(left, report.proof, report.era)
@@ -173,4 +179,6 @@
     if facts.find_configuration(ledger).version <= version:
         found = []
     report = facts.Report(0, tuple(found), False, 0, era=ledger.era)
-    return codecs.write_report(report._replace(proof=keys.make_proof(arrived)))
+    return report_codecs.encode_report(
+        report._replace(proof=keys.make_proof(arrived))
+    )
--- a/fuchsiahaven/relay/datagrams.py
+++ b/fuchsiahaven/relay/datagrams.py
@@ -7,11 +7,11 @@
 
 from fuchsiahaven.relay import journal, traffic
 from fuchsiahaven.routing import (
-    codecs,
-    places,
+    deployments,
     quota_codecs,
     quota_words,
     quotas,
+    report_codecs,
 )
 
 PART: Final = 'quotas'
@@ -20,7 +20,7 @@
 HEAD_BYTES: Final = 28
 
 
-def make_terms(settings: places.Settings) -> quotas.Terms:
+def make_terms(settings: deployments.Settings) -> quotas.Terms:
     """Make the terms that quotas are kept by on this host."""
     start = random.getrandbits(START_BITS)
     centres = settings.data_centres or (settings.host.data_centre,)
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        settings: places.Settings,
+        settings: deployments.Settings,
         kept: quotas.Quotas,
         log: journal.Journal,
         counted: traffic.Traffic,
@@ -67,7 +67,7 @@
         else:
             self._transport = opened[0]
 
-    def reload(self, settings: places.Settings) -> None:
+    def reload(self, settings: deployments.Settings) -> None:
         """Take other bounds of the deployment."""
         terms = self._quotas.terms
         self._quotas.terms = terms._replace(quota=settings.quota)
@@ -83,7 +83,9 @@
             self._transport.close()
             self._transport = None
 
-    def tell(self, told: quota_words.Tell, near: Iterable[places.Host]) -> None:
+    def tell(
+        self, told: quota_words.Tell, near: Iterable[deployments.Host]
+    ) -> None:
         """Send a word to a host; those `near` are in this data centre."""
         if self._transport is None:
             return
@@ -100,7 +102,7 @@
     def _take(self, datagram: bytes, sender: str) -> None:
         try:
             word = quota_codecs.read_word(datagram)
-        except codecs.Malformed as error:
+        except report_codecs.MalformedReport as error:
             self._log.tell_request(
                 PART, 'malformed', good=False, why=str(error), sender=sender
             )
--- a/fuchsiahaven/relay/encodings.py
+++ b/fuchsiahaven/relay/encodings.py
@@ -8,7 +8,7 @@
 import zlib
 from typing import Final
 
-from fuchsiahaven.routing import codecs, events
+from fuchsiahaven.routing import events, report_codecs
 
 DEFLATE: Final = 'deflate'
 #: Asks for compressed answers. A host of another version passes over it, and
@@ -75,10 +75,12 @@
         try:
             unpacked = self._unpacking.decompress(piece, self._left + 1)
         except zlib.error as error:
-            raise codecs.Malformed(str(error)) from error
+            raise report_codecs.MalformedReport(str(error)) from error
         self._left -= len(unpacked)
         if self._left < 0:
-            raise codecs.Malformed(f'unpacks to more than {MOST_BYTES} bytes')
+            raise report_codecs.MalformedReport(
+                f'unpacks to more than {MOST_BYTES} bytes'
+            )
         return unpacked
 
 
--- a/fuchsiahaven/relay/fleets.py
+++ b/fuchsiahaven/relay/fleets.py
@@ -8,7 +8,7 @@
     duties,
     events,
     instances,
-    reaches,
+    reachability,
     seats,
     states,
 )
@@ -68,7 +68,7 @@
 
         A host that is sent nothing would not notice that they are back.
         """
-        doubtful = reaches.list_doubtful(self._desk, now)
+        doubtful = reachability.list_unconfirmed(self._desk, now)
         for name in self._pools.keys() & doubtful:
             self._pools[name].try_way()
 
@@ -112,6 +112,6 @@
             return
         hosts = (*desk.hosts, desk.host)
         sharers = duties.count_sharers(
-            service.name, desk.index.wide, hosts, desk.host_count
+            service.name, desk.index.wide_shards, hosts, desk.host_count
         )
         pool.seats = seats.count_seats(service.connections, sharers)
--- a/fuchsiahaven/relay/leases.py
+++ b/fuchsiahaven/relay/leases.py
@@ -4,7 +4,7 @@
 
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import calls, eras, readers
-from fuchsiahaven.routing import places
+from fuchsiahaven.routing import deployments
 
 #: Calls that write an entry: one opens its lease.
 CALLS: Final = 2
@@ -66,11 +66,11 @@
         return done
 
 
-def count_spread(settings: places.Settings, hosts: int) -> float:
+def count_spread(settings: deployments.Settings, hosts: int) -> float:
     """Count the seconds over which hosts write lost entries again.
 
     All of them hear of a restore within a second, and the store takes only so
     many writes: most would be refused and tried again.
     """
-    rate = WRITE_SHARE * settings.store_writes
+    rate = WRITE_SHARE * settings.store_writes_per_s
     return max(LEAST_SPREAD_S, CALLS * hosts / rate)
--- a/fuchsiahaven/relay/lessons.py
+++ b/fuchsiahaven/relay/lessons.py
@@ -5,7 +5,7 @@
 
 from fuchsiahaven.core import suspects
 from fuchsiahaven.relay import evacuations, journal, runner
-from fuchsiahaven.routing import events, facts, instances, places
+from fuchsiahaven.routing import deployments, events, facts, instances
 
 PART: Final = 'process'
 #: What changes which targets may get new work.
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        settings: places.Settings,
+        settings: deployments.Settings,
         driven: runner.Runner,
         log: journal.Journal,
         find_obstacle: Callable[[], str],
@@ -30,23 +30,23 @@
         self._find_obstacle = find_obstacle
         self._quarantines: list[suspects.SuspectReport] = []
 
-    def learn(self, merged: facts.Merged) -> None:
+    def learn(self, merged: facts.MergeResult) -> None:
         """Take in what has changed."""
-        ledger = merged.ledger
-        if facts.Subject.CONFIGURATION in merged.changed:
+        ledger = merged.view
+        if facts.Subject.CONFIGURATION in merged.changed_subjects:
             configuration = facts.find_configuration(ledger)
             self._runner.learn(events.ConfigurationReceived(configuration))
-        if merged.changed & DIRECTING:
+        if merged.changed_subjects & DIRECTING:
             self._direct(ledger)
-        if facts.Subject.HOST in merged.changed:
+        if facts.Subject.HOST in merged.changed_subjects:
             self._count_hosts(ledger)
-        if facts.Subject.QUARANTINE in merged.changed:
+        if facts.Subject.QUARANTINE in merged.changed_subjects:
             self._suspect(ledger)
         desk = self._runner.desk
         self._log.tell(
             PART,
             'learned',
-            subjects=sorted(merged.changed),
+            subjects=sorted(merged.changed_subjects),
             era=ledger.era,
             revision=ledger.revision,
             version=desk.index.configuration.version,
@@ -55,7 +55,7 @@
             ready=self._find_obstacle() or 'yes',
         )
 
-    def _direct(self, ledger: facts.Ledger) -> None:
+    def _direct(self, ledger: facts.StoreView) -> None:
         barred = self.evacuations.take(
             facts.list_evacuations(ledger), self.settings.data_centres
         )
@@ -63,7 +63,7 @@
         directory = instances.build_directory(found, barred)
         self._runner.learn(events.DirectoryChanged(directory))
 
-    def _suspect(self, ledger: facts.Ledger) -> None:
+    def _suspect(self, ledger: facts.StoreView) -> None:
         """Take in the quarantines that were written since the last time.
 
         An entry says how often the request was tried, not since when: a
@@ -80,7 +80,7 @@
         if found:
             self._runner.post(events.SuspectsReported(found))
 
-    def _count_hosts(self, ledger: facts.Ledger) -> None:
+    def _count_hosts(self, ledger: facts.StoreView) -> None:
         # Until the hosts have entered themselves the seeds are all there is.
         known = tuple(facts.list_hosts(ledger))
         count = max(len(known), len(self.settings.seeds))
--- a/fuchsiahaven/relay/listings.py
+++ b/fuchsiahaven/relay/listings.py
@@ -2,7 +2,7 @@
 
 from typing import Final, NamedTuple
 
-from fuchsiahaven.routing import changes, codecs, facts, freshness
+from fuchsiahaven.routing import changes, facts, freshness, report_codecs
 
 #: How old a listing may be, in seconds. A whole data centre asks its first
 #: host within a few tenths when all have just started, and would wait for one
@@ -29,18 +29,22 @@
     def __init__(self, keys: freshness.Freshness) -> None:
         """Start with nothing written."""
         self._keys = keys
-        self._last = Written(facts.START, False, float('-inf'), b'')
+        self._last = Written(facts.START_CURSOR, False, float('-inf'), b'')
 
-    def write(self, ledger: facts.Ledger, now: float, *, lost: bool) -> bytes:
+    def write(
+        self, ledger: facts.StoreView, now: float, *, lost: bool
+    ) -> bytes:
         """Write a listing, or return the last one if it says the same."""
         last = self._last
         uptime = self._keys.read_clock()
         same = last.cursor == ledger.cursor and last.lost == lost
         old = now >= last.at + FRESH_S or uptime >= last.uptime + FRESH_S
         if not same or old:
-            report = changes.list_changes(ledger, facts.START, now)
+            report = changes.list_changes(ledger, facts.START_CURSOR, now)
             # Whoever is given it has asked before it is old.
             proof = self._keys.make_proof(uptime + FRESH_S)
-            body = codecs.write_report(report._replace(lost=lost, proof=proof))
+            body = report_codecs.encode_report(
+                report._replace(store_lost=lost, proof=proof)
+            )
             self._last = Written(ledger.cursor, lost, now, body, uptime)
         return self._last.body
--- a/fuchsiahaven/relay/meters.py
+++ b/fuchsiahaven/relay/meters.py
@@ -97,7 +97,7 @@
     known_suspects = driven.desk.suspects.list_reports(now)
     return Gauges(
         version=driven.desk.index.configuration.version,
-        age=now - known.ledger.read,
+        age=now - known.ledger.read_at,
         targets=len(driven.desk.directory.by_name),
         hosts=driven.desk.host_count,
         links=driven.fleet.count_links(),
--- a/fuchsiahaven/relay/news.py
+++ b/fuchsiahaven/relay/news.py
@@ -20,11 +20,11 @@
     traffic,
 )
 from fuchsiahaven.routing import (
+    deployments,
     facts,
     freshness,
-    ledgers,
-    places,
     sources,
+    store_views,
 )
 
 PART: Final = 'news'
@@ -48,7 +48,7 @@
 #: No two starts of a process have the same number, for all practical purposes.
 LIFE_BITS: Final = 48
 
-Learn = Callable[[facts.Merged], None]
+Learn = Callable[[facts.MergeResult], None]
 
 
 class News:
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        settings: places.Settings,
+        settings: deployments.Settings,
         log: journal.Journal,
         learn: Learn,
         counted: traffic.Traffic,
@@ -64,21 +64,21 @@
     ) -> None:
         """Start with nothing known."""
         self._keys = keys
-        self.ledger = ledgers.begin(
-            random.SystemRandom().getrandbits(LIFE_BITS), settings.heartbeat
+        self.ledger = store_views.create(
+            random.SystemRandom().getrandbits(LIFE_BITS), settings.heartbeat_s
         )
         self.settings = settings
         tally = counted.find(traffic.Kind.STORE, far=True)
-        self.store = calls.Client(settings.store, tally)
+        self.store = calls.Client(settings.store_address, tally)
         self.eras = eras.Eras(log)
         self.writer = leases.Writer(
-            calls.Client(settings.store, tally), self.eras
+            calls.Client(settings.store_address, tally), self.eras
         )
         self._log = log
         self._learn = learn
         self._peers = peer_news.PeerNews(log, counted, keys)
         self._reader = readers.Reader(
-            self.store, log, self.eras, keys, settings.pace
+            self.store, log, self.eras, keys, settings.delay_factor
         )
         self.askers = askers.Askers(self._tell_state, keys)
         self._patient = time.monotonic() + PATIENT_S
@@ -128,7 +128,7 @@
             tries += 1
             now = time.monotonic()
             pause = await self._ask_source(
-                sources.choose(self._view(), now, random.random())
+                sources.choose_source(self._view(), now, random.random())
             )
         if pause is not None:
             return pause
@@ -139,8 +139,8 @@
         match source:
             case sources.Store():
                 read = await self._read_store()
-                usual = GATHER_S * self.settings.pace
-                pause = self._keys.limit_time(usual, freshness.PAUSE_SHARE)
+                usual = GATHER_S * self.settings.delay_factor
+                pause = self._keys.limit_time(usual, freshness.PAUSE_FRACTION)
                 return pause if read else None
             case sources.Peer(address):
                 self.source = address
@@ -150,8 +150,8 @@
                 # The answer is held until there is something new.
                 return 0 if await self._ask(address) else None
 
-    def _view(self) -> sources.View:
-        return sources.View(
+    def _view(self) -> sources.SourceInputs:
+        return sources.SourceInputs(
             self.settings.host,
             facts.list_hosts(self.ledger),
             self.settings.seeds,
@@ -166,7 +166,9 @@
             report = await self._reader.read(self.ledger)
         except (calls.CallFailed, records.Malformed) as error:
             now = time.monotonic()
-            self._store_doubted = now + STORE_DOUBT_S * self.settings.pace
+            self._store_doubted = (
+                now + STORE_DOUBT_S * self.settings.delay_factor
+            )
             self._reader.doubt()
             if not self.lost:
                 self._log.tell(PART, 'the store is lost', error=str(error))
@@ -176,7 +178,7 @@
         now = time.monotonic()
         if self.lost:
             self.lost = False
-            if now - self.ledger.read > OUTAGE_S:
+            if now - self.ledger.read_at > OUTAGE_S:
                 # Nobody could read it, so targets could not renew either.
                 self._returned = now
             self._log.tell(PART, 'the store is back', revision=report.revision)
@@ -206,28 +208,32 @@
         merged = self._take(report, time.monotonic(), None)
         self.askers.tell_fresher()
         if self._is_behind(report, merged):
-            self._peers.pass_over(address, report, self.settings.pace)
+            self._peers.pass_over(address, report, self.settings.delay_factor)
             return False
         self._peers.forgive(address)
         return True
 
-    def _is_behind(self, report: facts.Report, merged: facts.Merged) -> bool:
+    def _is_behind(
+        self, report: facts.Report, merged: facts.MergeResult
+    ) -> bool:
         """Tell whether what a host has told is no news."""
-        if report.lost or merged.earlier or not report.revision:
+        if report.store_lost or merged.from_earlier_era or not report.revision:
             return True
-        return time.monotonic() - self.ledger.read > sources.STALE_S
+        return time.monotonic() - self.ledger.read_at > sources.MAX_REPORT_AGE_S
 
     def _take(
         self, report: facts.Report, now: float, returned: float | None
-    ) -> facts.Merged:
+    ) -> facts.MergeResult:
         begun = not self.ledger.revision
-        merged = ledgers.merge(self.ledger, report, now, returned=returned)
-        self.ledger = merged.ledger
+        merged = store_views.merge_report(
+            self.ledger, report, now, returned_at=returned
+        )
+        self.ledger = merged.view
         restores.tell(self._log, merged, self.source)
-        if facts.Subject.CONFIGURATION in merged.changed:
+        if facts.Subject.CONFIGURATION in merged.changed_subjects:
             known = facts.find_configuration(self.ledger)
-            self._keys.note_configuration(known)
-        if merged.changed or merged.restore or begun:
+            self._keys.update_configuration(known)
+        if merged.changed_subjects or merged.restore or begun:
             self.askers.tell_all()
             self._learn(merged)
         return merged
--- a/fuchsiahaven/relay/notices.py
+++ b/fuchsiahaven/relay/notices.py
@@ -13,7 +13,7 @@
 from fuchsiahaven.core import suspects
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import calls, journal, quarantines, traffic
-from fuchsiahaven.routing import events, places, states, suspect_codecs
+from fuchsiahaven.routing import deployments, events, states, suspect_codecs
 
 PART: Final = quarantines.PART
 PATH: Final = '/v1/suspects'
@@ -62,22 +62,22 @@
     def tell(self, found: suspects.SuspectReport) -> None:
         """Tell of what this host found out."""
         hops = count_hops(len(self._desk.hosts))
-        self._spread(suspect_codecs.Notice((found,), hops))
+        self._spread(suspect_codecs.SuspectNotice((found,), hops))
         self._quarantines.enter(found)
 
-    def hand_on(self, notice: suspect_codecs.Notice) -> None:
+    def hand_on(self, notice: suspect_codecs.SuspectNotice) -> None:
         """Hand on what was news here."""
         if notice.hops:
             self._spread(notice._replace(hops=notice.hops - 1))
-        for found in notice.news:
+        for found in notice.reports:
             self._quarantines.keep(found)
 
     def refuse(self, why: str) -> None:
         """Take note that a host told what cannot be read."""
         self._log.tell_request(PART, 'malformed', good=False, why=why)
 
-    def _spread(self, notice: suspect_codecs.Notice) -> None:
-        body = suspect_codecs.write_notice(notice)
+    def _spread(self, notice: suspect_codecs.SuspectNotice) -> None:
+        body = suspect_codecs.encode_notice(notice)
         call = store.Call('POST', PATH, body)
         for host in self._pick(FAN_OUT):
             if len(self._tasks) < MOST_UNDER_WAY:
@@ -96,22 +96,24 @@
             self._learn(events.SuspectsReported(news))
 
     async def _ask(
-        self, host: places.Host
+        self, host: deployments.Host
     ) -> tuple[suspects.SuspectReport, ...]:
         body = await self._call(host, store.Call('GET', PATH))
         if body is None:
             return ()
         try:
-            return suspect_codecs.read_notice(body).news
+            return suspect_codecs.decode_notice(body).reports
         except ValueError as error:
             self.refuse(str(error))
             return ()
 
-    def _pick(self, count: int) -> list[places.Host]:
+    def _pick(self, count: int) -> list[deployments.Host]:
         hosts = list(self._desk.hosts)
         return random.sample(hosts, min(count, len(hosts)))
 
-    async def _call(self, host: places.Host, call: store.Call) -> bytes | None:
+    async def _call(
+        self, host: deployments.Host, call: store.Call
+    ) -> bytes | None:
         """Call a host, again if that fails; None without an answer."""
         far = host.data_centre != self._desk.host.data_centre
         client = self._peers.find(host.address, far=far)
--- a/fuchsiahaven/relay/peer_news.py
+++ b/fuchsiahaven/relay/peer_news.py
@@ -7,7 +7,13 @@
 
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import askers, calls, encodings, journal, traffic
-from fuchsiahaven.routing import changes, codecs, facts, freshness, sources
+from fuchsiahaven.routing import (
+    changes,
+    facts,
+    freshness,
+    report_codecs,
+    sources,
+)
 
 PART: Final = 'news'
 #: How long a host that has just started waits for a connection. Where all
@@ -42,14 +48,16 @@
         self._failures: collections.Counter[str] = collections.Counter()
 
     async def ask(
-        self, address: str, ledger: facts.Ledger, *, near: bool
+        self, address: str, ledger: facts.StoreView, *, near: bool
     ) -> facts.Report | None:
         """Ask a host for what it has learned since it was asked last."""
         client = self._clients.find(address, far=not near)
-        cursor = self._cursors.get(address, facts.START)
+        cursor = self._cursors.get(address, facts.START_CURSOR)
         asked = {
-            'after': codecs.write_cursor(cursor),
-            'known': 0 if cursor.life else changes.digest(ledger),
+            'after': report_codecs.encode_cursor(cursor),
+            'known': 0
+            if cursor.incarnation
+            else changes.compute_digest(ledger),
         }
         if self._keys.is_enforced:
             asked[askers.KEYS_AGE] = f'{self._keys.compute_age():.3f}'
@@ -62,8 +70,8 @@
                 connect_seconds=connect,
                 more=(encodings.ACCEPT,),
             )
-            report = codecs.read_report(done.body)
-        except (calls.CallFailed, codecs.Malformed) as error:
+            report = report_codecs.decode_report(done.body)
+        except (calls.CallFailed, report_codecs.MalformedReport) as error:
             self._doubt(address, str(error), known=bool(ledger.revision))
             return None
         self._cursors[address] = report.cursor
@@ -73,7 +81,7 @@
         self, address: str, report: facts.Report, pace: float
     ) -> None:
         """Pass over a host for a while that told no news."""
-        doubt = sources.STALE_DOUBT_S * pace
+        doubt = sources.STALE_BACKOFF_S * pace
         self.behind[address] = time.monotonic() + doubt
         self._log.tell(
             PART,
@@ -97,6 +105,8 @@
 
     def _doubt(self, address: str, why: str, *, known: bool) -> None:
         self._failures[address] += 1
-        doubt = sources.count_doubt(self._failures[address], starting=not known)
+        doubt = sources.compute_backoff(
+            self._failures[address], starting=not known
+        )
         self.doubted[address] = time.monotonic() + doubt
         self._log.tell(PART, 'a host is doubted', address=address, why=why)
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -31,10 +31,10 @@
 )
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     facts,
-    places,
     quota_words,
     returns,
     states,
@@ -58,7 +58,9 @@
 class Process:
     """Join the decisions, the ports and the news of one process."""
 
-    def __init__(self, settings: places.Settings, log: journal.Journal) -> None:
+    def __init__(
+        self, settings: deployments.Settings, log: journal.Journal
+    ) -> None:
         """Prepare without listening."""
         self.settings = settings
         self.log = log
@@ -66,15 +68,15 @@
         self.desk = states.Router(
             settings.host, settings.extra_load, random.random
         )
-        self.desk.reply_margin.link_bytes_per_s = settings.link
-        self.desk.warmups.terms = settings.warm_up
+        self.desk.reply_margin.link_bytes_per_s = settings.link_bytes_per_s
+        self.desk.warmups.limit = settings.warm_up
         self.runner = runner.Runner(self.desk, self._tell)
         self.meters.waits = self.runner.order.figures
         self.lessons = lessons.Lessons(
             settings, self.runner, log, self.find_obstacle
         )
         self.keys = self.desk.controls.freshness
-        self.keys.revoke_s = settings.revoke
+        self.keys.revoke_s = settings.revoke_s
         self.news = news.News(
             settings, log, self._learn, self.runner.traffic, self.keys
         )
@@ -156,7 +158,7 @@
             return STOPPING
         return self.readiness.find_obstacle()
 
-    def _learn(self, merged: facts.Merged) -> None:
+    def _learn(self, merged: facts.MergeResult) -> None:
         self.lessons.learn(merged)
         if merged.restore is not None:
             self._entry.note_restore()
@@ -173,11 +175,11 @@
         stack.callback(peers.close)
         stack.callback(self._datagrams.close)
         await self._datagrams.open()
-        metrics = await self.peers.listen(settings.metrics)
+        metrics = await self.peers.listen(settings.metrics_address)
         stack.callback(metrics.close)
-        balancer = await self.balancer.listen(settings.readiness)
+        balancer = await self.balancer.listen(settings.readiness_address)
         stack.callback(balancer.close)
-        callers = await self.callers.listen(settings.callers)
+        callers = await self.callers.listen(settings.caller_address)
         stack.callback(callers.close)
 
     async def _stop(self) -> None:
@@ -188,7 +190,7 @@
         connections are closed only then, when hardly any request can cross.
         """
         began = time.monotonic()
-        last = began + self.settings.grace - GRACE_MARGIN_S
+        last = began + self.settings.grace_s - GRACE_MARGIN_S
         self.log.tell(PART, 'stopping', waiting=self.runner.count_waiting())
         self.callers.stop()
         await asyncio.sleep(LAG_S)
@@ -228,8 +230,8 @@
         self.news.settings = reading.settings
         self.lessons.settings = reading.settings
         self.desk.update_extra_load(reading.settings.extra_load)
-        self.desk.warmups.terms = reading.settings.warm_up
-        self.keys.revoke_s = reading.settings.revoke
+        self.desk.warmups.limit = reading.settings.warm_up
+        self.keys.revoke_s = reading.settings.revoke_s
         self._datagrams.reload(reading.settings)
         self.log.tell(PART, 'reloaded', settings=self.settings)
 
@@ -287,12 +289,12 @@
             notices.PART,
             suspects.get_state_name(found),
             good=False,
-            **suspect_codecs.write_news(found),
+            **suspect_codecs.encode_report(found),
         )
 
     def _tell_story(self, story: events.RequestSummary) -> None:
         self.meters.note(story)
-        age = time.monotonic() - self.news.ledger.read
+        age = time.monotonic() - self.news.ledger.read_at
         good = story.result in {'complete', 'partial', 'relayed 200'}
         told = story._replace(took=round(story.took, 4))._asdict()
         for name in KEYED:
--- a/fuchsiahaven/relay/questions.py
+++ b/fuchsiahaven/relay/questions.py
@@ -24,12 +24,12 @@
 )
 from fuchsiahaven.routing import (
     assist_codecs,
-    codecs,
     dispatch,
     events,
+    report_codecs,
     rooms,
-    standings,
     suspect_codecs,
+    target_health,
 )
 
 TEXT: Final = (('content-type', 'text/plain'),)
@@ -127,7 +127,7 @@
             return None
         try:
             assist = assist_codecs.read_assist(message.body, time.monotonic())
-        except codecs.Malformed as error:
+        except report_codecs.MalformedReport as error:
             caller.answer(_refuse(str(error)))
             return None
         request = exchanges.identify(assist.request)
@@ -152,20 +152,24 @@
         """Take in what another host knows against requests, or tell it."""
         if message.method == 'GET':
             found = self._runner.desk.suspects.list_reports(time.monotonic())
-            rows = tuple(found[: suspect_codecs.MOST_ROWS])
-            told = suspect_codecs.write_notice(suspect_codecs.Notice(rows, 0))
+            rows = tuple(found[: suspect_codecs.MAX_ROWS])
+            told = suspect_codecs.encode_notice(
+                suspect_codecs.SuspectNotice(rows, 0)
+            )
             return exchanges.Written(HTTPStatus.OK, JSON, told)
         try:
-            notice = suspect_codecs.read_notice(message.body)
+            notice = suspect_codecs.decode_notice(message.body)
         except ValueError as error:
             self._notices.refuse(str(error))
             return _refuse(str(error), HTTPStatus.BAD_REQUEST)
         now = time.monotonic()
         known = self._runner.desk.suspects
-        fresh = tuple(it for it in notice.news if known.is_new_report(it, now))
+        fresh = tuple(
+            it for it in notice.reports if known.is_new_report(it, now)
+        )
         if fresh:
             self._runner.post(events.SuspectsReported(fresh))
-            self._notices.hand_on(notice._replace(news=fresh))
+            self._notices.hand_on(notice._replace(reports=fresh))
         return exchanges.Written(HTTPStatus.OK, JSON, b'{}')
 
     def _tell_readiness(self) -> exchanges.Written:
@@ -181,14 +185,14 @@
         told: dict[str, object] = {
             'ready': self._find_obstacle() or 'yes',
             'version': desk.index.configuration.version,
-            'news_age': round(now - self._news.ledger.read, 2),
+            'news_age': round(now - self._news.ledger.read_at, 2),
             'store_lost': self._news.lost,
             'store_era': self._news.ledger.era,
             'store_revision': self._news.ledger.revision,
             'source': self._news.source,
             'evacuated': self._evacuations.tell(),
             'quarantined': [
-                suspect_codecs.write_news(found)
+                suspect_codecs.encode_report(found)
                 for found in suspects.select_quarantined(
                     desk.suspects.list_reports(now)
                 )
@@ -197,7 +201,7 @@
             'hosts': {host.name: host.data_centre for host in desk.hosts},
             'targets': {
                 service: {
-                    one.name: standings.describe(
+                    one.name: target_health.describe(
                         desk.target_health.get(one.name), now
                     )
                     for one in found
--- a/fuchsiahaven/relay/readers.py
+++ b/fuchsiahaven/relay/readers.py
@@ -51,7 +51,7 @@
         """List the next time: changes may have been missed."""
         self._list_at = 0
 
-    async def read(self, ledger: facts.Ledger) -> facts.Report:
+    async def read(self, ledger: facts.StoreView) -> facts.Report:
         """Read what has changed, or everything.
 
         Raises calls.CallFailed and records.Malformed.
@@ -65,9 +65,9 @@
             self._list_at = now + LIST_S
         return report
 
-    async def _watch(self, ledger: facts.Ledger) -> facts.Report | None:
+    async def _watch(self, ledger: facts.StoreView) -> facts.Report | None:
         """Read what has changed; None if only a listing tells."""
-        wait = self._keys.limit_time(self._wait, freshness.WATCH_SHARE)
+        wait = self._keys.limit_time(self._wait, freshness.WATCH_FRACTION)
         call = store.watch_everything(ledger.revision, wait)
         self.left = self._keys.read_clock()
         done = await self._store.call(call, wait + WATCH_ANSWER_S)
@@ -83,7 +83,7 @@
         page = store.read_events(done.body, era, self._decoder.decode)
         return facts.Report(page.revision, page.items, False, 0, era=era)
 
-    def _find_era(self, done: calls.Done, ledger: facts.Ledger) -> int:
+    def _find_era(self, done: calls.Done, ledger: facts.StoreView) -> int:
         """Find the era of an answer; one that tells none is of the last.
 
         Raises calls.CallFailed for an answer of an earlier era.
@@ -94,7 +94,7 @@
             raise calls.CallFailed(f'the store answers from its era {era}')
         return era
 
-    def _note_forgotten(self, ledger: facts.Ledger) -> None:
+    def _note_forgotten(self, ledger: facts.StoreView) -> None:
         self.forgotten += 1
         self._log.tell_request(
             PART,
@@ -104,7 +104,7 @@
             era=self._eras.heard,
         )
 
-    async def _list(self, ledger: facts.Ledger) -> facts.Report:
+    async def _list(self, ledger: facts.StoreView) -> facts.Report:
         """List everything, again if the store comes back meanwhile."""
         tries = 0
         while tries < MOST_LISTINGS:
@@ -114,7 +114,7 @@
                 return report
         raise calls.CallFailed('the store came back while it was listed')
 
-    async def _list_era(self, ledger: facts.Ledger) -> facts.Report | None:
+    async def _list_era(self, ledger: facts.StoreView) -> facts.Report | None:
         """List everything; None if the pages are not of one era."""
         began = time.monotonic()
         self.left = self._keys.read_clock()
--- a/fuchsiahaven/relay/restores.py
+++ b/fuchsiahaven/relay/restores.py
@@ -10,7 +10,7 @@
 MOST_NAMED: Final = 8
 
 
-def tell(log: journal.Journal, merged: facts.Merged, source: str) -> None:
+def tell(log: journal.Journal, merged: facts.MergeResult, source: str) -> None:
     """Write lines for a restore and for what it has dropped."""
     if merged.restore is not None:
         told = merged.restore
@@ -22,7 +22,7 @@
             revision_before=told.before.revision,
             revision=told.after.revision,
             kept=told.kept,
-            taken=told.taken,
+            taken=told.changed,
             source=source,
         )
     if merged.dropped:
--- a/fuchsiahaven/relay/runner.py
+++ b/fuchsiahaven/relay/runner.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from fuchsiahaven.relay import assistants, fleets, orders, traffic
-from fuchsiahaven.routing import dispatch, events, reaches, states
+from fuchsiahaven.routing import dispatch, events, reachability, states
 
 #: How often connections are looked at for what takes too long.
 SWEEP_S: Final = 0.1
@@ -98,11 +98,11 @@
             due = time.monotonic() + SWEEP_S
             await asyncio.sleep(SWEEP_S)
             now = time.monotonic()
-            self.desk.controls.lags.note_own(now - due, now)
+            self.desk.controls.lags.record_own(now - due, now)
             self.fleet.sweep(now)
             self._assistants.sweep(now)
             self.post(events.ReviewDue())
-            if now >= try_at and reaches.misses_targets(self.desk, now):
+            if now >= try_at and reachability.needs_probes(self.desk, now):
                 try_at = now + TRY_S
                 self.fleet.try_ways(now)
 
@@ -171,6 +171,6 @@
         if self._timer is not None:
             now = time.monotonic()
             late = now - self._timer.when()
-            self.desk.controls.lags.note_own(late, now)
+            self.desk.controls.lags.record_own(late, now)
         self._timer = None
         self.post(events.ClockTicked())
--- a/fuchsiahaven/relay/silences.py
+++ b/fuchsiahaven/relay/silences.py
@@ -11,7 +11,7 @@
 
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import calls, journal, traffic
-from fuchsiahaven.routing import centres, places, rooms, states
+from fuchsiahaven.routing import centre_health, deployments, rooms, states
 
 PART: Final = 'silences'
 PATH: Final = '/v1/silences'
@@ -56,10 +56,10 @@
         """Take in what a host tells; raises ValueError."""
         told = read(body)
         if told.data_centre == self._desk.host.data_centre:
-            self._desk.centre_health.take_word(told, time.monotonic())
+            self._desk.centre_health.update_report(told, time.monotonic())
 
     def _look(self, now: float) -> None:
-        found = self._desk.centre_health.list_noticed()
+        found = self._desk.centre_health.list_observed()
         if self._told:
             if found == self._told and now < self._due:
                 return
@@ -68,7 +68,7 @@
         ):
             return
         self._told = found
-        self._due = now + centres.WORD_S / 2
+        self._due = now + centre_health.REPORT_LIFETIME_S / 2
         self._spread(found)
 
     def _spread(self, found: frozenset[str]) -> None:
@@ -78,14 +78,16 @@
         ]
         silent = tuple(sorted(found))
         self._log.tell(PART, 'told', silent=silent, hosts=len(near))
-        body = write(centres.Word(own.name, own.data_centre, silent))
+        body = write(
+            centre_health.SilenceReport(own.name, own.data_centre, silent)
+        )
         call = store.Call('POST', PATH, body)
         for host in near:
             task = asyncio.create_task(self._call(host, call))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _call(self, host: places.Host, call: store.Call) -> None:
+    async def _call(self, host: deployments.Host, call: store.Call) -> None:
         client = self._peers.find(host.address, far=False)
         try:
             await client.call(call, TELL_S)
@@ -95,7 +97,7 @@
             self._log.tell_request(PART, 'not told', good=False, why=why)
 
 
-def write(told: centres.Word) -> bytes:
+def write(told: centre_health.SilenceReport) -> bytes:
     """Write which data centres a host hears nothing of."""
     row = {
         'host': told.host,
@@ -105,7 +107,7 @@
     return json.dumps(row, separators=(',', ':')).encode()
 
 
-def read(text: bytes) -> centres.Word:
+def read(text: bytes) -> centre_health.SilenceReport:
     """Read which data centres a host hears nothing of; raises ValueError."""
     try:
         row = json.loads(text)
@@ -116,7 +118,9 @@
         raise ValueError(repr(error)) from error
     if not isinstance(names, list) or len(names) > MOST_NAMES:
         raise ValueError('no names')
-    return centres.Word(host, own, tuple(_read_name(it) for it in names))
+    return centre_health.SilenceReport(
+        host, own, tuple(_read_name(it) for it in names)
+    )
 
 
 def _read_name(told: object) -> str:
--- a/fuchsiahaven/routing/assist_codecs.py
+++ b/fuchsiahaven/routing/assist_codecs.py
@@ -4,7 +4,7 @@
 import json
 from typing import Final, NotRequired, TypedDict
 
-from fuchsiahaven.routing import codecs, events, suspect_codecs
+from fuchsiahaven.routing import events, report_codecs, suspect_codecs
 
 MILLISECONDS: Final = 1000
 
@@ -44,7 +44,7 @@
     lost: list[list[str | bool]]
     last: bool
     silent: NotRequired[list[str]]
-    suspect: NotRequired[suspect_codecs.WrittenNews]
+    suspect: NotRequired[suspect_codecs.EncodedSuspectReport]
     lag: NotRequired[int]
 
 
@@ -76,7 +76,7 @@
     try:
         return _read_assist(json.loads(text), now)
     except (ValueError, KeyError, TypeError) as error:
-        raise codecs.Malformed(repr(error)) from error
+        raise report_codecs.MalformedReport(repr(error)) from error
 
 
 def write_share(share: events.DelegationReport) -> bytes:
@@ -91,7 +91,7 @@
     if share.silent_centres:
         written['silent'] = list(share.silent_centres)
     if share.suspect is not None:
-        written['suspect'] = suspect_codecs.write_news(share.suspect)
+        written['suspect'] = suspect_codecs.encode_report(share.suspect)
     lag = int(share.lag_s * MILLISECONDS)
     if lag:
         written['lag'] = lag
@@ -103,7 +103,7 @@
     try:
         return _read_share(json.loads(text))
     except (ValueError, KeyError, TypeError) as error:
-        raise codecs.Malformed(repr(error)) from error
+        raise report_codecs.MalformedReport(repr(error)) from error
 
 
 def _dump(written: WrittenAssist | WrittenShare) -> bytes:
@@ -145,7 +145,7 @@
         tuple(_read_out(part) for part in row['lost']),
         bool(row['last']),
         tuple(str(name) for name in row.get('silent', ())),
-        None if suspect is None else suspect_codecs.read_news(suspect),
+        None if suspect is None else suspect_codecs.decode_report(suspect),
         max(0, int(row.get('lag', 0))) / MILLISECONDS,
     )
 
--- a/fuchsiahaven/routing/assists.py
+++ b/fuchsiahaven/routing/assists.py
@@ -75,9 +75,9 @@
         return []
     ask.reported.update(settled, (BEGUN,))
     shares = _make_shares(ask, settled, first=first, over=over)
-    silent = tuple(sorted(desk.centre_health.list_noticed()))
+    silent = tuple(sorted(desk.centre_health.list_observed()))
     suspect = desk.suspects.make_report(ask.request.identity, now)
-    lag = desk.controls.lags.tell_own(now)
+    lag = desk.controls.lags.get_own(now)
     actions: Actions = [
         events.SendDelegationReport(
             ask.number,
--- a/fuchsiahaven/routing/attempt_results.py
+++ b/fuchsiahaven/routing/attempt_results.py
@@ -36,7 +36,7 @@
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
-    router.centre_health.note_heard(in_flight.data_centre)
+    router.centre_health.record_contact(in_flight.data_centre)
     answer = event.answer
     health = router.target_health
     if answer.status >= active_requests.MIN_FAILURE_STATUS and _is_overdue(
@@ -44,11 +44,11 @@
     ):
         # It ran out of the time that it was given, which says how slow it is
         # and not that it fails.
-        health.note_answered(in_flight.instance, event.key, now, answer.load)
+        health.record_answered(in_flight.instance, event.key, now, answer.load)
     elif answer.status >= active_requests.MIN_FAILURE_STATUS:
-        health.note_failed(in_flight.instance, event.key, now)
+        health.record_failed(in_flight.instance, event.key, now)
     else:
-        health.note_answered(in_flight.instance, event.key, now, answer.load)
+        health.record_answered(in_flight.instance, event.key, now, answer.load)
         _record_latency(router, in_flight, now)
     notifications: Actions = []
     if answer.status == active_requests.OK_STATUS:
@@ -91,16 +91,16 @@
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
-    router.centre_health.note_heard(in_flight.data_centre)
+    router.centre_health.record_contact(in_flight.data_centre)
     if event.reason is messages.RefusalReason.SHED and _is_overdue(
         in_flight, now
     ):
         # It waited in the queue until its time was over.
         event = event._replace(reason=messages.RefusalReason.DEADLINE)
-    router.target_health.note_refused(in_flight.instance, event, now)
+    router.target_health.record_refused(in_flight.instance, event, now)
     if event.reason is messages.RefusalReason.LEAVING:
         # Another process answers at this address, or this one is leaving.
-        router.target_health.note_gone(in_flight.instance, now)
+        router.target_health.record_address_reused(in_flight.instance, now)
     if event.reason is messages.RefusalReason.SHED:
         window = router.latency_windows.get(in_flight.route, hedges.EMPTY)
         router.latency_windows[in_flight.route] = hedges.record_shed(window)
@@ -126,13 +126,13 @@
         return []
     notifications: Actions | None = []
     if event.fault is messages.Fault.CONNECTION_LOST:
-        router.centre_health.note_failed(
+        router.centre_health.record_failed(
             in_flight.data_centre, in_flight.instance
         )
         notifications = crashes.record_loss(router, event.key, in_flight, now)
     if notifications is not None:
         crashes.end_trial(router, in_flight.identity, event.key, now)
-    router.target_health.note_broken(in_flight.instance, event, now)
+    router.target_health.record_broken(in_flight.instance, event, now)
     active = find_waiting_request(router, event.key)
     if active is None:
         return notifications or []
@@ -160,10 +160,10 @@
         return []
     service = event.key.service
     if event.unreachable:
-        router.centre_health.note_failed(
+        router.centre_health.record_failed(
             in_flight.data_centre, in_flight.instance
         )
-    router.target_health.note_unsent(in_flight.instance, event, now)
+    router.target_health.record_unsent(in_flight.instance, event, now)
     if in_flight.charged:
         router.get_budget(service).record_extra(now, -1)
     crashes.end_trial(router, in_flight.identity, event.key, now)
--- a/fuchsiahaven/routing/attempts.py
+++ b/fuchsiahaven/routing/attempts.py
@@ -418,7 +418,7 @@
         return coverage.Reason.WARMING
     if service in router.directory.by_service:
         return coverage.Reason.UNREACHABLE
-    if service in router.directory.withheld:
+    if service in router.directory.evacuated_services:
         return coverage.Reason.EVACUATED
     return coverage.Reason.NO_REPLICA
 
@@ -459,9 +459,9 @@
         active.request.request_id,
         active.request.identity,
     )
-    router.centre_health.note_sent(chosen.data_centre, chosen.name, now)
-    router.target_health.note_sent(chosen.name, key, now)
-    router.warmups.note_sent(chosen, now)
+    router.centre_health.record_sent(chosen.data_centre, chosen.name, now)
+    router.target_health.record_sent(chosen.name, key, now)
+    router.warmups.record_sent(chosen, now)
     return events.SendAttempt(
         key, chosen, active.request, deadline, active.route.at_most_once
     )
--- a/fuchsiahaven/routing/budgets.py
+++ b/fuchsiahaven/routing/budgets.py
@@ -7,7 +7,7 @@
 import collections
 from typing import Final, NamedTuple
 
-from fuchsiahaven.routing import places
+from fuchsiahaven.routing import deployments
 
 #: A window is counted in so many steps; more would follow it more closely.
 WINDOW_STEPS: Final = 20
@@ -27,7 +27,7 @@
 class Budget:
     """Count the requests for one service and their repeats."""
 
-    def __init__(self, extra_load: places.ExtraLoad) -> None:
+    def __init__(self, extra_load: deployments.ExtraLoadLimit) -> None:
         """Start with nothing counted."""
         self.extra_load = extra_load
         self._steps: collections.deque[Step] = collections.deque()
@@ -56,7 +56,9 @@
         requests = sum(step.requests for step in self._steps)
         extra = sum(step.extra for step in self._steps)
         slack = self.extra_load.slack / max(1, hosts)
-        return USED_FRACTION * (self.extra_load.share * requests + slack), extra
+        return USED_FRACTION * (
+            self.extra_load.fraction * requests + slack
+        ), extra
 
     def _add(self, now: float, *, requests: int = 0, extra: int = 0) -> None:
         number = self._compute_step_number(now)
@@ -73,4 +75,4 @@
             self._steps.popleft()
 
     def _compute_step_number(self, now: float) -> int:
-        return int(now * WINDOW_STEPS / self.extra_load.window)
+        return int(now * WINDOW_STEPS / self.extra_load.window_s)
--- a/fuchsiahaven/routing/changes.py
+++ b/fuchsiahaven/routing/changes.py
@@ -12,11 +12,15 @@
 
 #: How long a removal is remembered for hosts that ask what has changed. A
 #: host that was silent for longer gets everything.
-REMEMBER_S: Final = 60.0
+REMOVAL_LIFETIME_S: Final = 60.0
 
 
 def list_changes(
-    ledger: facts.Ledger, after: facts.Cursor, now: float, *, known: int = 0
+    view: facts.StoreView,
+    after: facts.Cursor,
+    now: float,
+    *,
+    known_digest: int = 0,
 ) -> facts.Report:
     """List what has been learned after a place, for another host.
 
@@ -24,30 +28,37 @@
     what it has `known` from elsewhere is the same: everything is 50 kB where
     there are 350 entries, and in an outage each host asks many others.
     """
-    cursor = ledger.cursor
-    news = facts.Report(
-        ledger.revision,
+    cursor = view.cursor
+    report = facts.Report(
+        view.revision,
         (),
-        whole=False,
-        age=now - ledger.read,
+        full=False,
+        age=now - view.read_at,
         cursor=cursor,
-        era=ledger.era,
-        since=ledger.since,
+        era=view.era,
+        first_revision=view.first_revision,
     )
-    if after.life != cursor.life and known and known == digest(ledger):
-        return news
-    if after.life != cursor.life or after.place < ledger.floor:
-        found = [it for it in ledger.facts.values() if it.value is not None]
-        return news._replace(facts=tuple(found), whole=True)
-    found = [
+    if (
+        after.incarnation != cursor.incarnation
+        and known_digest
+        and known_digest == compute_digest(view)
+    ):
+        return report
+    if (
+        after.incarnation != cursor.incarnation
+        or after.position < view.expired_position
+    ):
+        listed = [it for it in view.facts.values() if it.value is not None]
+        return report._replace(facts=tuple(listed), full=True)
+    listed = [
         fact
-        for key, fact in ledger.facts.items()
-        if ledger.places[key] > after.place
+        for key, fact in view.facts.items()
+        if view.positions[key] > after.position
     ]
-    return news._replace(facts=tuple(found))
+    return report._replace(facts=tuple(listed))
 
 
-def digest(ledger: facts.Ledger) -> int:
+def compute_digest(view: facts.StoreView) -> int:
     """Sum up what is known, whatever revisions it was written at.
 
     What lapses unless it is written again is left out: a host that has it
@@ -56,46 +67,47 @@
     """
     lines = [
         f'{fact.key} {fact.value}'
-        for key, fact in ledger.facts.items()
-        if fact.value is not None and key not in ledger.lapsing
+        for key, fact in view.facts.items()
+        if fact.value is not None and key not in view.unwritten
     ]
-    lines.extend(f'{key} is held' for key in ledger.held)
+    lines.extend(f'{key} is held' for key in view.deferred)
     return zlib.crc32('\n'.join(sorted(lines)).encode())
 
 
-def note(
-    ledger: facts.Ledger, changed: Collection[facts.Key], now: float
-) -> facts.Ledger:
+def record_changes(
+    view: facts.StoreView, changed: Collection[facts.Key], now: float
+) -> facts.StoreView:
     """Note when facts were learned, for those who ask what is new."""
-    life, place = ledger.cursor
-    place += len(changed)
-    gone = {key: now for key in changed if ledger.facts[key].value is None}
-    return ledger._replace(
-        cursor=facts.Cursor(life, place),
-        places={**ledger.places, **dict.fromkeys(changed, place)},
-        gone={**ledger.gone, **gone},
+    incarnation, position = view.cursor
+    position += len(changed)
+    removed_at = {key: now for key in changed if view.facts[key].value is None}
+    return view._replace(
+        cursor=facts.Cursor(incarnation, position),
+        positions={**view.positions, **dict.fromkeys(changed, position)},
+        removed_at={**view.removed_at, **removed_at},
     )
 
 
-def forget(ledger: facts.Ledger, now: float) -> facts.Ledger:
+def expire_removals(view: facts.StoreView, now: float) -> facts.StoreView:
     """Forget removals from time to time; who asks later gets everything."""
-    if now < ledger.forget_at:
-        return ledger
-    old = {
+    if now < view.next_expiry:
+        return view
+    expired = {
         key
-        for key, fact in ledger.facts.items()
-        if fact.value is None and ledger.gone[key] + REMEMBER_S <= now
+        for key, fact in view.facts.items()
+        if fact.value is None
+        and view.removed_at[key] + REMOVAL_LIFETIME_S <= now
     }
-    kept = {key: it for key, it in ledger.facts.items() if key not in old}
-    forgotten = max((ledger.places[key] for key in old), default=0)
-    return ledger._replace(
+    kept = {key: it for key, it in view.facts.items() if key not in expired}
+    expired_position = max((view.positions[key] for key in expired), default=0)
+    return view._replace(
         facts=kept,
-        places={key: ledger.places[key] for key in kept},
-        gone={
+        positions={key: view.positions[key] for key in kept},
+        removed_at={
             key: at
-            for key, at in ledger.gone.items()
+            for key, at in view.removed_at.items()
             if key in kept and kept[key].value is None
         },
-        floor=max(ledger.floor, forgotten),
-        forget_at=now + REMEMBER_S,
+        expired_position=max(view.expired_position, expired_position),
+        next_expiry=now + REMOVAL_LIFETIME_S,
     )
--- a/fuchsiahaven/routing/completions.py
+++ b/fuchsiahaven/routing/completions.py
@@ -11,8 +11,8 @@
     customers,
     events,
     returns,
-    standings,
     states,
+    target_health,
 )
 
 Actions = list[events.Action]
@@ -124,8 +124,8 @@
         if delegation.is_retry:
             continue
         attempt_key = events.AttemptKey(key.request_number, '', key.number)
-        until = now + standings.TRIAL_S
-        router.helper_health.note_lost(
+        until = now + target_health.TRIAL_INTERVAL_S
+        router.helper_health.record_delegation_lost(
             delegation.helper.name, attempt_key, until, 'silent'
         )
     return [events.CancelDelegation(cancelled) for cancelled in keys]
@@ -157,7 +157,7 @@
     for key in keys:
         helper = router.delegations.pop(key).helper
         attempt_key = events.AttemptKey(key.request_number, '', key.number)
-        router.helper_health.note_dropped(helper.name, attempt_key)
+        router.helper_health.record_abandoned(helper.name, attempt_key)
     return [events.CancelDelegation(cancelled) for cancelled in keys]
 
 
--- a/fuchsiahaven/routing/configs.py
+++ b/fuchsiahaven/routing/configs.py
@@ -9,7 +9,7 @@
 
 #: A query over no more shards than this is gathered by the host that takes
 #: it: a hop more would cost as much as it saves.
-DIRECT_MOST: Final = 40
+MAX_DIRECT_SHARDS: Final = 40
 
 
 class Single(NamedTuple):
@@ -43,7 +43,7 @@
     coverage: float
 
 
-Way = Single | Split | Gather
+RouteAction = Single | Split | Gather
 
 
 class Route(NamedTuple):
@@ -63,7 +63,7 @@
     objective: float
     attempts: int
     priority: int
-    way: Way
+    way: RouteAction
     public: bool = False
 
     @property
@@ -81,7 +81,7 @@
 
     name: str
     connections: int
-    warm_rate: float = 0.0
+    cold_rate: float = 0.0
 
 
 Customer = customers.Customer
@@ -90,10 +90,10 @@
 class Limits(NamedTuple):
     """Bound what a caller may send; times are in seconds."""
 
-    head_bytes: int = 16_384
-    body_bytes: int = 262_144
-    head: float = 3.0
-    idle: float = 15.0
+    max_head_bytes: int = 16_384
+    max_body_bytes: int = 262_144
+    head_timeout: float = 3.0
+    idle_timeout: float = 15.0
 
 
 class Configuration(NamedTuple):
@@ -109,7 +109,7 @@
     customers: tuple[Customer, ...] | None = None
 
 
-NOTHING: Configuration = Configuration(0, (), (), Limits())
+EMPTY_CONFIGURATION: Configuration = Configuration(0, (), (), Limits())
 
 
 class Priorities(NamedTuple):
@@ -121,7 +121,7 @@
 
     customers: Mapping[str, int]
     routes: Mapping[str, int]
-    ranks: tuple[int, ...] = ()
+    levels: tuple[int, ...] = ()
 
 
 class Index(NamedTuple):
@@ -135,7 +135,7 @@
     configuration: Configuration
     routes: Mapping[str, Mapping[str, Route]]
     services: Mapping[str, Service]
-    wide: frozenset[str]
+    wide_shards: frozenset[str]
     customers: Mapping[str, Customer]
     priorities: Priorities
 
@@ -146,19 +146,21 @@
     for route in configuration.routes:
         routes.setdefault(route.host, {})[route.prefix] = route
     services = {service.name: service for service in configuration.services}
-    ways = {one.way for one in configuration.routes}
+    actions = {it.way for it in configuration.routes}
     wide = frozenset(
         shard
-        for way in ways
-        if isinstance(way, Gather) and is_wide(way)
-        for shard in way.shards
+        for action in actions
+        if isinstance(action, Gather) and is_wide(action)
+        for shard in action.shards
+    )
+    customers_by_digest = customers.index_by_key(configuration.customers or ())
+    priorities = _build_priorities(configuration)
+    return Index(
+        configuration, routes, services, wide, customers_by_digest, priorities
     )
-    holders = customers.index_by_key(configuration.customers or ())
-    priorities = _list_priorities(configuration)
-    return Index(configuration, routes, services, wide, holders, priorities)
 
 
-def _list_priorities(configuration: Configuration) -> Priorities:
+def _build_priorities(configuration: Configuration) -> Priorities:
     if configuration.customers is None:
         return Priorities({}, {})
     customers = {
@@ -167,18 +169,18 @@
         if it.priority is not None
     }
     routes = {it.name: it.priority for it in configuration.routes}
-    ranks = sorted({*customers.values(), *routes.values()})
-    return Priorities(customers, routes, tuple(ranks))
+    levels = sorted({*customers.values(), *routes.values()})
+    return Priorities(customers, routes, tuple(levels))
 
 
 def is_wide(gather: Gather) -> bool:
     """Tell whether the cost of a query is shared among hosts."""
-    return len(gather.shards) > DIRECT_MOST
+    return len(gather.shards) > MAX_DIRECT_SHARDS
 
 
-def is_wide_way(way: Way) -> bool:
+def is_wide_action(action: RouteAction) -> bool:
     """Tell whether requests on a way are such queries."""
-    return isinstance(way, Gather) and is_wide(way)
+    return isinstance(action, Gather) and is_wide(action)
 
 
 def find_route(index: Index, host: str, path: str) -> Route | None:
@@ -200,9 +202,9 @@
 
 
 @functools.lru_cache(maxsize=1024)
-def list_services(way: Way) -> tuple[str, ...]:
+def list_services(action: RouteAction) -> tuple[str, ...]:
     """List every service that a request on this way may reach."""
-    match way:
+    match action:
         case Single(service):
             return (service,)
         case Split(parts):
--- a/fuchsiahaven/routing/controls.py
+++ b/fuchsiahaven/routing/controls.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from fuchsiahaven.routing import freshness, lags, places, quotas
+from fuchsiahaven.routing import deployments, freshness, lags, quotas
 
 
 class Controls(NamedTuple):
@@ -13,7 +13,7 @@
     lags: lags.Lags
 
 
-def make_controls(host: places.Host) -> Controls:
+def make_controls(host: deployments.Host) -> Controls:
     """Make the parts of a host that has just started."""
     known = freshness.Freshness()
     return Controls(known, quotas.Quotas(host, known.compute_wait), lags.Lags())
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -16,8 +16,8 @@
     completions,
     configs,
     crashes,
+    deployments,
     events,
-    places,
     plans,
     rooms,
     states,
@@ -58,7 +58,7 @@
         is not suspects.SendPermission.UNRESTRICTED
     ):
         return []
-    shared: dict[places.Host, list[str]] = {}
+    shared: dict[deployments.Host, list[str]] = {}
     for service in slow:
         if ask.parts[service].sent_count < ask.route.attempts:
             silent = _find_silent(desk, ask, service)
@@ -83,7 +83,7 @@
 
 def _find_silent(
     desk: states.Router, ask: active_requests.ActiveRequest, service: str
-) -> places.Host | None:
+) -> deployments.Host | None:
     """Find the host that was asked for a part and has told nothing of it."""
     flight = ask.parts[service].in_flight[0]
     if flight.instance or flight.sent_at == OVERDUE:
@@ -130,8 +130,8 @@
         # Parts that are sent again are often not in when the answer goes out.
         # Waited for like others, three of them make their data centre look
         # cut off, and a host that is asked for few searches refuses the next.
-        desk.helper_health.note_sent(helper.name, _make_flight(key), now)
-        desk.centre_health.note_sent(helper.data_centre, helper.name, now)
+        desk.helper_health.record_sent(helper.name, _make_flight(key), now)
+        desk.centre_health.record_sent(helper.data_centre, helper.name, now)
     return events.Delegate(key, helper, assist)
 
 
@@ -143,11 +143,11 @@
     if known is None:
         return []
     flight = _make_flight(event.key)
-    desk.helper_health.note_answered(known.helper.name, flight, now, None)
-    desk.controls.lags.note(known.helper.name, event.share.lag_s, now)
-    desk.centre_health.note_heard(known.helper.data_centre)
+    desk.helper_health.record_answered(known.helper.name, flight, now, None)
+    desk.controls.lags.update_host(known.helper.name, event.share.lag_s, now)
+    desk.centre_health.record_contact(known.helper.data_centre)
     if known.helper.data_centre == desk.host.data_centre:
-        desk.centre_health.take_hints(event.share.silent_centres, now)
+        desk.centre_health.update_hints(event.share.silent_centres, now)
     if event.share.is_last:
         desk.delegations.pop(event.key)
     number = event.key.request_number
@@ -172,16 +172,16 @@
     pause = REFUSED_S
     match event.fault:
         case events.HelperFault.NO_ANSWER:
-            desk.centre_health.note_failed(
+            desk.centre_health.record_failed(
                 known.helper.data_centre, known.helper.name
             )
         case events.HelperFault.REFUSED:
-            desk.centre_health.note_heard(known.helper.data_centre)
+            desk.centre_health.record_contact(known.helper.data_centre)
         case events.HelperFault.STARTING:
-            desk.centre_health.note_heard(known.helper.data_centre)
+            desk.centre_health.record_contact(known.helper.data_centre)
             pause = STARTING_S
     flight = _make_flight(event.key)
-    desk.helper_health.note_lost(
+    desk.helper_health.record_delegation_lost(
         known.helper.name, flight, now + pause, event.cause
     )
     outs = _make_outs(known.unreported, arrived=event.may_have_arrived)
@@ -337,7 +337,7 @@
 
 def _find_passed(
     desk: states.Router, known: states.Delegation
-) -> places.Host | None:
+) -> deployments.Host | None:
     """Find the host that is not asked again: one that is behind."""
     return known.helper if rooms.is_contended(desk.index) else None
 
@@ -347,7 +347,7 @@
     ask: active_requests.ActiveRequest,
     failed: Iterable[str],
     now: float,
-    passed: places.Host | None = None,
+    passed: deployments.Host | None = None,
 ) -> Actions:
     """Have parts that failed sent again, not by the host that is `passed`.
 
@@ -368,7 +368,7 @@
         return _try_one(desk, ask, failed, now)
     wide = _is_handed_on(ask)
     own = []
-    shared: dict[places.Host, list[str]] = {}
+    shared: dict[deployments.Host, list[str]] = {}
     for service in failed:
         helper = None
         if wide and _may_hand_on(desk, ask, service, now):
@@ -415,7 +415,7 @@
 
 def _is_handed_on(ask: active_requests.ActiveRequest) -> bool:
     """Tell whether hosts on duty send what failed; a helper asks nobody."""
-    return configs.is_wide_way(ask.route.way) and not ask.is_delegated
+    return configs.is_wide_action(ask.route.way) and not ask.is_delegated
 
 
 def _may_hand_on(
--- a/fuchsiahaven/routing/places.py
+++ b/fuchsiahaven/routing/deployments.py
@@ -3,11 +3,11 @@
 from typing import Final, NamedTuple
 
 #: The time in which configurations are in force with the usual pauses.
-USUAL_APPLY_S: Final = 3.0
+DEFAULT_APPLY_S: Final = 3.0
 
 
 #: The capacity of a host that tells of none.
-UNTOLD: Final = 0.0
+UNKNOWN_CAPACITY: Final = 0.0
 
 
 class Host(NamedTuple):
@@ -22,7 +22,7 @@
     name: str
     address: str
     data_centre: str
-    capacity: float = UNTOLD
+    capacity: float = UNKNOWN_CAPACITY
 
 
 class Evacuation(NamedTuple):
@@ -31,19 +31,19 @@
     data_centre: str
 
 
-class ExtraLoad(NamedTuple):
+class ExtraLoadLimit(NamedTuple):
     """Bound repeated arrivals at a service, over all hosts together.
 
     In any stretch of `window` seconds at most `share` of the requests for the
     service plus `slack` may arrive beyond the first of each request.
     """
 
-    share: float
+    fraction: float
     slack: float
-    window: float
+    window_s: float
 
 
-class WarmUp(NamedTuple):
+class WarmUpLimit(NamedTuple):
     """Bound the requests to a cold target, over all hosts together.
 
     In any second it may get `overage` times the rate that its service names,
@@ -54,14 +54,14 @@
     slack: float
 
 
-class Quota(NamedTuple):
+class QuotaTolerance(NamedTuple):
     """Say by how much customers' requests may exceed their limit, over all.
 
     In any stretch of `window` seconds a customer may have what its rate and
     burst allow, a share `overage` of that more, and `slack` requests more.
     """
 
-    window: float
+    window_s: float
     overage: float
     slack: float
 
@@ -83,23 +83,23 @@
 
     host: Host
     data_centres: tuple[str, ...]
-    callers: str
-    readiness: str
-    metrics: str
+    caller_address: str
+    readiness_address: str
+    metrics_address: str
     seeds: tuple[str, ...]
-    store: str
-    extra_load: ExtraLoad
-    heartbeat: float
-    grace: float
-    link: float = 0.0
-    warm_up: WarmUp | None = None
+    store_address: str
+    extra_load: ExtraLoadLimit
+    heartbeat_s: float
+    grace_s: float
+    link_bytes_per_s: float = 0.0
+    warm_up: WarmUpLimit | None = None
     first_start: bool = False
-    store_writes: float = 400.0
-    apply: float = USUAL_APPLY_S
-    quota: Quota | None = None
-    revoke: float | None = None
+    store_writes_per_s: float = 400.0
+    apply_s: float = DEFAULT_APPLY_S
+    quota: QuotaTolerance | None = None
+    revoke_s: float | None = None
 
     @property
-    def pace(self) -> float:
+    def delay_factor(self) -> float:
         """Return the share of the usual times that news may take."""
-        return min(1.0, self.apply / USUAL_APPLY_S)
+        return min(1.0, self.apply_s / DEFAULT_APPLY_S)
--- a/fuchsiahaven/routing/dispatch.py
+++ b/fuchsiahaven/routing/dispatch.py
@@ -14,7 +14,7 @@
     events,
     plans,
     quota_words,
-    reaches,
+    reachability,
     states,
 )
 
@@ -26,8 +26,8 @@
 ) -> Actions:
     """Take in an event and return what is to be done."""
     actions = _dispatch_event(router, event, now)
-    actions.extend(router.target_health.take_changes())
-    actions.extend(router.helper_health.take_changes())
+    actions.extend(router.target_health.pop_changes())
+    actions.extend(router.helper_health.pop_changes())
     if router.controls.quotas.has_news:
         actions.extend(_apply_quota_decisions(router, now))
     return actions
@@ -102,7 +102,7 @@
     missing_state = find_missing_state(router)
     if missing_state:
         return missing_state
-    if reaches.is_cut_off(router, now):
+    if reachability.is_cut_off(router, now):
         return 'too few targets can be reached'
     if router.index.configuration.customers is None:
         return ''
@@ -115,7 +115,7 @@
     """Say what this host has yet to learn before it can serve anything."""
     if not router.index.configuration.version:
         return 'no configuration yet'
-    if not router.directory.by_name and not router.directory.withheld:
+    if not router.directory.by_name and not router.directory.evacuated_services:
         return 'no targets yet'
     return ''
 
@@ -150,20 +150,20 @@
 
 
 def _record_connection(router: states.Router, instance: str) -> None:
-    router.target_health.note_reached(instance)
+    router.target_health.record_connected(instance)
     target = router.directory.by_name.get(instance)
     if target is not None:
-        router.centre_health.note_heard(target.data_centre)
+        router.centre_health.record_contact(target.data_centre)
 
 
 def _update_directory(
     router: states.Router, event: events.DirectoryChanged, now: float
 ) -> Actions:
     directory = event.directory
-    router.warmups.note_targets(router.directory, directory, now)
+    router.warmups.update_targets(router.directory, directory, now)
     router.directory = directory
     router.update_wide_centres()
-    router.target_health.keep_only(directory.by_name)
+    router.target_health.retain_targets(directory.by_name)
     return crashes.handle_directory(router, directory, now)
 
 
@@ -184,9 +184,9 @@
             router.hosts = tuple(
                 it for it in hosts if it.name != router.host.name
             )
-            router.centre_health.note_hosts((*router.hosts, router.host))
-            router.controls.lags.note_hosts(hosts)
-            router.warmups.note_hosts(hosts, now)
+            router.centre_health.update_hosts((*router.hosts, router.host))
+            router.controls.lags.update_hosts(hosts)
+            router.warmups.update_hosts(hosts, now)
             router.controls.quotas.note_hosts(hosts, now)
 
 
@@ -213,7 +213,7 @@
 ) -> Actions:
     route = routed.route
     services = admission.list_services(router, route)
-    reaches.note_asked(router, route, now)
+    reachability.record_request(router, route, now)
     host_margin = router.reply_margin.estimate_margin(route.way)
     active = active_requests.start_request(
         routed.number,
@@ -356,6 +356,6 @@
         # sending may be worth it for what was sent again meanwhile.
         interval = attempts.compute_hedge_delay(router, active) / 2
         router.set_timer(now + interval, states.HedgeTimer(active.number))
-    if configs.is_wide_way(action):
+    if configs.is_wide_action(action):
         return delegations.hedge(router, active, slow, now)
     return attempts.hedge_parts(router, active, slow, now)
--- a/fuchsiahaven/routing/duties.py
+++ b/fuchsiahaven/routing/duties.py
@@ -11,7 +11,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.routing import capacities, configs, places
+from fuchsiahaven.routing import capacities, configs, deployments
 
 #: Shards of a chunk: few enough that a helper brings them in a few
 #: milliseconds.
@@ -45,7 +45,7 @@
 
 def find_chunk(index: configs.Index, shard: str) -> str | None:
     """Find the chunk of a shard of wide queries; None for other services."""
-    if shard not in index.wide:
+    if shard not in index.wide_shards:
         return None
     ways = (route.way for route in index.configuration.routes)
     for way in ways:
@@ -56,7 +56,9 @@
     return None
 
 
-def rank_hosts(duty: Duty, hosts: Sequence[places.Host]) -> list[places.Host]:
+def rank_hosts(
+    duty: Duty, hosts: Sequence[deployments.Host]
+) -> list[deployments.Host]:
     """Order the hosts of a data centre for a chunk, the one on duty first."""
     by_name = {
         host.name: host
@@ -80,7 +82,10 @@
 
 
 def count_sharers(
-    service: str, wide: frozenset[str], hosts: Sequence[places.Host], total: int
+    service: str,
+    wide: frozenset[str],
+    hosts: Sequence[deployments.Host],
+    total: int,
 ) -> int:
     """Count the hosts that share the connections to a service's targets."""
     if service not in wide:
@@ -93,5 +98,5 @@
 def _rank(
     key: str, names: tuple[str, ...], cores: tuple[float, ...]
 ) -> tuple[str, ...]:
-    weights = capacities.weigh_all(cores)
+    weights = capacities.compute_weights(cores)
     return rendezvous.rank_weighted(key, zip(names, weights, strict=True))
--- a/fuchsiahaven/routing/events.py
+++ b/fuchsiahaven/routing/events.py
@@ -9,7 +9,7 @@
 
 from fuchsiahaven.core import errors, request_identities, suspects
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import configs, instances, places, quota_words
+from fuchsiahaven.routing import configs, deployments, instances, quota_words
 
 Fields = tuple[tuple[str, str], ...]
 
@@ -158,7 +158,7 @@
     """Bring how many hosts share the bounds on load, and those known."""
 
     host_count: int
-    hosts: tuple[places.Host, ...] = ()
+    hosts: tuple[deployments.Host, ...] = ()
 
 
 class DelegatedRequest(NamedTuple):
@@ -285,7 +285,7 @@
     """Ask for assistance to be asked of another host."""
 
     key: DelegationKey
-    helper: places.Host
+    helper: deployments.Host
     assist: DelegatedRequest
 
 
--- a/fuchsiahaven/routing/extra_attempts.py
+++ b/fuchsiahaven/routing/extra_attempts.py
@@ -127,7 +127,7 @@
     action = active.route.way
     if (
         not isinstance(action, configs.Gather)
-        or service not in router.index.wide
+        or service not in router.index.wide_shards
     ):
         return router.host_count
     centres = router.list_wide_centres()
--- a/fuchsiahaven/routing/acceptances.py
+++ b/fuchsiahaven/routing/fact_updates.py
@@ -9,54 +9,54 @@
 from fuchsiahaven.routing import facts, ranks
 
 
-def renew_removals(
-    known: dict[facts.Key, facts.Fact], ends: Iterable[facts.Fact]
+def update_removal_eras(
+    current: dict[facts.Key, facts.Fact], removals: Iterable[facts.Fact]
 ) -> set[facts.Key]:
     """Note known removals that are repeated in a later era; return their keys.
 
     They are passed on: other hosts may still hold what the copy had.
     """
     changed: set[facts.Key] = set()
-    for end in ends:
-        before = known.get(end.key)
+    for removal in removals:
+        before = current.get(removal.key)
         if before is None or before.value is not None:
             continue
-        if before.era < end.era:
-            known[end.key] = end._replace(born=before.born)
-            changed.add(end.key)
+        if before.era < removal.era:
+            current[removal.key] = removal._replace(born=before.born)
+            changed.add(removal.key)
     return changed
 
 
-def hold(
-    known: Mapping[facts.Key, facts.Fact],
-    told: Iterable[facts.Fact],
-    copied: facts.Stamp,
+def defer_contradictions(
+    current: Mapping[facts.Key, facts.Fact],
+    reported: Iterable[facts.Fact],
+    copy_stamp: facts.Stamp,
 ) -> tuple[list[facts.Fact], dict[facts.Key, facts.Fact]]:
     """Separate what is taken from what only a copy says against the known."""
-    taken: list[facts.Fact] = []
-    held: dict[facts.Key, facts.Fact] = {}
-    for fact in told:
-        old = fact.value is not None and fact.stamp <= copied
-        if old and ranks.contradicts(fact, known.get(fact.key)):
-            held[fact.key] = fact
+    accepted: list[facts.Fact] = []
+    deferred: dict[facts.Key, facts.Fact] = {}
+    for fact in reported:
+        from_copy = fact.value is not None and fact.stamp <= copy_stamp
+        if from_copy and ranks.contradicts(fact, current.get(fact.key)):
+            deferred[fact.key] = fact
         else:
-            taken.append(fact)
-    return taken, held
+            accepted.append(fact)
+    return accepted, deferred
 
 
-def take_values(
-    known: dict[facts.Key, facts.Fact],
-    told: Iterable[facts.Fact],
-    complete: facts.Stamp,
+def apply_values(
+    current: dict[facts.Key, facts.Fact],
+    reported: Iterable[facts.Fact],
+    complete_to: facts.Stamp,
 ) -> set[facts.Key]:
     """Take what ranks higher than what is known; return what has changed."""
     changed: set[facts.Key] = set()
-    for fact in told:
-        if fact.value is None or _is_forgotten(known, fact, complete):
+    for fact in reported:
+        if fact.value is None or _is_forgotten(current, fact, complete_to):
             continue
-        before = known.get(fact.key, facts.Fact(fact.key, -1, None))
-        if ranks.rank(fact) > ranks.rank(before):
-            known[fact.key] = fact
+        before = current.get(fact.key, facts.Fact(fact.key, -1, None))
+        if ranks.compute_rank(fact) > ranks.compute_rank(before):
+            current[fact.key] = fact
             changed.update([] if _is_repeated(before, fact) else [fact.key])
     return changed
 
@@ -69,13 +69,13 @@
     """
     if fact.era != before.era or fact.value is None:
         return False
-    return ranks.says_same(before.value, fact.value)
+    return ranks.is_repeat(before.value, fact.value)
 
 
 def _is_forgotten(
-    known: Mapping[facts.Key, facts.Fact],
+    current: Mapping[facts.Key, facts.Fact],
     fact: facts.Fact,
-    complete: facts.Stamp,
+    complete_to: facts.Stamp,
 ) -> bool:
     """Tell whether an unknown order was taken back, and that is forgotten.
 
@@ -84,6 +84,6 @@
     the orders of then; taken for news, one of them would leave a data centre
     out that is in use, on all hosts and for good.
     """
-    if fact.key.subject is not facts.Subject.EVACUATION or fact.key in known:
+    if fact.key.subject is not facts.Subject.EVACUATION or fact.key in current:
         return False
-    return fact.stamp <= complete
+    return fact.stamp <= complete_to
--- a/fuchsiahaven/routing/facts.py
+++ b/fuchsiahaven/routing/facts.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.core import suspects
 from fuchsiahaven.core.customers import freshness
-from fuchsiahaven.routing import configs, instances, places
+from fuchsiahaven.routing import configs, deployments, instances
 
 
 class Subject(enum.StrEnum):
@@ -22,8 +22,8 @@
 Value = (
     configs.Configuration
     | instances.Instance
-    | places.Host
-    | places.Evacuation
+    | deployments.Host
+    | deployments.Evacuation
     | suspects.SuspectReport
 )
 
@@ -74,11 +74,11 @@
     `life` is another one after each start of the process.
     """
 
-    life: int = 0
-    place: int = 0
+    incarnation: int = 0
+    position: int = 0
 
 
-START: Final = Cursor()
+START_CURSOR: Final = Cursor()
 
 
 Proof = freshness.Proof
@@ -96,12 +96,12 @@
 
     revision: int
     facts: tuple[Fact, ...]
-    whole: bool
+    full: bool
     age: float
-    cursor: Cursor = START
-    lost: bool = False
+    cursor: Cursor = START_CURSOR
+    store_lost: bool = False
     era: int = NO_ERA
-    since: int = 0
+    first_revision: int = 0
     proof: Proof | None = None
 
     @property
@@ -110,7 +110,7 @@
         return Stamp(self.era, self.revision)
 
 
-class Ledger(NamedTuple):
+class StoreView(NamedTuple):
     """Hold all that is known.
 
     `read` is when the store was last read by whoever told us. `missing` are
@@ -127,20 +127,20 @@
 
     cursor: Cursor
     facts: Mapping[Key, Fact] = {}
-    places: Mapping[Key, int] = {}
-    missing: Mapping[Key, float] = {}
+    positions: Mapping[Key, int] = {}
+    pending_removals: Mapping[Key, float] = {}
     revision: int = 0
-    read: float = float('-inf')
-    floor: int = 0
-    forget_at: float = 0.0
+    read_at: float = float('-inf')
+    expired_position: int = 0
+    next_expiry: float = 0.0
     era: int = NO_ERA
-    since: int = 0
-    restores: int = 0
-    restored: float = float('-inf')
-    lapsing: Mapping[Key, float] = {}
-    held: Mapping[Key, Fact] = {}
-    patience: float = 0.0
-    gone: Mapping[Key, float] = {}
+    first_revision: int = 0
+    restore_count: int = 0
+    restored_at: float = float('-inf')
+    unwritten: Mapping[Key, float] = {}
+    deferred: Mapping[Key, Fact] = {}
+    deferral_s: float = 0.0
+    removed_at: Mapping[Key, float] = {}
 
     @property
     def stamp(self) -> Stamp:
@@ -157,62 +157,62 @@
     before: Stamp
     after: Stamp
     kept: int
-    taken: int
+    changed: int
 
 
-class Merged(NamedTuple):
+class MergeResult(NamedTuple):
     """Return the ledger and which subjects have changed.
 
     A report may be of an `earlier` era; `dropped` facts were not written again
     after a restore.
     """
 
-    ledger: Ledger
-    changed: frozenset[Subject]
+    view: StoreView
+    changed_subjects: frozenset[Subject]
     restore: Restore | None = None
-    earlier: bool = False
+    from_earlier_era: bool = False
     dropped: tuple[Key, ...] = ()
 
 
-def find_configuration(ledger: Ledger) -> configs.Configuration:
+def find_configuration(view: StoreView) -> configs.Configuration:
     """Return the configuration, or none yet."""
-    for fact in ledger.facts.values():
+    for fact in view.facts.values():
         if isinstance(fact.value, configs.Configuration):
             return fact.value
-    return configs.NOTHING
+    return configs.EMPTY_CONFIGURATION
 
 
-def list_instances(ledger: Ledger) -> list[instances.Instance]:
+def list_instances(view: StoreView) -> list[instances.Instance]:
     """List the targets."""
     return [
         fact.value
-        for fact in ledger.facts.values()
+        for fact in view.facts.values()
         if isinstance(fact.value, instances.Instance)
     ]
 
 
-def list_hosts(ledger: Ledger) -> list[places.Host]:
+def list_hosts(view: StoreView) -> list[deployments.Host]:
     """List the hosts."""
     return [
         fact.value
-        for fact in ledger.facts.values()
-        if isinstance(fact.value, places.Host)
+        for fact in view.facts.values()
+        if isinstance(fact.value, deployments.Host)
     ]
 
 
-def list_evacuations(ledger: Ledger) -> dict[str, int]:
+def list_evacuations(view: StoreView) -> dict[str, int]:
     """Map each evacuated data centre to the revision of the order."""
     return {
         fact.value.data_centre: fact.revision
-        for fact in ledger.facts.values()
-        if isinstance(fact.value, places.Evacuation)
+        for fact in view.facts.values()
+        if isinstance(fact.value, deployments.Evacuation)
     }
 
 
-def list_quarantines(ledger: Ledger) -> list[suspects.SuspectReport]:
+def list_quarantines(view: StoreView) -> list[suspects.SuspectReport]:
     """List the requests that end the targets that run them."""
     return [
         fact.value
-        for fact in ledger.facts.values()
+        for fact in view.facts.values()
         if isinstance(fact.value, suspects.SuspectReport)
     ]
--- a/fuchsiahaven/routing/freshness.py
+++ b/fuchsiahaven/routing/freshness.py
@@ -5,19 +5,21 @@
 from fuchsiahaven.core.customers import freshness
 from fuchsiahaven.routing import configs
 
-MARGIN_SHARE: Final = freshness.CLOCK_MARGIN_FRACTION
-WATCH_SHARE: Final = freshness.WATCH_FRACTION
-PAUSE_SHARE: Final = freshness.PAUSE_FRACTION
-GAIN_SHARE: Final = freshness.MIN_GAIN_FRACTION
-URGENT_SHARE: Final = freshness.URGENT_AGE_FRACTION
-REWRITTEN_S: Final = freshness.RESTORE_SETTLING_S
-LEAST_WAIT_S: Final = freshness.MIN_WAIT_S
-MOST_WAIT_S: Final = freshness.MAX_WAIT_S
+CLOCK_MARGIN_FRACTION: Final = freshness.CLOCK_MARGIN_FRACTION
+WATCH_FRACTION: Final = freshness.WATCH_FRACTION
+PAUSE_FRACTION: Final = freshness.PAUSE_FRACTION
+MIN_GAIN_FRACTION: Final = freshness.MIN_GAIN_FRACTION
+URGENT_AGE_FRACTION: Final = freshness.URGENT_AGE_FRACTION
+RESTORE_SETTLING_S: Final = freshness.RESTORE_SETTLING_S
+MIN_WAIT_S: Final = freshness.MIN_WAIT_S
+MAX_WAIT_S: Final = freshness.MAX_WAIT_S
 
 
 class Freshness(freshness.Freshness):
     """Own what proves how old the knowledge of keys is."""
 
-    def note_configuration(self, configuration: configs.Configuration) -> None:
+    def update_configuration(
+        self, configuration: configs.Configuration
+    ) -> None:
         """Note whether the configuration in force has customers."""
         self.record_customers(has_customers=configuration.customers is not None)
--- a/fuchsiahaven/routing/instances.py
+++ b/fuchsiahaven/routing/instances.py
@@ -26,12 +26,12 @@
     born: int = 0
 
 
-def name_start(target_id: str, born: int) -> str:
+def make_start_name(target_id: str, born: int) -> str:
     """Name one start of a target; `born` is 0 where that is not known."""
     return f'{target_id}@{born}' if born else target_id
 
 
-def is_countdown(before: Instance, after: Instance) -> bool:
+def is_warmup_countdown(before: Instance, after: Instance) -> bool:
     """Tell whether a target is no more than a little nearer to being warm.
 
     Each of its heartbeats says so while it is cold. Passed on, they would be
@@ -52,10 +52,10 @@
     by_name: Mapping[str, Instance]
     by_service: Mapping[str, tuple[Instance, ...]]
     evacuated: frozenset[str] = frozenset()
-    withheld: frozenset[str] = frozenset()
+    evacuated_services: frozenset[str] = frozenset()
 
 
-EMPTY = Directory({}, {})
+EMPTY_DIRECTORY = Directory({}, {})
 
 
 def build_directory(
@@ -66,18 +66,20 @@
     Everything that may lead to a sending asks the directory: first sendings,
     repeats, trials of targets taken for dead and connections opened ahead.
     """
-    barred = frozenset(evacuated)
-    staying = [one for one in instances if not one.leaving]
+    excluded = frozenset(evacuated)
+    active = [instance for instance in instances if not instance.leaving]
     by_name = {
-        one.name: one for one in staying if one.data_centre not in barred
+        instance.name: instance
+        for instance in active
+        if instance.data_centre not in excluded
     }
     by_service: dict[str, list[Instance]] = {}
     for name in sorted(by_name):
-        one = by_name[name]
-        by_service.setdefault(one.service, []).append(one)
+        instance = by_name[name]
+        by_service.setdefault(instance.service, []).append(instance)
     return Directory(
         by_name,
-        {service: tuple(found) for service, found in by_service.items()},
-        barred,
-        frozenset(one.service for one in staying) - by_service.keys(),
+        {service: tuple(targets) for service, targets in by_service.items()},
+        excluded,
+        frozenset(instance.service for instance in active) - by_service.keys(),
     )
--- a/fuchsiahaven/routing/lags.py
+++ b/fuchsiahaven/routing/lags.py
@@ -8,44 +8,44 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
-from fuchsiahaven.routing import places
+from fuchsiahaven.routing import deployments
 
 #: Later than this a host is behind its work, in seconds: the timers of idle
 #: ones fire a few milliseconds late.
-LEAST_S: Final = 0.005
+MIN_LAG_S: Final = 0.005
 #: What was seen counts half as much after this time, in seconds: quotas of
 #: processor time are given anew ten times as often.
-HALF_S: Final = 1.0
+HALF_LIFE_S: Final = 1.0
 #: More than any host is behind that is still asked, in seconds.
-MOST_S: Final = 10.0
+MAX_LAG_S: Final = 10.0
 
 
 class Lag(NamedTuple):
     """Hold by how many seconds a host was behind its work, and when."""
 
     seconds: float = 0.0
-    noted: float = 0.0
+    recorded_at: float = 0.0
 
 
-NONE: Final = Lag()
+NO_LAG: Final = Lag()
 
 
-def note(lag: Lag, late: float, now: float) -> Lag:
+def record_delay(lag: Lag, delay: float, now: float) -> Lag:
     """Take in by how much something was done late; the worst counts longest."""
-    late = min(MOST_S, late)
-    return Lag(late, now) if late >= fade(lag, now) else lag
+    delay = min(MAX_LAG_S, delay)
+    return Lag(delay, now) if delay >= compute_current(lag, now) else lag
 
 
-def fade(lag: Lag, now: float) -> float:
+def compute_current(lag: Lag, now: float) -> float:
     """Return what a host is taken to be behind now, in seconds."""
-    passed = max(0.0, now - lag.noted)
-    return float(lag.seconds * 0.5 ** (passed / HALF_S))
+    elapsed = max(0.0, now - lag.recorded_at)
+    return float(lag.seconds * 0.5 ** (elapsed / HALF_LIFE_S))
 
 
-def tell(lag: Lag, now: float) -> float:
+def compute_reported(lag: Lag, now: float) -> float:
     """Return what counts for others, in seconds; 0 while it is on time."""
-    behind = fade(lag, now)
-    return behind if behind >= LEAST_S else 0.0
+    current = compute_current(lag, now)
+    return current if current >= MIN_LAG_S else 0.0
 
 
 class Lags:
@@ -56,44 +56,44 @@
 
     def __init__(self) -> None:
         """Start on time, with no other host known."""
-        self._measures = False
-        self._own = NONE
-        self._known: dict[str, Lag] = {}
+        self._enabled = False
+        self._own = NO_LAG
+        self._by_host: dict[str, Lag] = {}
 
-    def note_own(self, late: float, now: float) -> None:
+    def record_own(self, delay: float, now: float) -> None:
         """Take in by how many seconds this host does something late."""
-        if self._measures:
-            self._own = note(self._own, late, now)
+        if self._enabled:
+            self._own = record_delay(self._own, delay, now)
 
-    def tell_own(self, now: float) -> float:
+    def get_own(self, now: float) -> float:
         """Return what to tell others of this host, in seconds."""
-        return tell(self._own, now)
+        return compute_reported(self._own, now)
 
-    def note(self, name: str, seconds: float, now: float) -> None:
+    def update_host(self, name: str, seconds: float, now: float) -> None:
         """Take in what a host tells; it takes the place of what it told."""
         if seconds:
-            self._known[name] = Lag(min(MOST_S, seconds), now)
+            self._by_host[name] = Lag(min(MAX_LAG_S, seconds), now)
         else:
-            self._known.pop(name, None)
+            self._by_host.pop(name, None)
 
-    def note_hosts(self, hosts: Sequence[places.Host]) -> None:
+    def update_hosts(self, hosts: Sequence[deployments.Host]) -> None:
         """Take in which hosts there are; forget those that are gone."""
-        self._measures = len({host.capacity for host in hosts}) > 1
+        self._enabled = len({host.capacity for host in hosts}) > 1
         names = {host.name for host in hosts}
-        for name in self._known.keys() - names:
-            self._known.pop(name)
+        for name in self._by_host.keys() - names:
+            self._by_host.pop(name)
 
-    def fade(self, name: str, now: float) -> float:
+    def get_lag(self, name: str, now: float) -> float:
         """Return what a host is taken to be behind now, in seconds."""
-        known = self._known.get(name)
-        return 0.0 if known is None else tell(known, now)
+        lag = self._by_host.get(name)
+        return 0.0 if lag is None else compute_reported(lag, now)
 
 
-def count_share(first: float, second: float) -> float:
+def compute_handover(first: float, second: float) -> float:
     """Count which share of its work one host is to leave to another.
 
     Both are in seconds. It grows with the difference, so that hosts which
     know the same do not all go over at once and back again.
     """
-    more = first - second
-    return more / (first + second + LEAST_S) if more > 0 else 0.0
+    difference = first - second
+    return difference / (first + second + MIN_LAG_S) if difference > 0 else 0.0
--- a/fuchsiahaven/routing/margins.py
+++ b/fuchsiahaven/routing/margins.py
@@ -50,7 +50,7 @@
         """Take in by how many seconds an answer left after it was due."""
         self._delay = update_delay(self._delay, delay_s)
 
-    def estimate_margin(self, action: configs.Way) -> float:
+    def estimate_margin(self, action: configs.RouteAction) -> float:
         """Return how many seconds to keep back for an answer on this way."""
         return estimate_margin(self._delay) + estimate_transfer(
             action, self.link_bytes_per_s
@@ -74,7 +74,9 @@
     return min(MAX_MARGIN_S, max(MIN_MARGIN_S, margin))
 
 
-def estimate_transfer(action: configs.Way, link_bytes_per_s: float) -> float:
+def estimate_transfer(
+    action: configs.RouteAction, link_bytes_per_s: float
+) -> float:
     """Return how long an answer takes on this host's link, in seconds.
 
     `link` is in bytes a second; 0 where it is not known.
--- a/fuchsiahaven/routing/plans.py
+++ b/fuchsiahaven/routing/plans.py
@@ -9,11 +9,11 @@
 from fuchsiahaven.routing import (
     active_requests,
     configs,
+    deployments,
     duties,
     lags,
-    places,
-    standings,
     states,
+    target_health,
     target_selection,
 )
 
@@ -28,7 +28,7 @@
 class Plan(NamedTuple):
     """Name a helper and the parts that it is to gather."""
 
-    helper: places.Host
+    helper: deployments.Host
     services: tuple[str, ...]
 
 
@@ -88,7 +88,7 @@
 
 
 def _share_out_all(
-    host: places.Host, way: configs.Gather, centres: dict[str, set[str]]
+    host: deployments.Host, way: configs.Gather, centres: dict[str, set[str]]
 ) -> dict[duties.Duty, list[str]]:
     """Share all parts out; a few far ones go with the near ones."""
     chunks = duties.find_chunks(way)
@@ -106,7 +106,7 @@
 
 
 def rank_centres(
-    host: places.Host, centres: Mapping[str, Collection[str]]
+    host: deployments.Host, centres: Mapping[str, Collection[str]]
 ) -> tuple[str, ...]:
     """Order data centres so that the first few have targets of all parts.
 
@@ -126,7 +126,7 @@
     return tuple(order)
 
 
-def _find_best(host: places.Host, left: Iterable[Collection[str]]) -> str:
+def _find_best(host: deployments.Host, left: Iterable[Collection[str]]) -> str:
     """Find the data centre that has targets of most parts.
 
     Hosts choose differently among equals, so that these share the load.
@@ -138,7 +138,7 @@
 
 
 def choose_centre(
-    host: places.Host, found: Collection[str], sizes: Mapping[str, int]
+    host: deployments.Host, found: Collection[str], sizes: Mapping[str, int]
 ) -> str:
     """Choose the data centre that parts are gathered in, the own one if it can.
 
@@ -188,9 +188,9 @@
     service: str,
     now: float,
     *,
-    passed: places.Host | None = None,
+    passed: deployments.Host | None = None,
     silent: str = '',
-) -> places.Host | None:
+) -> deployments.Host | None:
     """Find the host that is to send a part again; None for this one.
 
     It is on duty where a target is that was not tried, and not the one that is
@@ -209,8 +209,8 @@
     now: float,
     *,
     wide: bool,
-    silent: places.Host | None = None,
-) -> places.Host | None:
+    silent: deployments.Host | None = None,
+) -> deployments.Host | None:
     """Find the host to ask; None where this one is to send for itself."""
     if wide:
         passed = silent.name if silent else ''
@@ -232,7 +232,7 @@
 
 def _list_on_duty(
     desk: states.Router, duty: duties.Duty, now: float
-) -> list[places.Host]:
+) -> list[deployments.Host]:
     """List the hosts on duty; those after them take the place of the dead.
 
     All hosts are ranked, whoever of them is alive: that is known already, and
@@ -249,38 +249,38 @@
     return list(itertools.islice(alive, duties.ON_DUTY))
 
 
-def _is_alive(desk: states.Router, host: places.Host, now: float) -> bool:
+def _is_alive(desk: states.Router, host: deployments.Host, now: float) -> bool:
     if desk.centre_health.is_silent(host.data_centre):
         return False
-    return not standings.is_dead(desk.helper_health.get(host.name), now)
+    return not target_health.is_excluded(desk.helper_health.get(host.name), now)
 
 
 def _prefer_prompt(
-    desk: states.Router, on_duty: Sequence[places.Host], now: float
-) -> places.Host:
+    desk: states.Router, on_duty: Sequence[deployments.Host], now: float
+) -> deployments.Host:
     """Leave some work of a host that is behind to the next one on duty."""
     first, *others = on_duty
-    behind = desk.controls.lags.fade(first.name, now)
+    behind = desk.controls.lags.get_lag(first.name, now)
     if not behind or not others or others[0].name == desk.host.name:
         return first
-    other = desk.controls.lags.fade(others[0].name, now)
-    given = desk.draw() < lags.count_share(behind, other)
+    other = desk.controls.lags.get_lag(others[0].name, now)
+    given = desk.draw() < lags.compute_handover(behind, other)
     return others[0] if given else first
 
 
-def _is_late(desk: states.Router, host: places.Host, now: float) -> bool:
+def _is_late(desk: states.Router, host: deployments.Host, now: float) -> bool:
     known = desk.helper_health.get(host.name)
-    return standings.measure_silence(known, now) is not None
+    return target_health.measure_silence(known, now) is not None
 
 
 def _choose_helper(
-    desk: states.Router, helpers: list[places.Host], now: float
-) -> places.Host:
+    desk: states.Router, helpers: list[deployments.Host], now: float
+) -> deployments.Host:
     best = helpers[0]
     least = float('inf')
     for host in helpers:
         known = desk.helper_health.get(host.name)
-        cost = standings.estimate_helper(known, now)
+        cost = target_health.estimate_gather_cost(known, now)
         cost *= 1 + target_selection.ESTIMATE_SPREAD_FRACTION * desk.draw()
         if cost < least:
             least = cost
--- a/fuchsiahaven/routing/quota_codecs.py
+++ b/fuchsiahaven/routing/quota_codecs.py
@@ -4,7 +4,7 @@
 import math
 from typing import Any, Final
 
-from fuchsiahaven.routing import codecs, quota_words
+from fuchsiahaven.routing import quota_words, report_codecs
 
 #: The first item of a datagram says what it holds.
 ASK: Final = 'ask'
@@ -31,7 +31,7 @@
     try:
         return _read_row(json.loads(datagram))
     except FAULTS as error:
-        raise codecs.Malformed(type(error).__name__) from error
+        raise report_codecs.MalformedReport(type(error).__name__) from error
 
 
 def _read_row(row: Any) -> quota_words.Word:
--- a/fuchsiahaven/routing/quota_holders.py
+++ b/fuchsiahaven/routing/quota_holders.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.routing import places, quota_slots
+from fuchsiahaven.routing import deployments, quota_slots
 
 #: How long a holder that did not answer is asked last, in seconds.
 SILENT_S: Final = 1.0
@@ -24,20 +24,20 @@
 class Holders:
     """Own what this host knows of the holders."""
 
-    def __init__(self, host: places.Host) -> None:
+    def __init__(self, host: deployments.Host) -> None:
         """Start with no host known."""
         self._own = host
-        self._hosts: Mapping[str, tuple[places.Host, ...]] = {}
+        self._hosts: Mapping[str, tuple[deployments.Host, ...]] = {}
         self._names: dict[str, str] = {}
         self._found: dict[
-            tuple[str, tuple[str, ...]], tuple[places.Host | None, ...]
+            tuple[str, tuple[str, ...]], tuple[deployments.Host | None, ...]
         ] = {}
         self._silent: dict[str, float] = {}
         self._empty: dict[tuple[str, int], Empty] = {}
 
-    def note_hosts(self, hosts: tuple[places.Host, ...]) -> bool:
+    def note_hosts(self, hosts: tuple[deployments.Host, ...]) -> bool:
         """Take in which hosts there are; tell whether that has changed."""
-        found: dict[str, list[places.Host]] = {}
+        found: dict[str, list[deployments.Host]] = {}
         # A host that is not on the list is nobody's holder, this one neither:
         # others would take another one for it.
         for one in sorted(set(hosts)):
@@ -67,7 +67,7 @@
 
     def find(
         self, limit: quota_slots.Limit, slots: quota_slots.Slots, slot: int
-    ) -> places.Host | None:
+    ) -> deployments.Host | None:
         """Find which host holds a slot; None if none does."""
         key = (limit.customer, slots.centres)
         found = self._found.get(key)
--- a/fuchsiahaven/routing/quota_slots.py
+++ b/fuchsiahaven/routing/quota_slots.py
@@ -11,7 +11,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.routing import configs, places
+from fuchsiahaven.routing import configs, deployments
 
 #: Holders in each data centre, so that one may fail.
 IN_CENTRE: Final = 2
@@ -52,14 +52,16 @@
     return Limit(customer.name, customer.rate, customer.burst)
 
 
-def count_excess(limit: Limit, quota: places.Quota) -> float:
+def count_excess(limit: Limit, quota: deployments.QuotaTolerance) -> float:
     """Count the requests that are tolerated beyond a quota in a window."""
-    allowed = limit.rate * quota.window + limit.burst
+    allowed = limit.rate * quota.window_s + limit.burst
     return quota.overage * allowed + quota.slack
 
 
 @functools.lru_cache(maxsize=_LIMITS)
-def split(limit: Limit, quota: places.Quota, centres: tuple[str, ...]) -> Slots:
+def split(
+    limit: Limit, quota: deployments.QuotaTolerance, centres: tuple[str, ...]
+) -> Slots:
     """Split a quota into slots over the data centres of a deployment.
 
     No slot gives a part of a token, so that up to one of each is out of reach;
@@ -80,23 +82,25 @@
     )
 
 
-def _find_whole(limit: Limit, quota: places.Quota) -> tuple[float, float]:
+def _find_whole(
+    limit: Limit, quota: deployments.QuotaTolerance
+) -> tuple[float, float]:
     """Find the rate of all slots together, and the most that they hold.
 
     At least one token has to fit, or there would never be any.
     """
     excess = count_excess(limit, quota)
     most = limit.burst + BURST_SHARE * excess
-    rate = limit.rate + RATE_SHARE * excess / quota.window
+    rate = limit.rate + RATE_SHARE * excess / quota.window_s
     lacking = max(0.0, 1 - most)
-    return max(rate / 2, rate - lacking / quota.window), max(1.0, most)
+    return max(rate / 2, rate - lacking / quota.window_s), max(1.0, most)
 
 
 def list_holders(
     customer: str,
     slots: Slots,
-    hosts: Mapping[str, Sequence[places.Host]],
-) -> tuple[places.Host | None, ...]:
+    hosts: Mapping[str, Sequence[deployments.Host]],
+) -> tuple[deployments.Host | None, ...]:
     """List the holder of each slot among hosts by data centre, None if none."""
     ranked = {
         centre: collections.deque(_rank(customer, hosts.get(centre, ())))
@@ -108,6 +112,8 @@
     )
 
 
-def _rank(customer: str, hosts: Sequence[places.Host]) -> list[places.Host]:
+def _rank(
+    customer: str, hosts: Sequence[deployments.Host]
+) -> list[deployments.Host]:
     by_name = {host.name: host for host in hosts}
     return [by_name[name] for name in rendezvous.rank(customer, list(by_name))]
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -16,7 +16,7 @@
 from fuchsiahaven.routing import (
     active_requests,
     configs,
-    places,
+    deployments,
     quota_buckets,
     quota_holders,
     quota_purses,
@@ -42,7 +42,7 @@
 class Terms(NamedTuple):
     """Hold what the deployment tells, and a number that names this start."""
 
-    quota: places.Quota | None
+    quota: deployments.QuotaTolerance | None
     centres: tuple[str, ...]
     start: int
 
@@ -98,7 +98,7 @@
 
     def __init__(
         self,
-        host: places.Host,
+        host: deployments.Host,
         find_wait: Callable[[], float] = _wait_never,
     ) -> None:
         """Start with nothing bounded.
@@ -122,7 +122,9 @@
         self._paid: dict[int, Paid] = {}
         self._numbers = itertools.count(1)
 
-    def note_hosts(self, hosts: tuple[places.Host, ...], now: float) -> None:
+    def note_hosts(
+        self, hosts: tuple[deployments.Host, ...], now: float
+    ) -> None:
         """Take in which hosts there are."""
         if self._holders.note_hosts(hosts):
             held = functools.partial(
@@ -222,7 +224,7 @@
     def _try(
         self,
         waiting: Waiting,
-        holder: places.Host | None,
+        holder: deployments.Host | None,
         share: quota_slots.Share,
         now: float,
     ) -> Charged | None:
@@ -240,7 +242,7 @@
         return self._take_given(waiting, given, now)
 
     def _ask(
-        self, waiting: Waiting, holder: places.Host, now: float
+        self, waiting: Waiting, holder: deployments.Host, now: float
     ) -> Waiting:
         number = next(self._numbers)
         waiting = waiting._replace(
--- a/fuchsiahaven/routing/ranks.py
+++ b/fuchsiahaven/routing/ranks.py
@@ -7,13 +7,13 @@
 from typing import Final
 
 from fuchsiahaven.core import suspects
-from fuchsiahaven.routing import configs, facts, instances, places
+from fuchsiahaven.routing import configs, deployments, facts, instances
 
 #: More than a quarantine counts of crashes, so that clears count first.
-CRASHES_MOST: Final = 100_000
+MAX_CRASHES: Final = 100_000
 
 
-def rank(fact: facts.Fact) -> tuple[int, facts.Stamp, bool]:
+def compute_rank(fact: facts.Fact) -> tuple[int, facts.Stamp, bool]:
     """Rank what is told of a key: by its writer's number, then by the store's.
 
     Of one entry of a host, as one wrote it, that with its capacity ranks first:
@@ -25,20 +25,20 @@
     heard of one of them only pass it on; by revision alone the dead start
     would win, and requests would go to connections that are gone.
     """
-    tells = (
-        isinstance(fact.value, places.Host)
-        and fact.value.capacity != places.UNTOLD
+    has_capacity = (
+        isinstance(fact.value, deployments.Host)
+        and fact.value.capacity != deployments.UNKNOWN_CAPACITY
     )
-    return (find_number(fact), fact.stamp, tells)
+    return (get_writer_number(fact), fact.stamp, has_capacity)
 
 
-def says_same(before: facts.Value | None, value: facts.Value) -> bool:
+def is_repeat(before: facts.Value | None, value: facts.Value) -> bool:
     """Tell whether a value only repeats, or counts down, what was known."""
     if before == value:
         return True
     if isinstance(before, instances.Instance):
         if isinstance(value, instances.Instance):
-            return instances.is_countdown(before, value)
+            return instances.is_warmup_countdown(before, value)
     return False
 
 
@@ -48,14 +48,14 @@
         return False
     # A host that has not heard of a target's new start tells of the end of
     # the one before, maybe under a later revision.
-    if is_of_earlier(removal, fact):
+    if is_for_earlier_start(removal, fact):
         return False
     return fact.stamp <= removal.stamp
 
 
-def is_of_earlier(removal: facts.Fact, fact: facts.Fact) -> bool:
+def is_for_earlier_start(removal: facts.Fact, fact: facts.Fact) -> bool:
     """Tell whether a removal is of an earlier start than a fact."""
-    return 0 < removal.born < find_number(fact)
+    return 0 < removal.born < get_writer_number(fact)
 
 
 def contradicts(fact: facts.Fact, before: facts.Fact | None) -> bool:
@@ -69,7 +69,7 @@
         return False
     if fact.key.subject is facts.Subject.EVACUATION:
         return False
-    if find_number(before) != find_number(fact):
+    if get_writer_number(before) != get_writer_number(fact):
         return False
     if before.value is None:
         return True
@@ -80,13 +80,13 @@
     return isinstance(fact.value, instances.Instance) and fact.value.leaving
 
 
-def make_removal(fact: facts.Fact, end: facts.Stamp) -> facts.Fact:
+def make_removal(fact: facts.Fact, stamp: facts.Stamp) -> facts.Fact:
     """State that a fact is gone, by the time the store has come so far."""
-    era, revision = max(end, fact.stamp._replace(revision=fact.revision + 1))
-    return facts.Fact(fact.key, revision, None, find_number(fact), era)
+    era, revision = max(stamp, fact.stamp._replace(revision=fact.revision + 1))
+    return facts.Fact(fact.key, revision, None, get_writer_number(fact), era)
 
 
-def find_number(fact: facts.Fact) -> int:
+def get_writer_number(fact: facts.Fact) -> int:
     """Find the number by which its writer orders a fact; 0 without one."""
     match fact.value:
         case None:
@@ -96,5 +96,5 @@
         case configs.Configuration(version=version):
             return version
         case suspects.SuspectReport(clears=clears, crashes=crashes):
-            return clears * CRASHES_MOST + crashes
+            return clears * MAX_CRASHES + crashes
     return 0
--- a/fuchsiahaven/routing/returns.py
+++ b/fuchsiahaven/routing/returns.py
@@ -65,7 +65,7 @@
     room = most - soon
     if room <= 0:
         return failure
-    ranks = desk.index.priorities.ranks
+    ranks = desk.index.priorities.levels
     over = min(SPREAD_S, room / min(len(ranks), MOST_STEPS + 1))
     step = _count_more_urgent(ranks, _find_priority(desk.index, request))
     told = spread(step, desk.draw(), soon, over)
@@ -84,7 +84,7 @@
     path = request.uri.partition('?')[0]
     route = configs.find_route(index, request.host, path)
     if route is None:
-        return index.priorities.ranks[-1]
+        return index.priorities.levels[-1]
     return customers.find_priority(
         index.customers.get(request.key_digest), route
     )
--- a/fuchsiahaven/routing/rooms.py
+++ b/fuchsiahaven/routing/rooms.py
@@ -1,6 +1,6 @@
 """Tell whether callers compete for the room that targets have."""
 
-from fuchsiahaven.routing import centres, configs
+from fuchsiahaven.routing import centre_health, configs
 
 
 def is_contended(index: configs.Index) -> bool:
@@ -14,10 +14,10 @@
 
 
 def list_untold(
-    index: configs.Index, known: centres.Centres, now: float
+    index: configs.Index, known: centre_health.CentreHealth, now: float
 ) -> frozenset[str]:
     """List the silent data centres of which to tell the hosts beside this one.
 
     Where nobody competes, nothing is told.
     """
-    return known.list_untold(now) if is_contended(index) else frozenset()
+    return known.list_unreported(now) if is_contended(index) else frozenset()
--- a/fuchsiahaven/routing/states.py
+++ b/fuchsiahaven/routing/states.py
@@ -10,15 +10,15 @@
 from fuchsiahaven.routing import (
     active_requests,
     budgets,
-    centres,
+    centre_health,
     configs,
     controls,
+    deployments,
     events,
     instances,
     losses,
     margins,
-    places,
-    standings,
+    target_health,
     warmups,
 )
 
@@ -85,7 +85,7 @@
     comes and of nothing else, so that its silence says nothing about it.
     """
 
-    helper: places.Host
+    helper: deployments.Host
     attempt_numbers: Mapping[str, int]
     unreported: set[str]
     is_retry: bool = False
@@ -104,8 +104,8 @@
 
     def __init__(
         self,
-        host: places.Host,
-        extra_load: places.ExtraLoad,
+        host: deployments.Host,
+        extra_load: deployments.ExtraLoadLimit,
         draw: Callable[[], float],
     ) -> None:
         """Start with no configuration and no targets."""
@@ -113,12 +113,12 @@
         self.extra_load = extra_load
         self.draw = draw
         self.host_count = 1
-        self.hosts: tuple[places.Host, ...] = ()
-        self.index = configs.build_index(configs.NOTHING)
-        self.directory = instances.EMPTY
-        self.target_health = standings.Standings()
+        self.hosts: tuple[deployments.Host, ...] = ()
+        self.index = configs.build_index(configs.EMPTY_CONFIGURATION)
+        self.directory = instances.EMPTY_DIRECTORY
+        self.target_health = target_health.TargetHealthTable()
         self.active_requests: dict[int, active_requests.ActiveRequest] = {}
-        self.helper_health = standings.Standings()
+        self.helper_health = target_health.TargetHealthTable()
         self.delegations: dict[events.DelegationKey, Delegation] = {}
         self.in_flight: dict[events.AttemptKey, InFlightAttempt] = {}
         self.latency_windows: dict[str, hedges.Window] = {}
@@ -128,8 +128,8 @@
         self._timers: list[tuple[float, int, Timer]] = []
         self._order = itertools.count()
         self._wide_centres: frozenset[str] = frozenset()
-        self._centre_health = centres.Centres(host.data_centre)
-        self._centre_health.note_hosts((host,))
+        self._centre_health = centre_health.CentreHealth(host.data_centre)
+        self._centre_health.update_hosts((host,))
         self._reply_margin = margins.Margin()
         self._losses = losses.Losses()
         self._suspects = suspects.Suspects()
@@ -142,7 +142,7 @@
         return self._controls
 
     @property
-    def centre_health(self) -> centres.Centres:
+    def centre_health(self) -> centre_health.CentreHealth:
         """Return what is known of the way to other data centres."""
         return self._centre_health
 
@@ -177,13 +177,13 @@
         """
         self._wide_centres = self.directory.evacuated.union(
             instance.data_centre
-            for service in self.index.wide
+            for service in self.index.wide_shards
             for instance in self.directory.by_service.get(service, ())
         )
 
     def list_wide_centres(self) -> frozenset[str]:
         """Find the data centres whose hosts on duty send repeats."""
-        settled = self._centre_health.list_settled()
+        settled = self._centre_health.list_populated()
         return self._wide_centres & settled or settled
 
     def get_budget(self, service: str) -> budgets.Budget:
@@ -198,7 +198,7 @@
         """Take a number that no other caller of this gets."""
         return next(self._order)
 
-    def update_extra_load(self, extra_load: places.ExtraLoad) -> None:
+    def update_extra_load(self, extra_load: deployments.ExtraLoadLimit) -> None:
         """Take another bound on repeats, for what was counted as well."""
         self.extra_load = extra_load
         for budget in self._budgets.values():
--- a/fuchsiahaven/routing/suspect_codecs.py
+++ b/fuchsiahaven/routing/suspect_codecs.py
@@ -12,14 +12,14 @@
 from fuchsiahaven.core import request_identities, suspects
 
 #: More hops than this would reach more hosts than there are.
-MOST_HOPS: Final = 12
-MOST_ROWS: Final = 64
+MAX_HOPS: Final = 12
+MAX_ROWS: Final = 64
 #: Cleared or counted more often than this, a number is no count.
-LARGEST: Final = 10_000
-LONGEST_NAME: Final = 200
+MAX_COUNT: Final = 10_000
+MAX_NAME_CHARS: Final = 200
 
 
-class WrittenNews(TypedDict):
+class EncodedSuspectReport(TypedDict):
     """Hold what is known against a request; `wait` is in seconds."""
 
     customer: str
@@ -32,57 +32,57 @@
     host: str
 
 
-class Notice(NamedTuple):
+class SuspectNotice(NamedTuple):
     """Hold news, and how often it may still be handed on."""
 
-    news: tuple[suspects.SuspectReport, ...]
+    reports: tuple[suspects.SuspectReport, ...]
     hops: int
 
 
-def write_news(news: suspects.SuspectReport) -> WrittenNews:
+def encode_report(report: suspects.SuspectReport) -> EncodedSuspectReport:
     """Write what is known against one request."""
-    return WrittenNews(
-        customer=news.identity.customer,
-        digest=news.identity.digest,
-        clears=news.clears,
-        crashes=news.crashes,
-        wait=round(news.wait_s, 3),
-        targets=list(news.targets),
-        services=list(news.services),
-        host=news.host,
+    return EncodedSuspectReport(
+        customer=report.identity.customer,
+        digest=report.identity.digest,
+        clears=report.clears,
+        crashes=report.crashes,
+        wait=round(report.wait_s, 3),
+        targets=list(report.targets),
+        services=list(report.services),
+        host=report.host,
     )
 
 
-def read_news(row: Mapping[str, Any]) -> suspects.SuspectReport:
+def decode_report(row: Mapping[str, Any]) -> suspects.SuspectReport:
     """Read what is known against one request; raises ValueError."""
     try:
-        return _read_news(row)
+        return _decode_report(row)
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(repr(error)) from error
 
 
-def write_notice(notice: Notice) -> bytes:
+def encode_notice(notice: SuspectNotice) -> bytes:
     """Write news for another host."""
-    rows = [write_news(news) for news in notice.news]
-    written = {'news': rows, 'hops': notice.hops}
-    return json.dumps(written, separators=(',', ':')).encode()
+    rows = [encode_report(report) for report in notice.reports]
+    encoded = {'news': rows, 'hops': notice.hops}
+    return json.dumps(encoded, separators=(',', ':')).encode()
 
 
-def read_notice(text: bytes) -> Notice:
+def decode_notice(data: bytes) -> SuspectNotice:
     """Read news of another host; raises ValueError."""
     try:
-        row = json.loads(text)
+        row = json.loads(data)
         rows = tuple(row['news'])
-        hops = _read_count(row['hops'], MOST_HOPS)
+        hops = _decode_count(row['hops'], MAX_HOPS)
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(repr(error)) from error
-    if len(rows) > MOST_ROWS:
+    if len(rows) > MAX_ROWS:
         raise ValueError(f'{len(rows)} rows')
-    return Notice(tuple(read_news(it) for it in rows), hops)
+    return SuspectNotice(tuple(decode_report(it) for it in rows), hops)
 
 
-def _read_news(row: Mapping[str, Any]) -> suspects.SuspectReport:
-    digest = _read_name(row['digest'])
+def _decode_report(row: Mapping[str, Any]) -> suspects.SuspectReport:
+    digest = _decode_name(row['digest'])
     if len(digest) != request_identities.DIGEST_DIGITS or set(digest) - set(
         request_identities.HEX_DIGITS
     ):
@@ -91,30 +91,30 @@
     if not isinstance(wait, (int, float)) or not math.isfinite(wait):
         raise ValueError('no wait')
     return suspects.SuspectReport(
-        request_identities.Identity(_read_name(row['customer']), digest),
-        _read_count(row['clears'], LARGEST),
-        _read_count(row['crashes'], LARGEST),
+        request_identities.Identity(_decode_name(row['customer']), digest),
+        _decode_count(row['clears'], MAX_COUNT),
+        _decode_count(row['crashes'], MAX_COUNT),
         min(max(0.0, float(wait)), suspects.MAX_QUARANTINE_S),
-        _read_names(row['targets']),
-        _read_names(row['services']),
-        _read_name(row['host']),
+        _decode_names(row['targets']),
+        _decode_names(row['services']),
+        _decode_name(row['host']),
     )
 
 
-def _read_count(told: object, most: int) -> int:
-    if isinstance(told, int) and not isinstance(told, bool):
-        if 0 <= told <= most:
-            return told
-    raise ValueError(f'no count: {told!r}')
+def _decode_count(value: object, maximum: int) -> int:
+    if isinstance(value, int) and not isinstance(value, bool):
+        if 0 <= value <= maximum:
+            return value
+    raise ValueError(f'no count: {value!r}')
 
 
-def _read_name(told: object) -> str:
-    if isinstance(told, str) and len(told) <= LONGEST_NAME:
-        return told
+def _decode_name(value: object) -> str:
+    if isinstance(value, str) and len(value) <= MAX_NAME_CHARS:
+        return value
     raise ValueError('no name')
 
 
-def _read_names(told: object) -> tuple[str, ...]:
-    if not isinstance(told, list) or len(told) > suspects.MAX_NAMES:
+def _decode_names(value: object) -> tuple[str, ...]:
+    if not isinstance(value, list) or len(value) > suspects.MAX_NAMES:
         raise ValueError('no names')
-    return tuple(_read_name(name) for name in told)
+    return tuple(_decode_name(name) for name in value)
--- a/fuchsiahaven/routing/target_selection.py
+++ b/fuchsiahaven/routing/target_selection.py
@@ -7,8 +7,8 @@
 from fuchsiahaven.routing import (
     active_requests,
     instances,
-    standings,
     states,
+    target_health,
     warmups,
 )
 
@@ -79,7 +79,9 @@
     for instance in router.directory.by_service.get(service, ()):
         if instance.name in excluded or instance.data_centre in silent:
             continue
-        if not standings.is_dead(router.target_health.get(instance.name), now):
+        if not target_health.is_excluded(
+            router.target_health.get(instance.name), now
+        ):
             yield instance
 
 
@@ -135,7 +137,7 @@
     best_cost = float('inf')
     for instance in candidates:
         health = router.target_health.get(instance.name)
-        cost = standings.estimate(
+        cost = target_health.estimate_cost(
             health, instance, router.host.data_centre, now
         )
         cost *= 1 + ESTIMATE_SPREAD_FRACTION * router.draw()
@@ -153,7 +155,7 @@
 ) -> float:
     health = router.target_health.get(instance.name)
     own_centre = router.host.data_centre
-    return standings.estimate_wait(
+    return target_health.estimate_queue_cost(
         health, instance, own_centre, now, usual_latency
     )
 
@@ -165,6 +167,11 @@
     record = health.stats.failure_record
     if not record.ejected_until:
         return (
-            not at_most_once or standings.measure_silence(health, now) is None
+            not at_most_once
+            or target_health.measure_silence(health, now) is None
         )
-    return not at_most_once and now >= record.ejected_until and not health.aloft
+    return (
+        not at_most_once
+        and now >= record.ejected_until
+        and not health.in_flight
+    )
--- a/fuchsiahaven/routing/waitings.py
+++ b/fuchsiahaven/routing/waitings.py
@@ -147,7 +147,7 @@
     )
 
 
-def _count_parts(way: configs.Way) -> int:
+def _count_parts(way: configs.RouteAction) -> int:
     """Count what is sent at the least; of a split it is one part."""
     return len(way.shards) if isinstance(way, configs.Gather) else 1
 
--- a/fuchsiahaven/routing/warmups.py
+++ b/fuchsiahaven/routing/warmups.py
@@ -12,26 +12,26 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.routing import configs, duties, instances, places
+from fuchsiahaven.routing import configs, deployments, duties, instances
 
 #: How long all hosts may take to see that a host came or went, in seconds. In
 #: that time two sets of hosts would each take the whole bound.
-SETTLE_S: Final = 2.5
+HOSTS_SETTLE_S: Final = 2.5
 #: A bound holds in any second. What is sent may have waited for a connection
 #: for the rest, and would leave together with what came after it.
-WINDOW_S: Final = 1.3
+RATE_WINDOW_S: Final = 1.3
 #: Part of the bound that is used: a host that is cut off from all others may
 #: go on taking a part that another one has by now.
-MARGIN: Final = 0.8
+USED_FRACTION: Final = 0.8
 #: So long after its time a target counts as warm that has not said so. Its
 #: entry says so within two heartbeats; without the store none does.
-LAPSE_S: Final = 3.0
+WARM_DELAY_S: Final = 3.0
 #: Targets of a data centre that is used again are cold, and their entries say
 #: so only with the next heartbeats.
-RETURN_S: Final = 3.5
+REUSE_COLD_S: Final = 3.5
 
 
-class Told(NamedTuple):
+class ReportedWarmup(NamedTuple):
     """Hold how long a target was said to stay cold, and until when it is."""
 
     seconds: float
@@ -41,61 +41,65 @@
 class Warmups:
     """Own which targets are cold, and what this host has sent them."""
 
-    def __init__(self, own: places.Host) -> None:
+    def __init__(self, own: deployments.Host) -> None:
         """Start with all targets warm; without terms nothing is bounded."""
-        self.terms: places.WarmUp | None = None
+        self.limit: deployments.WarmUpLimit | None = None
         self._own = own
-        self._hosts: tuple[places.Host, ...] = ()
-        self._settled = float('inf')
-        self._told: dict[str, Told] = {}
-        self._returned: dict[str, float] = {}
+        self._hosts: tuple[deployments.Host, ...] = ()
+        self._settled_at = float('inf')
+        self._reported: dict[str, ReportedWarmup] = {}
+        self._reused_until: dict[str, float] = {}
         self._sent: dict[str, collections.deque[float]] = {}
 
-    def note_hosts(self, hosts: Sequence[places.Host], now: float) -> None:
+    def update_hosts(
+        self, hosts: Sequence[deployments.Host], now: float
+    ) -> None:
         """Take in which hosts there are.
 
         This one is among them if the others see it too: one whose entry is gone
         would go on sending what another sends by now.
         """
-        found = tuple(sorted(set(hosts)))
-        if found != self._hosts or math.isinf(self._settled):
-            self._hosts = found
-            self._settled = now + SETTLE_S
+        ordered = tuple(sorted(set(hosts)))
+        if ordered != self._hosts or math.isinf(self._settled_at):
+            self._hosts = ordered
+            self._settled_at = now + HOSTS_SETTLE_S
 
-    def note_targets(
+    def update_targets(
         self,
         before: instances.Directory,
         directory: instances.Directory,
         now: float,
     ) -> None:
         """Take in which targets are cold by what is told of them."""
-        returned = before.evacuated - directory.evacuated
-        self._returned = {
+        reused = before.evacuated - directory.evacuated
+        self._reused_until = {
             **{
-                it: until for it, until in self._returned.items() if until > now
+                it: until
+                for it, until in self._reused_until.items()
+                if until > now
             },
-            **dict.fromkeys(returned, now + RETURN_S),
+            **dict.fromkeys(reused, now + REUSE_COLD_S),
         }
-        self._told = {
-            name: self._renew(name, one.warming, now)
-            for name, one in directory.by_name.items()
-            if one.warming
+        self._reported = {
+            name: self._update_reported(name, instance.warming, now)
+            for name, instance in directory.by_name.items()
+            if instance.warming
         }
         for name in self._sent.keys() - directory.by_name.keys():
             self._sent.pop(name)
 
-    def knows_cold(self) -> bool:
+    def has_cold_targets(self) -> bool:
         """Tell whether any target may be cold: mostly none is."""
-        return bool(self._told or self._returned)
+        return bool(self._reported or self._reused_until)
 
-    def is_cold(self, one: instances.Instance, now: float) -> bool:
+    def is_cold(self, instance: instances.Instance, now: float) -> bool:
         """Tell whether a target has to be taken for cold."""
-        if not self.knows_cold():
+        if not self.has_cold_targets():
             return False
-        if now < self._returned.get(one.data_centre, 0):
+        if now < self._reused_until.get(instance.data_centre, 0):
             return True
-        told = self._told.get(one.name)
-        return told is not None and now < told.until
+        reported = self._reported.get(instance.name)
+        return reported is not None and now < reported.until
 
     def list_cold(
         self, directory: instances.Directory, now: float
@@ -103,89 +107,97 @@
         """List the targets that are taken for cold, for people."""
         return [
             name
-            for name, one in directory.by_name.items()
-            if self.is_cold(one, now)
+            for name, instance in directory.by_name.items()
+            if self.is_cold(instance, now)
         ]
 
     def may_send(
-        self, one: instances.Instance, index: configs.Index, now: float
+        self, instance: instances.Instance, index: configs.Index, now: float
     ) -> bool:
         """Tell whether this host may send a target something now."""
-        if self.terms is None or not self.is_cold(one, now):
+        if self.limit is None or not self.is_cold(instance, now):
             return True
-        if now < self._settled:
+        if now < self._settled_at:
             return False
-        bound = count_bound(self.terms, find_rate(index, one))
-        takers = list_takers(one, index, self._hosts)
-        share = count_share(bound, takers, self._own.name)
-        return self._count_sent(one.name, now) < share
+        bound = compute_bound(self.limit, get_cold_rate(index, instance))
+        candidates = list_senders(instance, index, self._hosts)
+        limit = compute_host_limit(bound, candidates, self._own.name)
+        return self._count_sent(instance.name, now) < limit
 
-    def note_sent(self, one: instances.Instance, now: float) -> None:
+    def record_sent(self, instance: instances.Instance, now: float) -> None:
         """Count a request to a target that is cold."""
-        if self.is_cold(one, now):
-            self._sent.setdefault(one.name, collections.deque()).append(now)
-
-    def _renew(self, name: str, seconds: float, now: float) -> Told:
-        known = self._told.get(name)
-        if known is not None and known.seconds == seconds:
-            return known
-        return Told(seconds, now + seconds + LAPSE_S)
+        if self.is_cold(instance, now):
+            self._sent.setdefault(instance.name, collections.deque()).append(
+                now
+            )
+
+    def _update_reported(
+        self, name: str, seconds: float, now: float
+    ) -> ReportedWarmup:
+        previous = self._reported.get(name)
+        if previous is not None and previous.seconds == seconds:
+            return previous
+        return ReportedWarmup(seconds, now + seconds + WARM_DELAY_S)
 
     def _count_sent(self, name: str, now: float) -> int:
         sent = self._sent.get(name)
-        while sent and sent[0] <= now - WINDOW_S:
+        while sent and sent[0] <= now - RATE_WINDOW_S:
             sent.popleft()
         return len(sent) if sent else 0
 
 
-def count_bound(terms: places.WarmUp, rate: float) -> float:
+def compute_bound(limit: deployments.WarmUpLimit, rate: float) -> float:
     """Count the requests that a cold target may get in any second."""
-    return MARGIN * (rate * terms.overage + terms.slack)
+    return USED_FRACTION * (rate * limit.overage + limit.slack)
 
 
-def count_share(bound: float, takers: Sequence[str], own: str) -> int:
+def compute_host_limit(
+    bound: float, candidates: Sequence[str], own: str
+) -> int:
     """Count the requests of a bound that are one host's.
 
     The first hosts take equal parts, as many of them as get one request each.
     """
-    taking = takers[: max(0, int(bound))]
-    if own not in taking:
+    senders = candidates[: max(0, int(bound))]
+    if own not in senders:
         return 0
-    return int(bound / len(taking))
+    return int(bound / len(senders))
 
 
-def list_takers(
-    one: instances.Instance,
+def list_senders(
+    instance: instances.Instance,
     index: configs.Index,
-    hosts: Sequence[places.Host],
+    hosts: Sequence[deployments.Host],
 ) -> tuple[str, ...]:
     """List the hosts that may send to a cold target, in order.
 
     Those of wide queries get work from the hosts on duty in their own data
     centre; the others from any host.
     """
-    chunk = duties.find_chunk(index, one.service)
+    chunk = duties.find_chunk(index, instance.service)
     if chunk is not None:
-        duty = duties.Duty(one.data_centre, chunk)
+        duty = duties.Duty(instance.data_centre, chunk)
         ranked = duties.rank_hosts(duty, hosts)[: duties.ON_DUTY]
         if ranked:
             return tuple(host.name for host in ranked)
-    return rendezvous.rank(one.name, [host.name for host in hosts])
+    return rendezvous.rank(instance.name, [host.name for host in hosts])
 
 
 def prefer_warm(
-    known: Warmups, found: list[instances.Instance], now: float
+    warmups: Warmups, targets: list[instances.Instance], now: float
 ) -> list[instances.Instance]:
     """Leave out cold targets as long as there are warm ones."""
-    if not known.knows_cold():
-        return found
-    warm = [one for one in found if not known.is_cold(one, now)]
-    return warm or found
+    if not warmups.has_cold_targets():
+        return targets
+    warm = [
+        instance for instance in targets if not warmups.is_cold(instance, now)
+    ]
+    return warm or targets
 
 
 def list_allowed(
-    known: Warmups,
-    found: list[instances.Instance],
+    warmups: Warmups,
+    targets: list[instances.Instance],
     index: configs.Index,
     now: float,
 ) -> list[instances.Instance]:
@@ -194,13 +206,19 @@
     Where a service names no rate at which its cold targets fall over, they are
     spared as long as that costs no part of an answer.
     """
-    if not known.knows_cold():
-        return found
-    allowed = [one for one in found if known.may_send(one, index, now)]
-    return allowed or [one for one in found if not find_rate(index, one)]
-
-
-def find_rate(index: configs.Index, one: instances.Instance) -> float:
+    if not warmups.has_cold_targets():
+        return targets
+    allowed = [
+        instance
+        for instance in targets
+        if warmups.may_send(instance, index, now)
+    ]
+    return allowed or [
+        instance for instance in targets if not get_cold_rate(index, instance)
+    ]
+
+
+def get_cold_rate(index: configs.Index, instance: instances.Instance) -> float:
     """Find how many requests a second a cold target bears; 0 if not told."""
-    service = index.services.get(one.service)
-    return service.warm_rate if service is not None else 0
+    service = index.services.get(instance.service)
+    return service.cold_rate if service is not None else 0
--- a/fuchsiahaven/routing/wide_hedges.py
+++ b/fuchsiahaven/routing/wide_hedges.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from fuchsiahaven.routing import active_requests, places
+from fuchsiahaven.routing import active_requests, deployments
 
 #: A second sending with less than this before the answer is decided, in
 #: seconds, is hardly in by then: asking another host for it, its target's work
@@ -26,10 +26,10 @@
 
 
 def select_hedges(
-    host: places.Host,
-    parts_by_host: Mapping[places.Host, list[str]],
+    host: deployments.Host,
+    parts_by_host: Mapping[deployments.Host, list[str]],
     limit: int,
-) -> dict[places.Host, list[str]]:
+) -> dict[deployments.Host, list[str]]:
     """Keep so many parts, with as few other hosts to ask as that takes.
 
     `shared` maps each host to what it would send, this one included.
--- a/tests/bench/test_trial.py
+++ b/tests/bench/test_trial.py
@@ -42,7 +42,7 @@
     played = model.Fleet(shape, load, SEED).play(2)
     asked = len(played.endings)
     terms = shape.extra_load
-    allowed = terms.share * asked * shape.shards + terms.slack * shape.shards
+    allowed = terms.fraction * asked * shape.shards + terms.slack * shape.shards
     assert played.repeats <= allowed
 
 
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -10,7 +10,7 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.platform import records, store
-from fuchsiahaven.routing import configs, facts, instances, places
+from fuchsiahaven.routing import configs, deployments, facts, instances
 
 CONFIGURATION = facts.Key(facts.Subject.CONFIGURATION, '')
 INSTANCE = facts.Key(facts.Subject.INSTANCE, 'i-1')
@@ -61,7 +61,7 @@
     ],
 )
 def test_reads_a_configuration(
-    way: dict[str, Any], wanted: configs.Way
+    way: dict[str, Any], wanted: configs.RouteAction
 ) -> None:
     """Times come out in seconds, host names in lower case."""
     row = {
@@ -83,7 +83,7 @@
         configs.Service('one', 26),
         configs.Service('two', 9, 2.5),
     )
-    assert (read.limits.body_bytes, read.limits.idle) == (100, 1.5)
+    assert (read.limits.max_body_bytes, read.limits.idle_timeout) == (100, 1.5)
 
 
 @pytest.mark.parametrize('told', [-1, float('inf'), float('nan'), '4', None])
@@ -119,7 +119,7 @@
     """
     key = records.name_key('op/evacuate/north')
     assert key == facts.Key(facts.Subject.EVACUATION, 'north')
-    assert records.read_value(key, told) == places.Evacuation('north')
+    assert records.read_value(key, told) == deployments.Evacuation('north')
 
 
 def test_reads_the_end_of_an_evacuation() -> None:
@@ -229,7 +229,7 @@
 
 def test_reads_a_page_and_passes_over_foreign_keys() -> None:
     """Keys of others are no facts; the next page begins after the last key."""
-    host = places.Host('host-1', '10.0.0.1:7', 'north')
+    host = deployments.Host('host-1', '10.0.0.1:7', 'north')
     key, encoded = records.write_host(host)
     rows = [
         {'key': key, 'value': encoded, 'revision': 4},
@@ -253,7 +253,9 @@
 
 def test_writes_the_entry_of_a_host_under_its_lease() -> None:
     """The entry goes when the lease ends."""
-    call = store.enter_host(places.Host('host-1', '10.0.0.1:7', 'north'), 77)
+    call = store.enter_host(
+        deployments.Host('host-1', '10.0.0.1:7', 'north'), 77
+    )
     body = json.loads(call.body)
     assert body['puts'][0]['lease'] == 77
     assert body['puts'][0]['key'].endswith('/host-1')
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fuchsiahaven.platform import settings
-from fuchsiahaven.routing import places
+from fuchsiahaven.routing import deployments
 
 TEXT = """node=front-north-1
 ip=10.1.0.9
@@ -33,7 +33,7 @@
     assert reading.settings.host.address == '10.1.0.9:8106'
     assert reading.settings.data_centres == ('north', 'south')
     assert len(reading.settings.seeds) == 2
-    assert reading.settings.heartbeat == 1.2
+    assert reading.settings.heartbeat_s == 1.2
     assert reading.settings.extra_load.slack == 56
 
 
@@ -72,7 +72,7 @@
     text = f'{TEXT}platform.writes_per_s={told}\n'
     reading = settings.read_text(text)
     assert reading.settings is not None
-    assert reading.settings.store_writes == wanted
+    assert reading.settings.store_writes_per_s == wanted
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
     """Pauses are as short as the promise needs them to be."""
     reading = settings.read_text(f'{TEXT}bounds.config_apply_ms={told}\n')
     assert reading.settings is not None
-    assert reading.settings.pace == pace
+    assert reading.settings.delay_factor == pace
 
 
 @pytest.mark.parametrize('name', settings.REQUIRED)
@@ -114,12 +114,15 @@
 @pytest.mark.parametrize(
     ('lines', 'wanted'),
     [
-        ('', places.UNTOLD),
+        ('', deployments.UNKNOWN_CAPACITY),
         ('limits.cpu_share=0.717\nlimits.cores=3\n', 2.151),
         ('limits.cpu_share=0.361\n', 0.361),
-        ('limits.cores=3\n', places.UNTOLD),
-        ('limits.cpu_share=nan\nlimits.cores=3\n', places.UNTOLD),
-        ('limits.cpu_share=much\n', places.UNTOLD),
+        ('limits.cores=3\n', deployments.UNKNOWN_CAPACITY),
+        (
+            'limits.cpu_share=nan\nlimits.cores=3\n',
+            deployments.UNKNOWN_CAPACITY,
+        ),
+        ('limits.cpu_share=much\n', deployments.UNKNOWN_CAPACITY),
     ],
 )
 def test_reads_what_this_host_can_do(lines: str, wanted: float) -> None:
--- a/tests/relay/test_askers.py
+++ b/tests/relay/test_askers.py
@@ -7,12 +7,12 @@
 
 from fuchsiahaven.relay import askers
 from fuchsiahaven.routing import (
-    codecs,
     configs,
+    deployments,
     facts,
     freshness,
-    ledgers,
-    places,
+    report_codecs,
+    store_views,
 )
 from tests.relay import peers
 
@@ -27,29 +27,29 @@
         self.now = 100.0
         self.keys = freshness.Freshness(REVOKE_S, lambda: self.now)
         if keyed:
-            known = configs.NOTHING._replace(customers=())
-            self.keys.note_configuration(known)
+            known = configs.EMPTY_CONFIGURATION._replace(customers=())
+            self.keys.update_configuration(known)
         self.keys.record_read(99, facts.NO_ERA)
-        host = places.Host('host-1', '10.0.0.1:7000', 'north')
+        host = deployments.Host('host-1', '10.0.0.1:7000', 'north')
         fact = facts.Fact(facts.Key(facts.Subject.HOST, host.name), 1, host)
-        self.ledger = ledgers.merge(
-            ledgers.begin(7),
-            facts.Report(1, (fact,), whole=True, age=0),
+        self.ledger = store_views.merge_report(
+            store_views.create(7),
+            facts.Report(1, (fact,), full=True, age=0),
             asyncio.get_running_loop().time(),
-            returned=None,
-        ).ledger
+            returned_at=None,
+        ).view
         self.told: list[facts.Report] = []
         self.askers = askers.Askers(self._find_state, self.keys)
 
     def ask(self, keys_age: float | None) -> None:
         """Ask for what is newer than all that is known."""
-        asked = {'after': codecs.write_cursor(self.ledger.cursor)}
+        asked = {'after': report_codecs.encode_cursor(self.ledger.cursor)}
         if keys_age is not None:
             asked[askers.KEYS_AGE] = str(keys_age)
         self.askers.take(urllib.parse.urlencode(asked), self._note)
 
     def _note(self, body: bytes) -> None:
-        self.told.append(codecs.read_report(body))
+        self.told.append(report_codecs.decode_report(body))
 
     def _find_state(self) -> askers.State:
         return askers.State(self.ledger, lost=False)
--- a/tests/relay/test_assistants.py
+++ b/tests/relay/test_assistants.py
@@ -5,7 +5,7 @@
 import time
 
 from fuchsiahaven.relay import assistants, traffic
-from fuchsiahaven.routing import events, places
+from fuchsiahaven.routing import deployments, events
 from tests.routing import router_rig
 
 SOON_S = 1.0
@@ -20,7 +20,9 @@
     assist = events.DelegatedRequest(
         request, 'search', 0.1, 3, ('shard-a',), now + SOON_S
     )
-    helper = places.Host(f'host-{number}', address, router_rig.HOST.data_centre)
+    helper = deployments.Host(
+        f'host-{number}', address, router_rig.HOST.data_centre
+    )
     return events.Delegate(events.DelegationKey(1, number), helper, assist)
 
 
--- a/tests/relay/test_confirmations.py
+++ b/tests/relay/test_confirmations.py
@@ -12,12 +12,12 @@
 from fuchsiahaven.core import boot_clock
 from fuchsiahaven.relay import confirmations, news, process, traffic
 from fuchsiahaven.routing import (
-    codecs,
     configs,
+    deployments,
     facts,
     freshness,
-    ledgers,
-    places,
+    report_codecs,
+    store_views,
 )
 from tests.relay import peers, test_customers, test_decoders, worlds
 
@@ -52,7 +52,7 @@
     host.news.store.close()
 
 
-def move(host: process.Process, other: places.Host, address: str) -> None:
+def move(host: process.Process, other: deployments.Host, address: str) -> None:
     """Have a host take another one for being at an address."""
     known = host.news.ledger
     moved = other._replace(address=address)
@@ -189,14 +189,14 @@
 def know(
     others: tuple[str, ...],
     keys: freshness.Freshness,
-    settings: places.Settings,
+    settings: deployments.Settings,
 ) -> news.News:
     """Make the news of a host that knows hosts and a version with customers."""
-    keyed = configs.NOTHING._replace(version=5, customers=())
-    keys.note_configuration(keyed)
+    keyed = configs.EMPTY_CONFIGURATION._replace(version=5, customers=())
+    keys.update_configuration(keyed)
     written = [facts.Fact(CONFIGURATION, 1, keyed)]
     for address in others:
-        host = places.Host(f'at {address}', address, 'south')
+        host = deployments.Host(f'at {address}', address, 'south')
         key = facts.Key(facts.Subject.HOST, host.name)
         written.append(facts.Fact(key, 2, host))
     known = news.News(
@@ -206,8 +206,10 @@
         traffic.Traffic(),
         keys,
     )
-    report = facts.Report(2, tuple(written), whole=True, age=0)
-    known.ledger = ledgers.merge(known.ledger, report, 0, returned=0).ledger
+    report = facts.Report(2, tuple(written), full=True, age=0)
+    known.ledger = store_views.merge_report(
+        known.ledger, report, 0, returned_at=0
+    ).view
     return known
 
 
@@ -218,17 +220,17 @@
     """
     keys = freshness.Freshness(REVOKE_S)
     keys.record_read(boot_clock.read_clock() - REVOKE_S / 2, facts.NO_ERA)
-    settings = places.Settings(
-        host=places.Host('host-9', NOWHERE, 'south'),
+    settings = deployments.Settings(
+        host=deployments.Host('host-9', NOWHERE, 'south'),
         data_centres=('south',),
-        callers='',
-        readiness='',
-        metrics='',
+        caller_address='',
+        readiness_address='',
+        metrics_address='',
         seeds=(),
-        store=store,
+        store_address=store,
         extra_load=worlds.EXTRA,
-        heartbeat=1.2,
-        grace=6.0,
+        heartbeat_s=1.2,
+        grace_s=6.0,
     )
     known = know(others, keys, settings)
     second = confirmations.Confirmations(
@@ -260,8 +262,8 @@
 def test_asks_others_by_a_second_way_past_one_that_is_silent() -> None:
     """Symptom: a host refuses keys because one other stands still."""
     proof = facts.Proof(-0.1, facts.NO_ERA)
-    report = facts.Report(0, (), whole=False, age=0, proof=proof)
-    told = json.loads(codecs.write_report(report))
+    report = facts.Report(0, (), full=False, age=0, proof=proof)
+    told = json.loads(report_codecs.encode_report(report))
 
     async def check() -> None:
         async with (
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -45,7 +45,7 @@
     """Ask hosts for paths, with fields; return the statuses."""
     answers = await asyncio.gather(
         *[
-            worlds.fetch(host.settings.callers, *request)
+            worlds.fetch(host.settings.caller_address, *request)
             for host in asked
             for request in requests
         ]
@@ -71,7 +71,7 @@
     """Return all that a host tells: its state, metrics, and news."""
     pages = await asyncio.gather(
         *[
-            worlds.fetch(host.settings.metrics, path)
+            worlds.fetch(host.settings.metrics_address, path)
             for path in ('/v1/state', '/metrics', '/v1/facts?after=0')
         ]
     )
--- a/tests/relay/test_datagrams.py
+++ b/tests/relay/test_datagrams.py
@@ -10,10 +10,10 @@
 import pytest
 
 from fuchsiahaven.relay import datagrams, journal, traffic
-from fuchsiahaven.routing import places, quota_words, quotas
+from fuchsiahaven.routing import deployments, quota_words, quotas
 from tests.relay import peers
 
-QUOTA: Final = places.Quota(5.0, 0.1, 20.0)
+QUOTA: Final = deployments.QuotaTolerance(5.0, 0.1, 20.0)
 WORD: Final = quota_words.Ask('shop', 1, 2, 3, 4)
 
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         stack: contextlib.AsyncExitStack,
-        quota: places.Quota | None,
+        quota: deployments.QuotaTolerance | None,
         port: int = 0,
     ) -> None:
         """Prepare without listening."""
@@ -43,8 +43,8 @@
         self.heard: asyncio.Queue[quota_words.Heard] = asyncio.Queue()
         self.traffic = traffic.Traffic()
         self.address = f'{peers.LOOPBACK}:{port or find_port()}'
-        self.host = places.Host('host', self.address, 'north')
-        self.settings = places.Settings(
+        self.host = deployments.Host('host', self.address, 'north')
+        self.settings = deployments.Settings(
             self.host,
             ('north',),
             '',
@@ -52,7 +52,7 @@
             '',
             (),
             '',
-            places.ExtraLoad(0.2, 1.0, 10.0),
+            deployments.ExtraLoadLimit(0.2, 1.0, 10.0),
             1.0,
             1.0,
             quota=quota,
--- a/tests/relay/test_encodings.py
+++ b/tests/relay/test_encodings.py
@@ -7,7 +7,7 @@
 
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import calls, encodings
-from fuchsiahaven.routing import codecs
+from fuchsiahaven.routing import report_codecs
 from tests.relay import peers, worlds
 
 PIECES = (b'{"parts":[["a","1"]]}\n', b'{"parts":[]}\n', b'{"last":true}\n')
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize('fed', [b'{"parts":[]}\n', b'\x78\x9c\xff\xff'])
 def test_refuses_what_is_not_compressed(fed: bytes) -> None:
     """Bytes that say they are compressed, and are not, are no answer."""
-    with pytest.raises(codecs.Malformed):
+    with pytest.raises(report_codecs.MalformedReport):
         encodings.unpack(fed)
 
 
@@ -48,7 +48,7 @@
     Zeros shrink to a thousandth, so a short answer may unpack to gigabytes.
     """
     packed = zlib.compress(bytes(encodings.MOST_BYTES + 1))
-    with pytest.raises(codecs.Malformed):
+    with pytest.raises(report_codecs.MalformedReport):
         encodings.unpack(packed)
 
 
@@ -87,7 +87,7 @@
             await peers.wait_for(lambda: near.desk.host_count == 2)
             await peers.wait_for(lambda: far.desk.host_count == 2)
             status, head, body = await worlds.fetch(
-                near.settings.callers, '/search/1'
+                near.settings.caller_address, '/search/1'
             )
             assert status == 200
             assert 'fuchsiahaven-missing-parts: 0' in head
--- a/tests/relay/test_fleets.py
+++ b/tests/relay/test_fleets.py
@@ -5,12 +5,12 @@
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.relay import fleets, traffic
-from fuchsiahaven.routing import events, instances, places, states
+from fuchsiahaven.routing import deployments, events, instances, states
 from tests.relay import peers
 
-HOST = places.Host('host-1', '10.0.0.1:7000', 'north')
+HOST = deployments.Host('host-1', '10.0.0.1:7000', 'north')
 FIELDS = (('host', 'shop.example'),)
-EXTRA = places.ExtraLoad(0.2, 40.0, 10.0)
+EXTRA = deployments.ExtraLoadLimit(0.2, 40.0, 10.0)
 
 
 async def be_silent(head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -80,7 +80,7 @@
             fleet.place(make_send(first, 1))
             await peers.wait_for(lambda: bool(server.heads))
             second = first._replace(
-                name=instances.name_start(first.id, 2), born=2
+                name=instances.make_start_name(first.id, 2), born=2
             )
             desk.directory = instances.build_directory([second])
             fleet.prune()
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -17,7 +17,7 @@
 
 async def search(host: process.Process) -> tuple[int, str, bytes]:
     """Ask a host a query over all shards."""
-    return await worlds.fetch(host.settings.callers, '/search/1')
+    return await worlds.fetch(host.settings.caller_address, '/search/1')
 
 
 def test_serves_a_query_from_the_store_alone() -> None:
@@ -32,11 +32,13 @@
             assert 'fuchsiahaven-missing-parts: 0' in head
             assert head.count('signed') == 5
             status, head, body = await worlds.fetch(
-                host.settings.callers, '/one/1'
+                host.settings.caller_address, '/one/1'
             )
             assert (status, body) == (200, b's' * 16)
             assert 'fuchsiahaven-response-signature: signed' in head
-            status, _, _ = await worlds.fetch(host.settings.callers, '/none/1')
+            status, _, _ = await worlds.fetch(
+                host.settings.caller_address, '/none/1'
+            )
             assert status == 404
 
     peers.run(check())
@@ -126,7 +128,7 @@
             before = len(world.targets['i-5'].heads)
             await asyncio.gather(
                 *[
-                    worlds.fetch(host.settings.callers, '/one/1')
+                    worlds.fetch(host.settings.caller_address, '/one/1')
                     for _ in range(5)
                 ],
             )
@@ -179,7 +181,7 @@
     before = len(world.targets['i-5'].heads)
     replies = await asyncio.gather(
         *[
-            worlds.fetch(host.settings.callers, '/one/1')
+            worlds.fetch(host.settings.caller_address, '/one/1')
             for host in world.hosts
         ],
     )
@@ -208,7 +210,7 @@
             world.store.put_target('i-9', 'records', slow.address)
             host = await world.add_host('host-1')
             waiting = asyncio.create_task(
-                worlds.fetch(host.settings.callers, '/one/1')
+                worlds.fetch(host.settings.caller_address, '/one/1')
             )
             await peers.wait_for(lambda: slow.heads)
             os.kill(os.getpid(), signal.SIGTERM)
@@ -251,7 +253,7 @@
     async def check() -> None:
         async with worlds.make() as world:
             host = await world.add_host('host-1')
-            asked = host.settings.readiness
+            asked = host.settings.readiness_address
             assert (await worlds.fetch(asked, '/ready'))[0] == 200
             os.kill(os.getpid(), signal.SIGTERM)
             await peers.wait_for(host.find_obstacle)
@@ -267,7 +269,9 @@
         async with worlds.make() as world:
             host = await world.add_host('host-1')
             await search(host)
-            _, _, body = await worlds.fetch(host.settings.metrics, '/metrics')
+            _, _, body = await worlds.fetch(
+                host.settings.metrics_address, '/metrics'
+            )
             assert b'fuchsiahaven_relay_outcomes_total' in body
             assert b'fuchsiahaven_relay_configuration 3.0' in body
             peer_port = host.settings.host.address
--- a/tests/relay/test_queries_of_death.py
+++ b/tests/relay/test_queries_of_death.py
@@ -122,7 +122,7 @@
 
     async def ask(self, host: process.Process, path: str) -> tuple[int, str]:
         """Ask a host; return the status and the head of the answer."""
-        status, head, _ = await worlds.fetch(host.settings.callers, path)
+        status, head, _ = await worlds.fetch(host.settings.caller_address, path)
         return status, head
 
     async def ask_all(self, path: str) -> list[tuple[int, str]]:
--- a/tests/relay/test_readers.py
+++ b/tests/relay/test_readers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fuchsiahaven.relay import calls, eras, readers
-from fuchsiahaven.routing import configs, facts, freshness, ledgers
+from fuchsiahaven.routing import configs, facts, freshness, store_views
 from tests.relay import peers, test_decoders
 
 #: A page of a listing that is not the last one, and one that is.
@@ -60,9 +60,11 @@
     return {'events': [], 'store_revision': revision}
 
 
-def take(report: facts.Report) -> facts.Ledger:
+def take(report: facts.Report) -> facts.StoreView:
     """Begin with a report."""
-    return ledgers.merge(ledgers.begin(1), report, 0, returned=None).ledger
+    return store_views.merge_report(
+        store_views.create(1), report, 0, returned_at=None
+    ).view
 
 
 def test_lists_anew_where_the_store_has_passed_the_cursor() -> None:
@@ -77,9 +79,9 @@
             (200, '1', page(74)), (200, '2', events(80)), (200, '2', page(80))
         )
         async with read(script) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
+            ledger = take(await reader.read(store_views.create(1)))
             report = await reader.read(ledger)
-            assert (report.whole, report.stamp) == (True, (2, 80))
+            assert (report.full, report.stamp) == (True, (2, 80))
 
     peers.run(check())
 
@@ -94,7 +96,7 @@
             (200, '2', page(71)),
         )
         async with read(script) as reader:
-            report = await reader.read(ledgers.begin(1))
+            report = await reader.read(store_views.create(1))
             assert report.stamp == (2, 71)
             assert len(script.asked) == 3
 
@@ -107,7 +109,7 @@
     async def check() -> None:
         script = Script((200, '2', page(71)), (200, '1', events(74)))
         async with read(script) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
+            ledger = take(await reader.read(store_views.create(1)))
             with pytest.raises(calls.CallFailed):
                 await reader.read(ledger)
 
@@ -121,9 +123,9 @@
     async def check() -> None:
         script = Script((200, '3', page(74)), (200, era, events(75)))
         async with read(script) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
+            ledger = take(await reader.read(store_views.create(1)))
             report = await reader.read(ledger)
-            assert (report.whole, report.stamp) == (False, (3, 75))
+            assert (report.full, report.stamp) == (False, (3, 75))
 
     peers.run(check())
 
@@ -136,8 +138,8 @@
             (200, '3', page(74)), (410, '3', {}), (200, '3', page(74))
         )
         async with read(script) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
-            assert (await reader.read(ledger)).whole
+            ledger = take(await reader.read(store_views.create(1)))
+            assert (await reader.read(ledger)).full
             assert reader.forgotten == 1
 
     peers.run(check())
@@ -149,7 +151,7 @@
     async def check() -> None:
         script = Script((200, '', page(74)), (200, '', events(74)))
         async with read(script, 0.5) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
+            ledger = take(await reader.read(store_views.create(1)))
             await reader.read(ledger)
             assert script.asked[1].endswith('wait_ms=900')
 
@@ -167,8 +169,10 @@
         keys = freshness.Freshness(4, lambda: now[0])
         script = Script((200, '', page(74)), (200, '', events(74)))
         async with read(script, keys=keys) as reader:
-            ledger = take(await reader.read(ledgers.begin(1)))
-            keys.note_configuration(configs.NOTHING._replace(customers=()))
+            ledger = take(await reader.read(store_views.create(1)))
+            keys.update_configuration(
+                configs.EMPTY_CONFIGURATION._replace(customers=())
+            )
             now[0] += 5
             await reader.read(ledger)
             assert script.asked[1].endswith('wait_ms=200')
@@ -185,7 +189,7 @@
         keys = freshness.Freshness(4, lambda: next(now))
         script = Script((200, '', page(74, more=True)), (200, '', page(75)))
         async with read(script, keys=keys) as reader:
-            await reader.read(ledgers.begin(1))
+            await reader.read(store_views.create(1))
             assert reader.left == 20
 
     peers.run(check())
--- a/tests/relay/test_silences.py
+++ b/tests/relay/test_silences.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fuchsiahaven.relay import process, silences
-from fuchsiahaven.routing import centres, events
+from fuchsiahaven.routing import centre_health, events
 from tests.relay import peers, worlds
 
 
@@ -20,7 +20,7 @@
 def lose_north(host: process.Process) -> None:
     """Have a host hear nothing of what it has sent to the north."""
     for name in ('a', 'b', 'c'):
-        host.desk.centre_health.note_sent('north', name, time.monotonic())
+        host.desk.centre_health.record_sent('north', name, time.monotonic())
 
 
 def test_tells_the_hosts_beside_it_and_takes_it_back() -> None:
@@ -35,8 +35,8 @@
                 lose_north(host)
             known = asked.desk.centre_health
             await peers.wait_for(lambda: known.is_silent('north'))
-            assert not known.list_noticed()
-            finders[0].desk.centre_health.note_heard('north')
+            assert not known.list_observed()
+            finders[0].desk.centre_health.record_contact('north')
             await peers.wait_for(lambda: not known.is_silent('north'))
 
     peers.run(check())
@@ -44,7 +44,7 @@
 
 def test_the_word_survives_the_way() -> None:
     """What is read is what was written."""
-    word = centres.Word('host-1', 'south', ('north', 'west'))
+    word = centre_health.SilenceReport('host-1', 'south', ('north', 'west'))
     assert silences.read(silences.write(word)) == word
 
 
--- a/tests/relay/worlds.py
+++ b/tests/relay/worlds.py
@@ -8,14 +8,14 @@
 
 from bench.soak import hosts
 from fuchsiahaven.relay import journal, process
-from fuchsiahaven.routing import places
+from fuchsiahaven.routing import deployments
 from standins import histories, metadata_store
 from tests.relay import peers
 
 SHARDS: Final = ('shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e')
 #: How soon an accepted configuration is promised to be in force.
 IN_FORCE_S: Final = 3.0
-EXTRA: Final = places.ExtraLoad(0.2, 50.0, 10.0)
+EXTRA: Final = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
 
 
 def make_configuration(version: int, **changed: Any) -> dict[str, Any]:
@@ -101,8 +101,8 @@
         ports = [hosts.find_port() for _ in range(4)]
         addresses = [f'{peers.LOOPBACK}:{port}' for port in ports]
         seeds = tuple(host.settings.host.address for host in self.hosts)
-        settings = places.Settings(
-            places.Host(name, addresses[0], data_centre),
+        settings = deployments.Settings(
+            deployments.Host(name, addresses[0], data_centre),
             ('north', 'south'),
             addresses[1],
             addresses[2],
@@ -112,7 +112,7 @@
             EXTRA,
             1.2,
             6.0,
-            revoke=self.revoke,
+            revoke_s=self.revoke,
         )
         output = os.open(self.log, os.O_WRONLY | os.O_APPEND)
         log = journal.Journal(name, output)
--- a/tests/routing/freshness_model.py
+++ b/tests/routing/freshness_model.py
@@ -5,110 +5,114 @@
 
 from fuchsiahaven.routing import (
     changes,
-    codecs,
     configs,
     facts,
     freshness,
-    ledgers,
+    report_codecs,
+    store_views,
 )
 from tests.routing import store_model
 
 REVOKE_S: Final = 5.0
-KEYS: Final = 3
+KEY_COUNT: Final = 3
 #: Operators write again in time only where time goes on in small steps.
 STEP_S: Final = 0.1
 #: The configuration's keys are told by its version, so that reports need not
 #: carry them here.
-KEYED: Final = configs.NOTHING._replace(customers=())
+CONFIGURATION_WITH_KEYS: Final = configs.EMPTY_CONFIGURATION._replace(
+    customers=()
+)
 
 
 class Operator:
     """Own the store, and which key each version has."""
 
-    def __init__(self, *, eras: bool) -> None:
+    def __init__(self, *, has_eras: bool) -> None:
         """Begin with all keys; a store without eras comes from no copy."""
         self.store = store_model.Store()
-        self.eras = eras
-        self.valid = frozenset(range(KEYS))
-        self.by_version = {self.store.version: self.valid}
-        self.gone: dict[int, float] = {}
+        self.has_eras = has_eras
+        self.valid_keys = frozenset(range(KEY_COUNT))
+        self.keys_by_version = {self.store.version: self.valid_keys}
+        self.revoked_at: dict[int, float] = {}
 
-    def change(self, key: int) -> None:
+    def toggle_key(self, key: int) -> None:
         """Take a key away, or give it again."""
-        self.valid ^= {key}
+        self.valid_keys ^= {key}
         self.store.change_version()
-        self.by_version[self.store.version] = self.valid
-        if key in self.valid:
-            self.gone.pop(key)
+        self.keys_by_version[self.store.version] = self.valid_keys
+        if key in self.valid_keys:
+            self.revoked_at.pop(key)
         else:
-            self.gone[key] = self.store.now
+            self.revoked_at[key] = self.store.now
 
     def restore(self, back: int) -> None:
         """Come back from a copy."""
-        if self.eras:
+        if self.has_eras:
             self.store.restore(back, 1)
 
-    def answer(self, ledger: facts.Ledger) -> facts.Report:
+    def make_report(self, view: facts.StoreView) -> facts.Report:
         """Answer a host that reads on from there."""
-        report = self.store.watch(ledger)
-        if self.eras:
+        report = self.store.make_update(view)
+        if self.has_eras:
             return report
-        told = tuple(it._replace(era=facts.NO_ERA) for it in report.facts)
-        return report._replace(facts=told, era=facts.NO_ERA)
+        dated = tuple(it._replace(era=facts.NO_ERA) for it in report.facts)
+        return report._replace(facts=dated, era=facts.NO_ERA)
 
 
 class Host:
     """Own what a host knows and by which clock it counts."""
 
-    def __init__(self, operator: Operator, life: int) -> None:
+    def __init__(self, operator: Operator, incarnation: int) -> None:
         """Start knowing nothing."""
-        self.life = life
-        self.ledger = ledgers.begin(life)
-        self.keys = freshness.Freshness(REVOKE_S, self._read_clock)
+        self.life = incarnation
+        self.ledger = store_views.create(incarnation)
+        self.freshness = freshness.Freshness(REVOKE_S, self._read_clock)
         self._operator = operator
-        self._ahead = 1000.0 * (life % 7)
+        self._clock_offset = 1000.0 * (incarnation % 7)
 
-    def take(self, report: facts.Report) -> None:
+    def merge(self, report: facts.Report) -> None:
         """Take in a report."""
         now = self._operator.store.now
-        returned = None if report.proof else store_model.NEVER
-        self.ledger = ledgers.merge(
-            self.ledger, report, now, returned=returned
-        ).ledger
+        returned_at = None if report.proof else store_model.NEVER
+        self.ledger = store_views.merge_report(
+            self.ledger, report, now, returned_at=returned_at
+        ).view
         if facts.find_configuration(self.ledger).version:
-            self.keys.note_configuration(KEYED)
+            self.freshness.update_configuration(CONFIGURATION_WITH_KEYS)
 
     def list_admitted(self) -> frozenset[int]:
         """List the keys that this host admits now."""
         version = facts.find_configuration(self.ledger).version
-        if not version or self.keys.compute_wait():
+        if not version or self.freshness.compute_wait():
             return frozenset()
-        return self._operator.by_version[version]
+        return self._operator.keys_by_version[version]
 
-    def tell(
-        self, arrived: float, after: facts.Cursor, *, alone: bool
+    def make_report(
+        self, arrived: float, after: facts.Cursor, *, configuration_only: bool
     ) -> facts.Report:
         """Answer another host, as over the wire."""
         now = self._operator.store.now
         report = changes.list_changes(self.ledger, after, now)
-        report = report._replace(proof=self.keys.make_proof(arrived), age=0)
-        if alone:
-            report = take_alone(report)
-        return codecs.read_report(codecs.write_report(report))
+        report = report._replace(
+            proof=self.freshness.make_proof(arrived), age=0
+        )
+        if configuration_only:
+            report = keep_configuration(report)
+        return report_codecs.decode_report(report_codecs.encode_report(report))
 
     def _read_clock(self) -> float:
-        return self._operator.store.now + self._ahead
+        return self._operator.store.now + self._clock_offset
 
 
 class Stage(enum.Enum):
     """Say how far a question has come."""
 
-    LEFT = 'left'
+    SENT = 'left'
     ARRIVED = 'arrived'
     ANSWERED = 'answered'
 
 
-class Question(NamedTuple):
+class Request(NamedTuple):
     """Hold a question on its way; `other` is None where it goes to the store.
 
     With `alone` only the configuration is asked for.
@@ -116,15 +120,15 @@
 
     host: Host
     other: Host | None
-    alone: bool
-    left: float
-    ledger: facts.Ledger
-    stage: Stage = Stage.LEFT
-    arrived: float = 0.0
+    configuration_only: bool
+    sent_at: float
+    ledger: facts.StoreView
+    stage: Stage = Stage.SENT
+    arrived_at: float = 0.0
     report: facts.Report | None = None
 
 
-class Trip(NamedTuple):
+class RoundTrip(NamedTuple):
     """Describe a question that goes there and back.
 
     The `pauses` are those before it arrives, is answered and comes back; at
@@ -133,133 +137,149 @@
 
     host: int
     other: int | None
-    alone: bool
+    configuration_only: bool
     pauses: tuple[float, float, float]
-    keys: tuple[int | None, int | None, int | None]
+    toggled_keys: tuple[int | None, int | None, int | None]
 
 
-def take_alone(report: facts.Report) -> facts.Report:
+def keep_configuration(report: facts.Report) -> facts.Report:
     """Keep the configuration of a report and nothing else."""
-    found = tuple(
+    entries = tuple(
         it
         for it in report.facts
         if it.key.subject is facts.Subject.CONFIGURATION
     )
-    return report._replace(facts=found, whole=False, revision=0)
+    return report._replace(facts=entries, full=False, revision=0)
 
 
 class World:
     """Own the store, the hosts and what is on its way between them."""
 
-    def __init__(self, count: int, *, eras: bool) -> None:
+    def __init__(self, count: int, *, has_eras: bool) -> None:
         """Start with hosts that have read the store long ago."""
-        self.operator = Operator(eras=eras)
-        self.lives = count
-        self.hosts = [Host(self.operator, life + 1) for life in range(count)]
-        self.questions: list[Question] = []
+        self.operator = Operator(has_eras=has_eras)
+        self.host_count = count
+        self.hosts = [
+            Host(self.operator, incarnation + 1) for incarnation in range(count)
+        ]
+        self.requests: list[Request] = []
         for _ in range(2):
             for number in range(count):
-                self.ask(number, None, alone=False)
-            while self.questions:
-                self.move(0)
-            self.advance(freshness.REWRITTEN_S + 1)
+                self.send_request(number, None, configuration_only=False)
+            while self.requests:
+                self.advance_request(0)
+            self.advance(freshness.RESTORE_SETTLING_S + 1)
 
     def advance(self, seconds: float) -> None:
         """Let time pass, and check all the while."""
         for _ in range(round(seconds / STEP_S)):
             self.operator.store.advance(STEP_S)
-            self.check()
+            self.check_keys()
 
-    def ask(self, host: int, other: int | None, *, alone: bool) -> None:
+    def send_request(
+        self, host: int, other: int | None, *, configuration_only: bool
+    ) -> None:
         """Have a question leave."""
-        asker = self.hosts[host]
-        asked = None if other is None else self.hosts[other]
-        if asked is not asker:
-            left = asker.keys.read_clock()
-            self.questions.append(
-                Question(asker, asked, alone, left, asker.ledger)
+        sender = self.hosts[host]
+        receiver = None if other is None else self.hosts[other]
+        if receiver is not sender:
+            sent_at = sender.freshness.read_clock()
+            self.requests.append(
+                Request(
+                    sender, receiver, configuration_only, sent_at, sender.ledger
+                )
             )
 
-    def move(self, number: int) -> None:
+    def advance_request(self, number: int) -> None:
         """Have a question go on by one stage."""
-        if not self.questions:
+        if not self.requests:
             return
-        question = self.questions.pop(number % len(self.questions))
-        match question.stage:
-            case Stage.LEFT:
-                self._arrive(question)
+        request = self.requests.pop(number % len(self.requests))
+        match request.stage:
+            case Stage.SENT:
+                self._handle_arrival(request)
             case Stage.ARRIVED:
-                self._answer(question)
+                self._handle_answer(request)
             case Stage.ANSWERED:
-                self._deliver(question)
+                self._handle_delivery(request)
 
-    def go_round(self, trip: Trip) -> None:
+    def make_round_trip(self, trip: RoundTrip) -> None:
         """Have a question go there and back with pauses on its way."""
-        self.ask(trip.host, trip.other, alone=trip.alone)
-        for pause, key in zip(trip.pauses, trip.keys, strict=True):
+        self.send_request(
+            trip.host, trip.other, configuration_only=trip.configuration_only
+        )
+        for pause, key in zip(trip.pauses, trip.toggled_keys, strict=True):
             if key is not None:
-                self.operator.change(key)
+                self.operator.toggle_key(key)
             self.advance(pause)
-            self.move(-1)
+            self.advance_request(-1)
 
-    def read(self, host: int) -> None:
+    def read_store(self, host: int) -> None:
         """Have a host read the store without any pause."""
-        none = (None, None, None)
-        self.go_round(Trip(host, None, False, (0, 0, 0), none))
+        no_keys = (None, None, None)
+        self.make_round_trip(RoundTrip(host, None, False, (0, 0, 0), no_keys))
 
-    def lose(self, number: int) -> None:
+    def lose_request(self, number: int) -> None:
         """Lose a question or its answer."""
-        if self.questions:
-            self.questions.pop(number % len(self.questions))
+        if self.requests:
+            self.requests.pop(number % len(self.requests))
 
-    def restart(self, host: int) -> None:
+    def restart_host(self, host: int) -> None:
         """Start a host anew."""
-        ended = self.hosts[host]
-        self.questions = [
-            it for it in self.questions if ended not in {it.host, it.other}
+        stopped = self.hosts[host]
+        self.requests = [
+            it for it in self.requests if stopped not in {it.host, it.other}
         ]
-        self.lives += 1
-        self.hosts[host] = Host(self.operator, self.lives)
+        self.host_count += 1
+        self.hosts[host] = Host(self.operator, self.host_count)
 
-    def check(self) -> None:
+    def check_keys(self) -> None:
         """Check that no host admits a key that has been dead for too long."""
         now = self.operator.store.now
         for host in self.hosts:
             for key in host.list_admitted():
-                gone = self.operator.gone.get(key, now)
-                assert now <= gone + REVOKE_S, (host.life, key, now - gone)
-
-    def _arrive(self, question: Question) -> None:
-        arrived = 0.0
-        if question.other is not None:
-            arrived = question.other.keys.read_clock()
-        self.questions.append(
-            question._replace(stage=Stage.ARRIVED, arrived=arrived)
+                revoked_at = self.operator.revoked_at.get(key, now)
+                assert now <= revoked_at + REVOKE_S, (
+                    host.life,
+                    key,
+                    now - revoked_at,
+                )
+
+    def _handle_arrival(self, request: Request) -> None:
+        arrived_at = 0.0
+        if request.other is not None:
+            arrived_at = request.other.freshness.read_clock()
+        self.requests.append(
+            request._replace(stage=Stage.ARRIVED, arrived_at=arrived_at)
         )
 
-    def _answer(self, question: Question) -> None:
-        if question.other is None:
-            report = self.operator.answer(question.ledger)
-            if question.alone:
-                report = take_alone(report)
+    def _handle_answer(self, request: Request) -> None:
+        if request.other is None:
+            report = self.operator.make_report(request.ledger)
+            if request.configuration_only:
+                report = keep_configuration(report)
         else:
-            report = question.other.tell(
-                question.arrived, facts.START, alone=question.alone
+            report = request.other.make_report(
+                request.arrived_at,
+                facts.START_CURSOR,
+                configuration_only=request.configuration_only,
             )
-        self.questions.append(
-            question._replace(stage=Stage.ANSWERED, report=report)
+        self.requests.append(
+            request._replace(stage=Stage.ANSWERED, report=report)
         )
 
-    def _deliver(self, question: Question) -> None:
-        host = question.host
-        report = question.report
+    def _handle_delivery(self, request: Request) -> None:
+        host = request.host
+        report = request.report
         assert report is not None
-        if question.alone and report.era > host.ledger.era:
+        if request.configuration_only and report.era > host.ledger.era:
             return
-        if question.other is None:
+        if request.other is None:
             if report.era < host.ledger.era:
                 return
-            host.keys.record_read(question.left, report.era)
+            host.freshness.record_read(request.sent_at, report.era)
         else:
-            host.keys.record_proof(question.left, report.proof, report.era)
-        host.take(report)
+            host.freshness.record_proof(
+                request.sent_at, report.proof, report.era
+            )
+        host.merge(report)
--- a/tests/routing/quota_model.py
+++ b/tests/routing/quota_model.py
@@ -10,14 +10,14 @@
 from fuchsiahaven.routing import (
     active_requests,
     configs,
+    deployments,
     events,
-    places,
     quota_words,
     quotas,
 )
 
 CENTRES: Final = ('north', 'east', 'south', 'west')
-QUOTA: Final = places.Quota(5.0, 0.1, 20.0)
+QUOTA: Final = deployments.QuotaTolerance(5.0, 0.1, 20.0)
 LARGE: Final = configs.Customer('large', (), None, 10.0, 10.0)
 SMALL: Final = configs.Customer('small', (), None, 0.3, 1.0)
 ROUTE: Final = configs.Route(
@@ -62,7 +62,7 @@
         *,
         loss: float = 0.0,
         more: float = MORE_S,
-        quota: places.Quota = QUOTA,
+        quota: deployments.QuotaTolerance = QUOTA,
         known: tuple[configs.Customer, ...] = (LARGE, SMALL),
     ) -> None:
         """Start hosts that have run for longer than a window."""
@@ -71,7 +71,7 @@
         self.admitted: list[Admitted] = []
         self.refused: list[Refused] = []
         self.hosts = [
-            places.Host(
+            deployments.Host(
                 f'host-{number:02}',
                 f'10.0.{number // 200}.{number % 200}:7000',
                 CENTRES[number % len(CENTRES)],
@@ -94,9 +94,9 @@
         self._order = itertools.count()
         for host in self.hosts:
             self.start(host)
-        self.now += 2 * quota.window
+        self.now += 2 * quota.window_s
 
-    def start(self, host: places.Host) -> None:
+    def start(self, host: deployments.Host) -> None:
         """Start a host anew: it knows nothing of before."""
         life = quotas.Quotas(host)
         life.terms = quotas.Terms(self._quota, CENTRES, next(self._starts))
@@ -112,7 +112,7 @@
             self.start(host)
 
     def tell_hosts(
-        self, host: places.Host, known: tuple[places.Host, ...]
+        self, host: deployments.Host, known: tuple[deployments.Host, ...]
     ) -> None:
         """Have a host know of these hosts only."""
         self._lives[host.name].note_hosts(known, self.now)
@@ -132,21 +132,21 @@
             if one != other
         }
 
-    def isolate(self, hosts: list[places.Host]) -> None:
+    def isolate(self, hosts: list[deployments.Host]) -> None:
         """Cut these hosts off from all others."""
         self._alone = {host.name for host in hosts}
 
-    def freeze(self, host: places.Host) -> None:
+    def freeze(self, host: deployments.Host) -> None:
         """Have a host stand still; what comes waits in its socket."""
         if host.name not in self._frozen:
             self._frozen[host.name] = []
 
-    def thaw(self, host: places.Host) -> None:
+    def thaw(self, host: deployments.Host) -> None:
         """Have a host go on."""
         for heard in self._frozen.pop(host.name, []):
             self._hear(host.name, heard)
 
-    def ask(self, customer: configs.Customer, host: places.Host) -> None:
+    def ask(self, customer: configs.Customer, host: deployments.Host) -> None:
         """Bring a request of a customer to a host."""
         if host.name in self._frozen:
             return
@@ -201,14 +201,14 @@
         most = 0
         first = 0
         for last, when in enumerate(times):
-            while times[first] <= when - self._quota.window:
+            while times[first] <= when - self._quota.window_s:
                 first += 1
             most = max(most, last - first + 1)
         return most
 
     def count_bound(self, customer: configs.Customer) -> float:
         """Count the requests that are tolerated in any window."""
-        allowed = customer.rate * self._quota.window + customer.burst
+        allowed = customer.rate * self._quota.window_s + customer.burst
         return allowed * (1 + self._quota.overage) + self._quota.slack
 
     def count(self, customer: configs.Customer, since: float = 0.0) -> int:
--- a/tests/routing/router_rig.py
+++ b/tests/routing/router_rig.py
@@ -8,21 +8,21 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     instances,
-    places,
     states,
 )
 
-HOST: Final = places.Host('host-1', '10.0.0.1:7000', 'north')
-EXTRA_LOAD: Final = places.ExtraLoad(0.2, 40.0, 10.0)
+HOST: Final = deployments.Host('host-1', '10.0.0.1:7000', 'north')
+EXTRA_LOAD: Final = deployments.ExtraLoadLimit(0.2, 40.0, 10.0)
 IDEMPOTENT: Final = configurations.Repeat.IDEMPOTENT
 AT_MOST_ONCE: Final = configurations.Repeat.AT_MOST_ONCE
 
 
 def make_route(
-    action: configs.Way,
+    action: configs.RouteAction,
     *,
     prefix: str = '/search/',
     repeat: configurations.Repeat = IDEMPOTENT,
