--- a/tests/routing/store_model.py
+++ b/tests/routing/store_model.py
@@ -6,20 +6,20 @@
 
 from fuchsiahaven.routing import (
     changes,
-    codecs,
     configs,
+    deployments,
     facts,
     instances,
-    ledgers,
-    places,
+    report_codecs,
+    store_views,
 )
 
 #: What the platform promises: entries are written again so soon after a return,
 #: and those of targets that are gone are removed.
-WRITTEN_S: Final = 2.0
-EXPIRED_S: Final = 3 * ledgers.HEARTBEAT_S
+MAX_REWRITE_S: Final = 2.0
+MAX_EXPIRY_S: Final = 3 * store_views.DEFAULT_HEARTBEAT_S
 #: How far back the copies go that the store comes back from.
-OLDEST_COPY_S: Final = 8.0
+MAX_COPY_AGE_S: Final = 8.0
 CONFIGURATION: Final = facts.Key(facts.Subject.CONFIGURATION, '')
 NEVER: Final = float('-inf')
 
@@ -42,26 +42,26 @@
         self.history = History({}, (), 1)
         self.wanted: dict[facts.Key, facts.Value] = {}
         #: Keys that were written once, and never over nor removed.
-        self.steady: set[facts.Key] = set()
+        self.unchanged: set[facts.Key] = set()
         self.version = 0
         self._copies: list[tuple[float, History]] = []
-        self._returned = NEVER
+        self._restored_at = NEVER
         self._starts = 0
-        self._used: set[facts.Key] = set()
+        self._used_keys: set[facts.Key] = set()
         self.change_version()
 
     def change_version(self) -> None:
         """Accept a higher version."""
         self.version += 2
-        accepted = configs.NOTHING._replace(version=self.version)
-        self._want(CONFIGURATION, accepted)
+        accepted = configs.EMPTY_CONFIGURATION._replace(version=self.version)
+        self._set_wanted(CONFIGURATION, accepted)
 
     def start_target(self, number: int) -> None:
         """Start a target, maybe under an id that was used before."""
         self._starts += 1
         name = f'i-{number}'
-        one = instances.Instance(
-            instances.name_start(name, self._starts),
+        instance = instances.Instance(
+            instances.make_start_name(name, self._starts),
             name,
             'search',
             '10.0.0.1:80',
@@ -71,34 +71,34 @@
             warming=0.0,
             born=self._starts,
         )
-        self._want(facts.Key(facts.Subject.INSTANCE, name), one)
+        self._set_wanted(facts.Key(facts.Subject.INSTANCE, name), instance)
 
-    def leave(self, number: int) -> None:
+    def mark_leaving(self, number: int) -> None:
         """Have a target say that it leaves."""
         key = facts.Key(facts.Subject.INSTANCE, f'i-{number}')
-        one = self.wanted.get(key)
-        if isinstance(one, instances.Instance):
-            self._want(key, one._replace(leaving=True))
+        instance = self.wanted.get(key)
+        if isinstance(instance, instances.Instance):
+            self._set_wanted(key, instance._replace(leaving=True))
 
     def end_target(self, number: int) -> None:
         """Remove the entry of a target that has ended."""
-        self._drop(facts.Key(facts.Subject.INSTANCE, f'i-{number}'))
+        self._remove_wanted(facts.Key(facts.Subject.INSTANCE, f'i-{number}'))
 
-    def order(self, number: int) -> None:
+    def toggle_evacuation(self, number: int) -> None:
         """Give an order to evacuate, or take it back."""
         key = facts.Key(facts.Subject.EVACUATION, f'centre-{number}')
         if key in self.wanted:
-            self._drop(key)
+            self._remove_wanted(key)
         else:
-            self._want(key, places.Evacuation(key.name))
+            self._set_wanted(key, deployments.Evacuation(key.name))
 
     def restore(self, back: int, eras: int) -> None:
         """Come back from one of the copies, so many eras later."""
         if self._copies:
-            place = max(0, len(self._copies) - 1 - back)
-            self.history = self._copies[place][1]
+            position = max(0, len(self._copies) - 1 - back)
+            self.history = self._copies[position][1]
         self.era += eras
-        self._returned = self.now
+        self._restored_at = self.now
 
     def advance(self, seconds: float) -> None:
         """Let time pass; what was lost is written again in time."""
@@ -106,53 +106,53 @@
         self._copies = [
             (at, copy)
             for at, copy in (*self._copies, (self.now, self.history))
-            if at >= self.now - OLDEST_COPY_S
+            if at >= self.now - MAX_COPY_AGE_S
         ]
-        if self.now >= self._returned + WRITTEN_S:
+        if self.now >= self._restored_at + MAX_REWRITE_S:
             for key, value in tuple(self.wanted.items()):
-                self._want(key, value)
-            self._remove_orders()
-        if self.now >= self._returned + EXPIRED_S:
+                self._set_wanted(key, value)
+            self._remove_unwanted_evacuations()
+        if self.now >= self._restored_at + MAX_EXPIRY_S:
             for key in self.history.items.keys() - self.wanted.keys():
                 self._remove(key)
 
-    def list_all(self) -> facts.Report:
+    def make_listing(self) -> facts.Report:
         """List what it holds."""
-        return self._report(self.history.items.values(), whole=True)
+        return self._make_report(self.history.items.values(), whole=True)
 
-    def watch(self, ledger: facts.Ledger) -> facts.Report:
+    def make_update(self, view: facts.StoreView) -> facts.Report:
         """Read on from a ledger, as the reader does."""
         history = self.history
-        if ledger.era != self.era or ledger.revision > history.revision:
-            return self.list_all()
-        found = [it for it in history.events if it.revision > ledger.revision]
-        return self._report(found, whole=False)
+        if view.era != self.era or view.revision > history.revision:
+            return self.make_listing()
+        events = [it for it in history.events if it.revision > view.revision]
+        return self._make_report(events, whole=False)
 
-    def _report(
-        self, found: Iterable[facts.Fact], *, whole: bool
+    def _make_report(
+        self, entries: Iterable[facts.Fact], *, whole: bool
     ) -> facts.Report:
         # All that an answer holds is of the era that it tells.
-        told = tuple(fact._replace(era=self.era) for fact in found)
-        report = facts.Report(self.history.revision, told, whole, age=0)
+        dated = tuple(fact._replace(era=self.era) for fact in entries)
+        report = facts.Report(self.history.revision, dated, whole, age=0)
         return report._replace(era=self.era)
 
-    def _want(self, key: facts.Key, value: facts.Value) -> None:
-        if key not in self.wanted and key not in self._used:
-            self.steady.add(key)
+    def _set_wanted(self, key: facts.Key, value: facts.Value) -> None:
+        if key not in self.wanted and key not in self._used_keys:
+            self.unchanged.add(key)
         if self.wanted.get(key, value) != value:
-            self.steady.discard(key)
-        self._used.add(key)
+            self.unchanged.discard(key)
+        self._used_keys.add(key)
         self.wanted[key] = value
-        known = self.history.items.get(key)
-        if known is None or known.value != value:
+        stored = self.history.items.get(key)
+        if stored is None or stored.value != value:
             self._write(key, value)
 
-    def _drop(self, key: facts.Key) -> None:
+    def _remove_wanted(self, key: facts.Key) -> None:
         self.wanted.pop(key, None)
-        self.steady.discard(key)
+        self.unchanged.discard(key)
         self._remove(key)
 
-    def _remove_orders(self) -> None:
+    def _remove_unwanted_evacuations(self) -> None:
         for key in self.history.items.keys() - self.wanted.keys():
             if key.subject is facts.Subject.EVACUATION:
                 self._remove(key)
@@ -174,74 +174,80 @@
 class Host:
     """Own what one host knows, and what it may not forget."""
 
-    def __init__(self, store: Store, life: int) -> None:
+    def __init__(self, store: Store, incarnation: int) -> None:
         """Start knowing nothing."""
-        self.ledger = ledgers.begin(life)
-        self.cut = False
+        self.ledger = store_views.create(incarnation)
+        self.is_cut_off = False
         self._store = store
         self._cursors: dict[int, facts.Cursor] = {}
-        self._doubtful = True
+        self._needs_listing = True
         self._version = 0
-        self._left: set[str] = set()
-        self._usable: set[str] = set()
-        self._steady: set[facts.Key] = set()
+        self._left_names: set[str] = set()
+        self._usable_names: set[str] = set()
+        self._unchanged: set[facts.Key] = set()
 
-    def read(self, *, everything: bool, noticed: bool) -> None:
+    def read(self, *, everything: bool, noticed_outage: bool) -> None:
         """Read the store; the host may have noticed that it was away."""
         now = self._store.now
-        report = self._store.watch(self.ledger)
-        if everything or self._doubtful:
-            report = self._store.list_all()
+        report = self._store.make_update(self.ledger)
+        if everything or self._needs_listing:
+            report = self._store.make_listing()
         # What others have told may lack removals that they hold back.
-        self._doubtful = False
+        self._needs_listing = False
         self._cursors.clear()
-        self._take(report, now if noticed else NEVER)
+        self._merge(report, now if noticed_outage else NEVER)
 
-    def ask(self, other: 'Host') -> None:
+    def poll(self, other: 'Host') -> None:
         """Ask another host for news, as over the wire."""
-        self._doubtful = True
-        life = other.ledger.cursor.life
-        cursor = self._cursors.get(life, facts.START)
-        known = 0 if cursor.life else changes.digest(self.ledger)
-        told = changes.list_changes(
-            other.ledger, cursor, self._store.now, known=known
+        self._needs_listing = True
+        incarnation = other.ledger.cursor.incarnation
+        cursor = self._cursors.get(incarnation, facts.START_CURSOR)
+        known_digest = (
+            0 if cursor.incarnation else changes.compute_digest(self.ledger)
         )
-        if math.isinf(told.age):
+        changed = changes.list_changes(
+            other.ledger, cursor, self._store.now, known_digest=known_digest
+        )
+        if math.isinf(changed.age):
             return
-        report = codecs.read_report(codecs.write_report(told))
-        self._cursors[life] = report.cursor
-        self._take(report, None)
+        report = report_codecs.decode_report(
+            report_codecs.encode_report(changed)
+        )
+        self._cursors[incarnation] = report.cursor
+        self._merge(report, None)
 
-    def show(self) -> dict[facts.Key, facts.Value]:
+    def list_values(self) -> dict[facts.Key, facts.Value]:
         """Show what is known."""
-        found = self.ledger.facts.values()
-        return {it.key: it.value for it in found if it.value is not None}
+        entries = self.ledger.facts.values()
+        return {it.key: it.value for it in entries if it.value is not None}
 
-    def _take(self, report: facts.Report, returned: float | None) -> None:
-        merged = ledgers.merge(
-            self.ledger, report, self._store.now, returned=returned
+    def _merge(self, report: facts.Report, returned_at: float | None) -> None:
+        merged = store_views.merge_report(
+            self.ledger, report, self._store.now, returned_at=returned_at
         )
-        self.ledger = merged.ledger
+        self.ledger = merged.view
         self._check()
 
     def _check(self) -> None:
         version = facts.find_configuration(self.ledger).version
         assert version >= self._version
         self._version = version
-        steady = self.show().keys() & self._store.steady
-        assert self._steady & self._store.steady <= steady
-        self._steady = steady
+        unchanged = self.list_values().keys() & self._store.unchanged
+        assert self._unchanged & self._store.unchanged <= unchanged
+        self._unchanged = unchanged
         usable = {it.name for it in self._list_usable()}
-        assert not usable & self._left
+        assert not usable & self._left_names
         # What has vanished without a word may be back: its entry has lapsed.
-        said = {
-            one.name for one in facts.list_instances(self.ledger) if one.leaving
+        leaving = {
+            instance.name
+            for instance in facts.list_instances(self.ledger)
+            if instance.leaving
         }
-        gone = (self._usable - usable) & said
-        self._left |= gone | said
-        self._usable = usable
+        left = (self._usable_names - usable) & leaving
+        self._left_names |= left | leaving
+        self._usable_names = usable
 
     def _list_usable(self) -> Iterator[instances.Instance]:
-        for one in facts.list_instances(self.ledger):
-            if not one.leaving:
-                yield one
+        for instance in facts.list_instances(self.ledger):
+            if not instance.leaving:
+                yield instance
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -33,7 +33,7 @@
         self.configure(2, routes, CUSTOMERS)
         keys = self.router.controls.freshness
         keys.revoke_s = REVOKE_S
-        keys.note_configuration(self.router.index.configuration)
+        keys.update_configuration(self.router.index.configuration)
         keys.record_read(keys.read_clock(), facts.NO_ERA)
 
     def show(self, target: str = '/search/1') -> int:
@@ -71,7 +71,7 @@
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.STALE_KEYS
     assert outcome.ran is errors.Ran.NO
-    assert outcome.retry_after == freshness.LEAST_WAIT_S
+    assert outcome.retry_after == freshness.MIN_WAIT_S
     assert len(rig.sent) == 1
 
 
--- a/tests/routing/test_budgets.py
+++ b/tests/routing/test_budgets.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies
 
-from fuchsiahaven.routing import budgets, places
+from fuchsiahaven.routing import budgets, deployments
 
 
 @given(
@@ -16,7 +16,7 @@
     script: list[tuple[float, bool]], hosts: int
 ) -> None:
     """Whenever a window of 10 s begins, a host keeps to its share in it."""
-    extra_load = places.ExtraLoad(0.2, 50.0, 10.0)
+    extra_load = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
     budget = budgets.Budget(extra_load)
     now = 0.0
     request_times: list[float] = []
--- a/tests/routing/test_centres.py
+++ b/tests/routing/test_centre_health.py
@@ -3,11 +3,11 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     assist_codecs,
-    centres,
+    centre_health,
     configs,
+    deployments,
     dispatch,
     events,
-    places,
 )
 from tests.routing import router_rig
 
@@ -31,7 +31,7 @@
         rig.post(events.ReviewDue())
 
 
-def test_leaves_out_a_data_centre_that_is_cut_off() -> None:
+def test_excludes_a_data_centre_that_is_cut_off() -> None:
     """Symptom: for over a second callers wait at a host that cannot serve.
 
     The way to a data centre is lost and nothing is reset: each target there
@@ -52,7 +52,7 @@
     assert rig.replies
 
 
-def test_comes_back_with_the_first_sign_of_life() -> None:
+def test_uses_a_data_centre_again_after_the_first_contact() -> None:
     """A connection that can be had proves the way."""
     rig = make_rig()
     rig.send_request()
@@ -64,7 +64,7 @@
     assert any(it.instance.data_centre == 'south' for it in rig.pop_sent())
 
 
-def test_takes_broken_connections_of_many_for_a_cut() -> None:
+def test_takes_many_broken_connections_as_a_cut() -> None:
     """A cut that resets connections is seen without any wait."""
     rig = make_rig()
     rig.send_request()
@@ -77,7 +77,7 @@
     assert rig.router.centre_health.is_silent('south')
 
 
-def test_takes_one_silent_target_for_no_cut() -> None:
+def test_does_not_take_one_silent_target_as_a_cut() -> None:
     """The others there answer."""
     rig = make_rig()
     rig.send_request()
@@ -87,22 +87,22 @@
     assert not rig.router.centre_health.list_silent()
 
 
-def test_does_not_judge_others_after_it_stood_still_itself() -> None:
+def test_does_not_judge_others_after_its_own_suspension() -> None:
     """Symptom: a host that was suspended refuses everybody when it wakes.
 
     The answers that came meanwhile have yet to be read.
     """
-    known = centres.Centres('north')
-    known.review(0.0)
+    health = centre_health.CentreHealth('north')
+    health.review(0.0)
     for name in ('a', 'b', 'c', 'd'):
-        known.note_sent('south', name, 0.05)
-    assert not known.review(4.0)
-    known.note_heard('south')
-    assert not known.review(4.1)
+        health.record_sent('south', name, 0.05)
+    assert not health.review(4.0)
+    health.record_contact('south')
+    assert not health.review(4.1)
 
 
 HELPERS = [
-    places.Host(f'host-{number}', f'10.0.9.{number}:7000', 'north')
+    deployments.Host(f'host-{number}', f'10.0.9.{number}:7000', 'north')
     for number in range(2, 9)
 ]
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
@@ -113,8 +113,8 @@
     route = router_rig.make_route(configs.Gather(WIDE, 5, 0.9))
     near = router_rig.make_instances(WIDE, 1)
     far = [
-        one._replace(name=f'{one.name}-far', data_centre='south')
-        for one in near
+        instance._replace(name=f'{instance.name}-far', data_centre='south')
+        for instance in near
     ]
     rig = router_rig.Rig([route], [*near, *far])
     rig.post(events.HostsChanged(8, (router_rig.HOST, *HELPERS)))
@@ -122,7 +122,7 @@
     return rig
 
 
-def test_hears_of_a_silent_data_centre_from_those_that_send_most() -> None:
+def test_learns_of_a_silent_data_centre_from_a_delegate() -> None:
     """Symptom: inside a data centre that is cut off queries end unanswered.
 
     Each of 21 hosts takes a query each two seconds, and spends the second
@@ -140,17 +140,17 @@
     rig.post(events.DelegationReportReceived(delegates[0].key, share))
     assert rig.router.centre_health.is_silent('south')
     # Nobody's word is passed on, and it is forgotten where nobody repeats it.
-    assert not rig.router.centre_health.list_noticed()
-    review(rig, centres.HINT_S + 0.2)
+    assert not rig.router.centre_health.list_observed()
+    review(rig, centre_health.HINT_LIFETIME_S + 0.2)
     assert not rig.router.centre_health.is_silent('south')
 
 
-def test_does_not_believe_a_host_elsewhere_about_a_third_data_centre() -> None:
+def test_ignores_hints_of_hosts_in_other_data_centres() -> None:
     """What the south does not reach the north may reach."""
     rig = router_rig.Rig(
         [SEARCH], router_rig.make_instances(SHARDS, 2, 'south')
     )
-    far = places.Host('far', '10.0.8.1:7000', 'south')
+    far = deployments.Host('far', '10.0.8.1:7000', 'south')
     rig.post(events.HostsChanged(2, (router_rig.HOST, far)))
     rig.send_request()
     (delegate,) = [
@@ -163,13 +163,13 @@
     assert not rig.router.centre_health.list_silent()
 
 
-def test_tells_who_asks_for_help_what_is_silent() -> None:
+def test_a_delegate_reports_silent_data_centres() -> None:
     """The word goes with the shares, and survives the way."""
     rig = make_wide_rig()
     for name in ('a', 'b', 'c'):
-        rig.router.centre_health.note_sent('south', name, rig.now)
+        rig.router.centre_health.record_sent('south', name, rig.now)
     review(rig, 0.5)
-    assert rig.router.centre_health.list_noticed() == {'south'}
+    assert rig.router.centre_health.list_observed() == {'south'}
     request = events.Request('id', 'GET', '/', '', (), b'', rig.now, rig.now)
     assist = events.DelegatedRequest(
         request, 'r', 0.1, 5, WIDE[:2], rig.now + 1
@@ -187,7 +187,7 @@
     assert assist_codecs.read_share(line).silent_centres == ('south',)
 
 
-def find_wait(rig: router_rig.Rig) -> float:
+def measure_part_timeout(rig: router_rig.Rig) -> float:
     """Find how long the parts that were just asked for may take."""
     delegates = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
@@ -205,99 +205,113 @@
     """
     rig = make_wide_rig()
     rig.send_request()
-    find_wait(rig)
-    west = places.Host('far', '10.0.8.1:7000', 'west')
+    measure_part_timeout(rig)
+    west = deployments.Host('far', '10.0.8.1:7000', 'west')
     south = west._replace(name='farther', data_centre='south')
     rig.post(events.HostsChanged(9, (router_rig.HOST, *HELPERS, south, west)))
-    rig.router.centre_health.take_hints(('south',), rig.now)
+    rig.router.centre_health.update_hints(('south',), rig.now)
     rig.send_request()
-    usual = find_wait(rig)
-    rig.router.centre_health.take_hints(('south', 'west'), rig.now)
+    usual = measure_part_timeout(rig)
+    rig.router.centre_health.update_hints(('south', 'west'), rig.now)
     rig.send_request()
-    assert find_wait(rig) > 2 * usual
+    assert measure_part_timeout(rig) > 2 * usual
 
 
-HOSTS_BESIDE = ('host-2', 'host-3')
+NEAR_HOSTS = ('host-2', 'host-3')
 
 
-def tell(known: centres.Centres, now: float, *silent: str) -> None:
+def report_silent(
+    health: centre_health.CentreHealth, now: float, *silent: str
+) -> None:
     """Have two hosts beside this one tell what they hear nothing of."""
-    for host in HOSTS_BESIDE:
-        known.take_word(centres.Word(host, 'north', silent), now)
+    for host in NEAR_HOSTS:
+        health.update_report(
+            centre_health.SilenceReport(host, 'north', silent), now
+        )
 
 
-def lose_south(known: centres.Centres) -> None:
+def silence_south(health: centre_health.CentreHealth) -> None:
     """Have a host notice by itself that the south is silent, at 5.5 s."""
-    known.review(4.9)
+    health.review(4.9)
     for name in ('a', 'b', 'c'):
-        known.note_sent('south', name, 4.9)
+        health.record_sent('south', name, 4.9)
     for tenth in range(50, 56):
-        known.review(tenth / 10)
+        health.review(tenth / 10)
 
 
-def test_believes_what_hosts_beside_it_tell_until_they_take_it_back() -> None:
+def test_applies_silence_reports_until_they_are_withdrawn() -> None:
     """Symptom: hosts that are asked little begin what cannot be whole."""
-    known = centres.Centres('north')
-    known.review(5.0)
-    tell(known, 5.0, 'south', 'west', 'north')
-    assert known.list_silent() == {'south', 'west'}
+    health = centre_health.CentreHealth('north')
+    health.review(5.0)
+    report_silent(health, 5.0, 'south', 'west', 'north')
+    assert health.list_silent() == {'south', 'west'}
     # It is not this host's own finding, and is not told on.
-    assert not known.list_untold(5.0)
-    tell(known, 6.0, 'west')
-    assert known.list_silent() == {'west'}
+    assert not health.list_unreported(5.0)
+    report_silent(health, 6.0, 'west')
+    assert health.list_silent() == {'west'}
     for tenth in range(51, 95):
-        known.review(tenth / 10)
-    assert not known.list_silent()
+        health.review(tenth / 10)
+    assert not health.list_silent()
 
 
-def test_does_not_believe_a_single_host() -> None:
+def test_ignores_the_silence_report_of_a_single_host() -> None:
     """Symptom: the targets of a data centre that lives are left out.
 
     One host has asked three targets there, and all three were gone.
     """
-    known = centres.Centres('north')
-    known.review(5.0)
-    known.take_word(centres.Word('host-2', 'north', ('south',)), 5.0)
-    assert not known.list_silent()
-    known.take_word(centres.Word('host-3', 'north', ('west',)), 5.1)
-    assert not known.list_silent()
+    health = centre_health.CentreHealth('north')
+    health.review(5.0)
+    health.update_report(
+        centre_health.SilenceReport('host-2', 'north', ('south',)), 5.0
+    )
+    assert not health.list_silent()
+    health.update_report(
+        centre_health.SilenceReport('host-3', 'north', ('west',)), 5.1
+    )
+    assert not health.list_silent()
 
 
-def test_believes_no_word_against_whom_it_has_just_heard() -> None:
+def test_ignores_silence_reports_after_a_recent_contact() -> None:
     """Hosts whose own way is lost do not empty their data centre."""
-    known = centres.Centres('north')
-    known.review(5.0)
-    known.note_heard('south')
-    tell(known, 5.1, 'south')
-    assert not known.is_silent('south')
+    health = centre_health.CentreHealth('north')
+    health.review(5.0)
+    health.record_contact('south')
+    report_silent(health, 5.1, 'south')
+    assert not health.is_silent('south')
     # The word stands; it counts once nothing has been heard for long enough.
     for tenth in range(52, 62):
-        known.review(tenth / 10)
-    assert known.is_silent('south')
-    known.note_heard('south')
-    assert not known.is_silent('south')
+        health.review(tenth / 10)
+    assert health.is_silent('south')
+    health.record_contact('south')
+    assert not health.is_silent('south')
 
 
-def test_leaves_the_telling_to_hosts_that_tell_already() -> None:
+def test_sends_no_silence_report_that_two_hosts_have_sent() -> None:
     """The word of two hosts is enough for all beside them."""
-    known = centres.Centres('north')
-    lose_south(known)
-    assert known.list_untold(5.6) == {'south'}
-    known.take_word(centres.Word('host-2', 'north', ('south',)), 5.6)
-    assert known.list_untold(5.6) == {'south'}
-    tell(known, 5.6, 'south')
-    assert not known.list_untold(5.6)
-    assert known.list_untold(5.6 + centres.WORD_S / 2) == {'south'}
+    health = centre_health.CentreHealth('north')
+    silence_south(health)
+    assert health.list_unreported(5.6) == {'south'}
+    health.update_report(
+        centre_health.SilenceReport('host-2', 'north', ('south',)), 5.6
+    )
+    assert health.list_unreported(5.6) == {'south'}
+    report_silent(health, 5.6, 'south')
+    assert not health.list_unreported(5.6)
+    assert health.list_unreported(
+        5.6 + centre_health.REPORT_LIFETIME_S / 2
+    ) == {'south'}
 
 
-def test_comes_back_as_soon_as_a_host_beside_it_has_heard() -> None:
+def test_uses_a_data_centre_again_after_the_contact_of_a_near_host() -> None:
     """Symptom: some hosts stay unready for seconds after a cut.
 
     They are sent nothing, and open no connection by which they would notice.
     """
-    known = centres.Centres('north')
-    lose_south(known)
-    assert known.list_noticed() == {'south'}
-    tell(known, 5.6, 'south')
-    known.take_word(centres.Word('host-2', 'north', ()), 5.7)
-    assert not known.list_silent()
+    health = centre_health.CentreHealth('north')
+    silence_south(health)
+    assert health.list_observed() == {'south'}
+    report_silent(health, 5.6, 'south')
+    health.update_report(
+        centre_health.SilenceReport('host-2', 'north', ()), 5.7
+    )
+    assert not health.list_silent()
--- a/tests/routing/test_configs.py
+++ b/tests/routing/test_configs.py
@@ -17,13 +17,15 @@
         ('', None),
     ],
 )
-def test_finds_the_longest_prefix(path: str, found: str | None) -> None:
+def test_finds_the_longest_prefix(path: str, expected: str | None) -> None:
     """Prefixes end with a slash: a longer word is another path."""
-    way = configs.Single('one')
-    routes = [router_rig.make_route(way, prefix=it) for it in ('/a/', '/a/b/')]
+    action = configs.Single('one')
+    routes = [
+        router_rig.make_route(action, prefix=it) for it in ('/a/', '/a/b/')
+    ]
     index = configs.build_index(
         configs.Configuration(1, tuple(routes), (), configs.Limits())
     )
     route = configs.find_route(index, 'shop.example', path)
-    assert getattr(route, 'prefix', None) == found
+    assert getattr(route, 'prefix', None) == expected
     assert configs.find_route(index, 'other.example', '/a/x') is None
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -4,7 +4,7 @@
 
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import configs, events, places
+from fuchsiahaven.routing import configs, deployments, events
 from tests.routing import router_rig
 
 CONNECTION_LOST = messages.Fault.CONNECTION_LOST
@@ -102,7 +102,7 @@
     shards = tuple(f'shard-{number:02}' for number in range(60))
     search = router_rig.make_route(configs.Gather(shards, 2, 0.8))
     rig = router_rig.Rig([search], router_rig.make_instances(shards))
-    other = places.Host('host-2', '10.0.0.2:7000', 'north')
+    other = deployments.Host('host-2', '10.0.0.2:7000', 'north')
     rig.post(events.HostsChanged(2, (router_rig.HOST, other)))
     identity = request_identities.identify('shop.example', b'/search/1')
     report = suspects.SuspectReport(identity, 0, 1, 0.0, (), (shards[7],))
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -13,8 +13,8 @@
     assist_codecs,
     configs,
     customers,
+    deployments,
     events,
-    places,
 )
 from tests.routing import router_rig
 
@@ -30,7 +30,7 @@
     configs.Single('records'), prefix='/public/'
 )._replace(public=True)
 ROUTES: Final = (SINGLE, SEARCH, PUBLIC)
-HELPER: Final = places.Host('host-9', '10.0.9.1:7000', 'south')
+HELPER: Final = deployments.Host('host-9', '10.0.9.1:7000', 'south')
 
 
 def make_rig(
@@ -210,7 +210,7 @@
     A host that has just started says when to come back.
     """
     rig = router_rig.Rig((), ())
-    rig.router.index = configs.build_index(configs.NOTHING)
+    rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
     rig.submit(read(rig, '/one/1', KEY))
     status, story = take_refusal(rig)
     assert (status, story.result) == (503, errors.Kind.NOT_READY)
--- a/tests/routing/test_delegations.py
+++ b/tests/routing/test_delegations.py
@@ -6,15 +6,15 @@
     assist_codecs,
     configs,
     delegations,
+    deployments,
     events,
-    places,
     plans,
 )
 from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
 SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
-HELPER = places.Host('host-9', '10.0.9.1:7000', 'south')
+HELPER = deployments.Host('host-9', '10.0.9.1:7000', 'south')
 
 
 def record(letter: str) -> bytes:
@@ -333,7 +333,7 @@
 
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
 FLEET = [
-    places.Host(f'host-{number}', f'10.0.9.{number}:7000', 'north')
+    deployments.Host(f'host-{number}', f'10.0.9.{number}:7000', 'north')
     for number in range(2, 64)
 ]
 
@@ -603,7 +603,7 @@
     as connections that could not be had, they made the south look cut off.
     """
     south = [
-        places.Host(f'far-{number}', f'10.0.9.{number}:7000', 'south')
+        deployments.Host(f'far-{number}', f'10.0.9.{number}:7000', 'south')
         for number in range(3)
     ]
     targets = router_rig.make_instances(SHARDS, 2, 'south')
--- a/tests/routing/test_dispatch.py
+++ b/tests/routing/test_dispatch.py
@@ -390,7 +390,7 @@
 def test_answers_not_ready_without_a_configuration() -> None:
     """A host that has just started refuses, and does not say not found."""
     rig = router_rig.Rig([], [])
-    rig.router.index = configs.build_index(configs.NOTHING)
+    rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
     rig.send_request()
     outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
--- a/tests/routing/test_duties.py
+++ b/tests/routing/test_duties.py
@@ -5,11 +5,11 @@
 from hypothesis import given, strategies
 
 from fuchsiahaven.routing import (
-    centres,
+    centre_health,
     configs,
+    deployments,
     duties,
     events,
-    places,
     plans,
 )
 from tests.routing import router_rig
@@ -18,11 +18,11 @@
 GATHER = configs.Gather(SHARDS, 2, 0.9)
 SEARCH = router_rig.make_route(GATHER)
 NORTH = tuple(
-    places.Host(f'north-{number}', f'10.0.2.{number}:1', 'north')
+    deployments.Host(f'north-{number}', f'10.0.2.{number}:1', 'north')
     for number in range(8)
 )
 SOUTH = tuple(
-    places.Host(f'south-{number}', f'10.0.3.{number}:1', 'south')
+    deployments.Host(f'south-{number}', f'10.0.3.{number}:1', 'south')
     for number in range(8)
 )
 
@@ -30,7 +30,7 @@
 CENTRES = ('north', 'south', 'east', 'west', 'far')
 
 
-def make_rig(hosts: tuple[places.Host, ...] = NORTH) -> router_rig.Rig:
+def make_rig(hosts: tuple[deployments.Host, ...] = NORTH) -> router_rig.Rig:
     """Make a host among others, with a near and a far target for each shard."""
     near = router_rig.make_instances(SHARDS, 1)
     both = router_rig.make_instances(SHARDS, 2, 'south')
@@ -123,8 +123,8 @@
         ],
     ]
     rig = router_rig.Rig([SEARCH], targets)
-    host = places.Host(name, '10.0.9.1:1', 'far')
-    beside = places.Host('far-9', '10.0.9.9:1', 'far')
+    host = deployments.Host(name, '10.0.9.1:1', 'far')
+    beside = deployments.Host('far-9', '10.0.9.9:1', 'far')
     rig.router.host = host
     hosts = (host, beside, *NORTH, *SOUTH)
     rig.post(events.HostsChanged(len(hosts), hosts))
@@ -174,9 +174,11 @@
         for number, one in enumerate(router_rig.make_instances([shard]))
     ]
     rig = router_rig.Rig([SEARCH], targets)
-    rig.router.host = places.Host(name, '10.0.0.1:1', CENTRES[0])
+    rig.router.host = deployments.Host(name, '10.0.0.1:1', CENTRES[0])
     hosts = tuple(
-        places.Host(f'{centre}-{number}', f'10.0.{place}.{number}:1', centre)
+        deployments.Host(
+            f'{centre}-{number}', f'10.0.{place}.{number}:1', centre
+        )
         for place, centre in enumerate(CENTRES)
         for number in range(8)
     )
@@ -303,7 +305,7 @@
         share = events.DelegationReport(parts, b'', waiting, (), is_last=False)
         rig.post(events.DelegationReportReceived(one.key, share))
     rig.advance_time(0)
-    assert len(list_delegates(rig)) >= centres.FEWEST_SILENT
+    assert len(list_delegates(rig)) >= centre_health.MIN_SILENT_PEERS
     rig.advance_time(0.1)
     assert rig.pop_outcome()
     for _ in range(6):
@@ -344,7 +346,7 @@
     holders: dict[str, set[str]],
 ) -> None:
     """The own one comes first, none twice, and none that adds nothing."""
-    host = places.Host('host-1', '10.0.0.1:1', CENTRES[0])
+    host = deployments.Host('host-1', '10.0.0.1:1', CENTRES[0])
     order = plans.rank_centres(host, holders)
     assert order[0] == host.data_centre
     assert len(set(order)) == len(order)
--- a/tests/routing/test_evacuations.py
+++ b/tests/routing/test_evacuations.py
@@ -5,10 +5,10 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     instances,
-    places,
     states,
     warmups,
 )
@@ -16,19 +16,19 @@
 
 SEARCH = configs.Gather(('a', 'b', 'c'), 5, 0.5)
 SINGLE = configs.Single('records')
-ONCE_PREFIX = '/once/'
+AT_MOST_ONCE_PREFIX = '/once/'
 
 
 def make_targets(*centres: str) -> list[instances.Instance]:
     """Make a target of each service in each data centre."""
     return [
-        one._replace(
-            name=f'{one.name}-{centre}',
-            id=f'{one.name}-{centre}',
+        instance._replace(
+            name=f'{instance.name}-{centre}',
+            id=f'{instance.name}-{centre}',
             data_centre=centre,
         )
         for centre in centres
-        for one in router_rig.make_instances(('a', 'b', 'c', 'records'), 1)
+        for instance in router_rig.make_instances(('a', 'b', 'c', 'records'), 1)
     ]
 
 
@@ -38,7 +38,7 @@
         router_rig.make_route(SEARCH),
         router_rig.make_route(SINGLE, prefix='/one/'),
         router_rig.make_route(
-            SINGLE, prefix=ONCE_PREFIX, repeat=router_rig.AT_MOST_ONCE
+            SINGLE, prefix=AT_MOST_ONCE_PREFIX, repeat=router_rig.AT_MOST_ONCE
         ),
     )
     return router_rig.Rig(routes, make_targets(*centres))
@@ -51,17 +51,19 @@
 
 
 @pytest.mark.parametrize('target', ['/search/1', '/one/1', '/once/1'])
-def test_sends_nothing_first_to_an_evacuated_data_centre(target: str) -> None:
+def test_sends_no_first_attempts_to_an_evacuated_data_centre(
+    target: str,
+) -> None:
     """The own data centre is dearer to leave, and is left all the same."""
     rig = make_rig('north', 'south')
     evacuate(rig, make_targets('north', 'south'))
     rig.send_request(target)
     sent = rig.pop_sent()
     assert sent
-    assert {one.instance.data_centre for one in sent} == {'south'}
+    assert {send.instance.data_centre for send in sent} == {'south'}
 
 
-def test_sends_nothing_again_to_an_evacuated_data_centre() -> None:
+def test_sends_no_extra_load_to_an_evacuated_data_centre() -> None:
     """Symptom: repeats reach targets seconds after the order.
 
     A search is under way when the order comes. What is at a target ends
@@ -70,16 +72,16 @@
     rig = make_rig('north', 'south')
     rig.send_request()
     first = rig.pop_sent()
-    assert {one.instance.data_centre for one in first} == {'north'}
+    assert {send.instance.data_centre for send in first} == {'north'}
     evacuate(rig, make_targets('north', 'south'))
     rig.break_attempt(first[0])
     rig.advance_time(0.09)
     again = rig.pop_sent()
-    assert {one.key.service for one in again} == {'a', 'b', 'c'}
-    assert {one.instance.data_centre for one in again} == {'south'}
+    assert {send.key.service for send in again} == {'a', 'b', 'c'}
+    assert {send.instance.data_centre for send in again} == {'south'}
 
 
-def test_takes_what_an_evacuated_target_still_answers() -> None:
+def test_accepts_the_answer_of_an_evacuated_target() -> None:
     """What was under way ends in peace, and counts."""
     rig = make_rig('north', 'south')
     rig.send_request('/one/1')
@@ -110,7 +112,7 @@
     assert not rig.pop_sent()
 
 
-def test_uses_a_data_centre_again_when_the_order_is_taken_back() -> None:
+def test_uses_a_data_centre_again_when_its_evacuation_ends() -> None:
     """The targets there are cold, and their entries say so a little later."""
     rig = make_rig('north', 'south')
     evacuate(rig, make_targets('north', 'south'))
@@ -120,15 +122,15 @@
         (sent,) = rig.pop_sent()
         assert sent.instance.data_centre == data_centre
         rig.answer(sent)
-        rig.advance_time(warmups.RETURN_S)
+        rig.advance_time(warmups.REUSE_COLD_S)
 
 
-def test_heeds_an_order_for_a_data_centre_that_is_cut_off() -> None:
+def test_evacuates_a_data_centre_while_another_is_cut_off() -> None:
     """With one cut off and the other evacuated, callers are refused at once."""
     rig = make_rig('north', 'south')
     for peer in ('a', 'b', 'c'):
-        rig.router.centre_health.note_sent('south', peer, rig.now)
-        rig.router.centre_health.note_failed('south', peer)
+        rig.router.centre_health.record_sent('south', peer, rig.now)
+        rig.router.centre_health.record_failed('south', peer)
     rig.router.centre_health.review(rig.now)
     rig.router.centre_health.review(rig.now)
     evacuate(rig, make_targets('north', 'south'))
@@ -137,7 +139,7 @@
     assert not rig.pop_sent()
 
 
-def test_ignores_an_order_for_a_data_centre_that_does_not_exist() -> None:
+def test_ignores_the_evacuation_of_an_unknown_data_centre() -> None:
     """An operator's slip takes nothing out of use."""
     rig = make_rig('north')
     directory = instances.build_directory(make_targets('north'), {'nowhere'})
@@ -146,7 +148,7 @@
     assert rig.pop_sent()
 
 
-def test_shares_repeats_as_before_while_a_data_centre_is_evacuated() -> None:
+def test_shares_the_extra_load_as_before_during_an_evacuation() -> None:
     """Symptom: repeats pass the bound while hosts differ in what they know.
 
     The bound on repeats is shared by the data centres of a wide query. Those
@@ -156,21 +158,23 @@
     shards = tuple(f's-{number:02}' for number in range(50))
     wide = configs.Gather(shards, 5, 0.5)
     targets = [
-        one._replace(name=f'{one.name}{centre}', data_centre=centre)
+        instance._replace(name=f'{instance.name}{centre}', data_centre=centre)
         for centre in ('north', 'south')
-        for one in router_rig.make_instances(shards, 1)
+        for instance in router_rig.make_instances(shards, 1)
     ]
-    desk = states.Router(router_rig.HOST, router_rig.EXTRA_LOAD, float)
+    router = states.Router(router_rig.HOST, router_rig.EXTRA_LOAD, float)
     route = router_rig.make_route(wide)
     configuration = configs.Configuration(1, (route,), (), configs.Limits())
-    dispatch.handle_event(desk, events.ConfigurationReceived(configuration), 1)
-    other = places.Host('host-2', '10.0.0.2:7000', 'south')
     dispatch.handle_event(
-        desk, events.HostsChanged(2, (router_rig.HOST, other)), 1
+        router, events.ConfigurationReceived(configuration), 1
+    )
+    other = deployments.Host('host-2', '10.0.0.2:7000', 'south')
+    dispatch.handle_event(
+        router, events.HostsChanged(2, (router_rig.HOST, other)), 1
     )
     directory = instances.build_directory(targets)
-    dispatch.handle_event(desk, events.DirectoryChanged(directory), 1)
-    before = desk.list_wide_centres()
+    dispatch.handle_event(router, events.DirectoryChanged(directory), 1)
+    before = router.list_wide_centres()
     directory = instances.build_directory(targets, {'south'})
-    dispatch.handle_event(desk, events.DirectoryChanged(directory), 2)
-    assert desk.list_wide_centres() == before == {'north', 'south'}
+    dispatch.handle_event(router, events.DirectoryChanged(directory), 2)
+    assert router.list_wide_centres() == before == {'north', 'south'}
--- a/tests/routing/test_extra_attempts.py
+++ b/tests/routing/test_extra_attempts.py
@@ -6,7 +6,13 @@
 import pytest
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import configs, duties, events, extra_attempts, places
+from fuchsiahaven.routing import (
+    configs,
+    deployments,
+    duties,
+    events,
+    extra_attempts,
+)
 from tests.routing import router_rig
 
 #: Of 10 parts 8 have to be in.
@@ -21,7 +27,7 @@
     """Make a host that may repeat a few parts of each service."""
     targets = router_rig.make_instances(SHARDS, replicas)
     rig = router_rig.Rig([SEARCH], targets)
-    rig.router.extra_load = places.ExtraLoad(0.0, 10.0, 10.0)
+    rig.router.extra_load = deployments.ExtraLoadLimit(0.0, 10.0, 10.0)
     return rig
 
 
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -12,40 +12,40 @@
 from tests.routing import freshness_model
 
 HOSTS: Final = 3
-KEYED: Final = freshness_model.KEYED
+CONFIGURATION_WITH_KEYS: Final = freshness_model.CONFIGURATION_WITH_KEYS
 REVOKE_S: Final = freshness_model.REVOKE_S
 
 hosts = st.integers(0, HOSTS - 1)
-whoever = st.one_of(st.none(), hosts)
-places = st.integers(0, 5)
-keys = st.integers(0, freshness_model.KEYS - 1)
-asks = st.tuples(st.just('ask'), hosts, whoever, st.booleans())
-moves = st.tuples(st.just('move'), places)
-times = st.tuples(st.just('advance'), st.sampled_from((0.1, 0.4, 1.2, 4.8)))
+sources = st.one_of(st.none(), hosts)
+positions = st.integers(0, 5)
+keys = st.integers(0, freshness_model.KEY_COUNT - 1)
+requests = st.tuples(st.just('ask'), hosts, sources, st.booleans())
+request_steps = st.tuples(st.just('move'), positions)
+durations = st.tuples(st.just('advance'), st.sampled_from((0.1, 0.4, 1.2, 4.8)))
 pauses = st.sampled_from((0.0, 0.3, 2.0))
-changes = st.one_of(st.none(), keys)
+toggles = st.one_of(st.none(), keys)
 trips = st.builds(
-    freshness_model.Trip,
+    freshness_model.RoundTrip,
     hosts,
-    whoever,
+    sources,
     st.booleans(),
     st.tuples(pauses, pauses, pauses),
-    st.tuples(changes, changes, changes),
+    st.tuples(toggles, toggles, toggles),
 )
 steps = st.one_of(
-    asks,
-    asks,
-    moves,
-    moves,
-    moves,
-    times,
-    times,
+    requests,
+    requests,
+    request_steps,
+    request_steps,
+    request_steps,
+    durations,
+    durations,
     st.tuples(st.just('trip'), trips),
     st.tuples(st.just('trip'), trips),
     st.tuples(st.just('change'), keys),
-    st.tuples(st.just('lose'), places),
+    st.tuples(st.just('lose'), positions),
     st.tuples(st.just('restart'), hosts),
-    st.tuples(st.just('restore'), places),
+    st.tuples(st.just('restore'), positions),
     st.tuples(st.just('forget'), keys, pauses, hosts),
 )
 
@@ -62,44 +62,46 @@
         return self.now
 
 
-def make(clock: Clock) -> freshness.Freshness:
+def make_freshness(clock: Clock) -> freshness.Freshness:
     """Make what a host knows that has customers and knows nothing yet."""
-    known = freshness.Freshness(REVOKE_S, clock.read)
-    known.note_configuration(KEYED)
-    return known
+    host_freshness = freshness.Freshness(REVOKE_S, clock.read)
+    host_freshness.update_configuration(CONFIGURATION_WITH_KEYS)
+    return host_freshness
 
 
-def take_step(world: freshness_model.World, step: tuple[object, ...]) -> None:
+def apply_step(world: freshness_model.World, step: tuple[object, ...]) -> None:
     """Have one thing happen."""
     match step:
-        case ('ask', int(host), other, bool(alone)):
+        case ('ask', int(host), other, bool(configuration_only)):
             assert other is None or isinstance(other, int)
-            world.ask(host, other, alone=alone)
-        case ('trip', freshness_model.Trip() as trip):
-            world.go_round(trip)
-        case ('move', int(place)):
-            world.move(place)
+            world.send_request(
+                host, other, configuration_only=configuration_only
+            )
+        case ('trip', freshness_model.RoundTrip() as trip):
+            world.make_round_trip(trip)
+        case ('move', int(position)):
+            world.advance_request(position)
         case ('advance', float(seconds)):
             world.advance(seconds)
         case ('change', int(key)):
-            world.operator.change(key)
-        case ('lose', int(place)):
-            world.lose(place)
+            world.operator.toggle_key(key)
+        case ('lose', int(position)):
+            world.lose_request(position)
         case ('restart', int(host)):
-            world.restart(host)
+            world.restart_host(host)
         case ('forget', int(key), float(pause), int(host)):
-            world.operator.change(key)
+            world.operator.toggle_key(key)
             world.operator.restore(0)
             world.advance(pause)
-            world.read(host)
+            world.read_store(host)
         case ('restore', int(back)):
             world.operator.restore(back)
 
 
 @settings(max_examples=600, deadline=None)
 @given(st.lists(steps, min_size=15, max_size=60), st.booleans())
-def test_no_host_admits_a_dead_key(
-    taken: list[tuple[object, ...]], eras: bool
+def test_no_host_admits_a_revoked_key_too_late(
+    history: list[tuple[object, ...]], has_eras: bool
 ) -> None:
     """Symptom: a key that was taken away is served seconds after its time.
 
@@ -107,20 +109,20 @@
     in any order and after any time, as where hosts are cut off, frozen or
     suspended; hosts start anew, and the store comes back from copies.
     """
-    world = freshness_model.World(HOSTS, eras=eras)
-    for step in taken:
-        take_step(world, step)
-        world.check()
+    world = freshness_model.World(HOSTS, has_eras=has_eras)
+    for step in history:
+        apply_step(world, step)
+        world.check_keys()
     world.advance(REVOKE_S)
 
 
 class Poll(NamedTuple):
     """Hold a question of a host for its news, or its answer on its way."""
 
-    left: float
-    arrives: float
+    sent_at: float
+    arrives_at: float
     age: float
-    back: float = math.inf
+    returns_at: float = math.inf
     proof: facts.Proof | None = None
 
 
@@ -129,19 +131,25 @@
 
     def __init__(self, clock: Clock, draw: random.Random) -> None:
         """Start by reading."""
-        self.keys = make(clock)
+        self.freshness = make_freshness(clock)
         self._draw = draw
-        self._left = clock.now
-        self._answered = clock.now
+        self._sent_at = clock.now
+        self._answered_at = clock.now
 
-    def go_on(self) -> None:
+    def run_due(self) -> None:
         """Do what is due."""
-        now = self.keys.read_clock()
-        if now >= self._answered:
-            self.keys.record_read(self._left, facts.NO_ERA)
-            wait = self.keys.limit_time(readers.WATCH_S, freshness.WATCH_SHARE)
-            self._left = now + self.keys.limit_time(1, freshness.PAUSE_SHARE)
-            self._answered = self._left + wait + self._draw.uniform(0, 0.04)
+        now = self.freshness.read_clock()
+        if now >= self._answered_at:
+            self.freshness.record_read(self._sent_at, facts.NO_ERA)
+            wait = self.freshness.limit_time(
+                readers.WATCH_S, freshness.WATCH_FRACTION
+            )
+            self._sent_at = now + self.freshness.limit_time(
+                1, freshness.PAUSE_FRACTION
+            )
+            self._answered_at = (
+                self._sent_at + wait + self._draw.uniform(0, 0.04)
+            )
 
 
 class Follower:
@@ -151,36 +159,36 @@
         self, clock: Clock, other: freshness.Freshness, draw: random.Random
     ) -> None:
         """Start by asking."""
-        self.keys = make(clock)
+        self.freshness = make_freshness(clock)
         self._other = other
         self._draw = draw
-        self._way = 0.02
-        self._poll = self._ask()
+        self._max_delay_s = 0.02
+        self._poll = self._send_poll()
 
-    def go_on(self) -> None:
+    def run_due(self) -> None:
         """Do what is due."""
-        now = self.keys.read_clock()
+        now = self.freshness.read_clock()
         poll = self._poll
-        if now >= poll.back:
-            self.keys.record_proof(poll.left, poll.proof, facts.NO_ERA)
-            self._poll = self._ask()
-        elif poll.proof is None and now >= poll.arrives:
+        if now >= poll.returns_at:
+            self.freshness.record_proof(poll.sent_at, poll.proof, facts.NO_ERA)
+            self._poll = self._send_poll()
+        elif poll.proof is None and now >= poll.arrives_at:
             other = self._other
-            gains = other.is_proof_useful(poll.arrives, poll.age)
-            if gains or now >= poll.arrives + askers.HOLD_S:
-                back = now + self._draw.uniform(0, self._way)
-                proof = other.make_proof(poll.arrives)
-                self._poll = poll._replace(back=back, proof=proof)
+            is_worth_sending = other.is_proof_useful(poll.arrives_at, poll.age)
+            if is_worth_sending or now >= poll.arrives_at + askers.HOLD_S:
+                returns_at = now + self._draw.uniform(0, self._max_delay_s)
+                proof = other.make_proof(poll.arrives_at)
+                self._poll = poll._replace(returns_at=returns_at, proof=proof)
 
-    def _ask(self) -> Poll:
-        now = self.keys.read_clock()
-        arrives = now + self._draw.uniform(0, self._way)
-        return Poll(now, arrives, self.keys.compute_age())
+    def _send_poll(self) -> Poll:
+        now = self.freshness.read_clock()
+        arrives_at = now + self._draw.uniform(0, self._max_delay_s)
+        return Poll(now, arrives_at, self.freshness.compute_age())
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6))
-def test_calm_hosts_are_fresh_without_any_change(seed: int) -> None:
+def test_hosts_stay_fresh_without_any_change(seed: int) -> None:
     """Symptom: hosts refuse requests on a quiet day.
 
     Nothing changes in the store, so each watch lasts its whole wait. A host
@@ -190,69 +198,72 @@
     draw = random.Random(seed)
     clock = Clock()
     reader = Reader(clock, draw)
-    first = Follower(clock, reader.keys, draw)
-    others = [first, *[Follower(clock, first.keys, draw) for _ in range(4)]]
+    first = Follower(clock, reader.freshness, draw)
+    others = [
+        first,
+        *[Follower(clock, first.freshness, draw) for _ in range(4)],
+    ]
     oldest = 0.0
     for tick in range(3000):
         clock.now += 0.01
-        reader.go_on()
+        reader.run_due()
         for other in others:
-            other.go_on()
+            other.run_due()
         if tick > 300:
-            oldest = max(oldest, *(it.keys.compute_age() for it in others))
+            oldest = max(oldest, *(it.freshness.compute_age() for it in others))
     assert oldest < 0.4 * REVOKE_S
-    assert oldest < freshness.URGENT_SHARE * REVOKE_S
+    assert oldest < freshness.URGENT_AGE_FRACTION * REVOKE_S
 
 
-def test_counts_an_answer_from_when_its_question_left() -> None:
+def test_counts_the_age_of_a_report_from_its_request() -> None:
     """Symptom: an answer two seconds late counts as fresh by two too much."""
     clock = Clock()
-    teller, asker = make(clock), make(clock)
-    teller.record_read(clock.now, facts.NO_ERA)
+    sender, receiver = make_freshness(clock), make_freshness(clock)
+    sender.record_read(clock.now, facts.NO_ERA)
     clock.now += 1
-    left = clock.now
-    proof = teller.make_proof(clock.now)
+    sent_at = clock.now
+    proof = sender.make_proof(clock.now)
     clock.now += 2
-    asker.record_proof(left, proof, facts.NO_ERA)
-    assert asker.compute_age() == 3
+    receiver.record_proof(sent_at, proof, facts.NO_ERA)
+    assert receiver.compute_age() == 3
 
 
-def test_counts_what_was_learned_while_a_question_was_held() -> None:
+def test_counts_reads_while_a_request_was_held() -> None:
     """The teller's read counts, less no more than the question's way."""
     clock = Clock()
-    teller, asker = make(clock), make(clock)
-    left = clock.now
+    sender, receiver = make_freshness(clock), make_freshness(clock)
+    sent_at = clock.now
     clock.now += 0.25
-    arrived = clock.now
+    arrived_at = clock.now
     clock.now += 0.5
-    teller.record_read(clock.now, facts.NO_ERA)
-    asker.record_proof(left, teller.make_proof(arrived), facts.NO_ERA)
-    assert asker.compute_age() == 0.25
+    sender.record_read(clock.now, facts.NO_ERA)
+    receiver.record_proof(sent_at, sender.make_proof(arrived_at), facts.NO_ERA)
+    assert receiver.compute_age() == 0.25
 
 
-def test_refuses_from_the_bound_on_and_says_when_to_come_back() -> None:
+def test_refuses_from_the_bound_on_with_a_retry_delay() -> None:
     """A host that has proved nothing refuses as well."""
     clock = Clock()
-    known = make(clock)
-    assert known.compute_wait() == freshness.MOST_WAIT_S
-    known.record_read(clock.now, facts.NO_ERA)
-    clock.now += (1 - freshness.MARGIN_SHARE) * REVOKE_S - 0.01
-    assert not known.compute_wait()
+    host_freshness = make_freshness(clock)
+    assert host_freshness.compute_wait() == freshness.MAX_WAIT_S
+    host_freshness.record_read(clock.now, facts.NO_ERA)
+    clock.now += (1 - freshness.CLOCK_MARGIN_FRACTION) * REVOKE_S - 0.01
+    assert not host_freshness.compute_wait()
     clock.now += 0.02
-    assert known.compute_wait() == freshness.LEAST_WAIT_S
+    assert host_freshness.compute_wait() == freshness.MIN_WAIT_S
     clock.now += 60
-    assert known.compute_wait() == freshness.MOST_WAIT_S
+    assert host_freshness.compute_wait() == freshness.MAX_WAIT_S
 
 
-def test_is_off_where_keys_need_not_die_in_time() -> None:
+def test_is_off_without_a_revocation_bound() -> None:
     """Deployments without it refuse nothing and send nothing more."""
-    known = freshness.Freshness()
-    known.note_configuration(KEYED)
-    assert not known.compute_wait()
-    assert known.make_proof(0) is None
-    assert known.limit_time(1.8, freshness.WATCH_SHARE) == 1.8
+    host_freshness = freshness.Freshness()
+    host_freshness.update_configuration(CONFIGURATION_WITH_KEYS)
+    assert not host_freshness.compute_wait()
+    assert host_freshness.make_proof(0) is None
+    assert host_freshness.limit_time(1.8, freshness.WATCH_FRACTION) == 1.8
     without = freshness.Freshness(REVOKE_S)
-    without.note_configuration(configs.NOTHING)
+    without.update_configuration(configs.EMPTY_CONFIGURATION)
     assert not without.is_enforced
     assert without.make_proof(0) is None
 
@@ -264,43 +275,43 @@
     copy; operators have yet to write again what it lost.
     """
     clock = Clock()
-    known = make(clock)
-    known.record_read(clock.now, 3)
-    clock.now += freshness.REWRITTEN_S
-    assert known.record_read(clock.now, 3)
+    host_freshness = make_freshness(clock)
+    host_freshness.record_read(clock.now, 3)
+    clock.now += freshness.RESTORE_SETTLING_S
+    assert host_freshness.record_read(clock.now, 3)
     clock.now += REVOKE_S
-    assert not known.record_read(clock.now, 4)
-    assert known.compute_wait()
-    clock.now += freshness.REWRITTEN_S
-    assert known.record_read(clock.now, 4)
-    assert not known.compute_wait()
+    assert not host_freshness.record_read(clock.now, 4)
+    assert host_freshness.compute_wait()
+    clock.now += freshness.RESTORE_SETTLING_S
+    assert host_freshness.record_read(clock.now, 4)
+    assert not host_freshness.compute_wait()
 
 
-def test_a_host_that_starts_reads_on_in_an_era_that_another_knows() -> None:
+def test_a_started_host_accepts_the_era_of_another_host() -> None:
     """Symptom: a reader that starts anew leaves all others without proof."""
     clock = Clock()
-    other, known = make(clock), make(clock)
+    other, host_freshness = make_freshness(clock), make_freshness(clock)
     other.record_read(clock.now, 3)
-    clock.now += freshness.REWRITTEN_S
+    clock.now += freshness.RESTORE_SETTLING_S
     other.record_read(clock.now, 3)
-    assert not known.record_read(clock.now, 3)
-    known.record_proof(clock.now, other.make_proof(clock.now), 3)
-    assert known.record_read(clock.now, 3)
+    assert not host_freshness.record_read(clock.now, 3)
+    host_freshness.record_proof(clock.now, other.make_proof(clock.now), 3)
+    assert host_freshness.record_read(clock.now, 3)
 
 
-def test_a_report_of_the_version_before_proves_nothing() -> None:
+def test_a_report_without_proof_proves_nothing() -> None:
     """It carries customers nowhere, and says nothing of its reads."""
-    known = make(Clock())
-    known.record_proof(500, None, facts.NO_ERA)
-    assert known.compute_wait()
+    host_freshness = make_freshness(Clock())
+    host_freshness.record_proof(500, None, facts.NO_ERA)
+    assert host_freshness.compute_wait()
 
 
-def test_tells_who_gains_by_it() -> None:
+def test_answers_early_only_if_the_asker_gains() -> None:
     """Who asks is told once it gains; who tells no age is not hurried."""
     clock = Clock()
-    known = make(clock)
-    known.record_read(clock.now, facts.NO_ERA)
-    assert known.is_proof_useful(clock.now, math.inf)
-    assert known.is_proof_useful(clock.now, 1)
-    assert not known.is_proof_useful(clock.now, 0.1)
-    assert not known.is_proof_useful(clock.now, None)
+    host_freshness = make_freshness(clock)
+    host_freshness.record_read(clock.now, facts.NO_ERA)
+    assert host_freshness.is_proof_useful(clock.now, math.inf)
+    assert host_freshness.is_proof_useful(clock.now, 1)
+    assert not host_freshness.is_proof_useful(clock.now, 0.1)
+    assert not host_freshness.is_proof_useful(clock.now, None)
--- a/tests/routing/test_lags.py
+++ b/tests/routing/test_lags.py
@@ -7,17 +7,17 @@
 from fuchsiahaven.routing import (
     assist_codecs,
     configs,
+    deployments,
     duties,
     events,
     lags,
-    places,
 )
 from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:03}' for number in range(90))
 SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.9))
 HOSTS = tuple(
-    places.Host(f'host-{number}', f'10.0.2.{number}:1', 'north')
+    deployments.Host(f'host-{number}', f'10.0.2.{number}:1', 'north')
     for number in range(2, 10)
 )
 SECONDS = strategies.floats(0, 20)
@@ -30,7 +30,7 @@
     return rig
 
 
-def find_pair(rig: router_rig.Rig) -> tuple[places.Host, ...]:
+def find_other_pair(rig: router_rig.Rig) -> tuple[deployments.Host, ...]:
     """Find two hosts on duty for one chunk that are others."""
     hosts = rig.router.centre_health.list_hosts('north')
     for shard in SHARDS[:: duties.CHUNK]:
@@ -41,82 +41,90 @@
     raise AssertionError('this host is on duty for all')
 
 
-def count_asked(rig: router_rig.Rig, name: str) -> int:
+def count_delegated(rig: router_rig.Rig, name: str) -> int:
     """Ask a few times; count how often a host is asked for parts."""
-    asked = 0
+    count = 0
     for _ in range(40):
         rig.send_request()
-        found = [
+        delegates = [
             it for it in rig.other_actions if isinstance(it, events.Delegate)
         ]
         rig.other_actions = []
-        asked += sum(it.helper.name == name for it in found)
-        for one in found:
+        count += sum(it.helper.name == name for it in delegates)
+        for delegate in delegates:
             share = events.DelegationReport((), b'', (), (), is_last=True)
-            lag = rig.router.controls.lags.fade(one.helper.name, rig.now)
+            lag = rig.router.controls.lags.get_lag(
+                delegate.helper.name, rig.now
+            )
             rig.post(
                 events.DelegationReportReceived(
-                    one.key, share._replace(lag_s=lag)
+                    delegate.key, share._replace(lag_s=lag)
                 )
             )
-    return asked
+    return count
 
 
-def test_the_worst_counts_until_it_has_faded() -> None:
+def test_keeps_the_largest_lag_until_it_has_decayed() -> None:
     """Symptom: one timer that fires in time hides a stall just before."""
-    lag = lags.note(lags.NONE, 0.08, 1.0)
-    lag = lags.note(lag, 0.001, 1.01)
-    assert lags.tell(lag, 1.01) > 0.07
-    assert lags.tell(lag, 2.0) == 0.04
-    assert lags.tell(lag, 9.0) == 0
+    lag = lags.record_delay(lags.NO_LAG, 0.08, 1.0)
+    lag = lags.record_delay(lag, 0.001, 1.01)
+    assert lags.compute_reported(lag, 1.01) > 0.07
+    assert lags.compute_reported(lag, 2.0) == 0.04
+    assert lags.compute_reported(lag, 9.0) == 0
 
 
 @given(SECONDS, SECONDS)
-def test_leaves_nothing_to_a_host_that_is_as_far_behind(
+def test_hands_nothing_over_to_a_host_with_the_same_lag(
     first: float, second: float
 ) -> None:
     """Hosts that are all behind keep their work; it would only move about."""
-    share = lags.count_share(first, second)
+    share = lags.compute_handover(first, second)
     assert 0 <= share < 1
-    assert lags.count_share(first, first) == 0
-    assert not (share and lags.count_share(second, first))
+    assert lags.compute_handover(first, first) == 0
+    assert not (share and lags.compute_handover(second, first))
 
 
-def test_a_share_tells_the_lag_only_where_there_is_one() -> None:
+def test_a_share_encodes_a_lag_only_if_there_is_one() -> None:
     """Hosts of the version before pass over it; on time, it costs nothing."""
     share = events.DelegationReport((), b'', (), (), is_last=True)
-    for lag, told in ((0.0, None), (0.0004, None), (0.03, 30)):
+    for lag, encoded_ms in ((0.0, None), (0.0004, None), (0.03, 30)):
         line = assist_codecs.write_share(share._replace(lag_s=lag))
-        assert json.loads(line).get('lag') == told
-        read = assist_codecs.read_share(line)
-        assert read.lag_s == (told or 0) / 1000
+        assert json.loads(line).get('lag') == encoded_ms
+        decoded = assist_codecs.read_share(line)
+        assert decoded.lag_s == (encoded_ms or 0) / 1000
 
 
-def test_hosts_that_are_alike_measure_no_lag() -> None:
+def test_hosts_of_equal_capacity_measure_no_lag() -> None:
     """Deployments with one kind of host are served as before."""
-    for capacity, told in ((HOSTS[0].capacity, 0), (0.36, 0.5)):
-        known = lags.Lags()
-        known.note_hosts((*HOSTS, HOSTS[0]._replace(capacity=capacity)))
-        known.note_own(0.5, 1.0)
-        assert known.tell_own(1.0) == told
+    for capacity, expected in ((HOSTS[0].capacity, 0), (0.36, 0.5)):
+        host_lags = lags.Lags()
+        host_lags.update_hosts((*HOSTS, HOSTS[0]._replace(capacity=capacity)))
+        host_lags.record_own(0.5, 1.0)
+        assert host_lags.get_own(1.0) == expected
 
 
-def test_leaves_work_of_a_host_that_is_behind_to_the_next_on_duty() -> None:
+def test_hands_work_of_a_lagging_host_to_the_next_on_duty() -> None:
     """Symptom: each query waits for a host without processor time."""
     usual = make_rig()
-    first, second = find_pair(usual)
+    first, second = find_other_pair(usual)
     rig = make_rig()
-    rig.router.controls.lags.note(first.name, 0.1, rig.now)
-    before = (count_asked(usual, first.name), count_asked(usual, second.name))
-    after = (count_asked(rig, first.name), count_asked(rig, second.name))
+    rig.router.controls.lags.update_host(first.name, 0.1, rig.now)
+    before = (
+        count_delegated(usual, first.name),
+        count_delegated(usual, second.name),
+    )
+    after = (
+        count_delegated(rig, first.name),
+        count_delegated(rig, second.name),
+    )
     assert after[0] < before[0]
     assert after[1] > before[1]
 
 
-def test_asks_again_once_what_was_told_has_faded() -> None:
+def test_ignores_a_lag_that_has_decayed() -> None:
     """A host that was behind has its work back within seconds."""
     rig = make_rig()
-    first, _ = find_pair(rig)
-    rig.router.controls.lags.note(first.name, 0.1, rig.now)
+    first, _ = find_other_pair(rig)
+    rig.router.controls.lags.update_host(first.name, 0.1, rig.now)
     rig.advance_time(6.0)
-    assert rig.router.controls.lags.fade(first.name, rig.now) == 0
+    assert rig.router.controls.lags.get_lag(first.name, rig.now) == 0
--- a/tests/routing/test_loads.py
+++ b/tests/routing/test_loads.py
@@ -8,7 +8,7 @@
 import zlib
 
 from fuchsiahaven.core.configuration import configurations
-from fuchsiahaven.routing import configs, margins, places
+from fuchsiahaven.routing import configs, deployments, margins
 from tests.routing import load_rig, router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(20))
@@ -36,7 +36,7 @@
     """Play a minute on one host."""
     targets = router_rig.make_instances(SHARDS)
     rig = router_rig.Rig([SEARCH], targets, HOST_COUNT)
-    rig.router.extra_load = places.ExtraLoad(0.2, 56.0, 10.0)
+    rig.router.extra_load = deployments.ExtraLoadLimit(0.2, 56.0, 10.0)
     return load_rig.LoadRun(rig, script, seed).run(RATE_PER_S, RUN_S, OBJECTIVE)
 
 
@@ -240,7 +240,7 @@
 
     targets = router_rig.make_instances(SHARDS)
     rig = router_rig.Rig([SEARCH], targets)
-    rig.router.extra_load = places.ExtraLoad(0.2, 56.0, 10.0)
+    rig.router.extra_load = deployments.ExtraLoadLimit(0.2, 56.0, 10.0)
     load = load_rig.LoadRun(rig, script, 1, slots=2)
     result = load.run(40.0, 12.0, OBJECTIVE)
     assert result.in_time >= MIN_IN_TIME_FRACTION * result.requests, (
--- a/tests/routing/test_offers.py
+++ b/tests/routing/test_offers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fuchsiahaven.core import request_identities, suspects, trial_offers
-from fuchsiahaven.routing import configs, events, places
+from fuchsiahaven.routing import configs, deployments, events
 from tests.routing import router_rig
 
 SHARDS = ('a', 'b', 'c')
@@ -22,7 +22,7 @@
     """Make a host among others that has heard of a moment, and more."""
     rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 3))
     others = [
-        places.Host(name, '10.0.0.2:7000', 'north')
+        deployments.Host(name, '10.0.0.2:7000', 'north')
         for name in (FIRST_HOST, LAST_HOST)
     ]
     rig.post(events.HostsChanged(3, (router_rig.HOST, *others)))
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -10,10 +10,10 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     instances,
-    places,
     states,
 )
 from tests.routing import router_rig
@@ -28,7 +28,7 @@
     ),
 )
 HOSTS: Final = tuple(
-    places.Host(f'host-{number}', f'10.0.0.{number}:7000', 'north')
+    deployments.Host(f'host-{number}', f'10.0.0.{number}:7000', 'north')
     for number in range(4)
 )
 REPLICAS: Final = 3
@@ -85,7 +85,7 @@
         self._targets = router_rig.make_instances(names, REPLICAS)
         self.routers = [self._make_router(host) for host in HOSTS]
 
-    def _make_router(self, host: places.Host) -> states.Router:
+    def _make_router(self, host: deployments.Host) -> states.Router:
         router = states.Router(host, router_rig.EXTRA_LOAD, float)
         configuration = configs.Configuration(1, ROUTES, (), configs.Limits())
         reports = tuple(self._store.values())
--- a/tests/routing/test_quota_codecs.py
+++ b/tests/routing/test_quota_codecs.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import strategies as some
 
-from fuchsiahaven.routing import codecs, quota_codecs, quota_words
+from fuchsiahaven.routing import quota_codecs, quota_words, report_codecs
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
 )
 def test_refuses_what_is_no_word(datagram: bytes) -> None:
     """Guard against bytes of something else that end a host's loop."""
-    with pytest.raises(codecs.Malformed):
+    with pytest.raises(report_codecs.MalformedReport):
         quota_codecs.read_word(datagram)
 
 
@@ -48,5 +48,5 @@
     """Guard against an error that nobody expects."""
     try:
         quota_codecs.read_word(datagram)
-    except codecs.Malformed:
+    except report_codecs.MalformedReport:
         return
--- a/tests/routing/test_quota_slots.py
+++ b/tests/routing/test_quota_slots.py
@@ -6,9 +6,9 @@
 import pytest
 from hypothesis import strategies as some
 
-from fuchsiahaven.routing import places, quota_slots
+from fuchsiahaven.routing import deployments, quota_slots
 
-QUOTA: Final = places.Quota(5.0, 0.1, 20.0)
+QUOTA: Final = deployments.QuotaTolerance(5.0, 0.1, 20.0)
 CENTRES: Final = ('north', 'east', 'south', 'west')
 LIMIT: Final = quota_slots.Limit('shop', 10.0, 10.0)
 
@@ -24,7 +24,7 @@
     rate: float, burst: float, centres: int, overage: float, slack: float
 ) -> None:
     """Guard against slots that give more together than is tolerated."""
-    quota = places.Quota(5.0, overage, slack)
+    quota = deployments.QuotaTolerance(5.0, overage, slack)
     limit = quota_slots.Limit('shop', rate, burst)
     names = tuple(f'centre-{number}' for number in range(centres))
     shares = quota_slots.split(limit, quota, names).shares
@@ -32,8 +32,8 @@
     most = sum(it.most for it in shares)
     assert burst <= most * 1.000001
     starts = sum(it.start for it in shares)
-    given = sum(it.rate for it in shares) * quota.window
-    allowed = rate * quota.window + burst + excess
+    given = sum(it.rate for it in shares) * quota.window_s
+    allowed = rate * quota.window_s + burst + excess
     assert most + given + starts <= max(allowed, 1 + given) + 0.001
     # What is out of reach, as no slot gives a part of a token.
     stranded = len(shares) if len(shares) > 1 else 0
@@ -47,7 +47,7 @@
     assert sorted(slots.centres) == sorted(CENTRES * quota_slots.IN_CENTRE)
     hosts = {
         centre: tuple(
-            places.Host(f'{centre}-{number}', f'{number}', centre)
+            deployments.Host(f'{centre}-{number}', f'{number}', centre)
             for number in range(5)
         )
         for centre in CENTRES
@@ -68,7 +68,7 @@
 def test_a_token_fits_however_little_is_tolerated(rate: float) -> None:
     """Guard against a customer that is refused for ever."""
     limit = quota_slots.Limit('shop', rate, 0.0)
-    exact = places.Quota(5.0, 0.0, 0.0)
+    exact = deployments.QuotaTolerance(5.0, 0.0, 0.0)
     (share,) = quota_slots.split(limit, exact, CENTRES).shares
     assert share.most == 1
     assert share.rate >= rate / 2
--- a/tests/routing/test_quotas.py
+++ b/tests/routing/test_quotas.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as some
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.routing import configs, places, quota_slots, quotas
+from fuchsiahaven.routing import configs, deployments, quota_slots, quotas
 from tests.routing import quota_model
 
 LARGE: Final = quota_model.LARGE
@@ -228,10 +228,10 @@
         }
         steps[step]()
 
-    def _pick(self) -> places.Host:
+    def _pick(self) -> deployments.Host:
         return self.world.random.choice(self.world.hosts)
 
-    def _list_some(self) -> list[places.Host]:
+    def _list_some(self) -> list[deployments.Host]:
         return self.world.hosts[:: self.world.random.randint(2, 5)]
 
     def _kill_all(self) -> None:
--- a/tests/routing/test_reaches.py
+++ b/tests/routing/test_reachability.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import centres, configs, dispatch, events
+from fuchsiahaven.routing import centre_health, configs, dispatch, events
 from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
@@ -18,7 +18,7 @@
     return router_rig.Rig([SEARCH, SINGLE], [*near, *far])
 
 
-def cut_far(rig: router_rig.Rig) -> list[events.SendAttempt]:
+def cut_off_south(rig: router_rig.Rig) -> list[events.SendAttempt]:
     """Ask, and let the near targets alone answer; return the other sends."""
     rig.send_request()
     silent = []
@@ -30,7 +30,7 @@
     return silent
 
 
-def test_is_not_ready_while_most_requests_lack_too_much() -> None:
+def test_is_not_ready_while_most_requests_miss_too_many_shards() -> None:
     """Symptom: the callers of a data centre are refused while it is cut off.
 
     Four of ten shards fall silent, 80 % are needed. Hosts elsewhere can serve
@@ -38,7 +38,7 @@
     ready again once connections to the far targets can be had.
     """
     rig = make_rig()
-    cut_far(rig)
+    cut_off_south(rig)
     assert not dispatch.find_obstacle(rig.router, rig.now)
     rig.advance_time(0.3)
     hedges = rig.pop_sent()
@@ -50,10 +50,10 @@
     assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
-def test_stays_unready_when_what_hung_has_ended() -> None:
+def test_stays_unready_after_hung_requests_have_ended() -> None:
     """The end of what was under way proves nothing; a connection does."""
     rig = make_rig()
-    hung = cut_far(rig)
+    hung = cut_off_south(rig)
     rig.advance_time(0.7)
     hung.extend(rig.pop_sent())
     for send in hung:
@@ -76,15 +76,15 @@
 
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
 #: Shards of which there are targets in this data centre.
-NEAR = 30
+NEAR_SHARDS = 30
 
 
 def make_wide_rig(*, customers: bool) -> router_rig.Rig:
     """Make a host that reaches 30 of 45 shards without the other centre."""
     wide = router_rig.make_route(configs.Gather(WIDE, 3, 0.8))
     targets = [
-        *router_rig.make_instances((*WIDE[:NEAR], 'records')),
-        *router_rig.make_instances(WIDE[NEAR:], 2, 'south'),
+        *router_rig.make_instances((*WIDE[:NEAR_SHARDS], 'records')),
+        *router_rig.make_instances(WIDE[NEAR_SHARDS:], 2, 'south'),
     ]
     rig = router_rig.Rig([], targets)
     routes = (
@@ -101,15 +101,15 @@
     return rig
 
 
-def tell(rig: router_rig.Rig, *silent: str) -> None:
+def report_silent(rig: router_rig.Rig, *silent: str) -> None:
     """Have two hosts beside it tell what they hear nothing of."""
     for name in ('host-2', 'host-3'):
-        word = centres.Word(name, 'north', silent)
-        rig.router.centre_health.take_word(word, rig.now)
+        report = centre_health.SilenceReport(name, 'north', silent)
+        rig.router.centre_health.update_report(report, rig.now)
 
 
 @pytest.mark.parametrize('customers', [True, False])
-def test_a_host_that_is_asked_little_counts_what_others_are_asked(
+def test_a_host_with_few_requests_counts_the_wide_routes(
     *, customers: bool
 ) -> None:
     """Symptom: callers stay in a data centre that is cut off for all the cut.
@@ -120,9 +120,9 @@
     rig = make_wide_rig(customers=customers)
     for _ in range(5):
         rig.send_request('/one/1')
-    tell(rig, 'south')
+    report_silent(rig, 'south')
     assert bool(dispatch.find_obstacle(rig.router, rig.now)) is customers
-    tell(rig)
+    report_silent(rig)
     assert not dispatch.find_obstacle(rig.router, rig.now)
 
 
@@ -130,5 +130,5 @@
     """The shards that it reaches suffice, so its callers are served here."""
     rig = make_wide_rig(customers=True)
     rig.set_targets(router_rig.make_instances((*WIDE, 'records')))
-    tell(rig, 'south')
+    report_silent(rig, 'south')
     assert not dispatch.find_obstacle(rig.router, rig.now)
--- a/tests/routing/test_codecs.py
+++ b/tests/routing/test_report_codecs.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from fuchsiahaven.routing import codecs, configs, facts
+from fuchsiahaven.routing import configs, facts, report_codecs
 from tests.routing import router_rig
 
 ROUTE = router_rig.make_route(configs.Single('one'))
@@ -13,7 +13,7 @@
     configs.Customer('bank'),
 )
 #: A route as hosts of the version before write it.
-WRITTEN = {
+ENCODED_ROUTE = {
     'name': 'route /search/',
     'host': 'shop.example',
     'prefix': '/search/',
@@ -36,56 +36,61 @@
     )
     key = facts.Key(facts.Subject.CONFIGURATION, '')
     return facts.Report(
-        9, (facts.Fact(key, 4, configuration),), whole=True, age=0.5
+        9, (facts.Fact(key, 4, configuration),), full=True, age=0.5
     )
 
 
-def write(report: facts.Report) -> dict[str, Any]:
+def encode_configuration(report: facts.Report) -> dict[str, Any]:
     """Write a report; return its configuration as it is on the wire."""
-    row = json.loads(codecs.write_report(report))
-    found: dict[str, Any] = row['facts'][0]['value']
-    return found
+    row = json.loads(report_codecs.encode_report(report))
+    value: dict[str, Any] = row['facts'][0]['value']
+    return value
 
 
-def test_passes_customers_and_public_routes_on() -> None:
+def test_encodes_customers_and_public_routes() -> None:
     """Nothing is lost between hosts, also where no key is valid."""
     routes = (ROUTE, PUBLIC._replace(public=True))
     for customers in (CUSTOMERS, (), None):
         report = make_report(routes, customers)
-        assert codecs.read_report(codecs.write_report(report)) == report
+        assert (
+            report_codecs.decode_report(report_codecs.encode_report(report))
+            == report
+        )
 
 
-def test_writes_what_it_wrote_before_where_there_are_no_customers() -> None:
+def test_keeps_the_old_encoding_without_customers() -> None:
     """Symptom: a host of the version before reads no report any more.
 
     It takes no route with a field that it does not know.
     """
-    written = write(make_report((ROUTE,), None))
-    assert written == {
+    encoded = encode_configuration(make_report((ROUTE,), None))
+    assert encoded == {
         'version': 3,
-        'routes': [WRITTEN],
+        'routes': [ENCODED_ROUTE],
         'services': [['one', 26, 0.0]],
         'limits': list(configs.Limits()),
     }
     public = ROUTE._replace(public=True)
-    assert write(make_report((public,), ()))['routes'] == [WRITTEN]
+    assert encode_configuration(make_report((public,), ()))['routes'] == [
+        ENCODED_ROUTE
+    ]
 
 
-def test_reads_what_a_host_of_the_version_before_writes() -> None:
+def test_decodes_a_report_of_the_previous_version() -> None:
     """It names neither customers nor public routes."""
     report = make_report((ROUTE,), None)
-    row = json.loads(codecs.write_report(report))
+    row = json.loads(report_codecs.encode_report(report))
     assert row['facts'][0]['value'].keys().isdisjoint(('customers', 'public'))
-    assert codecs.read_report(json.dumps(row).encode()) == report
+    assert report_codecs.decode_report(json.dumps(row).encode()) == report
 
 
-def test_writes_a_proof_rounded_to_the_safe_side() -> None:
+def test_rounds_the_lead_of_a_proof_down() -> None:
     """Symptom: knowledge of keys seems fresher than it is, with each hop."""
     report = make_report((ROUTE,), CUSTOMERS)
-    for lead, told in ((-0.2001, -0.201), (0.3009, 0.3)):
+    for lead, rounded in ((-0.2001, -0.201), (0.3009, 0.3)):
         proof = facts.Proof(lead, 2)
-        read = codecs.read_report(
-            codecs.write_report(report._replace(proof=proof))
+        decoded = report_codecs.decode_report(
+            report_codecs.encode_report(report._replace(proof=proof))
         )
-        assert read.proof == facts.Proof(told, 2)
-    assert 'proof' not in json.loads(codecs.write_report(report))
+        assert decoded.proof == facts.Proof(rounded, 2)
+    assert 'proof' not in json.loads(report_codecs.encode_report(report))
--- a/tests/routing/test_restore_model.py
+++ b/tests/routing/test_restore_model.py
@@ -42,23 +42,23 @@
     def __init__(self) -> None:
         """Start with nothing known."""
         self.store = store_model.Store()
-        self._lives = 0
+        self._start_count = 0
         for number in range(TARGETS):
             self.store.start_target(number)
         self.hosts = [self._start() for _ in range(HOSTS)]
         for host in self.hosts:
-            host.read(everything=True, noticed=False)
+            host.read(everything=True, noticed_outage=False)
         self.steps: dict[str, Callable[..., None]] = {
             'version': self.store.change_version,
             'start': self.store.start_target,
-            'leave': self.store.leave,
+            'leave': self.store.mark_leaving,
             'end': self.store.end_target,
-            'order': self.store.order,
+            'order': self.store.toggle_evacuation,
             'restore': self.store.restore,
             'advance': self.store.advance,
             'read': self._read,
-            'ask': self._ask,
-            'cut': self._cut,
+            'ask': self._poll,
+            'cut': self._toggle_cut,
             'kill': self._kill,
         }
 
@@ -67,25 +67,27 @@
         first = self.hosts[0]
         for _ in range(int(SETTLE_S)):
             self.store.advance(1)
-            first.read(everything=False, noticed=False)
+            first.read(everything=False, noticed_outage=False)
             for host in self.hosts[1:]:
-                host.ask(first)
+                host.poll(first)
 
     def _start(self) -> store_model.Host:
-        self._lives += 1
-        return store_model.Host(self.store, self._lives)
+        self._start_count += 1
+        return store_model.Host(self.store, self._start_count)
 
-    def _read(self, host: int, everything: bool, noticed: bool) -> None:
-        if not self.hosts[host].cut:
-            self.hosts[host].read(everything=everything, noticed=noticed)
+    def _read(self, host: int, everything: bool, noticed_outage: bool) -> None:
+        if not self.hosts[host].is_cut_off:
+            self.hosts[host].read(
+                everything=everything, noticed_outage=noticed_outage
+            )
 
-    def _ask(self, host: int, other: int) -> None:
-        one, two = self.hosts[host], self.hosts[other]
-        if one is not two and one.cut == two.cut:
-            one.ask(two)
+    def _poll(self, host: int, other: int) -> None:
+        first, second = self.hosts[host], self.hosts[other]
+        if first is not second and first.is_cut_off == second.is_cut_off:
+            first.poll(second)
 
-    def _cut(self, host: int) -> None:
-        self.hosts[host].cut = not self.hosts[host].cut
+    def _toggle_cut(self, host: int) -> None:
+        self.hosts[host].is_cut_off = not self.hosts[host].is_cut_off
 
     def _kill(self, host: int) -> None:
         self.hosts[host] = self._start()
@@ -93,8 +95,8 @@
 
 @settings(max_examples=400)
 @given(st.lists(steps, min_size=20, max_size=60))
-def test_hosts_end_with_what_the_store_holds(
-    taken: list[tuple[object, ...]],
+def test_hosts_converge_to_the_store(
+    history: list[tuple[object, ...]],
 ) -> None:
     """Symptom: a host goes back to what it knew before, or stays there.
 
@@ -102,8 +104,8 @@
     target that has told it that it leaves.
     """
     world = World()
-    for name, *arguments in taken:
+    for name, *arguments in history:
         world.steps[str(name)](*arguments)
     world.settle()
     for host in world.hosts:
-        assert host.show() == world.store.wanted
+        assert host.list_values() == world.store.wanted
--- a/tests/routing/test_returns.py
+++ b/tests/routing/test_returns.py
@@ -120,7 +120,7 @@
     """Symptom: all callers come back at once after keys were withdrawn."""
     rig = make_rig(CUSTOMERS)
     rig.router.controls.freshness.revoke_s = 5.0
-    rig.router.controls.freshness.note_configuration(
+    rig.router.controls.freshness.update_configuration(
         rig.router.index.configuration
     )
     told = set()
--- a/tests/routing/test_split_loads.py
+++ b/tests/routing/test_split_loads.py
@@ -14,10 +14,10 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     dispatch,
     events,
     instances,
-    places,
     states,
 )
 from tests.routing import router_rig
@@ -26,7 +26,7 @@
 HOST_COUNT = 60
 STEADY_TOLERANCE = 0.1
 SHORTAGE_TOLERANCE = 0.2
-EXTRA_LOAD = places.ExtraLoad(0.2, 300.0, 10.0)
+EXTRA_LOAD = deployments.ExtraLoadLimit(0.2, 300.0, 10.0)
 
 
 def make_configuration_event(
@@ -94,7 +94,7 @@
         return shares
 
     def _start(self, number: int) -> states.Router:
-        host = places.Host(f'host-{number}', str(number), 'north')
+        host = deployments.Host(f'host-{number}', str(number), 'north')
         router = states.Router(host, EXTRA_LOAD, self.random.random)
         dispatch.handle_event(router, self._configuration_event, self.now)
         dispatch.handle_event(router, events.HostsChanged(HOST_COUNT), self.now)
@@ -227,7 +227,7 @@
         case _:
             cold = [it._replace(warming=5.0) for it in own_targets]
             for router in fleet.routers:
-                router.warmups.terms = places.WarmUp(1.2, 3.0)
+                router.warmups.limit = deployments.WarmUpLimit(1.2, 3.0)
             fleet.set_targets([*others, *cold])
 
 
--- a/tests/routing/test_suspect_codecs.py
+++ b/tests/routing/test_suspect_codecs.py
@@ -8,13 +8,13 @@
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
     assist_codecs,
-    codecs,
     events,
     facts,
+    report_codecs,
     suspect_codecs,
 )
 
-NEWS = suspects.SuspectReport(
+REPORT = suspects.SuspectReport(
     request_identities.identify('shop', b'one'),
     1,
     2,
@@ -23,27 +23,32 @@
     ('a',),
     'host-1',
 )
-NOTICE = suspect_codecs.Notice((NEWS,), 2)
+NOTICE = suspect_codecs.SuspectNotice((REPORT,), 2)
 
 
-def test_reads_what_it_writes() -> None:
+def test_decodes_what_it_encodes() -> None:
     """Nothing is lost on the way."""
-    written = suspect_codecs.write_notice(NOTICE)
-    assert suspect_codecs.read_notice(written) == NOTICE
+    encoded = suspect_codecs.encode_notice(NOTICE)
+    assert suspect_codecs.decode_notice(encoded) == NOTICE
 
 
-def test_a_share_tells_what_its_host_knows() -> None:
+def test_a_share_carries_a_suspect_report() -> None:
     """Who asked for help stops where the helper's targets ended."""
-    share = events.DelegationReport((), b'', (), (), is_last=True, suspect=NEWS)
-    written = assist_codecs.write_share(share)
-    assert assist_codecs.read_share(written) == share
+    share = events.DelegationReport(
+        (), b'', (), (), is_last=True, suspect=REPORT
+    )
+    encoded = assist_codecs.write_share(share)
+    assert assist_codecs.read_share(encoded) == share
 
 
-def test_a_report_tells_of_quarantines() -> None:
+def test_a_report_carries_quarantines() -> None:
     """Hosts that the store turns away learn of them from others."""
-    key = facts.Key(facts.Subject.QUARANTINE, NEWS.identity.digest)
-    report = facts.Report(9, (facts.Fact(key, 9, NEWS),), True, 0.0)
-    assert codecs.read_report(codecs.write_report(report)) == report
+    key = facts.Key(facts.Subject.QUARANTINE, REPORT.identity.digest)
+    report = facts.Report(9, (facts.Fact(key, 9, REPORT),), True, 0.0)
+    assert (
+        report_codecs.decode_report(report_codecs.encode_report(report))
+        == report
+    )
 
 
 @pytest.mark.parametrize(
@@ -63,12 +68,12 @@
         {'host': None},
     ],
 )
-def test_refuses_what_is_spoilt(spoilt: dict[str, Any]) -> None:
+def test_rejects_invalid_fields(invalid: dict[str, Any]) -> None:
     """Symptom: one bad message has every host refuse requests."""
-    row = {**suspect_codecs.write_news(NEWS), **spoilt}
-    text = json.dumps({'news': [row], 'hops': 0}).encode()
+    row = {**suspect_codecs.encode_report(REPORT), **invalid}
+    data = json.dumps({'news': [row], 'hops': 0}).encode()
     with pytest.raises(ValueError):
-        suspect_codecs.read_notice(text)
+        suspect_codecs.decode_notice(data)
 
 
 @pytest.mark.parametrize(
@@ -83,7 +88,7 @@
         b'[' * 100_000,
     ],
 )
-def test_refuses_what_is_no_notice(text: bytes) -> None:
+def test_rejects_malformed_notices(data: bytes) -> None:
     """Whatever comes, the host goes on."""
     with pytest.raises(ValueError):
-        suspect_codecs.read_notice(text)
+        suspect_codecs.decode_notice(data)
--- a/tests/routing/test_standings.py
+++ b/tests/routing/test_target_health.py
@@ -2,7 +2,7 @@
 
 from fuchsiahaven.core.queries import hedges
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import configs, events, standings
+from fuchsiahaven.routing import configs, events, target_health
 from tests.routing import router_rig
 
 SINGLE = router_rig.make_route(configs.Single('records'), prefix='/one/')
@@ -14,7 +14,7 @@
     return router_rig.Rig([SINGLE], targets)
 
 
-def list_beliefs(rig: router_rig.Rig) -> list[tuple[str, str]]:
+def list_health_changes(rig: router_rig.Rig) -> list[tuple[str, str]]:
     """List what was told of targets."""
     return [
         (it.target, it.status)
@@ -23,21 +23,21 @@
     ]
 
 
-def test_leaves_a_target_out_that_refuses_connections() -> None:
+def test_excludes_a_target_that_refuses_connections() -> None:
     """It is tried again soon, and longer and longer after each failure."""
     rig = make_rig(1)
-    pauses = []
+    exclusions = []
     for _ in range(4):
         rig.send_request('/one/1')
         (send,) = rig.pop_sent()
         rig.fail_to_send(send)
-        known = rig.router.target_health.get(send.instance.name)
-        pauses.append(round(known.down - rig.now, 3))
-        rig.advance_time(pauses[-1] + 0.01)
-    assert pauses == [0.2, 0.4, 0.8, 0.8]
+        health = rig.router.target_health.get(send.instance.name)
+        exclusions.append(round(health.excluded_until - rig.now, 3))
+        rig.advance_time(exclusions[-1] + 0.01)
+    assert exclusions == [0.2, 0.4, 0.8, 0.8]
 
 
-def test_tells_once_that_a_target_is_left_out_and_back() -> None:
+def test_reports_each_exclusion_and_return_once() -> None:
     """The log has a line for each change of what the host believes."""
     rig = make_rig(1)
     rig.send_request('/one/1')
@@ -48,7 +48,10 @@
     (send,) = rig.pop_sent()
     rig.answer(send)
     name = send.instance.name
-    assert list_beliefs(rig) == [(name, 'left out'), (name, 'used again')]
+    assert list_health_changes(rig) == [
+        (name, 'left out'),
+        (name, 'used again'),
+    ]
 
 
 def test_avoids_a_target_whose_answers_fail() -> None:
@@ -68,7 +71,7 @@
     assert failed <= 5
 
 
-def test_waits_longer_for_targets_that_take_long() -> None:
+def test_tolerates_longer_silence_of_slow_targets() -> None:
     """Symptom: slow but sound targets are taken for dead.
 
     A request that usually takes 300 ms is out for 500 ms: that is no silence.
@@ -81,29 +84,29 @@
     rig.send_request('/one/1')
     rig.pop_sent()
     rig.now += 0.5
-    known = rig.router.target_health.get('records-0')
-    assert not standings.is_doubtful(known, rig.now)
+    health = rig.router.target_health.get('records-0')
+    assert not target_health.is_unconfirmed(health, rig.now)
     rig.now += 2
-    assert standings.is_doubtful(known, rig.now)
+    assert target_health.is_unconfirmed(health, rig.now)
 
 
-def test_describes_how_a_target_stands() -> None:
+def test_describes_the_health_of_a_target() -> None:
     """People see latency, or why a target gets nothing."""
     rig = make_rig(1)
     rig.send_request('/one/1')
     (send,) = rig.pop_sent()
     rig.now += 0.012
     rig.answer(send)
-    known = rig.router.target_health.get('records-0')
-    assert standings.describe(known, rig.now) == '12 ms'
+    health = rig.router.target_health.get('records-0')
+    assert target_health.describe(health, rig.now) == '12 ms'
     rig.send_request('/one/1')
     (send,) = rig.pop_sent()
     rig.break_attempt(send, messages.Fault.TIMED_OUT)
-    known = rig.router.target_health.get('records-0')
-    assert standings.describe(known, rig.now) == 'left out'
+    health = rig.router.target_health.get('records-0')
+    assert target_health.describe(health, rig.now) == 'left out'
 
 
-def test_stays_near_while_a_slot_is_free_there() -> None:
+def test_prefers_a_near_target_with_a_free_slot() -> None:
     """Symptom: a quarter of what crosses data centres does so for nothing.
 
     One request is under way at the near target, which has two slots; the next
@@ -114,8 +117,10 @@
     rig = router_rig.Rig([SINGLE], [near, far])
     for target in (near, far):
         key = events.AttemptKey(0, 'records', 1)
-        rig.router.target_health.note_sent(target.name, key, rig.now - 0.06)
-        rig.router.target_health.note_answered(target.name, key, rig.now, None)
+        rig.router.target_health.record_sent(target.name, key, rig.now - 0.06)
+        rig.router.target_health.record_answered(
+            target.name, key, rig.now, None
+        )
     chosen = []
     for _ in range(2 * near.slots):
         rig.send_request('/one/1')
@@ -124,18 +129,18 @@
     assert far.name in chosen
 
 
-def ask_alone(rig: router_rig.Rig, work: float) -> str:
+def send_single_request(rig: router_rig.Rig, duration: float) -> str:
     """Ask for a record that takes so long; return who was asked."""
     rig.send_request('/one/1', wait=5)
     (sent,) = rig.pop_sent()
-    rig.advance_time(work)
+    rig.advance_time(duration)
     rig.answer(sent)
     rig.pop_outcome()
     rig.pop_sent()
     return sent.instance.name
 
 
-def test_a_far_target_is_not_tried_to_see_how_fast_it_is() -> None:
+def test_does_not_probe_the_latency_of_a_far_target() -> None:
     """Symptom: a third of all records cross between data centres.
 
     Records take 220 ms. A target that was not asked for some seconds looked
@@ -150,12 +155,12 @@
     )
     chosen = set()
     for _ in range(40):
-        chosen.add(ask_alone(rig, 0.22))
+        chosen.add(send_single_request(rig, 0.22))
         rig.advance_time(1)
     assert chosen == {near.name}
 
 
-def test_a_far_target_is_used_where_the_near_one_is_slow() -> None:
+def test_uses_a_far_target_when_the_near_one_is_slow() -> None:
     """Second sendings show that the far one is faster; it is believed then."""
     near, far = router_rig.make_instances(['records'])
     far = far._replace(data_centre='maipu')
@@ -167,15 +172,15 @@
         sent = rig.pop_sent()
         rig.answer(sent[-1])
         rig.advance_time(0.2)
-        for one in sent[:-1]:
-            rig.answer(one)
+        for send in sent[:-1]:
+            rig.answer(send)
     rig.replies = []
     rig.send_request('/one/1')
     (sent_last,) = rig.pop_sent()
     assert sent_last.instance.name == far.name
 
 
-def test_a_far_target_is_used_at_once_where_a_near_one_is_unusually_slow() -> (
+def test_uses_an_unmeasured_far_target_when_the_near_one_is_unusually_slow() -> (
     None
 ):
     """Symptom: queries are late for two seconds after a reshard.
@@ -191,8 +196,8 @@
         window = hedges.record_latency(window, 0.02)
     rig.router.latency_windows[SINGLE.name] = window
     key = events.AttemptKey(0, 'records', 1)
-    rig.router.target_health.note_sent(near.name, key, rig.now - 0.3)
-    rig.router.target_health.note_answered(near.name, key, rig.now, None)
+    rig.router.target_health.record_sent(near.name, key, rig.now - 0.3)
+    rig.router.target_health.record_answered(near.name, key, rig.now, None)
     rig.send_request('/one/1')
     (sent,) = rig.pop_sent()
     assert sent.instance.name == far.name
--- a/tests/routing/test_warmups.py
+++ b/tests/routing/test_warmups.py
@@ -8,16 +8,16 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
     configs,
+    deployments,
     events,
     instances,
-    places,
     warmups,
 )
 from tests.routing import router_rig
 
-TERMS: Final = places.WarmUp(1.5, 5)
+LIMIT: Final = deployments.WarmUpLimit(1.5, 5)
 STEP_S: Final = 0.05
-LAST_S: Final = 8.0
+DURATION_S: Final = 8.0
 SHARDS: Final = tuple(f's-{number:02}' for number in range(50))
 ROUTES: Final = (
     router_rig.make_route(configs.Gather(SHARDS, 5, 0.5)),
@@ -38,10 +38,10 @@
     )
 
 
-def make_hosts(count: int) -> list[places.Host]:
+def make_hosts(count: int) -> list[deployments.Host]:
     """Make hosts, every other one in the north."""
     return [
-        places.Host(
+        deployments.Host(
             f'host-{number}',
             f'10.0.0.{number}:7000',
             ('north', 'south')[number % 2],
@@ -50,96 +50,100 @@
     ]
 
 
-class Change(NamedTuple):
+class HostChange(NamedTuple):
     """Tell that a host comes or goes; each other host hears with a lag."""
 
-    when: float
+    at: float
     host: int
-    lags: tuple[float, ...]
+    delays: tuple[float, ...]
 
 
 HOSTS: Final = 8
 ALL_HOSTS: Final = make_hosts(HOSTS)
-LAGS: Final = strategies.floats(0, warmups.SETTLE_S - 0.01)
+DELAYS: Final = strategies.floats(0, warmups.HOSTS_SETTLE_S - 0.01)
 CHANGES: Final = strategies.lists(
     strategies.builds(
-        Change,
-        strategies.floats(0, LAST_S),
+        HostChange,
+        strategies.floats(0, DURATION_S),
         strategies.integers(0, HOSTS - 1),
-        strategies.tuples(*[LAGS] * HOSTS),
+        strategies.tuples(*[DELAYS] * HOSTS),
     ),
     max_size=4,
 )
 
 
 def list_views(
-    changes: list[Change], own: int
+    changes: list[HostChange], own: int
 ) -> list[tuple[float, frozenset[int]]]:
     """List when a host hears of which set of hosts, the last word last."""
-    there = set(range(HOSTS))
-    heard = 0.0
-    views = [(-10.0, frozenset(there))]
+    present = set(range(HOSTS))
+    seen_at = 0.0
+    views = [(-10.0, frozenset(present))]
     for change in sorted(changes):
-        there ^= {change.host}
+        present ^= {change.host}
         # Revisions never go back, so what comes late comes with the next.
-        heard = max(heard, change.when + change.lags[own])
-        views.append((heard, frozenset(there)))
+        seen_at = max(seen_at, change.at + change.delays[own])
+        views.append((seen_at, frozenset(present)))
     return views
 
 
 class Sender(NamedTuple):
     """Hold one host, and when it hears of which hosts."""
 
-    known: warmups.Warmups
+    warmups: warmups.Warmups
     views: list[tuple[float, frozenset[int]]]
 
 
 def make_sender(
-    own: int, one: instances.Instance, changes: list[Change]
+    own: int, instance: instances.Instance, changes: list[HostChange]
 ) -> Sender:
     """Make a host that knows of a cold target."""
-    known = warmups.Warmups(ALL_HOSTS[own])
-    known.terms = TERMS
-    known.note_targets(instances.EMPTY, instances.build_directory([one]), 0)
-    return Sender(known, list_views(changes, own))
+    sender_warmups = warmups.Warmups(ALL_HOSTS[own])
+    sender_warmups.limit = LIMIT
+    sender_warmups.update_targets(
+        instances.EMPTY_DIRECTORY, instances.build_directory([instance]), 0
+    )
+    return Sender(sender_warmups, list_views(changes, own))
 
 
-def hear(sender: Sender, now: float) -> None:
+def update_hosts(sender: Sender, now: float) -> None:
     """Have a host hear what it has heard by now."""
     while sender.views and sender.views[0][0] <= now:
-        when, there = sender.views.pop(0)
-        sender.known.note_hosts([ALL_HOSTS[it] for it in sorted(there)], when)
+        at, present = sender.views.pop(0)
+        sender.warmups.update_hosts(
+            [ALL_HOSTS[it] for it in sorted(present)], at
+        )
 
 
 def send_all(
-    rate: float, changes: list[Change], waits: list[float], target: str
+    rate: float, changes: list[HostChange], waits: list[float], target: str
 ) -> list[float]:
     """Have each host send all that it may; list when it leaves."""
     index = make_index(rate)
-    one = COLD._replace(service=target)
-    left: list[float] = []
+    instance = COLD._replace(service=target)
+    sent: list[float] = []
     for own in range(HOSTS):
-        sender = make_sender(own, one, changes)
-        for step in range(int(LAST_S / STEP_S)):
+        sender = make_sender(own, instance, changes)
+        for step in range(int(DURATION_S / STEP_S)):
             now = step * STEP_S
-            hear(sender, now)
-            while sender.known.may_send(one, index, now):
-                sender.known.note_sent(one, now)
-                left.append(now + waits[len(left) % len(waits)])
-    return sorted(left)
+            update_hosts(sender, now)
+            while sender.warmups.may_send(instance, index, now):
+                sender.warmups.record_sent(instance, now)
+                sent.append(now + waits[len(sent) % len(waits)])
+    return sorted(sent)
 
 
 @given(
     rate=strategies.sampled_from([0.0, 1.0, 4.0, 20.0]),
     changes=CHANGES,
     waits=strategies.lists(
-        strategies.floats(0, warmups.WINDOW_S - 1), min_size=1, max_size=9
+        strategies.floats(0, warmups.RATE_WINDOW_S - 1), min_size=1, max_size=9
     ),
     target=strategies.sampled_from(['records', 's-20']),
 )
 @settings(max_examples=60, deadline=None)
-def test_no_second_brings_more_than_a_cold_target_bears(
-    rate: float, changes: list[Change], waits: list[float], target: str
+def test_no_second_exceeds_the_limit_of_a_cold_target(
+    rate: float, changes: list[HostChange], waits: list[float], target: str
 ) -> None:
     """Symptom: a target that has just started falls over under all hosts.
 
@@ -147,31 +151,31 @@
     what is sent waits for a connection. In no second that anybody may lay does
     more leave than the target bears.
     """
-    left = send_all(rate, changes, waits, target)
-    bound = rate * TERMS.overage + TERMS.slack
-    assert left or changes
-    for first in left:
-        assert sum(first <= it < first + 1 for it in left) <= bound
+    sent = send_all(rate, changes, waits, target)
+    bound = rate * LIMIT.overage + LIMIT.slack
+    assert sent or changes
+    for first in sent:
+        assert sum(first <= it < first + 1 for it in sent) <= bound
 
 
 @pytest.mark.parametrize('target', ['records', 's-20'])
-def test_cold_targets_get_most_of_what_they_bear(target: str) -> None:
+def test_cold_targets_get_most_of_their_limit(target: str) -> None:
     """While no host comes or goes the bound is used, and not by one host."""
-    left = send_all(20.0, [], [0.0], target)
-    used = sum(4 <= it < 4 + warmups.WINDOW_S for it in left)
-    assert used >= 0.6 * (20 * TERMS.overage + TERMS.slack)
+    sent = send_all(20.0, [], [0.0], target)
+    used = sum(4 <= it < 4 + warmups.RATE_WINDOW_S for it in sent)
+    assert used >= 0.6 * (20 * LIMIT.overage + LIMIT.slack)
 
 
 def make_rig(rate: float, *targets: instances.Instance) -> router_rig.Rig:
     """Make a host that is not among those that may send to the targets."""
     rig = router_rig.Rig(ROUTES, targets)
-    rig.router.warmups.terms = TERMS
+    rig.router.warmups.limit = LIMIT
     configuration = make_index(rate).configuration._replace(version=2)
     rig.post(events.ConfigurationReceived(configuration))
     return rig
 
 
-def test_spares_cold_targets_while_there_are_warm_ones() -> None:
+def test_prefers_warm_targets() -> None:
     """Symptom: a release costs answers, as each new target is slow at first."""
     warm = COLD._replace(
         name='warm', id='warm', data_centre='south', warming=0.0
@@ -182,7 +186,7 @@
     assert {send.instance.name for send in rig.pop_sent()} == {'warm'}
 
 
-def test_leaves_out_at_once_what_only_cold_targets_could_take() -> None:
+def test_refuses_at_once_what_only_cold_targets_could_serve() -> None:
     """Symptom: all targets of a service crash again as soon as they return.
 
     All of them are cold, and this host does not know yet which hosts there
@@ -198,7 +202,7 @@
     assert not rig.pop_sent()
 
 
-def test_uses_cold_targets_that_name_no_rate() -> None:
+def test_uses_cold_targets_without_a_rate() -> None:
     """A service that names no rate is spared, but not at a caller's cost."""
     rig = make_rig(0.0, COLD)
     for _ in range(9):
@@ -206,25 +210,27 @@
     assert len(rig.pop_sent()) == 9
 
 
-def test_a_target_counts_as_warm_in_the_end() -> None:
+def test_a_target_is_warm_after_its_warmup_without_reports() -> None:
     """Symptom: a target gets nothing as long as the store is down.
 
     Its last entry says that it is cold, and no other one comes.
     """
-    known = warmups.Warmups(router_rig.HOST)
+    host_warmups = warmups.Warmups(router_rig.HOST)
     cold = COLD._replace(warming=3.0)
-    known.note_targets(instances.EMPTY, instances.build_directory([cold]), 10)
-    assert known.is_cold(cold, 13)
-    assert not known.is_cold(cold, 13 + warmups.LAPSE_S)
+    host_warmups.update_targets(
+        instances.EMPTY_DIRECTORY, instances.build_directory([cold]), 10
+    )
+    assert host_warmups.is_cold(cold, 13)
+    assert not host_warmups.is_cold(cold, 13 + warmups.WARM_DELAY_S)
 
 
-def test_a_whole_data_centre_is_cold_when_it_is_used_again() -> None:
+def test_all_targets_of_a_reused_data_centre_are_cold() -> None:
     """Its entries still say that it is warm; they are a heartbeat old."""
-    known = warmups.Warmups(router_rig.HOST)
+    host_warmups = warmups.Warmups(router_rig.HOST)
     warm = COLD._replace(warming=0.0)
     evacuated = instances.build_directory([warm], {'north'})
-    used = instances.build_directory([warm])
-    known.note_targets(evacuated, used, 10)
-    assert known.is_cold(warm, 10 + warmups.RETURN_S - 0.1)
-    known.note_targets(used, used, 10 + warmups.RETURN_S)
-    assert not known.is_cold(warm, 10 + warmups.RETURN_S)
+    reused = instances.build_directory([warm])
+    host_warmups.update_targets(evacuated, reused, 10)
+    assert host_warmups.is_cold(warm, 10 + warmups.REUSE_COLD_S - 0.1)
+    host_warmups.update_targets(reused, reused, 10 + warmups.REUSE_COLD_S)
+    assert not host_warmups.is_cold(warm, 10 + warmups.REUSE_COLD_S)
--- a/tests/routing/test_wide_hedges.py
+++ b/tests/routing/test_wide_hedges.py
@@ -2,10 +2,10 @@
 
 from hypothesis import given, strategies
 
-from fuchsiahaven.routing import places, wide_hedges
+from fuchsiahaven.routing import deployments, wide_hedges
 
 HOSTS = [
-    places.Host(f'host-{number}', f'10.0.2.{number}:1', 'north')
+    deployments.Host(f'host-{number}', f'10.0.2.{number}:1', 'north')
     for number in range(4)
 ]
 
