--- a/bench/lines.py
+++ b/bench/lines.py
@@ -2,7 +2,13 @@
 
 from collections.abc import Callable, Sequence
 
-from fuchsiahaven.routing import events, rooms, states, turns, waitings
+from fuchsiahaven.routing import (
+    contention,
+    events,
+    fair_queues,
+    queued_work,
+    states,
+)
 
 Perform = Callable[[int, events.Action, float], None]
 
@@ -16,8 +22,8 @@
         """Start with nothing that waits."""
         self._desks = desks
         self._perform = perform
-        self._turns: list[turns.Turns[waitings.New]] = [
-            turns.Turns() for _ in desks
+        self._turns: list[fair_queues.FairQueue[queued_work.NewEvent]] = [
+            fair_queues.FairQueue() for _ in desks
         ]
 
     def keep(self, host: int, event: object, now: float) -> bool:
@@ -27,29 +33,33 @@
         ):
             return False
         desk = self._desks[host]
-        if not rooms.is_contended(desk.index):
+        if not contention.is_contended(desk.index):
             return False
-        work = waitings.weigh(desk, event, now)
+        work = queued_work.make_work(desk, event, now)
         if work is None:
             return False
-        left = self._turns[host].offer(work)
+        left = self._turns[host].push(work)
         if left is not None:
-            self._refuse(host, left, waitings.Why.FULL, now)
+            self._refuse(host, left, queued_work.QueueRefusal.FULL, now)
         return True
 
-    def take(self, host: int, now: float) -> waitings.New | None:
+    def take(self, host: int, now: float) -> queued_work.NewEvent | None:
         """Take what is next, and refuse what is too late."""
-        for late in self._turns[host].take_late(now):
-            self._refuse(host, late, waitings.Why.LATE, now)
-        work = self._turns[host].take()
-        return None if work is None else work.what
+        for late in self._turns[host].pop_expired(now):
+            self._refuse(host, late, queued_work.QueueRefusal.LATE, now)
+        work = self._turns[host].pop()
+        return None if work is None else work.payload
 
     def has_more(self, host: int) -> bool:
         """Tell whether anything waits at a host."""
         return bool(self._turns[host])
 
     def _refuse(
-        self, host: int, work: waitings.Work, why: waitings.Why, now: float
+        self,
+        host: int,
+        work: queued_work.Work,
+        why: queued_work.QueueRefusal,
+        now: float,
     ) -> None:
-        for action in waitings.hand_back(self._desks[host], work, why, now):
+        for action in queued_work.refuse(self._desks[host], work, why, now):
             self._perform(host, action, now)
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -19,7 +19,7 @@
 from hdrh import histogram
 
 from bench import model, shapes, targets
-from fuchsiahaven.routing import duties
+from fuchsiahaven.routing import chunk_assignments
 
 STANDS: Final = 'stands'
 PACKAGE: Final = 'fuchsiahaven.routing'
@@ -68,8 +68,8 @@
         changed = type(usual)(float(text))
         stack.enter_context(mock.patch.object(module, constant, changed))
     # What was worked out with other constants is not to be found there.
-    duties.find_chunks.cache_clear()
-    stack.callback(duties.find_chunks.cache_clear)
+    chunk_assignments.find_chunks.cache_clear()
+    stack.callback(chunk_assignments.find_chunks.cache_clear)
 
 
 def play(
--- a/fuchsiahaven/relay/assistants.py
+++ b/fuchsiahaven/relay/assistants.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import exchanges
 from fuchsiahaven.relay import encodings, idles, links, openers, traffic
-from fuchsiahaven.routing import assist_codecs, events, report_codecs
+from fuchsiahaven.routing import delegation_codecs, events, report_codecs
 
 PATH: Final = '/v1/assist'
 OK: Final = 200
@@ -107,7 +107,7 @@
 
     def _start(self, link: links.Link, delegate: events.Delegate) -> None:
         now = self._clock()
-        body = assist_codecs.write_assist(delegate.assist, now)
+        body = delegation_codecs.encode_request(delegate.assist, now)
         expires = delegate.assist.deadline + PATIENCE_S
         self._busy[link] = Busy(
             delegate, bytearray(), expires, encodings.Unpacker()
@@ -143,7 +143,7 @@
         while (end := busy.received.find(b'\n')) >= 0:
             line = bytes(busy.received[:end])
             del busy.received[: end + 1]
-            share = assist_codecs.read_share(line)
+            share = delegation_codecs.decode_report(line)
             self._report(
                 events.DelegationReportReceived(busy.delegate.key, share)
             )
--- a/fuchsiahaven/relay/datagrams.py
+++ b/fuchsiahaven/relay/datagrams.py
@@ -9,7 +9,7 @@
 from fuchsiahaven.routing import (
     deployments,
     quota_codecs,
-    quota_words,
+    quota_messages,
     quotas,
     report_codecs,
 )
@@ -20,11 +20,11 @@
 HEAD_BYTES: Final = 28
 
 
-def make_terms(settings: deployments.Settings) -> quotas.Terms:
+def make_terms(settings: deployments.Settings) -> quotas.Settings:
     """Make the terms that quotas are kept by on this host."""
     start = random.getrandbits(START_BITS)
     centres = settings.data_centres or (settings.host.data_centre,)
-    return quotas.Terms(settings.quota, centres, start)
+    return quotas.Settings(settings.quota, centres, start)
 
 
 class Datagrams:
@@ -36,12 +36,12 @@
         kept: quotas.Quotas,
         log: journal.Journal,
         counted: traffic.Traffic,
-        post: Callable[[quota_words.Heard], None],
+        post: Callable[[quota_messages.MessageReceived], None],
     ) -> None:
         """Prepare without listening."""
         self._host = settings.host
         self._quotas = kept
-        self._quotas.terms = make_terms(settings)
+        self._quotas.settings = make_terms(settings)
         self._opening: set[asyncio.Task[None]] = set()
         self._log = log
         self._traffic = counted
@@ -54,7 +54,7 @@
         Without it no holder can be asked, and customers' requests are refused
         here; those of others are served.
         """
-        if self._transport is not None or self._quotas.terms.quota is None:
+        if self._transport is not None or self._quotas.settings.quota is None:
             return
         loop = asyncio.get_running_loop()
         try:
@@ -69,8 +69,8 @@
 
     def reload(self, settings: deployments.Settings) -> None:
         """Take other bounds of the deployment."""
-        terms = self._quotas.terms
-        self._quotas.terms = terms._replace(quota=settings.quota)
+        terms = self._quotas.settings
+        self._quotas.settings = terms._replace(quota=settings.quota)
         task = asyncio.create_task(self.open())
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
@@ -84,12 +84,12 @@
             self._transport = None
 
     def tell(
-        self, told: quota_words.Tell, near: Iterable[deployments.Host]
+        self, told: quota_messages.SendMessage, near: Iterable[deployments.Host]
     ) -> None:
         """Send a word to a host; those `near` are in this data centre."""
         if self._transport is None:
             return
-        datagram = quota_codecs.write_word(told.word)
+        datagram = quota_codecs.encode_message(told.message)
         try:
             self._transport.sendto(datagram, _read_address(told.address))
         except (OSError, ValueError) as error:
@@ -101,13 +101,13 @@
 
     def _take(self, datagram: bytes, sender: str) -> None:
         try:
-            word = quota_codecs.read_word(datagram)
+            word = quota_codecs.decode_message(datagram)
         except report_codecs.MalformedReport as error:
             self._log.tell_request(
                 PART, 'malformed', good=False, why=str(error), sender=sender
             )
             return
-        self._post(quota_words.Heard(word, sender))
+        self._post(quota_messages.MessageReceived(word, sender))
 
     def _note_error(self, error: Exception) -> None:
         self._log.tell_request(PART, 'not sent', good=False, why=str(error))
--- a/fuchsiahaven/relay/fleets.py
+++ b/fuchsiahaven/relay/fleets.py
@@ -5,11 +5,11 @@
 from fuchsiahaven.relay import pools, traffic
 from fuchsiahaven.routing import (
     admission,
-    duties,
+    chunk_assignments,
+    connection_shares,
     events,
     instances,
     reachability,
-    seats,
     states,
 )
 
@@ -103,7 +103,7 @@
         return pool
 
     def _may_leave(self, key: events.AttemptKey) -> bool:
-        return admission.may_leave(self._desk, key)
+        return admission.may_send(self._desk, key)
 
     def _seat(self, pool: pools.Pool) -> None:
         desk = self._desk
@@ -111,7 +111,9 @@
         if service is None:
             return
         hosts = (*desk.hosts, desk.host)
-        sharers = duties.count_sharers(
+        sharers = chunk_assignments.count_sharers(
             service.name, desk.index.wide_shards, hosts, desk.host_count
         )
-        pool.seats = seats.count_seats(service.connections, sharers)
+        pool.seats = connection_shares.compute_connections(
+            service.connections, sharers
+        )
--- a/fuchsiahaven/relay/meters.py
+++ b/fuchsiahaven/relay/meters.py
@@ -13,7 +13,7 @@
 
 from fuchsiahaven.core import suspects
 from fuchsiahaven.relay import accounts, news, orders, runner
-from fuchsiahaven.routing import events, waitings
+from fuchsiahaven.routing import events, queued_work
 
 #: Seconds; finer where the objectives of the routes lie.
 BUCKETS: Final = (
@@ -74,7 +74,7 @@
 
     def note(self, story: events.RequestSummary) -> None:
         """Count one request; parts that go back are counted as such."""
-        if story.result == waitings.HANDED_BACK:
+        if story.result == queued_work.HANDED_BACK:
             return
         self.outcomes[story.result] += 1
         self._by_bucket[bisect.bisect_left(BUCKETS, story.took)] += 1
--- a/fuchsiahaven/relay/orders.py
+++ b/fuchsiahaven/relay/orders.py
@@ -10,7 +10,13 @@
 import time
 from collections.abc import Callable, Iterable
 
-from fuchsiahaven.routing import events, rooms, states, turns, waitings
+from fuchsiahaven.routing import (
+    contention,
+    events,
+    fair_queues,
+    queued_work,
+    states,
+)
 
 
 class Figures:
@@ -26,11 +32,11 @@
             collections.Counter()
         )
 
-    def note_begun(self, work: waitings.Work, now: float) -> None:
+    def note_begun(self, work: queued_work.Work, now: float) -> None:
         """Count work that waited and was begun."""
         self.begun[work.priority] += 1
         before = self.waited.get(work.priority, 0.0)
-        self.waited[work.priority] = before + now - work.came
+        self.waited[work.priority] = before + now - work.arrived
 
 
 class Order:
@@ -46,13 +52,15 @@
         self._desk = desk
         self._post = post
         self._perform = perform
-        self._turns: turns.Turns[waitings.New] = turns.Turns()
-        self.figures = Figures(self._turns.count)
+        self._turns: fair_queues.FairQueue[queued_work.NewEvent] = (
+            fair_queues.FairQueue()
+        )
+        self.figures = Figures(self._turns.count_by_priority)
         self._begun = False
 
-    def take(self, event: waitings.New) -> None:
+    def take(self, event: queued_work.NewEvent) -> None:
         """Take new work; where customers compete, in its turn."""
-        if not rooms.is_contended(self._desk.index):
+        if not contention.is_contended(self._desk.index):
             self._post(event)
         elif self._begun or self._turns:
             self._wait(event)
@@ -61,26 +69,28 @@
 
     def drop(self, number: int) -> bool:
         """Drop what nobody waits for any more; tell whether it waited."""
-        return self._turns.drop(number) is not None
+        return self._turns.remove(number) is not None
 
     def reorder(self) -> None:
         """Go by the priorities that hold now, for what waits as well."""
-        self._turns.reorder(lambda it: waitings.find_priority(self._desk, it))
+        self._turns.update_priorities(
+            lambda it: queued_work.find_priority(self._desk, it)
+        )
 
     def refuse_all(self) -> None:
         """Refuse all that waits, because this host stops."""
-        self._refuse(self._turns.take_all(), waitings.Why.STOPPING)
+        self._refuse(self._turns.pop_all(), queued_work.QueueRefusal.STOPPING)
 
-    def _wait(self, event: waitings.New) -> None:
-        work = waitings.weigh(self._desk, event, time.monotonic())
+    def _wait(self, event: queued_work.NewEvent) -> None:
+        work = queued_work.make_work(self._desk, event, time.monotonic())
         if work is None:
             self._post(event)
             return
-        left = self._turns.offer(work)
+        left = self._turns.push(work)
         if left is not None:
-            self._refuse((left,), waitings.Why.FULL)
+            self._refuse((left,), queued_work.QueueRefusal.FULL)
 
-    def _begin(self, event: waitings.New) -> None:
+    def _begin(self, event: queued_work.NewEvent) -> None:
         self._book()
         self._post(event)
 
@@ -97,17 +107,19 @@
         # Before anything that may fail: what waits must not wait for ever.
         self._book()
         now = time.monotonic()
-        self._refuse(self._turns.take_late(now), waitings.Why.LATE)
-        work = self._turns.take()
+        self._refuse(
+            self._turns.pop_expired(now), queued_work.QueueRefusal.LATE
+        )
+        work = self._turns.pop()
         if work is not None:
             self.figures.note_begun(work, now)
-            self._post(work.what)
+            self._post(work.payload)
 
     def _refuse(
-        self, works: Iterable[waitings.Work], why: waitings.Why
+        self, works: Iterable[queued_work.Work], why: queued_work.QueueRefusal
     ) -> None:
         now = time.monotonic()
         for work in works:
             self.figures.refused[work.priority, why] += 1
-            for action in waitings.hand_back(self._desk, work, why, now):
+            for action in queued_work.refuse(self._desk, work, why, now):
                 self._perform(action)
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -35,8 +35,8 @@
     dispatch,
     events,
     facts,
-    quota_words,
-    returns,
+    quota_messages,
+    retry_times,
     states,
     suspect_codecs,
 )
@@ -252,7 +252,9 @@
             advised = self.readiness.advise(outcome)
             if advised is not outcome and isinstance(advised, errors.Failure):
                 now = time.monotonic()
-                advised = returns.advise(self.desk, advised, request, now)
+                advised = retry_times.spread_retry_after(
+                    self.desk, advised, request, now
+                )
             caller.answer(exchanges.write_outcome(advised))
 
         number = self.runner.ask(request, reply)
@@ -260,7 +262,7 @@
 
     def _tell(self, told: events.Notification) -> None:
         match told:
-            case quota_words.Tell():
+            case quota_messages.SendMessage():
                 own = self.settings.host.data_centre
                 near = self.desk.centre_health.list_hosts(own)
                 self._datagrams.tell(told, near)
--- a/fuchsiahaven/relay/questions.py
+++ b/fuchsiahaven/relay/questions.py
@@ -23,11 +23,11 @@
     silences,
 )
 from fuchsiahaven.routing import (
-    assist_codecs,
+    contention,
+    delegation_codecs,
     dispatch,
     events,
     report_codecs,
-    rooms,
     suspect_codecs,
     target_health,
 )
@@ -126,7 +126,9 @@
             caller.answer(_refuse('nobody waits'))
             return None
         try:
-            assist = assist_codecs.read_assist(message.body, time.monotonic())
+            assist = delegation_codecs.decode_request(
+                message.body, time.monotonic()
+            )
         except report_codecs.MalformedReport as error:
             caller.answer(_refuse(str(error)))
             return None
@@ -140,7 +142,7 @@
             fields = (encodings.CONTENT,)
 
         def give(share: events.DelegationReport) -> None:
-            piece = assist_codecs.write_share(share)
+            piece = delegation_codecs.encode_report(share)
             if packer is not None:
                 piece = packer.pack(piece, last=share.is_last)
             caller.send_piece(piece, last=share.is_last, fields=fields)
@@ -219,7 +221,7 @@
             },
             'waiting': self._runner.count_waiting(),
         }
-        if rooms.is_contended(desk.index):
+        if contention.is_contended(desk.index):
             told['silent'] = sorted(desk.centre_health.list_silent())
         if self._keys.is_enforced:
             # Before anything is proved the age has no end.
@@ -228,7 +230,7 @@
         customers = desk.index.configuration.customers
         if customers is not None:
             told['customers'] = self._tell_customers(len(customers))
-            duties = desk.controls.quotas.buckets.list_duties()
+            duties = desk.controls.quotas.buckets.list_slots()
             told['quotas'] = [duty._asdict() for duty in duties]
         body = json.dumps(told).encode()
         return exchanges.Written(HTTPStatus.OK, JSON, body)
--- a/fuchsiahaven/relay/silences.py
+++ b/fuchsiahaven/relay/silences.py
@@ -11,7 +11,7 @@
 
 from fuchsiahaven.platform import store
 from fuchsiahaven.relay import calls, journal, traffic
-from fuchsiahaven.routing import centre_health, deployments, rooms, states
+from fuchsiahaven.routing import centre_health, contention, deployments, states
 
 PART: Final = 'silences'
 PATH: Final = '/v1/silences'
@@ -63,7 +63,7 @@
         if self._told:
             if found == self._told and now < self._due:
                 return
-        elif not rooms.list_untold(
+        elif not contention.list_unreported(
             self._desk.index, self._desk.centre_health, now
         ):
             return
--- a/fuchsiahaven/routing/admission.py
+++ b/fuchsiahaven/routing/admission.py
@@ -10,7 +10,7 @@
     customers,
     events,
     quotas,
-    returns,
+    retry_times,
     splits,
     states,
 )
@@ -18,41 +18,41 @@
 SOURCE: Final = 'admission'
 #: How soon a host that has just started may have its configuration: a read of
 #: the store, and a second one if the first was turned away.
-START_S: Final = 0.5
+START_RETRY_AFTER_S: Final = 0.5
 
-advise = returns.advise
+spread_retry_after = retry_times.spread_retry_after
 
 
 def admit(
-    desk: states.Router, event: events.RequestReceived, now: float
-) -> quotas.Charged:
+    router: states.Router, event: events.RequestReceived, now: float
+) -> quotas.ChargeResult:
     """Take a request in, have it wait, or say why it is refused."""
-    route = _find_route(desk, event.request)
+    route = _find_route(router, event.request)
     if isinstance(route, errors.Failure):
         return route
-    admitted = customers.admit(
-        desk.index, desk.controls.freshness, route, event.request
+    authenticated = customers.authenticate(
+        router.index, router.controls.freshness, route, event.request
     )
-    if isinstance(admitted, errors.Failure):
-        return admitted
-    request, customer = admitted
-    taken = active_requests.RoutedRequest(
+    if isinstance(authenticated, errors.Failure):
+        return authenticated
+    request, customer = authenticated
+    admitted_request = active_requests.RoutedRequest(
         event.number,
         request,
         route,
-        desk.index.configuration.version,
+        router.index.configuration.version,
         customers.find_priority(customer, route),
     )
-    refusal = _find_quarantine(desk, request, now)
-    if refusal is not None:
-        return refusal
+    failure = _check_quarantine(router, request, now)
+    if failure is not None:
+        return failure
     if customer is None:
-        return taken
-    return desk.controls.quotas.charge(customer, taken, now)
+        return admitted_request
+    return router.controls.quotas.charge(customer, admitted_request, now)
 
 
-def refuse_late(
-    desk: states.Router, ask: active_requests.ActiveRequest, now: float
+def refuse_stale(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[events.Action] | None:
     """Refuse what has waited here too long; None where it may go on.
 
@@ -60,68 +60,74 @@
     trial or for a connection, maybe while the host stood still, is checked
     again, as long as it can be refused as one that has not run.
     """
-    if any(part.sent_count or part.in_flight for part in ask.parts.values()):
+    if any(part.sent_count or part.in_flight for part in active.parts.values()):
         return None
-    wait = _find_stale_wait(desk, ask)
+    wait = _compute_stale_wait(router, active)
     if not wait:
         return None
-    return completions.refuse_unsent(desk, ask, customers.make_stale(wait), now)
+    return completions.refuse_unsent(
+        router, active, customers.make_stale_failure(wait), now
+    )
 
 
-def may_leave(desk: states.Router, key: events.AttemptKey) -> bool:
+def may_send(router: states.Router, key: events.AttemptKey) -> bool:
     """Tell whether a sending that has waited for a connection may leave.
 
     Of a query over several parts others have left by then.
     """
-    ask = desk.active_requests.get(key.request_number)
+    active = router.active_requests.get(key.request_number)
     if (
-        ask is None
-        or len(ask.parts) > 1
-        or ask.parts[key.service].sent_count > 1
+        active is None
+        or len(active.parts) > 1
+        or active.parts[key.service].sent_count > 1
     ):
         return True
-    return not _find_stale_wait(desk, ask)
+    return not _compute_stale_wait(router, active)
 
 
-def find_asked(desk: states.Router, request: events.Request) -> customers.Asked:
+def find_names(
+    router: states.Router, request: events.Request
+) -> customers.RequestNames:
     """Find what a refused request asked for; nothing without customers."""
-    index = desk.index
+    index = router.index
     if index.configuration.customers is None:
-        return customers.NOBODY
+        return customers.NO_NAMES
     path = request.uri.partition('?')[0]
     route = configs.find_route(index, request.host, path)
     customer = index.customers.get(request.key_digest)
-    return customers.Asked(
+    return customers.RequestNames(
         '' if route is None else route.name,
         '' if customer is None else customer.name,
     )
 
 
-def list_services(desk: states.Router, route: configs.Route) -> tuple[str, ...]:
+def select_services(
+    router: states.Router, route: configs.Route
+) -> tuple[str, ...]:
     """List the services that a request reaches, one of a split in turn."""
-    way = route.way
-    if not isinstance(way, configs.Split):
-        return configs.list_services(way)
-    place = desk.split_positions.get(route.name)
-    if place is None:
-        place = desk.draw()
-    choice = splits.choose_service(way, place)
-    desk.split_positions[route.name] = choice.position
-    return (choice.service,)
+    action = route.way
+    if not isinstance(action, configs.Split):
+        return configs.list_services(action)
+    position = router.split_positions.get(route.name)
+    if position is None:
+        position = router.draw()
+    selection = splits.choose_service(action, position)
+    router.split_positions[route.name] = selection.position
+    return (selection.service,)
 
 
 def _find_route(
-    desk: states.Router, request: events.Request
+    router: states.Router, request: events.Request
 ) -> configs.Route | errors.Failure:
-    if not desk.index.configuration.version:
+    if not router.index.configuration.version:
         return errors.make_failure(
             errors.Kind.NOT_READY,
             SOURCE,
             'no configuration yet',
-            retry_after=START_S,
+            retry_after=START_RETRY_AFTER_S,
         )
     path = request.uri.partition('?')[0]
-    route = configs.find_route(desk.index, request.host, path)
+    route = configs.find_route(router.index, request.host, path)
     if route is None:
         return errors.make_failure(
             errors.Kind.NOT_FOUND, SOURCE, f'no route for {request.host}{path}'
@@ -129,19 +135,23 @@
     return route
 
 
-def _find_stale_wait(
-    desk: states.Router, ask: active_requests.ActiveRequest
+def _compute_stale_wait(
+    router: states.Router, active: active_requests.ActiveRequest
 ) -> float:
-    if ask.is_delegated or ask.route.public or not ask.request.customer:
+    if (
+        active.is_delegated
+        or active.route.public
+        or not active.request.customer
+    ):
         return 0.0
-    return desk.controls.freshness.compute_wait()
+    return router.controls.freshness.compute_wait()
 
 
-def _find_quarantine(
-    desk: states.Router, request: events.Request, now: float
+def _check_quarantine(
+    router: states.Router, request: events.Request, now: float
 ) -> errors.Failure | None:
     """Refuse a request that is not to be sent now."""
-    wait = desk.suspects.compute_wait(request.identity, now)
+    wait = router.suspects.compute_wait(request.identity, now)
     if not wait:
         return None
     return errors.make_failure(
--- a/fuchsiahaven/routing/attempt_results.py
+++ b/fuchsiahaven/routing/attempt_results.py
@@ -183,7 +183,7 @@
         tried_targets=tried_targets,
         reason=part.reason or coverage.Reason.UNREACHABLE,
     )
-    refusal = admission.refuse_late(router, active, now)
+    refusal = admission.refuse_stale(router, active, now)
     if refusal is not None:
         return refusal
     return continue_part(router, active, service, now)
--- a/fuchsiahaven/routing/duties.py
+++ b/fuchsiahaven/routing/chunk_assignments.py
@@ -15,31 +15,31 @@
 
 #: Shards of a chunk: few enough that a helper brings them in a few
 #: milliseconds.
-CHUNK: Final = 15
+SHARDS_PER_CHUNK: Final = 15
 #: Hosts of a data centre that may hold connections to the targets of a chunk:
 #: the one on duty and the one that takes over from it.
-ON_DUTY: Final = 2
+HOSTS_PER_CHUNK: Final = 2
 #: Part of the slack of repeats that the hosts on duty share.
-DUTY_SLACK: Final = 0.6
+ASSIGNED_SLACK_FRACTION: Final = 0.6
 #: A version in force and the one before it name a few gathers each, and each
 #: has a chunk for fifteen shards and data centre.
-_GATHERS: Final = 64
-_RANKS: Final = 4096
+_MAX_CACHED_GATHERS: Final = 64
+_MAX_CACHED_RANKINGS: Final = 4096
 
 
-class Duty(NamedTuple):
+class ChunkKey(NamedTuple):
     """Name a chunk in a data centre."""
 
     data_centre: str
     chunk: str
 
 
-@functools.lru_cache(maxsize=_GATHERS)
+@functools.lru_cache(maxsize=_MAX_CACHED_GATHERS)
 def find_chunks(gather: configs.Gather) -> dict[str, str]:
     """Map each shard to its chunk, which is named by its first shard."""
     chunks = {}
-    for place, shard in enumerate(gather.shards):
-        chunks[shard] = gather.shards[place - place % CHUNK]
+    for position, shard in enumerate(gather.shards):
+        chunks[shard] = gather.shards[position - position % SHARDS_PER_CHUNK]
     return chunks
 
 
@@ -47,54 +47,56 @@
     """Find the chunk of a shard of wide queries; None for other services."""
     if shard not in index.wide_shards:
         return None
-    ways = (route.way for route in index.configuration.routes)
-    for way in ways:
-        if isinstance(way, configs.Gather) and configs.is_wide(way):
-            chunk = find_chunks(way).get(shard)
+    actions = (route.way for route in index.configuration.routes)
+    for action in actions:
+        if isinstance(action, configs.Gather) and configs.is_wide(action):
+            chunk = find_chunks(action).get(shard)
             if chunk is not None:
                 return chunk
     return None
 
 
 def rank_hosts(
-    duty: Duty, hosts: Sequence[deployments.Host]
+    chunk_key: ChunkKey, hosts: Sequence[deployments.Host]
 ) -> list[deployments.Host]:
     """Order the hosts of a data centre for a chunk, the one on duty first."""
     by_name = {
         host.name: host
         for host in hosts
-        if host.data_centre == duty.data_centre
+        if host.data_centre == chunk_key.data_centre
     }
     cores = tuple([host.capacity for host in by_name.values()])
-    ranked = _rank(duty.chunk, tuple(by_name), cores)
+    ranked = _rank(chunk_key.chunk, tuple(by_name), cores)
     return [by_name[name] for name in ranked]
 
 
-def count_slack_sharers(centres: int, total: int, *, on_duty: bool) -> float:
+def count_slack_sharers(
+    centre_count: int, host_count: int, *, assigned: bool
+) -> float:
     """Count who shares the slack of repeats at the targets of wide queries.
 
     Those on duty, in so many data centres, have the larger part among them;
     the rest is for hosts that send directly because none on duty is left.
     """
-    if not on_duty:
-        return total / (1 - DUTY_SLACK)
-    return ON_DUTY * max(1, centres) / DUTY_SLACK
+    if not assigned:
+        return host_count / (1 - ASSIGNED_SLACK_FRACTION)
+    return HOSTS_PER_CHUNK * max(1, centre_count) / ASSIGNED_SLACK_FRACTION
 
 
 def count_sharers(
     service: str,
-    wide: frozenset[str],
+    wide_services: frozenset[str],
     hosts: Sequence[deployments.Host],
-    total: int,
+    host_count: int,
 ) -> int:
     """Count the hosts that share the connections to a service's targets."""
-    if service not in wide:
-        return total
+    if service not in wide_services:
+        return host_count
     centres = {host.data_centre for host in hosts}
-    return min(total, ON_DUTY * max(1, len(centres)))
+    return min(host_count, HOSTS_PER_CHUNK * max(1, len(centres)))
 
 
-@functools.lru_cache(maxsize=_RANKS)
+@functools.lru_cache(maxsize=_MAX_CACHED_RANKINGS)
 def _rank(
     key: str, names: tuple[str, ...], cores: tuple[float, ...]
 ) -> tuple[str, ...]:
--- a/fuchsiahaven/routing/completions.py
+++ b/fuchsiahaven/routing/completions.py
@@ -7,10 +7,10 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import (
     active_requests,
-    assists,
     customers,
+    delegated_requests,
     events,
-    returns,
+    retry_times,
     states,
     target_health,
 )
@@ -30,7 +30,7 @@
 ) -> Actions:
     """Reply if nothing that may still come is worth the wait."""
     if active.is_delegated:
-        return assists.settle(router, active, now)
+        return delegated_requests.send_reports(router, active, now)
     if not active_requests.must_reply(active, now):
         return []
     return complete(router, active, now)
@@ -71,9 +71,11 @@
     now: float,
 ) -> Actions:
     """Refuse an ask that was begun and of which nothing has left."""
-    router.controls.quotas.end(active.number, now, ran=False)
+    router.controls.quotas.record_end(active.number, now, ran=False)
     router.active_requests.pop(active.number, None)
-    failure = returns.advise(router, failure, active.request, now)
+    failure = retry_times.spread_retry_after(
+        router, failure, active.request, now
+    )
     return [
         events.Reply(active.number, failure),
         _summarize(active, name_result(failure), now),
@@ -85,7 +87,7 @@
 ) -> None:
     """Charge nobody for a request that has not run."""
     ran = active_requests.compute_ran(active) is not errors.Ran.NO
-    router.controls.quotas.end(active.number, now, ran=ran)
+    router.controls.quotas.record_end(active.number, now, ran=ran)
 
 
 def _add_retry_after(
@@ -97,7 +99,9 @@
     """Have the caller of a request that is not sent on come back after that."""
     if not isinstance(outcome, errors.Failure):
         return outcome
-    outcome = returns.advise(router, outcome, active.request, now)
+    outcome = retry_times.spread_retry_after(
+        router, outcome, active.request, now
+    )
     wait = router.suspects.compute_wait(active.request.identity, now)
     if wait <= (outcome.retry_after or 0):
         return outcome
@@ -140,7 +144,7 @@
     active = router.active_requests.pop(number, None)
     if active is None:
         # It may wait for a word about its customer.
-        router.controls.quotas.end(number, now, ran=False)
+        router.controls.quotas.record_end(number, now, ran=False)
         return []
     _settle_charge(router, active, now)
     in_flight = active_requests.list_in_flight(active)
@@ -167,7 +171,7 @@
     failure: errors.Failure,
     version: int,
     now: float,
-    caller: customers.Asked = customers.NOBODY,
+    caller: customers.RequestNames = customers.NO_NAMES,
 ) -> Actions:
     """Refuse a request that has no route or cannot be served."""
     took = now - request.arrived_at
--- a/fuchsiahaven/routing/seats.py
+++ b/fuchsiahaven/routing/connection_shares.py
@@ -4,9 +4,9 @@
 
 #: Part of a target's bound that all hosts use together: those of hosts that
 #: have just ended still count there for a moment.
-SHARE: Final = 0.9
+USABLE_FRACTION: Final = 0.9
 
 
-def count_seats(connections: int, hosts: int) -> int:
+def compute_connections(connections: int, hosts: int) -> int:
     """Count the connections that each host may have to a target."""
-    return max(1, int(SHARE * connections / hosts))
+    return max(1, int(USABLE_FRACTION * connections / hosts))
--- a/fuchsiahaven/routing/rooms.py
+++ b/fuchsiahaven/routing/contention.py
@@ -13,11 +13,11 @@
     return index.configuration.customers is not None
 
 
-def list_untold(
-    index: configs.Index, known: centre_health.CentreHealth, now: float
+def list_unreported(
+    index: configs.Index, health: centre_health.CentreHealth, now: float
 ) -> frozenset[str]:
     """List the silent data centres of which to tell the hosts beside this one.
 
     Where nobody competes, nothing is told.
     """
-    return known.list_unreported(now) if is_contended(index) else frozenset()
+    return health.list_unreported(now) if is_contended(index) else frozenset()
--- a/fuchsiahaven/routing/controls.py
+++ b/fuchsiahaven/routing/controls.py
@@ -15,5 +15,5 @@
 
 def make_controls(host: deployments.Host) -> Controls:
     """Make the parts of a host that has just started."""
-    known = freshness.Freshness()
-    return Controls(known, quotas.Quotas(host, known.compute_wait), lags.Lags())
+    keys = freshness.Freshness()
+    return Controls(keys, quotas.Quotas(host, keys.compute_wait), lags.Lags())
--- a/fuchsiahaven/routing/customers.py
+++ b/fuchsiahaven/routing/customers.py
@@ -8,61 +8,64 @@
 
 SOURCE: Final = authentication.SOURCE
 
-Reason = authentication.RefusalReason
-make_stale = authentication.make_stale_failure
+RefusalReason = authentication.RefusalReason
+make_stale_failure = authentication.make_stale_failure
 
 
-class Admitted(NamedTuple):
+class AuthenticatedRequest(NamedTuple):
     """Hold a request and the customer that it is of, if any."""
 
     request: events.Request
     customer: configs.Customer | None
 
 
-class Asked(NamedTuple):
+class RequestNames(NamedTuple):
     """Name the route and the customer of a request, empty where unknown."""
 
     route: str
     customer: str
 
 
-NOBODY: Final = Asked('', '')
+NO_NAMES: Final = RequestNames('', '')
 
 
-def admit(
+def authenticate(
     index: configs.Index,
-    known: freshness.Freshness,
+    freshness_state: freshness.Freshness,
     route: configs.Route,
     request: events.Request,
-) -> Admitted | errors.Failure:
+) -> AuthenticatedRequest | errors.Failure:
     """Name the customer of a request, or say why it is refused.
 
     Its key goes no further. A public route asks for none, and does not turn
     away whoever shows one that is unknown.
     """
     if index.configuration.customers is None:
-        return Admitted(request, None)
+        return AuthenticatedRequest(request, None)
     shown = authentication.Credentials(
         request.key_digest, bool(request.credentials)
     )
-    found = authentication.authenticate(
-        index.customers, shown, known.compute_wait(), public=route.public
+    result = authentication.authenticate(
+        index.customers,
+        shown,
+        freshness_state.compute_wait(),
+        public=route.public,
     )
-    if isinstance(found, errors.Failure):
-        return found
-    return Admitted(_name(request, found), found)
+    if isinstance(result, errors.Failure):
+        return result
+    return AuthenticatedRequest(_set_customer(request, result), result)
 
 
-def _name(
+def _set_customer(
     request: events.Request, customer: configs.Customer | None
 ) -> events.Request:
     """Name whose request it is, in place of what its caller shows.
 
     A host that helps with it gets no key, and must know it by the same name.
     """
-    asker = customer.name if customer is not None else request.host
+    owner = customer.name if customer is not None else request.host
     identity = request_identities.identify(
-        asker,
+        owner,
         request.method.encode('latin-1'),
         request.uri.encode('latin-1'),
         request.body,
--- /dev/null
+++ b/fuchsiahaven/routing/delegation_plans.py
@@ -0,0 +1,344 @@
+"""Plan which parts of a query other hosts gather, and which ones."""
+
+import collections
+import itertools
+from collections.abc import Collection, Iterable, Mapping, Sequence
+from typing import Final, NamedTuple
+
+from fuchsiahaven.core import rendezvous
+from fuchsiahaven.routing import (
+    active_requests,
+    chunk_assignments,
+    configs,
+    deployments,
+    lags,
+    states,
+    target_health,
+    target_selection,
+)
+
+#: Fewer parts than this are asked for directly: the detour costs about as
+#: many bytes as it saves, and a hop more.
+MIN_DELEGATED_PARTS: Final = 4
+#: Data centres that hold this share of the shards of the one with the most
+#: hold about as many: a few targets are always missing somewhere.
+LARGE_CENTRE_FRACTION: Final = 0.8
+
+
+class Plan(NamedTuple):
+    """Name a helper and the parts that it is to gather."""
+
+    helper: deployments.Host
+    services: tuple[str, ...]
+
+
+def plan_delegations(
+    router: states.Router, active: active_requests.ActiveRequest, now: float
+) -> list[Plan]:
+    """Plan which parts of a query go through which helper."""
+    gather = active.route.way
+    if not isinstance(gather, configs.Gather):
+        return []
+    unsent = [
+        it
+        for it in active_requests.list_open_parts(active)
+        if not active.parts[it].last_number
+    ]
+    centres_by_part = _list_centres_by_part(router, active, unsent, now)
+    plans = []
+    for chunk_key, services in _group_parts(
+        router, gather, centres_by_part
+    ).items():
+        if len(services) < MIN_DELEGATED_PARTS:
+            continue
+        helper = find_helper(
+            router, chunk_key, now, wide=configs.is_wide(gather)
+        )
+        if helper is not None:
+            plans.append(Plan(helper, tuple(services)))
+    return plans
+
+
+def _list_centres_by_part(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    services: Iterable[str],
+    now: float,
+) -> dict[str, set[str]]:
+    """List in which data centres each part has targets that may be asked."""
+    centres_by_part: dict[str, set[str]] = {}
+    for service in services:
+        part = active.parts[service]
+        candidates = target_selection.list_candidates(
+            router, service, part, now
+        )
+        centres_by_part[service] = {target.data_centre for target in candidates}
+    return centres_by_part
+
+
+def _group_parts(
+    router: states.Router,
+    gather: configs.Gather,
+    centres_by_part: dict[str, set[str]],
+) -> dict[chunk_assignments.ChunkKey, list[str]]:
+    """Share parts out among duties; near ones of a narrow query are not."""
+    if configs.is_wide(gather):
+        return _group_wide_parts(router.host, gather, centres_by_part)
+    sizes = collections.Counter(
+        centre for centres in centres_by_part.values() for centre in centres
+    )
+    groups: dict[chunk_assignments.ChunkKey, list[str]] = {}
+    for service, part_centres in centres_by_part.items():
+        if router.host.data_centre not in part_centres:
+            centre = choose_centre(router.host, part_centres, sizes)
+            groups.setdefault(
+                chunk_assignments.ChunkKey(centre, ''), []
+            ).append(service)
+    return groups
+
+
+def _group_wide_parts(
+    host: deployments.Host,
+    gather: configs.Gather,
+    centres_by_part: dict[str, set[str]],
+) -> dict[chunk_assignments.ChunkKey, list[str]]:
+    """Share all parts out; a few far ones go with the near ones."""
+    chunks = chunk_assignments.find_chunks(gather)
+    order = rank_centres(host, centres_by_part)
+    groups: dict[chunk_assignments.ChunkKey, list[str]] = {}
+    for service, part_centres in centres_by_part.items():
+        chunk_key = chunk_assignments.ChunkKey(
+            _choose_first_centre(order, part_centres), chunks[service]
+        )
+        groups.setdefault(chunk_key, []).append(service)
+    _merge_small_groups(host.data_centre, groups)
+    return groups
+
+
+def _choose_first_centre(
+    order: Sequence[str], part_centres: Collection[str]
+) -> str:
+    return next(
+        (centre for centre in order if centre in part_centres), order[0]
+    )
+
+
+def rank_centres(
+    host: deployments.Host, centres_by_part: Mapping[str, Collection[str]]
+) -> tuple[str, ...]:
+    """Order data centres so that the first few have targets of all parts.
+
+    `centres` maps each part to the data centres that have targets of it. The
+    own one comes first, then always the one that adds most parts. Where two of
+    five data centres hold each shard, parts taken by name alone spread over all
+    four others in groups too small for a helper, and a third of all parts
+    crossed one by one.
+    """
+    uncovered = [
+        part_centres
+        for part_centres in centres_by_part.values()
+        if part_centres
+    ]
+    order = [host.data_centre]
+    uncovered = [
+        part_centres
+        for part_centres in uncovered
+        if host.data_centre not in part_centres
+    ]
+    while uncovered:
+        best = _choose_best_centre(host, uncovered)
+        order.append(best)
+        uncovered = [
+            part_centres
+            for part_centres in uncovered
+            if best not in part_centres
+        ]
+    return tuple(order)
+
+
+def _choose_best_centre(
+    host: deployments.Host, uncovered: Iterable[Collection[str]]
+) -> str:
+    """Find the data centre that has targets of most parts.
+
+    Hosts choose differently among equals, so that these share the load.
+    """
+    counts = collections.Counter(
+        centre for part_centres in uncovered for centre in part_centres
+    )
+    max_count = max(counts.values())
+    best = [centre for centre, count in counts.items() if count == max_count]
+    return rendezvous.rank(host.name, best)[0]
+
+
+def choose_centre(
+    host: deployments.Host,
+    candidates: Collection[str],
+    sizes: Mapping[str, int],
+) -> str:
+    """Choose the data centre that parts are gathered in, the own one if it can.
+
+    Hosts without near targets spread over those that hold about as many
+    shards as any (`sizes`). Were all of them to ask the same one, its hosts and
+    targets would carry the queries of each data centre that has none.
+    """
+    if not candidates or host.data_centre in candidates:
+        return host.data_centre
+    max_size = max(sizes[centre] for centre in candidates)
+    large = [
+        it for it in candidates if sizes[it] >= LARGE_CENTRE_FRACTION * max_size
+    ]
+    return rendezvous.rank(host.name, large)[0]
+
+
+def _merge_small_groups(
+    own_centre: str, groups: dict[chunk_assignments.ChunkKey, list[str]]
+) -> None:
+    for chunk_key in tuple(groups):
+        own_key = chunk_assignments.ChunkKey(own_centre, chunk_key.chunk)
+        if (
+            chunk_key != own_key
+            and len(groups[chunk_key]) < MIN_DELEGATED_PARTS
+            and own_key in groups
+        ):
+            groups[own_key].extend(groups.pop(chunk_key))
+
+
+def find_second_centre(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    service: str,
+    silent_centre: str,
+    now: float,
+) -> str:
+    """Find the data centre whose hosts are to send a part a second time.
+
+    Those where a target is that was not tried know it and have connections to
+    it; from elsewhere a second sending would open one first, which takes 6 ms
+    of 72. `silent` is the data centre of a host that was asked for the part
+    and has told nothing.
+    """
+    part = active.parts[service]
+    candidates = target_selection.list_candidates(router, service, part, now)
+    candidate_centres = {target.data_centre for target in candidates}
+    if router.host.data_centre not in candidate_centres:
+        candidate_centres = (
+            candidate_centres - {silent_centre} or candidate_centres
+        )
+    return choose_centre(
+        router.host, candidate_centres, dict.fromkeys(candidate_centres, 1)
+    )
+
+
+def find_second_helper(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    service: str,
+    now: float,
+    *,
+    excluded: deployments.Host | None = None,
+    silent_centre: str = '',
+) -> deployments.Host | None:
+    """Find the host that is to send a part again; None for this one.
+
+    It is on duty where a target is that was not tried, and not the one that is
+    `passed` over. `silent` is the data centre of a host that has told nothing.
+    """
+    assert isinstance(active.route.way, configs.Gather)
+    centre = find_second_centre(router, active, service, silent_centre, now)
+    chunk = chunk_assignments.find_chunks(active.route.way)[service]
+    chunk_key = chunk_assignments.ChunkKey(centre, chunk)
+    return find_helper(router, chunk_key, now, wide=True, excluded=excluded)
+
+
+def find_helper(
+    router: states.Router,
+    chunk_key: chunk_assignments.ChunkKey,
+    now: float,
+    *,
+    wide: bool,
+    excluded: deployments.Host | None = None,
+) -> deployments.Host | None:
+    """Find the host to ask; None where this one is to send for itself."""
+    if wide:
+        excluded_name = excluded.name if excluded else ''
+        assigned = [
+            it
+            for it in _list_assigned(router, chunk_key, now)
+            if it.name != excluded_name
+        ]
+        assigned.append(router.host)
+        silent = [it for it in assigned if _is_silent(router, it, now)]
+        responsive = [it for it in assigned if it not in silent] or assigned
+        chosen = _choose_by_lag(router, responsive, now)
+        return None if chosen.name == router.host.name else chosen
+    alive = [
+        host
+        for host in router.centre_health.list_hosts(chunk_key.data_centre)
+        if host.name != router.host.name and _is_alive(router, host, now)
+    ]
+    return _choose_helper(router, alive, now) if alive else None
+
+
+def _list_assigned(
+    router: states.Router, chunk_key: chunk_assignments.ChunkKey, now: float
+) -> list[deployments.Host]:
+    """List the hosts on duty; those after them take the place of the dead.
+
+    All hosts are ranked, whoever of them is alive: that is known already, and
+    only the first few have to be looked at.
+    """
+    ranked = chunk_assignments.rank_hosts(
+        chunk_key, router.centre_health.list_hosts(chunk_key.data_centre)
+    )
+    alive = (
+        host
+        for host in ranked
+        if host.name == router.host.name or _is_alive(router, host, now)
+    )
+    return list(itertools.islice(alive, chunk_assignments.HOSTS_PER_CHUNK))
+
+
+def _is_alive(
+    router: states.Router, host: deployments.Host, now: float
+) -> bool:
+    if router.centre_health.is_silent(host.data_centre):
+        return False
+    return not target_health.is_excluded(
+        router.helper_health.get(host.name), now
+    )
+
+
+def _choose_by_lag(
+    router: states.Router, assigned: Sequence[deployments.Host], now: float
+) -> deployments.Host:
+    """Leave some work of a host that is behind to the next one on duty."""
+    first, *others = assigned
+    lag = router.controls.lags.get_lag(first.name, now)
+    if not lag or not others or others[0].name == router.host.name:
+        return first
+    other_lag = router.controls.lags.get_lag(others[0].name, now)
+    is_moved = router.draw() < lags.compute_handover(lag, other_lag)
+    return others[0] if is_moved else first
+
+
+def _is_silent(
+    router: states.Router, host: deployments.Host, now: float
+) -> bool:
+    health = router.helper_health.get(host.name)
+    return target_health.measure_silence(health, now) is not None
+
+
+def _choose_helper(
+    router: states.Router, helpers: list[deployments.Host], now: float
+) -> deployments.Host:
+    best = helpers[0]
+    min_cost = float('inf')
+    for host in helpers:
+        health = router.helper_health.get(host.name)
+        cost = target_health.estimate_gather_cost(health, now)
+        cost *= 1 + target_selection.ESTIMATE_SPREAD_FRACTION * router.draw()
+        if cost < min_cost:
+            min_cost = cost
+            best = host
+    return best
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -15,11 +15,11 @@
     attempts,
     completions,
     configs,
+    contention,
     crashes,
+    delegation_plans,
     deployments,
     events,
-    plans,
-    rooms,
     states,
     target_selection,
     trials,
@@ -30,22 +30,22 @@
 
 #: A helper that refused, because it stops, or broke off is left out for this
 #: long, in seconds; a stop takes longer, but the detour is no more than that.
-REFUSED_S: Final = 2.0
+REFUSED_HELPER_PAUSE_S: Final = 2.0
 #: The same for one that has just started and is about to know enough.
-STARTING_S: Final = 0.2
+STARTING_HELPER_PAUSE_S: Final = 0.2
 #: How often a part is sent or handed on before this host sends it itself, or
 #: gives it up: several hosts may be stopping, starting or gone at once. One
 #: that may not repeat any more says so at once, and without a bound the two
 #: would go on asking and refusing for as long as the query lasts.
-MOST_HANDINGS: Final = 3
+MAX_PART_SENDINGS: Final = 3
 #: When a part counts as sent that has to be sent elsewhere at once.
-OVERDUE: Final = float('-inf')
+OVERDUE_SENT_AT: Final = float('-inf')
 
 
-def hedge(
-    desk: states.Router,
-    ask: active_requests.ActiveRequest,
-    slow: list[str],
+def hedge_parts(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    slow_services: list[str],
     now: float,
 ) -> Actions:
     """Have slow parts of a wide query sent to another target by helpers.
@@ -54,198 +54,236 @@
     know best which of them answer just now.
     """
     if (
-        trials.get_permission(desk, ask, now)
+        trials.get_permission(router, active, now)
         is not suspects.SendPermission.UNRESTRICTED
     ):
         return []
-    shared: dict[deployments.Host, list[str]] = {}
-    for service in slow:
-        if ask.parts[service].sent_count < ask.route.attempts:
-            silent = _find_silent(desk, ask, service)
-            helper = plans.find_second_helper(
-                desk,
-                ask,
+    by_host: dict[deployments.Host, list[str]] = {}
+    for service in slow_services:
+        if active.parts[service].sent_count < active.route.attempts:
+            silent_helper = _find_silent_helper(router, active, service)
+            helper = delegation_plans.find_second_helper(
+                router,
+                active,
                 service,
                 now,
-                passed=silent,
-                silent=silent.data_centre if silent else '',
+                excluded=silent_helper,
+                silent_centre=silent_helper.data_centre
+                if silent_helper
+                else '',
             )
-            shared.setdefault(helper or desk.host, []).append(service)
-    worth = wide_hedges.count_useful_hedges(ask, len(slow), now)
-    kept = wide_hedges.select_hedges(desk.host, shared, worth)
-    actions = attempts.hedge_parts(desk, ask, kept.pop(desk.host, []), now)
-    for helper, services in kept.items():
+            by_host.setdefault(helper or router.host, []).append(service)
+    max_hedges = wide_hedges.count_useful_hedges(
+        active, len(slow_services), now
+    )
+    selected = wide_hedges.select_hedges(router.host, by_host, max_hedges)
+    actions = attempts.hedge_parts(
+        router, active, selected.pop(router.host, []), now
+    )
+    for helper, services in selected.items():
         # The helper sees to the shared bound on repeats.
-        planned = plans.Plan(helper, tuple(services))
-        actions.append(start(desk, ask, planned, now))
+        plan = delegation_plans.Plan(helper, tuple(services))
+        actions.append(delegate_parts(router, active, plan, now))
     return actions
 
 
-def _find_silent(
-    desk: states.Router, ask: active_requests.ActiveRequest, service: str
+def _find_silent_helper(
+    router: states.Router, active: active_requests.ActiveRequest, service: str
 ) -> deployments.Host | None:
     """Find the host that was asked for a part and has told nothing of it."""
-    flight = ask.parts[service].in_flight[0]
-    if flight.instance or flight.sent_at == OVERDUE:
+    attempt = active.parts[service].in_flight[0]
+    if attempt.instance or attempt.sent_at == OVERDUE_SENT_AT:
         return None
     helpers = [
-        known.helper
-        for key, known in desk.delegations.items()
-        if key.request_number == ask.number and service in known.unreported
+        delegation.helper
+        for key, delegation in router.delegations.items()
+        if key.request_number == active.number
+        and service in delegation.unreported
     ]
     return helpers[0] if helpers else None
 
 
-def start(
-    desk: states.Router,
-    ask: active_requests.ActiveRequest,
-    planned: plans.Plan,
+def delegate_parts(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    plan: delegation_plans.Plan,
     now: float,
 ) -> events.Delegate:
     """Ask a helper for parts."""
-    assert isinstance(ask.route.way, configs.Gather)
-    key = events.DelegationKey(ask.number, desk.next_number())
-    sent = max(ask.parts[it].sent_count for it in planned.services)
-    assist = events.DelegatedRequest(
-        ask.request,
-        ask.route.name,
-        ask.route.objective,
-        ask.route.way.limit,
-        planned.services,
-        attempts.compute_deadline(desk, ask, sent, now),
-        tuple(_list_tried(ask, planned.services)),
-        counts_load=configs.is_wide(ask.route.way),
-        is_retry=any(ask.parts[it].sent_count for it in planned.services),
+    assert isinstance(active.route.way, configs.Gather)
+    key = events.DelegationKey(active.number, router.next_number())
+    max_sent = max(active.parts[it].sent_count for it in plan.services)
+    delegated = events.DelegatedRequest(
+        active.request,
+        active.route.name,
+        active.route.objective,
+        active.route.way.limit,
+        plan.services,
+        attempts.compute_deadline(router, active, max_sent, now),
+        tuple(_list_tried(active, plan.services)),
+        counts_load=configs.is_wide(active.route.way),
+        is_retry=any(active.parts[it].sent_count for it in plan.services),
+    )
+    attempt_numbers = {}
+    for service in plan.services:
+        attempt_numbers[service] = _add_attempt(active, service, now)
+        if not delegated.counts_load:
+            router.get_budget(service).record_request(now)
+    missing = set(plan.services)
+    helper = plan.helper
+    delegation = states.Delegation(
+        helper, attempt_numbers, missing, delegated.is_retry
     )
-    flights = {}
-    for service in planned.services:
-        flights[service] = _launch(ask, service, now)
-        if not assist.counts_load:
-            desk.get_budget(service).record_request(now)
-    left = set(planned.services)
-    helper = planned.helper
-    known = states.Delegation(helper, flights, left, assist.is_retry)
-    desk.delegations[key] = known
-    if not known.is_retry:
+    router.delegations[key] = delegation
+    if not delegation.is_retry:
         # Parts that are sent again are often not in when the answer goes out.
         # Waited for like others, three of them make their data centre look
         # cut off, and a host that is asked for few searches refuses the next.
-        desk.helper_health.record_sent(helper.name, _make_flight(key), now)
-        desk.centre_health.record_sent(helper.data_centre, helper.name, now)
-    return events.Delegate(key, helper, assist)
+        router.helper_health.record_sent(
+            helper.name, _make_attempt_key(key), now
+        )
+        router.centre_health.record_sent(helper.data_centre, helper.name, now)
+    return events.Delegate(key, helper, delegated)
 
 
-def take_share(
-    desk: states.Router, event: events.DelegationReportReceived, now: float
+def handle_report(
+    router: states.Router, event: events.DelegationReportReceived, now: float
 ) -> Actions:
     """Take in what a helper has gathered."""
-    known = desk.delegations.get(event.key)
-    if known is None:
+    delegation = router.delegations.get(event.key)
+    if delegation is None:
         return []
-    flight = _make_flight(event.key)
-    desk.helper_health.record_answered(known.helper.name, flight, now, None)
-    desk.controls.lags.update_host(known.helper.name, event.share.lag_s, now)
-    desk.centre_health.record_contact(known.helper.data_centre)
-    if known.helper.data_centre == desk.host.data_centre:
-        desk.centre_health.update_hints(event.share.silent_centres, now)
+    attempt_key = _make_attempt_key(event.key)
+    router.helper_health.record_answered(
+        delegation.helper.name, attempt_key, now, None
+    )
+    router.controls.lags.update_host(
+        delegation.helper.name, event.share.lag_s, now
+    )
+    router.centre_health.record_contact(delegation.helper.data_centre)
+    if delegation.helper.data_centre == router.host.data_centre:
+        router.centre_health.update_hints(event.share.silent_centres, now)
     if event.share.is_last:
-        desk.delegations.pop(event.key)
-    number = event.key.request_number
-    actions = _take_suspect(desk, event.share, now)
-    actions.extend(_take_parts(desk, number, known, event.share, now))
+        router.delegations.pop(event.key)
+    request_number = event.key.request_number
+    actions = _update_suspect(router, event.share, now)
+    actions.extend(
+        _record_parts(router, request_number, delegation, event.share, now)
+    )
     if event.share.is_last:
-        outs = _make_outs(known.unreported, arrived=True)
-        actions.extend(_lose_parts(desk, number, known, outs, now))
-    ask = desk.active_requests.get(number)
-    if ask is not None:
-        actions.extend(completions.complete_if_ready(desk, ask, now))
+        missing_parts = _make_missing_parts(delegation.unreported, arrived=True)
+        actions.extend(
+            _handle_missing_parts(
+                router, request_number, delegation, missing_parts, now
+            )
+        )
+    active = router.active_requests.get(request_number)
+    if active is not None:
+        actions.extend(completions.complete_if_ready(router, active, now))
     return actions
 
 
-def take_failure(
-    desk: states.Router, event: events.DelegationFailed, now: float
+def handle_failure(
+    router: states.Router, event: events.DelegationFailed, now: float
 ) -> Actions:
     """Send for the parts directly that a helper will not bring."""
-    known = desk.delegations.pop(event.key, None)
-    if known is None:
+    delegation = router.delegations.pop(event.key, None)
+    if delegation is None:
         return []
-    pause = REFUSED_S
+    pause_s = REFUSED_HELPER_PAUSE_S
     match event.fault:
         case events.HelperFault.NO_ANSWER:
-            desk.centre_health.record_failed(
-                known.helper.data_centre, known.helper.name
+            router.centre_health.record_failed(
+                delegation.helper.data_centre, delegation.helper.name
             )
         case events.HelperFault.REFUSED:
-            desk.centre_health.record_contact(known.helper.data_centre)
+            router.centre_health.record_contact(delegation.helper.data_centre)
         case events.HelperFault.STARTING:
-            desk.centre_health.record_contact(known.helper.data_centre)
-            pause = STARTING_S
-    flight = _make_flight(event.key)
-    desk.helper_health.record_delegation_lost(
-        known.helper.name, flight, now + pause, event.cause
+            router.centre_health.record_contact(delegation.helper.data_centre)
+            pause_s = STARTING_HELPER_PAUSE_S
+    attempt_key = _make_attempt_key(event.key)
+    router.helper_health.record_delegation_lost(
+        delegation.helper.name, attempt_key, now + pause_s, event.cause
+    )
+    missing_parts = _make_missing_parts(
+        delegation.unreported, arrived=event.may_have_arrived
+    )
+    return _handle_missing_parts(
+        router, event.key.request_number, delegation, missing_parts, now
     )
-    outs = _make_outs(known.unreported, arrived=event.may_have_arrived)
-    return _lose_parts(desk, event.key.request_number, known, outs, now)
 
 
-def _take_parts(
-    desk: states.Router,
-    number: int,
-    known: states.Delegation,
-    share: events.DelegationReport,
+def _record_parts(
+    router: states.Router,
+    request_number: int,
+    delegation: states.Delegation,
+    report: events.DelegationReport,
     now: float,
 ) -> Actions:
-    ask = desk.active_requests.get(number)
-    services = [part.service for part in share.parts]
-    known.unreported.difference_update(services)
-    if ask is None:
+    active = router.active_requests.get(request_number)
+    services = [part.service for part in report.parts]
+    delegation.unreported.difference_update(services)
+    if active is None:
         return []
     actions: Actions = []
     for service in services:
-        key = events.AttemptKey(number, service, known.attempt_numbers[service])
-        identity = ask.request.identity
-        actions.extend(crashes.record_success(desk, identity, key, now))
-    if ask.open_parts.issuperset(services):
-        _accept(ask, share)
+        key = events.AttemptKey(
+            request_number, service, delegation.attempt_numbers[service]
+        )
+        identity = active.request.identity
+        actions.extend(crashes.record_success(router, identity, key, now))
+    if active.open_parts.issuperset(services):
+        _record_answers(active, report)
     else:
         # The records of parts that came from elsewhere meanwhile cannot be
         # told from the others; those parts are sent for again.
-        outs = _make_outs(services, arrived=True)
-        actions.extend(_lose_parts(desk, number, known, outs, now))
-    actions.extend(_lose_parts(desk, number, known, share.lost, now))
-    for waiting in share.pending:
-        _hurry(ask, known, waiting)
-    if share.pending:
+        missing_parts = _make_missing_parts(services, arrived=True)
+        actions.extend(
+            _handle_missing_parts(
+                router, request_number, delegation, missing_parts, now
+            )
+        )
+    actions.extend(
+        _handle_missing_parts(
+            router, request_number, delegation, report.lost, now
+        )
+    )
+    for pending_part in report.pending:
+        _mark_overdue(active, delegation, pending_part)
+    if report.pending:
         # They are looked at as soon as this is done with.
-        desk.set_timer(now, states.HedgeTimer(number, recurs=False))
+        router.set_timer(now, states.HedgeTimer(request_number, recurs=False))
     return actions
 
 
-def _take_suspect(
-    desk: states.Router, share: events.DelegationReport, now: float
+def _update_suspect(
+    router: states.Router, report: events.DelegationReport, now: float
 ) -> Actions:
     """Take in what a helper knows against a request, before its parts."""
-    if share.suspect is None:
+    if report.suspect is None:
         return []
     return crashes.handle_suspect_reports(
-        desk, events.SuspectsReported((share.suspect,)), now
+        router, events.SuspectsReported((report.suspect,)), now
     )
 
 
 def _list_tried(
-    ask: active_requests.ActiveRequest, services: Iterable[str]
+    active: active_requests.ActiveRequest, services: Iterable[str]
 ) -> list[str]:
     return [
-        name for it in services for name in ask.parts[it].tried_targets if name
+        name
+        for it in services
+        for name in active.parts[it].tried_targets
+        if name
     ]
 
 
-def _launch(
-    ask: active_requests.ActiveRequest, service: str, now: float
+def _add_attempt(
+    active: active_requests.ActiveRequest, service: str, now: float
 ) -> int:
-    part = ask.parts[service]
+    part = active.parts[service]
     number = part.last_number + 1
-    ask.parts[service] = part._replace(
+    active.parts[service] = part._replace(
         in_flight=(
             *part.in_flight,
             active_requests.PartAttempt(number, '', now),
@@ -256,98 +294,100 @@
     return number
 
 
-def _accept(
-    ask: active_requests.ActiveRequest, share: events.DelegationReport
+def _record_answers(
+    active: active_requests.ActiveRequest, report: events.DelegationReport
 ) -> None:
-    body = share.body
-    for part in share.parts:
+    body = report.body
+    for part in report.parts:
         answer = events.Answer(
             active_requests.OK_STATUS, (), part.signature, body
         )
-        before = ask.parts[part.service]
-        ask.parts[part.service] = before._replace(answer=answer)
-        ask.open_parts.discard(part.service)
+        old_part = active.parts[part.service]
+        active.parts[part.service] = old_part._replace(answer=answer)
+        active.open_parts.discard(part.service)
         # The records of all of them stand in the body of the first.
         body = b''
 
 
-def _hurry(
-    ask: active_requests.ActiveRequest,
-    known: states.Delegation,
-    waiting: events.MissingPart,
+def _mark_overdue(
+    active: active_requests.ActiveRequest,
+    delegation: states.Delegation,
+    pending_part: events.MissingPart,
 ) -> None:
     """Have a part that the helper still waits for sent elsewhere as well."""
-    part = ask.parts[waiting.service]
-    number = known.attempt_numbers[waiting.service]
-    ask.parts[waiting.service] = part._replace(
+    part = active.parts[pending_part.service]
+    number = delegation.attempt_numbers[pending_part.service]
+    active.parts[pending_part.service] = part._replace(
         in_flight=tuple(
-            flight._replace(sent_at=OVERDUE)
-            if flight.number == number
-            else flight
-            for flight in part.in_flight
+            attempt._replace(sent_at=OVERDUE_SENT_AT)
+            if attempt.number == number
+            else attempt
+            for attempt in part.in_flight
         ),
-        tried_targets=(*part.tried_targets, waiting.instance),
+        tried_targets=(*part.tried_targets, pending_part.instance),
     )
 
 
-def _make_outs(
+def _make_missing_parts(
     services: Iterable[str], *, arrived: bool
 ) -> list[events.MissingPart]:
     return [events.MissingPart(service, '', arrived) for service in services]
 
 
-def _lose_parts(
-    desk: states.Router,
-    number: int,
-    known: states.Delegation,
-    outs: Iterable[events.MissingPart],
+def _handle_missing_parts(
+    router: states.Router,
+    request_number: int,
+    delegation: states.Delegation,
+    missing_parts: Iterable[events.MissingPart],
     now: float,
 ) -> Actions:
-    ask = desk.active_requests.get(number)
-    failed = []
-    passed = None
-    for out in outs:
-        known.unreported.discard(out.service)
-        if ask is None or out.service not in ask.open_parts:
+    active = router.active_requests.get(request_number)
+    failed_services = []
+    excluded = None
+    for missing in missing_parts:
+        delegation.unreported.discard(missing.service)
+        if active is None or missing.service not in active.open_parts:
             continue
         key = events.AttemptKey(
-            number, out.service, known.attempt_numbers[out.service]
+            request_number,
+            missing.service,
+            delegation.attempt_numbers[missing.service],
         )
-        crashes.end_trial(desk, ask.request.identity, key, now)
-        part = attempt_results.remove_attempt(ask, key)
-        ask.attempt_log.append(
-            f'{out.service} {out.instance} {known.helper.name}'
+        crashes.end_trial(router, active.request.identity, key, now)
+        part = attempt_results.remove_attempt(active, key)
+        active.attempt_log.append(
+            f'{missing.service} {missing.instance} {delegation.helper.name}'
         )
-        ask.parts[out.service] = part._replace(
-            sent_count=part.sent_count - (not out.may_have_arrived),
-            tried_targets=(*part.tried_targets, out.instance),
-            may_have_run=part.may_have_run or out.may_have_arrived,
+        active.parts[missing.service] = part._replace(
+            sent_count=part.sent_count - (not missing.may_have_arrived),
+            tried_targets=(*part.tried_targets, missing.instance),
+            may_have_run=part.may_have_run or missing.may_have_arrived,
             reason=coverage.Reason.UNREACHABLE,
         )
-        failed.append(out.service)
-        if not out.may_have_arrived:
-            passed = _find_passed(desk, known)
-    if ask is None:
+        failed_services.append(missing.service)
+        if not missing.may_have_arrived:
+            excluded = _find_excluded_host(router, delegation)
+    if active is None:
         return []
     return [
-        *send_again(desk, ask, failed, now, passed),
-        *completions.complete_if_ready(desk, ask, now),
+        *retry_parts(router, active, failed_services, now, excluded),
+        *completions.complete_if_ready(router, active, now),
     ]
 
 
-def _find_passed(
-    desk: states.Router, known: states.Delegation
+def _find_excluded_host(
+    router: states.Router, delegation: states.Delegation
 ) -> deployments.Host | None:
     """Find the host that is not asked again: one that is behind."""
-    return known.helper if rooms.is_contended(desk.index) else None
+    return delegation.helper if contention.is_contended(router.index) else None
 
 
-def send_again(
-    desk: states.Router,
-    ask: active_requests.ActiveRequest,
-    failed: Iterable[str],
+def retry_parts(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    failed_services: Iterable[str],
     now: float,
-    passed: deployments.Host | None = None,
+    excluded: deployments.Host | None = None,
 ) -> Actions:
     """Have parts that failed sent again, not by the host that is `passed`.
 
@@ -362,76 +402,78 @@
     accept them as to answer, and more than they accept.
     """
     if (
-        trials.get_permission(desk, ask, now)
+        trials.get_permission(router, active, now)
         is not suspects.SendPermission.UNRESTRICTED
     ):
-        return _try_one(desk, ask, failed, now)
-    wide = _is_handed_on(ask)
-    own = []
-    shared: dict[deployments.Host, list[str]] = {}
-    for service in failed:
+        return _retry_suspect_part(router, active, failed_services, now)
+    delegates = _delegates_retries(active)
+    own_services = []
+    by_helper: dict[deployments.Host, list[str]] = {}
+    for service in failed_services:
         helper = None
-        if wide and _may_hand_on(desk, ask, service, now):
-            helper = plans.find_second_helper(
-                desk, ask, service, now, passed=passed
+        if delegates and _may_delegate_retry(router, active, service, now):
+            helper = delegation_plans.find_second_helper(
+                router, active, service, now, excluded=excluded
             )
         if helper is None:
-            own.append(service)
+            own_services.append(service)
         else:
-            shared.setdefault(helper, []).append(service)
+            by_helper.setdefault(helper, []).append(service)
     actions: Actions = []
-    for service in own:
-        actions.extend(attempts.retry_part(desk, ask, service, now))
-    for helper, services in shared.items():
-        planned = plans.Plan(helper, tuple(services))
-        actions.append(start(desk, ask, planned, now))
+    for service in own_services:
+        actions.extend(attempts.retry_part(router, active, service, now))
+    for helper, services in by_helper.items():
+        plan = delegation_plans.Plan(helper, tuple(services))
+        actions.append(delegate_parts(router, active, plan, now))
     return actions
 
 
-def _try_one(
-    desk: states.Router,
-    ask: active_requests.ActiveRequest,
-    failed: Iterable[str],
+def _retry_suspect_part(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
+    failed_services: Iterable[str],
     now: float,
 ) -> Actions:
     """Have one part of a suspect request sent again, by whoever is to."""
     actions: Actions = []
-    for service in failed:
+    for service in failed_services:
         helper = None
-        gate = trials.get_permission(desk, ask, now)
-        if _is_handed_on(ask) and gate is suspects.SendPermission.TRIAL:
-            if _may_hand_on(desk, ask, service, now):
-                helper = plans.find_second_helper(desk, ask, service, now)
+        gate = trials.get_permission(router, active, now)
+        if _delegates_retries(active) and gate is suspects.SendPermission.TRIAL:
+            if _may_delegate_retry(router, active, service, now):
+                helper = delegation_plans.find_second_helper(
+                    router, active, service, now
+                )
         if helper is None:
-            actions.extend(attempts.retry_part(desk, ask, service, now))
+            actions.extend(attempts.retry_part(router, active, service, now))
             continue
-        planned = plans.Plan(helper, (service,))
-        actions.append(start(desk, ask, planned, now))
-        number = ask.parts[service].last_number
-        key = events.AttemptKey(ask.number, service, number)
-        actions.extend(trials.begin_trial(desk, ask, key, now))
+        plan = delegation_plans.Plan(helper, (service,))
+        actions.append(delegate_parts(router, active, plan, now))
+        number = active.parts[service].last_number
+        key = events.AttemptKey(active.number, service, number)
+        actions.extend(trials.begin_trial(router, active, key, now))
     return actions
 
 
-def _is_handed_on(ask: active_requests.ActiveRequest) -> bool:
+def _delegates_retries(active: active_requests.ActiveRequest) -> bool:
     """Tell whether hosts on duty send what failed; a helper asks nobody."""
-    return configs.is_wide_action(ask.route.way) and not ask.is_delegated
+    return configs.is_wide_action(active.route.way) and not active.is_delegated
 
 
-def _may_hand_on(
-    desk: states.Router,
-    ask: active_requests.ActiveRequest,
+def _may_delegate_retry(
+    router: states.Router,
+    active: active_requests.ActiveRequest,
     service: str,
     now: float,
 ) -> bool:
     """Tell whether another host may send a part that one host did not bring."""
-    part = ask.parts[service]
-    if part.in_flight or part.sent_count >= ask.route.attempts:
+    part = active.parts[service]
+    if part.in_flight or part.sent_count >= active.route.attempts:
         return False
-    if part.last_number >= MOST_HANDINGS:
+    if part.last_number >= MAX_PART_SENDINGS:
         return False
-    return target_selection.has_candidate(desk, service, part, now)
+    return target_selection.has_candidate(router, service, part, now)
 
 
-def _make_flight(key: events.DelegationKey) -> events.AttemptKey:
+def _make_attempt_key(key: events.DelegationKey) -> events.AttemptKey:
     return events.AttemptKey(key.request_number, '', key.number)
--- a/fuchsiahaven/routing/dispatch.py
+++ b/fuchsiahaven/routing/dispatch.py
@@ -4,16 +4,16 @@
 from fuchsiahaven.routing import (
     active_requests,
     admission,
-    assists,
     attempt_results,
     attempts,
     completions,
     configs,
     crashes,
+    delegated_requests,
+    delegation_plans,
     delegations,
     events,
-    plans,
-    quota_words,
+    quota_messages,
     reachability,
     states,
 )
@@ -28,7 +28,7 @@
     actions = _dispatch_event(router, event, now)
     actions.extend(router.target_health.pop_changes())
     actions.extend(router.helper_health.pop_changes())
-    if router.controls.quotas.has_news:
+    if router.controls.quotas.has_output:
         actions.extend(_apply_quota_decisions(router, now))
     return actions
 
@@ -36,14 +36,14 @@
 def _apply_quota_decisions(router: states.Router, now: float) -> Actions:
     """Go on with what was decided on by a word about its customer."""
     actions: Actions = []
-    decisions, messages, next_check = router.controls.quotas.take_news()
+    decisions, messages, next_check = router.controls.quotas.pop_output()
     for routed, failure in decisions:
         if failure is None:
             actions.extend(_start_request(router, routed, now))
             continue
         request = routed.request
-        caller = admission.find_asked(router, request)
-        failure = admission.advise(router, failure, request, now)
+        caller = admission.find_names(router, request)
+        failure = admission.spread_retry_after(router, failure, request, now)
         refusal = completions.refuse(
             routed.number, request, failure, routed.version, now, caller
         )
@@ -68,11 +68,11 @@
         case events.AttemptUnsent():
             return attempt_results.handle_unsent(router, event, now)
         case events.DelegationReportReceived():
-            return delegations.take_share(router, event, now)
+            return delegations.handle_report(router, event, now)
         case events.DelegationFailed():
-            return delegations.take_failure(router, event, now)
+            return delegations.handle_failure(router, event, now)
         case events.DelegatedRequestReceived():
-            return assists.take(router, event, now)
+            return delegated_requests.handle_request(router, event, now)
         case events.RequestAbandoned(number):
             return completions.abandon(router, number, now)
         case (
@@ -171,14 +171,14 @@
     router: states.Router, event: events.Event, now: float
 ) -> None:
     match event:
-        case quota_words.Heard():
-            router.controls.quotas.hear(event, now)
+        case quota_messages.MessageReceived():
+            router.controls.quotas.handle_message(event, now)
         case events.ConfigurationReceived(configuration):
             if configuration.version > router.index.configuration.version:
                 router.index = configs.build_index(configuration)
                 router.update_wide_centres()
                 customers = configuration.customers or ()
-                router.controls.quotas.note_customers(customers, now)
+                router.controls.quotas.update_customers(customers, now)
         case events.HostsChanged(host_count, hosts):
             router.host_count = max(1, host_count)
             router.hosts = tuple(
@@ -187,7 +187,7 @@
             router.centre_health.update_hosts((*router.hosts, router.host))
             router.controls.lags.update_hosts(hosts)
             router.warmups.update_hosts(hosts, now)
-            router.controls.quotas.note_hosts(hosts, now)
+            router.controls.quotas.update_hosts(hosts, now)
 
 
 def _handle_request(
@@ -197,8 +197,8 @@
     routed = admission.admit(router, event, now)
     if isinstance(routed, errors.Failure):
         request = event.request
-        caller = admission.find_asked(router, request)
-        routed = admission.advise(router, routed, request, now)
+        caller = admission.find_names(router, request)
+        routed = admission.spread_retry_after(router, routed, request, now)
         return completions.refuse(
             event.number, request, routed, version, now, caller
         )
@@ -212,7 +212,7 @@
     router: states.Router, routed: active_requests.RoutedRequest, now: float
 ) -> Actions:
     route = routed.route
-    services = admission.list_services(router, route)
+    services = admission.select_services(router, route)
     reachability.record_request(router, route, now)
     host_margin = router.reply_margin.estimate_margin(route.way)
     active = active_requests.start_request(
@@ -256,8 +256,8 @@
     ):
         return []
     return [
-        delegations.start(router, active, planned, now)
-        for planned in plans.plan(router, active, now)
+        delegations.delegate_parts(router, active, planned, now)
+        for planned in delegation_plans.plan_delegations(router, active, now)
     ]
 
 
@@ -296,7 +296,7 @@
         case states.TrialTimer(identity):
             return _resume_waiting(router, identity, now)
         case states.QuotaTimer():
-            router.controls.quotas.check(now)
+            router.controls.quotas.expire_pending(now)
             return []
     active = router.active_requests.get(timer.request_number)
     if active is None:
@@ -329,13 +329,13 @@
         if active_requests.is_part_idle(active, it)
     ]
     lost = [it for it in idle if active.parts[it].last_number]
-    refusal = admission.refuse_late(router, active, now)
+    refusal = admission.refuse_stale(router, active, now)
     if refusal is not None:
         return refusal
     # Each request is tried at another of the shards that several have lost.
     ranked = rendezvous.rank(active.request.identity.digest, lost)
     return [
-        *delegations.send_again(router, active, ranked, now),
+        *delegations.retry_parts(router, active, ranked, now),
         *_delegate_parts(router, active, now),
         *_send_unsent(router, active, now),
         *completions.complete_if_ready(router, active, now),
@@ -357,5 +357,5 @@
         interval = attempts.compute_hedge_delay(router, active) / 2
         router.set_timer(now + interval, states.HedgeTimer(active.number))
     if configs.is_wide_action(action):
-        return delegations.hedge(router, active, slow, now)
+        return delegations.hedge_parts(router, active, slow, now)
     return attempts.hedge_parts(router, active, slow, now)
--- a/fuchsiahaven/routing/events.py
+++ b/fuchsiahaven/routing/events.py
@@ -9,7 +9,7 @@
 
 from fuchsiahaven.core import errors, request_identities, suspects
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.routing import configs, deployments, instances, quota_words
+from fuchsiahaven.routing import configs, deployments, instances, quota_messages
 
 Fields = tuple[tuple[str, str], ...]
 
@@ -423,7 +423,7 @@
     | DelegationReportReceived
     | DelegationFailed
     | DelegatedRequestReceived
-    | quota_words.Heard
+    | quota_messages.MessageReceived
 )
 #: What is only told: to the log, or to other hosts.
 Notification = (
@@ -431,7 +431,7 @@
     | CrashReport
     | SuspicionChanged
     | TargetStatusReport
-    | quota_words.Tell
+    | quota_messages.SendMessage
 )
 Action = (
     Delegate
--- a/fuchsiahaven/routing/extra_attempts.py
+++ b/fuchsiahaven/routing/extra_attempts.py
@@ -3,7 +3,12 @@
 from typing import Final
 
 from fuchsiahaven.core import coverage
-from fuchsiahaven.routing import active_requests, configs, duties, states
+from fuchsiahaven.routing import (
+    active_requests,
+    chunk_assignments,
+    configs,
+    states,
+)
 
 #: Refusals of a part after which it is not sent again. What a target refuses
 #: has not run and leaves the attempts that a route allows as they are, but it
@@ -134,8 +139,8 @@
     on_duty = active.is_delegated
     if not on_duty and router.host.data_centre in centres:
         on_duty = _is_on_duty(router, action, service)
-    return duties.count_slack_sharers(
-        len(centres), router.host_count, on_duty=on_duty
+    return chunk_assignments.count_slack_sharers(
+        len(centres), router.host_count, assigned=on_duty
     )
 
 
@@ -146,13 +151,15 @@
 
     Asked for each repeat, and found out anew only where hosts come or go.
     """
-    chunk = duties.find_chunks(gather).get(service, service)
+    chunk = chunk_assignments.find_chunks(gather).get(service, service)
     cached = router.centre_health.on_duty.get(chunk)
     if cached is not None:
         return cached
-    chunk_key = duties.Duty(router.host.data_centre, chunk)
+    chunk_key = chunk_assignments.ChunkKey(router.host.data_centre, chunk)
     hosts = router.centre_health.list_hosts(router.host.data_centre)
-    first = duties.rank_hosts(chunk_key, hosts)[: duties.ON_DUTY]
+    first = chunk_assignments.rank_hosts(chunk_key, hosts)[
+        : chunk_assignments.HOSTS_PER_CHUNK
+    ]
     on_duty = any(it.name == router.host.name for it in first)
     router.centre_health.on_duty[chunk] = on_duty
     return on_duty
--- a/fuchsiahaven/routing/turns.py
+++ b/fuchsiahaven/routing/fair_queues.py
@@ -18,18 +18,18 @@
 
 #: How much more of a busy host's time one priority gets than the next less
 #: urgent one, where both want more than there is.
-WEIGHT: Final = 4.0
+PRIORITY_WEIGHT_RATIO: Final = 4.0
 #: Priorities beyond this count as this one.
-LEAST_URGENT: Final = 16
+LOWEST_PRIORITY: Final = 16
 #: What waits at the most. A host gets through far less than this within the
 #: longest timeout that routes have, so that whatever is beyond it is refused
 #: in any case, and sooner.
-MOST_WAITING: Final = 512
+MAX_QUEUED_WORK: Final = 512
 
-What = TypeVar('What')
+Payload = TypeVar('Payload')
 
 
-class Work(NamedTuple, Generic[What]):
+class Work(NamedTuple, Generic[Payload]):
     """Hold what waits for its turn.
 
     `priority` is 0 for the most urgent, `cost` counts parts. It is wanted by
@@ -40,172 +40,176 @@
     customer: str
     priority: int
     cost: int
-    due: float
-    latest: float
-    came: float
-    what: What
+    deadline: float
+    latest_start: float
+    arrived: float
+    payload: Payload
 
 
-class _Customer(Generic[What]):
+class _CustomerQueue(Generic[Payload]):
     """Own the work of one customer at one priority, and its tag."""
 
     def __init__(self, tag: float) -> None:
         """Start with nothing, at a virtual time."""
         self.tag = tag
-        self.works: list[tuple[float, int, Work[What]]] = []
+        self.works: list[tuple[float, int, Work[Payload]]] = []
 
     def sum_cost(self) -> int:
         """Sum what all that waits costs."""
         return sum(work.cost for _, _, work in self.works)
 
 
-class _Level(Generic[What]):
+class _PriorityLevel(Generic[Payload]):
     """Own the customers of one priority; `now` is its virtual time."""
 
     def __init__(self, tag: float, weight: float) -> None:
         """Start with nothing, at a virtual time of the whole."""
         self.tag = tag
         self.weight = weight
-        self.now = 0.0
-        self.customers: dict[str, _Customer[What]] = {}
+        self.virtual_time = 0.0
+        self.customers: dict[str, _CustomerQueue[Payload]] = {}
 
-    def list_waiting(self) -> list[tuple[str, _Customer[What]]]:
+    def list_backlogged(self) -> list[tuple[str, _CustomerQueue[Payload]]]:
         """List the customers that have work."""
         return [it for it in self.customers.items() if it[1].works]
 
-    def find_next(self) -> _Customer[What]:
+    def choose_customer(self) -> _CustomerQueue[Payload]:
         """Find the customer that is next; there has to be one."""
         return min(
-            (it for _, it in self.list_waiting()),
+            (it for _, it in self.list_backlogged()),
             key=lambda it: (it.tag, it.works[0][:2]),
         )
 
-    def count_end(self) -> float:
+    def compute_finish_tag(self) -> float:
         """Count the virtual time at which what is next would be done."""
-        return self.tag + self.find_next().works[0][2].cost / self.weight
+        return self.tag + self.choose_customer().works[0][2].cost / self.weight
 
     def sum_cost(self) -> int:
         """Sum what all that waits costs."""
         return sum(it.sum_cost() for it in self.customers.values())
 
-    def forget_even(self) -> None:
+    def discard_idle(self) -> None:
         """Forget who has no work and has had no more than its share."""
         self.customers = {
-            name: known
-            for name, known in self.customers.items()
-            if known.works or known.tag > self.now
+            name: customer
+            for name, customer in self.customers.items()
+            if customer.works or customer.tag > self.virtual_time
         }
 
 
-class Turns(Generic[What]):
+class FairQueue(Generic[Payload]):
     """Own the new work that waits at one host."""
 
-    def __init__(self, most: int = MOST_WAITING) -> None:
+    def __init__(self, max_queued: int = MAX_QUEUED_WORK) -> None:
         """Start with nothing that waits."""
-        self._most = most
-        self._now = 0.0
-        self._levels: dict[int, _Level[What]] = {}
-        self._works: dict[int, Work[What]] = {}
-        self._latest: list[tuple[float, int]] = []
+        self._max_queued = max_queued
+        self._virtual_time = 0.0
+        self._levels: dict[int, _PriorityLevel[Payload]] = {}
+        self._works: dict[int, Work[Payload]] = {}
+        self._latest_starts: list[tuple[float, int]] = []
 
     def __len__(self) -> int:
         """Count what waits."""
         return len(self._works)
 
-    def offer(self, work: Work[What]) -> Work[What] | None:
+    def push(self, work: Work[Payload]) -> Work[Payload] | None:
         """Have work wait; return what has to leave for it, maybe itself.
 
         Where too much waits, the priority that has most of it for its weight
         loses what its customer with most there wants last.
         """
         self._add(work)
-        if len(self._works) <= self._most:
+        if len(self._works) <= self._max_queued:
             return None
-        return self.drop(self._find_last().number)
+        return self.remove(self._choose_evicted().number)
 
-    def take(self) -> Work[What] | None:
+    def pop(self) -> Work[Payload] | None:
         """Take the work whose turn it is."""
-        levels = self._list_waiting()
+        levels = self._list_backlogged()
         if not levels:
             return None
-        _, level = min(levels, key=lambda it: (it[1].count_end(), it[0]))
-        customer = level.find_next()
+        _, level = min(
+            levels, key=lambda it: (it[1].compute_finish_tag(), it[0])
+        )
+        customer = level.choose_customer()
         work = customer.works[0][2]
         # What has lagged behind must not take the time of the whole back.
-        self._now = max(self._now, level.tag)
-        level.now = customer.tag
+        self._virtual_time = max(self._virtual_time, level.tag)
+        level.virtual_time = customer.tag
         level.tag += work.cost / level.weight
         customer.tag += work.cost
         self._remove(work)
-        level.forget_even()
+        level.discard_idle()
         return work
 
-    def take_late(self, now: float) -> tuple[Work[What], ...]:
+    def pop_expired(self, now: float) -> tuple[Work[Payload], ...]:
         """Take all that is not worth beginning any more."""
-        late = []
-        while self._latest and self._latest[0][0] < now:
-            found = self.drop(heapq.heappop(self._latest)[1])
-            if found is not None:
-                late.append(found)
-        return tuple(late)
-
-    def take_all(self) -> tuple[Work[What], ...]:
+        expired = []
+        while self._latest_starts and self._latest_starts[0][0] < now:
+            work = self.remove(heapq.heappop(self._latest_starts)[1])
+            if work is not None:
+                expired.append(work)
+        return tuple(expired)
+
+    def pop_all(self) -> tuple[Work[Payload], ...]:
         """Take all that waits."""
         works = tuple(self._works.values())
         self._clear()
         return works
 
-    def drop(self, number: int) -> Work[What] | None:
+    def remove(self, number: int) -> Work[Payload] | None:
         """Take out what nobody waits for any more; None if it is not here."""
         work = self._works.get(number)
         if work is not None:
             self._remove(work)
         return work
 
-    def reorder(self, find: Callable[[Work[What]], int]) -> None:
+    def update_priorities(
+        self, find_priority: Callable[[Work[Payload]], int]
+    ) -> None:
         """Have all that waits go by the priorities that hold from now on."""
-        for work in self.take_all():
-            self._add(work._replace(priority=find(work)))
+        for work in self.pop_all():
+            self._add(work._replace(priority=find_priority(work)))
 
-    def count(self) -> dict[int, int]:
+    def count_by_priority(self) -> dict[int, int]:
         """Count what waits of each priority."""
         return {
             priority: sum(len(it.works) for it in level.customers.values())
-            for priority, level in sorted(self._list_waiting())
+            for priority, level in sorted(self._list_backlogged())
         }
 
-    def _list_waiting(self) -> list[tuple[int, _Level[What]]]:
-        return [it for it in self._levels.items() if it[1].list_waiting()]
+    def _list_backlogged(self) -> list[tuple[int, _PriorityLevel[Payload]]]:
+        return [it for it in self._levels.items() if it[1].list_backlogged()]
 
-    def _add(self, work: Work[What]) -> None:
-        level = self._find_level(work.priority)
+    def _add(self, work: Work[Payload]) -> None:
+        level = self._get_level(work.priority)
         customer = level.customers.setdefault(
-            work.customer, _Customer(level.now)
+            work.customer, _CustomerQueue(level.virtual_time)
         )
-        customer.tag = max(customer.tag, level.now)
-        heapq.heappush(customer.works, (work.due, work.number, work))
-        heapq.heappush(self._latest, (work.latest, work.number))
+        customer.tag = max(customer.tag, level.virtual_time)
+        heapq.heappush(customer.works, (work.deadline, work.number, work))
+        heapq.heappush(self._latest_starts, (work.latest_start, work.number))
         self._works[work.number] = work
 
-    def _find_level(self, priority: int) -> _Level[What]:
+    def _get_level(self, priority: int) -> _PriorityLevel[Payload]:
         level = self._levels.get(priority)
         if level is None:
-            weight = WEIGHT ** -min(priority, LEAST_URGENT)
-            level = _Level(self._now, weight)
+            weight = PRIORITY_WEIGHT_RATIO ** -min(priority, LOWEST_PRIORITY)
+            level = _PriorityLevel(self._virtual_time, weight)
             self._levels[priority] = level
-        if not level.list_waiting():
+        if not level.list_backlogged():
             # What it did not use while it had nothing is not saved up.
-            level.tag = max(level.tag, self._now)
+            level.tag = max(level.tag, self._virtual_time)
         return level
 
-    def _remove(self, work: Work[What]) -> None:
+    def _remove(self, work: Work[Payload]) -> None:
         self._works.pop(work.number)
         if not self._works:
             # Nobody is owed anything once all is done.
             self._clear()
             return
         works = self._levels[work.priority].customers[work.customer].works
-        entry = (work.due, work.number, work)
+        entry = (work.deadline, work.number, work)
         if works[0] == entry:
             heapq.heappop(works)
         else:
@@ -215,15 +219,15 @@
     def _clear(self) -> None:
         self._works.clear()
         self._levels.clear()
-        self._latest.clear()
-        self._now = 0.0
+        self._latest_starts.clear()
+        self._virtual_time = 0.0
 
-    def _find_last(self) -> Work[What]:
+    def _choose_evicted(self) -> Work[Payload]:
         _, level = max(
-            self._list_waiting(),
+            self._list_backlogged(),
             key=lambda it: (it[1].sum_cost() / it[1].weight, it[0]),
         )
         _, customer = max(
-            level.list_waiting(), key=lambda it: (it[1].sum_cost(), it[0])
+            level.list_backlogged(), key=lambda it: (it[1].sum_cost(), it[0])
         )
         return max(customer.works)[2]
--- a/fuchsiahaven/routing/merges.py
+++ b/fuchsiahaven/routing/merges.py
@@ -9,7 +9,7 @@
 RECORD_BYTES: Final = 16
 
 
-def cut_records(body: bytes) -> list[bytes]:
+def split_records(body: bytes) -> list[bytes]:
     """Cut a body into records; a shorter rest at its end is none."""
     whole = len(body) - len(body) % RECORD_BYTES
     return [
@@ -20,5 +20,5 @@
 
 def merge_records(bodies: Iterable[bytes], limit: int) -> bytes:
     """Join the greatest records, greatest first; equal ones all count."""
-    records = itertools.chain.from_iterable(map(cut_records, bodies))
+    records = itertools.chain.from_iterable(map(split_records, bodies))
     return b''.join(heapq.nlargest(limit, records))
--- a/fuchsiahaven/routing/quota_buckets.py
+++ b/fuchsiahaven/routing/quota_buckets.py
@@ -6,11 +6,11 @@
 from fuchsiahaven.routing import quota_slots
 
 #: Part of a bucket that one ask gets beyond the token that it needs now.
-AHEAD_SHARE: Final = 0.25
-MOST_TOLD: Final = 20
+PREFETCH_FRACTION: Final = 0.25
+MAX_LISTED_SLOTS: Final = 20
 
 
-class Key(NamedTuple):
+class SlotKey(NamedTuple):
     """Name a slot of a customer."""
 
     customer: str
@@ -24,18 +24,18 @@
     """
 
     level: float
-    noted: float
+    updated: float
     free_at: float = 0.0
 
 
-class Given(NamedTuple):
+class Grant(NamedTuple):
     """Hold how many tokens were given; if none, in how many seconds to come."""
 
     tokens: int
     wait: float
 
 
-class Duty(NamedTuple):
+class SlotState(NamedTuple):
     """Describe a slot that this host holds, for people."""
 
     customer: str
@@ -49,32 +49,34 @@
 
     def __init__(self) -> None:
         """Start without any."""
-        self._buckets: dict[Key, Bucket] = {}
-        self._shares: dict[Key, quota_slots.Share] = {}
-        self._since: dict[str, float] = {}
-        self._renewed = 0.0
-
-    def renew(self, now: float, is_held: Callable[[str, int], bool]) -> None:
+        self._buckets: dict[SlotKey, Bucket] = {}
+        self._shares: dict[SlotKey, quota_slots.SlotShare] = {}
+        self._known_since: dict[str, float] = {}
+        self._holders_changed = 0.0
+
+    def update_holders(
+        self, now: float, is_held: Callable[[str, int], bool]
+    ) -> None:
         """Take note that other hosts may hold slots than did until now.
 
         Whoever holds a slot that was this host's gives its tokens meanwhile.
         """
-        self._renewed = now
+        self._holders_changed = now
         lost = [key for key in self._buckets if not is_held(*key)]
         for key in lost:
             self._buckets.pop(key)
 
-    def give(
+    def grant(
         self,
         limit: quota_slots.Limit,
         slot: int,
-        share: quota_slots.Share,
+        share: quota_slots.SlotShare,
         wanted: int,
         now: float,
-    ) -> Given:
+    ) -> Grant:
         """Give tokens of a slot, at least one or none."""
-        key = Key(limit.customer, slot)
-        bucket = self._fill(key, share, now)
+        key = SlotKey(limit.customer, slot)
+        bucket = self._refill(key, share, now)
         self._shares[key] = share
         if bucket.level < 1:
             wait = (1 - bucket.level) / share.rate
@@ -82,43 +84,55 @@
             # much time between two callers as the whole quota does.
             free_at = max(now + wait, bucket.free_at + 1 / limit.rate)
             self._buckets[key] = bucket._replace(free_at=free_at)
-            return Given(0, free_at - now)
-        ahead = min(wanted - 1, int(AHEAD_SHARE * (bucket.level - 1)))
-        count = 1 + max(0, ahead)
+            return Grant(0, free_at - now)
+        prefetched = min(
+            wanted - 1, int(PREFETCH_FRACTION * (bucket.level - 1))
+        )
+        count = 1 + max(0, prefetched)
         self._buckets[key] = bucket._replace(level=bucket.level - count)
-        return Given(count, 0.0)
+        return Grant(count, 0.0)
 
-    def list_duties(self) -> list[Duty]:
+    def list_slots(self) -> list[SlotState]:
         """List the slots with the fewest tokens."""
-        duties = [
-            Duty(*key, round(bucket.level, 1), round(self._shares[key].most, 1))
+        states = [
+            SlotState(
+                *key,
+                round(bucket.level, 1),
+                round(self._shares[key].capacity, 1),
+            )
             for key, bucket in self._buckets.items()
         ]
-        return sorted(duties, key=lambda it: it.tokens / it.most)[:MOST_TOLD]
+        return sorted(states, key=lambda it: it.tokens / it.most)[
+            :MAX_LISTED_SLOTS
+        ]
 
-    def note_customers(self, customers: frozenset[str], now: float) -> None:
+    def update_customers(self, customers: frozenset[str], now: float) -> None:
         """Take in which customers there are; forget the others.
 
         One that is back may have spent its tokens before it went.
         """
-        for new in customers - self._since.keys():
-            self._since[new] = now
-        for gone in self._since.keys() - customers:
-            self._since.pop(gone)
+        for added in customers - self._known_since.keys():
+            self._known_since[added] = now
+        for removed in self._known_since.keys() - customers:
+            self._known_since.pop(removed)
         lost = [it for it in self._shares if it.customer not in customers]
         for key in lost:
             self._shares.pop(key)
             self._buckets.pop(key, None)
 
-    def _fill(self, key: Key, share: quota_slots.Share, now: float) -> Bucket:
+    def _refill(
+        self, key: SlotKey, share: quota_slots.SlotShare, now: float
+    ) -> Bucket:
         """Fill a bucket by the time that has passed.
 
         One that is new may have been another host's until just now.
         """
         bucket = self._buckets.get(key)
         if bucket is None:
-            since = self._since.get(key.customer, now)
-            bucket = Bucket(share.start, max(self._renewed, since))
-        passed = max(0.0, now - bucket.noted)
-        level = min(share.most, bucket.level + share.rate * passed)
-        return bucket._replace(level=level, noted=now)
+            known_since = self._known_since.get(key.customer, now)
+            bucket = Bucket(
+                share.start_tokens, max(self._holders_changed, known_since)
+            )
+        elapsed_s = max(0.0, now - bucket.updated)
+        level = min(share.capacity, bucket.level + share.rate * elapsed_s)
+        return bucket._replace(level=level, updated=now)
--- a/fuchsiahaven/routing/quota_codecs.py
+++ b/fuchsiahaven/routing/quota_codecs.py
@@ -4,51 +4,57 @@
 import math
 from typing import Any, Final
 
-from fuchsiahaven.routing import quota_words, report_codecs
+from fuchsiahaven.routing import quota_messages, report_codecs
 
 #: The first item of a datagram says what it holds.
-ASK: Final = 'ask'
-VERDICT: Final = 'verdict'
+REQUEST_TYPE: Final = 'ask'
+REPLY_TYPE: Final = 'verdict'
 #: JSON readers agree on whole numbers up to here.
-LARGEST_WHOLE: Final = 9_007_199_254_740_991
-MILLISECONDS: Final = 1000
-FAULTS: Final = (ValueError, TypeError, RecursionError)
+MAX_EXACT_INTEGER: Final = 9_007_199_254_740_991
+MS_PER_S: Final = 1000
+DECODE_ERRORS: Final = (ValueError, TypeError, RecursionError)
 
 
-def write_word(word: quota_words.Word) -> bytes:
+def encode_message(message: quota_messages.Message) -> bytes:
     """Write a word as one datagram; waits are in milliseconds."""
-    match word:
-        case quota_words.Ask():
-            row = [ASK, *word]
-        case quota_words.Verdict(number, start, granted, wait):
-            waits = math.ceil(wait * MILLISECONDS)
-            row = [VERDICT, number, start, granted, waits]
+    match message:
+        case quota_messages.TokenRequest():
+            row = [REQUEST_TYPE, *message]
+        case quota_messages.TokenReply(number, start_id, granted, wait):
+            wait_ms = math.ceil(wait * MS_PER_S)
+            row = [REPLY_TYPE, number, start_id, granted, wait_ms]
     return json.dumps(row, separators=(',', ':')).encode()
 
 
-def read_word(datagram: bytes) -> quota_words.Word:
+def decode_message(datagram: bytes) -> quota_messages.Message:
     """Read a datagram; raises codecs.Malformed."""
     try:
-        return _read_row(json.loads(datagram))
-    except FAULTS as error:
+        return _decode_row(json.loads(datagram))
+    except DECODE_ERRORS as error:
         raise report_codecs.MalformedReport(type(error).__name__) from error
 
 
-def _read_row(row: Any) -> quota_words.Word:
+def _decode_row(row: Any) -> quota_messages.Message:
     match row:
-        case ['ask', str(customer), *figures]:
-            slot, number, start, wanted = [_read_whole(it) for it in figures]
-            return quota_words.Ask(customer, slot, number, start, wanted)
-        case ['verdict', *figures]:
-            number, start, granted, wait = [_read_whole(it) for it in figures]
-            return quota_words.Verdict(
-                number, start, granted, wait / MILLISECONDS
+        case ['ask', str(customer), *numbers]:
+            slot, number, start_id, wanted = [
+                _decode_integer(it) for it in numbers
+            ]
+            return quota_messages.TokenRequest(
+                customer, slot, number, start_id, wanted
+            )
+        case ['verdict', *numbers]:
+            number, start_id, granted, wait = [
+                _decode_integer(it) for it in numbers
+            ]
+            return quota_messages.TokenReply(
+                number, start_id, granted, wait / MS_PER_S
             )
     raise ValueError('no word')
 
 
-def _read_whole(told: object) -> int:
-    if isinstance(told, int) and not isinstance(told, bool):
-        if 0 <= told <= LARGEST_WHOLE:
-            return told
+def _decode_integer(value: object) -> int:
+    if isinstance(value, int) and not isinstance(value, bool):
+        if 0 <= value <= MAX_EXACT_INTEGER:
+            return value
     raise ValueError('no whole number')
--- a/fuchsiahaven/routing/quota_words.py
+++ b/fuchsiahaven/routing/quota_messages.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Ask(NamedTuple):
+class TokenRequest(NamedTuple):
     """Ask the holder of a slot for tokens of a customer.
 
     `number` is the asker's own, of the start of its process that `start` names;
@@ -13,31 +13,31 @@
     customer: str
     slot: int
     number: int
-    start: int
+    start_id: int
     wanted: int
 
 
-class Verdict(NamedTuple):
+class TokenReply(NamedTuple):
     """Answer an ask: how many tokens, or in how many seconds to come back."""
 
     number: int
-    start: int
+    start_id: int
     granted: int
     wait: float
 
 
-Word = Ask | Verdict
+Message = TokenRequest | TokenReply
 
 
-class Heard(NamedTuple):
+class MessageReceived(NamedTuple):
     """Bring a word of the host at an address (`ip:port`)."""
 
-    word: Word
+    message: Message
     sender: str
 
 
-class Tell(NamedTuple):
+class SendMessage(NamedTuple):
     """Ask for a word to be sent to the host at an address (`ip:port`)."""
 
-    word: Word
+    message: Message
     address: str
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -19,77 +19,77 @@
     deployments,
     quota_buckets,
     quota_holders,
-    quota_purses,
+    quota_messages,
     quota_slots,
-    quota_words,
+    quota_tokens,
 )
 
 SOURCE: Final = 'quotas'
 #: How long a holder has to answer, and all of them together.
-ANSWER_S: Final = 0.015
-PATIENCE_S: Final = 0.06
+REPLY_TIMEOUT_S: Final = 0.015
+TOTAL_TIMEOUT_S: Final = 0.06
 #: What a caller is told to wait where no holder could be asked, in seconds.
-UNKNOWN_WAIT_S: Final = 0.3
+NO_HOLDER_RETRY_S: Final = 0.3
 #: Part of a wait by which callers are spread.
-SPREAD: Final = 0.25
+SPREAD_FRACTION: Final = 0.25
 WAIT_DIGITS: Final = 2
-LEAST_WAIT_S: Final = 0.01
+MIN_RETRY_AFTER_S: Final = 0.01
 #: Who comes back later than this has mostly given up.
-MOST_WAIT_S: Final = 5.0
-LARGEST_DRAW: Final = 0xFFFF_FFFF
+MAX_RETRY_AFTER_S: Final = 5.0
+MAX_CRC32: Final = 0xFFFF_FFFF
 
 
-class Terms(NamedTuple):
+class Settings(NamedTuple):
     """Hold what the deployment tells, and a number that names this start."""
 
     quota: deployments.QuotaTolerance | None
-    centres: tuple[str, ...]
-    start: int
+    data_centres: tuple[str, ...]
+    start_id: int
 
 
-class Waiting(NamedTuple):
+class PendingRequest(NamedTuple):
     """Hold a request that waits for a token.
 
     `left` are the slots to be asked yet, `asked` the holder that was asked last
     and `due` until when it may answer; `ends` is when to give up.
     """
 
-    taken: active_requests.RoutedRequest
+    admitted: active_requests.RoutedRequest
     limit: quota_slots.Limit
-    left: tuple[int, ...]
-    ends: float
+    remaining_slots: tuple[int, ...]
+    deadline: float
     slot: int = 0
-    asked: str = ''
-    due: float = 0.0
-    waits: tuple[float, ...] = ()
+    holder: str = ''
+    reply_deadline: float = 0.0
+    slot_waits: tuple[float, ...] = ()
 
 
-class Paid(NamedTuple):
+class SpentToken(NamedTuple):
     """Hold whose token a request has, and until when that may be spent."""
 
     customer: str
-    until: float
+    expires: float
 
 
-class Decided(NamedTuple):
+class Decision(NamedTuple):
     """Hold a request that has its token, or the failure to refuse it with."""
 
-    taken: active_requests.RoutedRequest
+    admitted: active_requests.RoutedRequest
     failure: errors.Failure | None
 
 
-class News(NamedTuple):
+class Output(NamedTuple):
     """Hold what came of a call; `due` is when to call `check` next."""
 
-    decided: tuple[Decided, ...]
-    told: tuple[quota_words.Tell, ...]
-    due: float | None
+    decisions: tuple[Decision, ...]
+    messages: tuple[quota_messages.SendMessage, ...]
+    check_at: float | None
 
 
-Charged = errors.Failure | active_requests.RoutedRequest | Waiting
+ChargeResult = errors.Failure | active_requests.RoutedRequest | PendingRequest
 
 
-def _wait_never() -> float:
+def _find_no_wait() -> float:
     return 0.0
 
 
@@ -99,7 +99,7 @@
     def __init__(
         self,
         host: deployments.Host,
-        find_wait: Callable[[], float] = _wait_never,
+        find_wait: Callable[[], float] = _find_no_wait,
     ) -> None:
         """Start with nothing bounded.
 
@@ -108,271 +108,300 @@
         """
         self.host = host
         self._find_wait = find_wait
-        self.terms = Terms(None, (host.data_centre,), 0)
+        self.settings = Settings(None, (host.data_centre,), 0)
         self.buckets = quota_buckets.Buckets()
         #: Whether anything was decided or is to be told or waited for: looked
         #: at by far more often than it happens.
-        self.has_news = False
-        self._told: list[quota_words.Tell] = []
-        self._decided: list[Decided] = []
+        self.has_output = False
+        self._messages: list[quota_messages.SendMessage] = []
+        self._decisions: list[Decision] = []
         self._holders = quota_holders.Holders(host)
-        self._purse = quota_purses.Purse()
+        self._spare_tokens = quota_tokens.SpareTokens()
         self._customers: Mapping[str, configs.Customer] = {}
-        self._waiting: dict[int, Waiting] = {}
-        self._paid: dict[int, Paid] = {}
+        self._pending: dict[int, PendingRequest] = {}
+        self._spent: dict[int, SpentToken] = {}
         self._numbers = itertools.count(1)
 
-    def note_hosts(
+    def update_hosts(
         self, hosts: tuple[deployments.Host, ...], now: float
     ) -> None:
         """Take in which hosts there are."""
-        if self._holders.note_hosts(hosts):
-            held = functools.partial(
-                _holds, self._holders, self._customers, self.terms
+        if self._holders.update_hosts(hosts):
+            is_held = functools.partial(
+                _is_holder, self._holders, self._customers, self.settings
             )
-            self.buckets.renew(now, held)
+            self.buckets.update_holders(now, is_held)
 
-    def note_customers(
-        self, known: tuple[configs.Customer, ...], now: float
+    def update_customers(
+        self, customers: tuple[configs.Customer, ...], now: float
     ) -> None:
         """Take in the customers of the configuration in force."""
-        self._customers = {it.name: it for it in known}
-        self.buckets.note_customers(frozenset(self._customers), now)
-        self._purse.keep_only(frozenset(self._customers))
+        self._customers = {it.name: it for it in customers}
+        self.buckets.update_customers(frozenset(self._customers), now)
+        self._spare_tokens.retain_customers(frozenset(self._customers))
 
     def charge(
         self,
         customer: configs.Customer,
-        taken: active_requests.RoutedRequest,
+        admitted: active_requests.RoutedRequest,
         now: float,
-    ) -> Charged:
+    ) -> ChargeResult:
         """Charge a request to its customer, or say why it is refused.
 
         Where it has to wait for a word, it is among those that are `decided`
         then.
         """
-        if self.terms.quota is None or customer.rate <= 0:
-            return taken
-        limit = quota_slots.find_limit(customer)
-        until = self._purse.spend(limit.customer, now)
-        if until is not None:
-            self._paid[taken.number] = Paid(limit.customer, until)
-            return taken
-        self.has_news = True
-        slots = _split(limit, self.terms)
-        left = self._holders.order(limit, slots, now)
-        waiting = Waiting(taken, limit, left, now + PATIENCE_S)
-        return self._go_on(waiting, now)
-
-    def end(self, number: int, now: float, *, ran: bool) -> None:
+        if self.settings.quota is None or customer.rate <= 0:
+            return admitted
+        limit = quota_slots.make_limit(customer)
+        expires = self._spare_tokens.spend(limit.customer, now)
+        if expires is not None:
+            self._spent[admitted.number] = SpentToken(limit.customer, expires)
+            return admitted
+        self.has_output = True
+        slots = _split_quota(limit, self.settings)
+        remaining_slots = self._holders.order_slots(limit, slots, now)
+        pending = PendingRequest(
+            admitted, limit, remaining_slots, now + TOTAL_TIMEOUT_S
+        )
+        return self._ask_next_holder(pending, now)
+
+    def record_end(self, number: int, now: float, *, ran: bool) -> None:
         """Take in that a request is over; what has not run costs nothing."""
-        self._waiting = {
+        self._pending = {
             key: it
-            for key, it in self._waiting.items()
-            if it.taken.number != number
+            for key, it in self._pending.items()
+            if it.admitted.number != number
         }
-        paid = self._paid.pop(number, None)
-        if paid is not None and not ran:
-            self._purse.keep(paid.customer, 1, paid.until)
+        spent = self._spent.pop(number, None)
+        if spent is not None and not ran:
+            self._spare_tokens.add(spent.customer, 1, spent.expires)
 
-    def hear(self, heard: quota_words.Heard, now: float) -> None:
+    def handle_message(
+        self, event: quota_messages.MessageReceived, now: float
+    ) -> None:
         """Take in a word of another host."""
-        if self.terms.quota is None:
+        if self.settings.quota is None:
             return
         # What was waited for while this host stood still is over.
-        self.check(now)
-        match heard.word:
-            case quota_words.Ask():
-                self._answer(heard.word, heard.sender, now)
-            case quota_words.Verdict():
-                self._take_verdict(heard.word, heard.sender, now)
-
-    def check(self, now: float) -> None:
+        self.expire_pending(now)
+        match event.message:
+            case quota_messages.TokenRequest():
+                self._handle_token_request(event.message, event.sender, now)
+            case quota_messages.TokenReply():
+                self._handle_token_reply(event.message, event.sender, now)
+
+    def expire_pending(self, now: float) -> None:
         """Go on with what was not answered in time."""
-        self.has_news = True
-        late = [it for it in self._waiting.items() if it[1].due <= now]
-        for number, waiting in late:
-            self._waiting.pop(number)
-            self._holders.note_silent(waiting.asked, now)
-            done = self._go_on(waiting, now)
-            self._decided.extend(_list_decided(done, waiting))
-
-    def take_news(self) -> News:
+        self.has_output = True
+        overdue = [
+            it for it in self._pending.items() if it[1].reply_deadline <= now
+        ]
+        for number, pending in overdue:
+            self._pending.pop(number)
+            self._holders.record_silence(pending.holder, now)
+            result = self._ask_next_holder(pending, now)
+            self._decisions.extend(_list_decisions(result, pending))
+
+    def pop_output(self) -> Output:
         """Take what was decided, what is to be told, and when to check."""
-        due = min((it.due for it in self._waiting.values()), default=None)
-        news = News(tuple(self._decided), tuple(self._told), due)
-        self._decided.clear()
-        self._told.clear()
-        self.has_news = False
-        return news
-
-    def _go_on(self, waiting: Waiting, now: float) -> Charged:
+        check_at = min(
+            (it.reply_deadline for it in self._pending.values()), default=None
+        )
+        output = Output(tuple(self._decisions), tuple(self._messages), check_at)
+        self._decisions.clear()
+        self._messages.clear()
+        self.has_output = False
+        return output
+
+    def _ask_next_holder(
+        self, pending: PendingRequest, now: float
+    ) -> ChargeResult:
         """Ask the next holder, as long as there are any and time is left."""
-        if self.terms.quota is None:
-            return waiting.taken
-        slots = _split(waiting.limit, self.terms)
-        while waiting.left and now < waiting.ends:
-            slot, *left = waiting.left
-            waiting = waiting._replace(left=tuple(left), slot=slot)
-            holder = self._holders.find(waiting.limit, slots, slot)
-            done = self._try(waiting, holder, slots.shares[slot], now)
-            if done is not None:
-                return done
-            waiting = _note_none(waiting, self._holders, now)
-        return _refuse(waiting)
-
-    def _try(
+        if self.settings.quota is None:
+            return pending.admitted
+        slots = _split_quota(pending.limit, self.settings)
+        while pending.remaining_slots and now < pending.deadline:
+            slot, *remaining_slots = pending.remaining_slots
+            pending = pending._replace(
+                remaining_slots=tuple(remaining_slots), slot=slot
+            )
+            holder = self._holders.find_holder(pending.limit, slots, slot)
+            result = self._try_slot(pending, holder, slots.shares[slot], now)
+            if result is not None:
+                return result
+            pending = _add_slot_wait(pending, self._holders, now)
+        return _make_refusal(pending)
+
+    def _try_slot(
         self,
-        waiting: Waiting,
+        pending: PendingRequest,
         holder: deployments.Host | None,
-        share: quota_slots.Share,
+        share: quota_slots.SlotShare,
         now: float,
-    ) -> Charged | None:
+    ) -> ChargeResult | None:
         """Ask one holder; None where it has no token or there is none."""
-        limit = waiting.limit
-        empty = self._holders.is_empty(limit.customer, waiting.slot, now)
-        if holder is None or empty:
+        limit = pending.limit
+        is_empty = self._holders.is_empty(limit.customer, pending.slot, now)
+        if holder is None or is_empty:
             return None
         if holder.name != self.host.name:
-            return self._ask(waiting, holder, now)
+            return self._send_token_request(pending, holder, now)
         if self._find_wait():
             return None
-        wanted = self._purse.count_wanted(limit.customer, now)
-        given = self.buckets.give(limit, waiting.slot, share, wanted, now)
-        return self._take_given(waiting, given, now)
+        wanted = self._spare_tokens.count_wanted(limit.customer, now)
+        grant = self.buckets.grant(limit, pending.slot, share, wanted, now)
+        return self._record_grant(pending, grant, now)
 
-    def _ask(
-        self, waiting: Waiting, holder: deployments.Host, now: float
-    ) -> Waiting:
+    def _send_token_request(
+        self, pending: PendingRequest, holder: deployments.Host, now: float
+    ) -> PendingRequest:
         number = next(self._numbers)
-        waiting = waiting._replace(
-            asked=holder.name, due=min(now + ANSWER_S, waiting.ends)
+        pending = pending._replace(
+            holder=holder.name,
+            reply_deadline=min(now + REPLY_TIMEOUT_S, pending.deadline),
         )
-        self._waiting[number] = waiting
-        customer = waiting.limit.customer
-        wanted = self._purse.count_wanted(customer, now)
-        word = quota_words.Ask(
-            customer, waiting.slot, number, self.terms.start, wanted
+        self._pending[number] = pending
+        customer = pending.limit.customer
+        wanted = self._spare_tokens.count_wanted(customer, now)
+        message = quota_messages.TokenRequest(
+            customer, pending.slot, number, self.settings.start_id, wanted
         )
-        self._told.append(quota_words.Tell(word, holder.address))
-        return waiting
+        self._messages.append(
+            quota_messages.SendMessage(message, holder.address)
+        )
+        return pending
 
-    def _answer(self, ask: quota_words.Ask, sender: str, now: float) -> None:
+    def _handle_token_request(
+        self, request: quota_messages.TokenRequest, sender: str, now: float
+    ) -> None:
         """Give tokens of a slot that this host holds; else say nothing."""
-        if not self._holders.name_host(sender) or self._find_wait():
+        if not self._holders.find_host_name(sender) or self._find_wait():
             return
-        given = self._give(ask, now)
-        if given is not None:
-            word = quota_words.Verdict(ask.number, ask.start, *given)
-            self._told.append(quota_words.Tell(word, sender))
-
-    def _give(
-        self, ask: quota_words.Ask, now: float
-    ) -> quota_buckets.Given | None:
-        customer = self._customers.get(ask.customer)
-        if customer is None or customer.rate <= 0 or self.terms.quota is None:
+        grant = self._grant_tokens(request, now)
+        if grant is not None:
+            message = quota_messages.TokenReply(
+                request.number, request.start_id, *grant
+            )
+            self._messages.append(quota_messages.SendMessage(message, sender))
+
+    def _grant_tokens(
+        self, request: quota_messages.TokenRequest, now: float
+    ) -> quota_buckets.Grant | None:
+        customer = self._customers.get(request.customer)
+        if (
+            customer is None
+            or customer.rate <= 0
+            or self.settings.quota is None
+        ):
             # One of the two hosts has an earlier configuration.
-            return quota_buckets.Given(0, UNKNOWN_WAIT_S)
-        limit = quota_slots.find_limit(customer)
-        slots = _split(limit, self.terms)
-        if not self._holders.holds(limit, slots, ask.slot):
+            return quota_buckets.Grant(0, NO_HOLDER_RETRY_S)
+        limit = quota_slots.make_limit(customer)
+        slots = _split_quota(limit, self.settings)
+        if not self._holders.holds_slot(limit, slots, request.slot):
             return None
-        wanted = min(quota_purses.MOST_WANTED, ask.wanted)
-        share = slots.shares[ask.slot]
-        return self.buckets.give(limit, ask.slot, share, wanted, now)
+        wanted = min(quota_tokens.MAX_WANTED_TOKENS, request.wanted)
+        share = slots.shares[request.slot]
+        return self.buckets.grant(limit, request.slot, share, wanted, now)
 
-    def _take_verdict(
-        self, verdict: quota_words.Verdict, sender: str, now: float
+    def _handle_token_reply(
+        self, reply: quota_messages.TokenReply, sender: str, now: float
     ) -> None:
-        waiting = self._waiting.get(verdict.number)
-        if waiting is None or verdict.start != self.terms.start:
+        pending = self._pending.get(reply.number)
+        if pending is None or reply.start_id != self.settings.start_id:
             return
-        if self._holders.name_host(sender) != waiting.asked:
+        if self._holders.find_host_name(sender) != pending.holder:
             return
-        self._waiting.pop(verdict.number)
-        self._holders.note_heard(waiting.asked)
-        given = quota_buckets.Given(verdict.granted, verdict.wait)
-        done: Charged | None = self._take_given(waiting, given, now)
-        if done is None:
-            left = _note_none(waiting, self._holders, now)
-            done = self._go_on(left, now)
-        self._decided.extend(_list_decided(done, waiting))
-
-    def _take_given(
-        self, waiting: Waiting, given: quota_buckets.Given, now: float
+        self._pending.pop(reply.number)
+        self._holders.record_reply(pending.holder)
+        grant = quota_buckets.Grant(reply.granted, reply.wait)
+        result: ChargeResult | None = self._record_grant(pending, grant, now)
+        if result is None:
+            updated = _add_slot_wait(pending, self._holders, now)
+            result = self._ask_next_holder(updated, now)
+        self._decisions.extend(_list_decisions(result, pending))
+
+    def _record_grant(
+        self, pending: PendingRequest, grant: quota_buckets.Grant, now: float
     ) -> active_requests.RoutedRequest | None:
         """Take what a holder gave; None if that is nothing."""
-        customer = waiting.limit.customer
-        if not given.tokens:
-            self._holders.note_empty(customer, waiting.slot, given.wait, now)
+        customer = pending.limit.customer
+        if not grant.tokens:
+            self._holders.record_empty(customer, pending.slot, grant.wait, now)
             return None
-        until = now + quota_purses.KEPT_S
-        self._paid[waiting.taken.number] = Paid(customer, until)
-        ahead = min(given.tokens, quota_purses.MOST_WANTED) - 1
-        self._purse.keep(customer, ahead, until)
-        return waiting.taken
+        expires = now + quota_tokens.TOKEN_LIFETIME_S
+        self._spent[pending.admitted.number] = SpentToken(customer, expires)
+        spare_count = min(grant.tokens, quota_tokens.MAX_WANTED_TOKENS) - 1
+        self._spare_tokens.add(customer, spare_count, expires)
+        return pending.admitted
 
 
-def _holds(
+def _is_holder(
     holders: quota_holders.Holders,
     customers: Mapping[str, configs.Customer],
-    terms: Terms,
+    settings: Settings,
     name: str,
     slot: int,
 ) -> bool:
     """Tell whether this host holds a slot of a customer by its name."""
     customer = customers.get(name)
-    if customer is None or terms.quota is None:
+    if customer is None or settings.quota is None:
         return False
-    limit = quota_slots.find_limit(customer)
-    return holders.holds(limit, _split(limit, terms), slot)
+    limit = quota_slots.make_limit(customer)
+    return holders.holds_slot(limit, _split_quota(limit, settings), slot)
 
 
-def _split(limit: quota_slots.Limit, terms: Terms) -> quota_slots.Slots:
-    assert terms.quota is not None
-    return quota_slots.split(limit, terms.quota, terms.centres)
+def _split_quota(
+    limit: quota_slots.Limit, settings: Settings
+) -> quota_slots.Slots:
+    assert settings.quota is not None
+    return quota_slots.split_quota(limit, settings.quota, settings.data_centres)
 
 
-def _note_none(
-    waiting: Waiting, known: quota_holders.Holders, now: float
-) -> Waiting:
+def _add_slot_wait(
+    pending: PendingRequest, holders: quota_holders.Holders, now: float
+) -> PendingRequest:
     """Note for how long the slot that was tried has no token, if known."""
-    if not known.is_empty(waiting.limit.customer, waiting.slot, now):
-        return waiting
-    wait = known.count_wait(waiting.limit, waiting.slot, now)
-    return waiting._replace(waits=(*waiting.waits, wait))
+    if not holders.is_empty(pending.limit.customer, pending.slot, now):
+        return pending
+    wait = holders.reserve_wait(pending.limit, pending.slot, now)
+    return pending._replace(slot_waits=(*pending.slot_waits, wait))
 
 
-def _list_decided(done: Charged, waiting: Waiting) -> list[Decided]:
-    match done:
+def _list_decisions(
+    result: ChargeResult, pending: PendingRequest
+) -> list[Decision]:
+    match result:
         case active_requests.RoutedRequest():
-            return [Decided(done, None)]
+            return [Decision(result, None)]
         case errors.Failure():
-            return [Decided(waiting.taken, done)]
+            return [Decision(pending.admitted, result)]
     return []
 
 
-def _refuse(waiting: Waiting) -> errors.Failure:
+def _make_refusal(pending: PendingRequest) -> errors.Failure:
     """Refuse a request that no holder has a token for."""
-    limit = waiting.limit
+    limit = pending.limit
     detail = f'{limit.customer}: {limit.rate:g}/s, burst {limit.burst:g}'
-    if not waiting.waits:
+    if not pending.slot_waits:
         return errors.make_failure(
             errors.Kind.NOT_READY,
             SOURCE,
             f'{detail}; no holder of its quota answers',
-            retry_after=UNKNOWN_WAIT_S,
+            retry_after=NO_HOLDER_RETRY_S,
         )
-    spread = 1 + SPREAD * _draw(waiting.taken.request.request_id)
-    wait = min(MOST_WAIT_S, min(waiting.waits)) * spread
+    spread = 1 + SPREAD_FRACTION * _hash_fraction(
+        pending.admitted.request.request_id
+    )
+    wait = min(MAX_RETRY_AFTER_S, min(pending.slot_waits)) * spread
     return errors.make_failure(
         errors.Kind.OVER_QUOTA,
         SOURCE,
-        f'{detail}; {len(waiting.waits)} slots are empty',
-        retry_after=round(max(wait, LEAST_WAIT_S), WAIT_DIGITS),
+        f'{detail}; {len(pending.slot_waits)} slots are empty',
+        retry_after=round(max(wait, MIN_RETRY_AFTER_S), WAIT_DIGITS),
     )
 
 
-def _draw(name: str) -> float:
+def _hash_fraction(name: str) -> float:
     """Draw a number from 0 to 1 that is another for each request."""
-    return zlib.crc32(name.encode()) / LARGEST_DRAW
+    return zlib.crc32(name.encode()) / MAX_CRC32
--- a/fuchsiahaven/routing/reachability.py
+++ b/fuchsiahaven/routing/reachability.py
@@ -9,8 +9,8 @@
 
 from fuchsiahaven.routing import (
     configs,
+    contention,
     instances,
-    rooms,
     states,
     target_health,
 )
@@ -42,7 +42,7 @@
     """Tell whether most of what callers ask could not be served now."""
     weigh_parts = bool(
         router.centre_health.list_silent()
-    ) and rooms.is_contended(router.index)
+    ) and contention.is_contended(router.index)
     total = 0.0
     blocked = 0.0
     for recent in _list_route_usage(router, weigh_parts=weigh_parts):
--- a/fuchsiahaven/routing/warmups.py
+++ b/fuchsiahaven/routing/warmups.py
@@ -12,7 +12,12 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.routing import configs, deployments, duties, instances
+from fuchsiahaven.routing import (
+    chunk_assignments,
+    configs,
+    deployments,
+    instances,
+)
 
 #: How long all hosts may take to see that a host came or went, in seconds. In
 #: that time two sets of hosts would each take the whole bound.
@@ -174,10 +179,12 @@
     Those of wide queries get work from the hosts on duty in their own data
     centre; the others from any host.
     """
-    chunk = duties.find_chunk(index, instance.service)
+    chunk = chunk_assignments.find_chunk(index, instance.service)
     if chunk is not None:
-        duty = duties.Duty(instance.data_centre, chunk)
-        ranked = duties.rank_hosts(duty, hosts)[: duties.ON_DUTY]
+        duty = chunk_assignments.ChunkKey(instance.data_centre, chunk)
+        ranked = chunk_assignments.rank_hosts(duty, hosts)[
+            : chunk_assignments.HOSTS_PER_CHUNK
+        ]
         if ranked:
             return tuple(host.name for host in ranked)
     return rendezvous.rank(instance.name, [host.name for host in hosts])
--- a/tests/bench/test_trial.py
+++ b/tests/bench/test_trial.py
@@ -66,11 +66,11 @@
 
 def test_puts_a_way_in_force_and_takes_it_back() -> None:
     """A way is constants with other values."""
-    usual = delegations.MOST_HANDINGS
+    usual = delegations.MAX_PART_SENDINGS
     with contextlib.ExitStack() as stack:
         trial.apply_way(f'delegations.MOST_HANDINGS={usual + 4}', stack)
-        assert delegations.MOST_HANDINGS == usual + 4
-    assert usual == delegations.MOST_HANDINGS
+        assert delegations.MAX_PART_SENDINGS == usual + 4
+    assert usual == delegations.MAX_PART_SENDINGS
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_datagrams.py
+++ b/tests/relay/test_datagrams.py
@@ -10,11 +10,11 @@
 import pytest
 
 from fuchsiahaven.relay import datagrams, journal, traffic
-from fuchsiahaven.routing import deployments, quota_words, quotas
+from fuchsiahaven.routing import deployments, quota_messages, quotas
 from tests.relay import peers
 
 QUOTA: Final = deployments.QuotaTolerance(5.0, 0.1, 20.0)
-WORD: Final = quota_words.Ask('shop', 1, 2, 3, 4)
+WORD: Final = quota_messages.TokenRequest('shop', 1, 2, 3, 4)
 
 
 def find_port() -> int:
@@ -40,7 +40,9 @@
         self._read = read
         self.log = journal.Journal('host', write)
         stack.callback(self.log.close)
-        self.heard: asyncio.Queue[quota_words.Heard] = asyncio.Queue()
+        self.heard: asyncio.Queue[quota_messages.MessageReceived] = (
+            asyncio.Queue()
+        )
         self.traffic = traffic.Traffic()
         self.address = f'{peers.LOOPBACK}:{port or find_port()}'
         self.host = deployments.Host('host', self.address, 'north')
@@ -88,10 +90,10 @@
             host, _, port = other.address.rpartition(':')
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 sender.sendto(stray, (host, int(port)))
-            told = quota_words.Tell(WORD, other.address)
+            told = quota_messages.SendMessage(WORD, other.address)
             one.datagrams.tell(told, (other.host,))
             found = await other.heard.get()
-            assert found == quota_words.Heard(WORD, one.address)
+            assert found == quota_messages.MessageReceived(WORD, one.address)
             assert other.read_line() == 'malformed'
             assert one.traffic.find(traffic.Kind.QUOTAS, far=False).sent
 
@@ -107,9 +109,13 @@
             await side.datagrams.open()
             again = Side(stack, QUOTA, int(side.address.rpartition(':')[2]))
             await again.datagrams.open()
-            again.datagrams.tell(quota_words.Tell(WORD, again.address), ())
-            assert (await again.heard.get()).word == WORD
-            side.datagrams.tell(quota_words.Tell(WORD, again.address), ())
+            again.datagrams.tell(
+                quota_messages.SendMessage(WORD, again.address), ()
+            )
+            assert (await again.heard.get()).message == WORD
+            side.datagrams.tell(
+                quota_messages.SendMessage(WORD, again.address), ()
+            )
             assert again.heard.empty()
 
     peers.run(check())
@@ -139,9 +145,9 @@
             await asyncio.sleep(0)
             other = Side(stack, QUOTA)
             await other.datagrams.open()
-            tell = quota_words.Tell(WORD, side.address)
+            tell = quota_messages.SendMessage(WORD, side.address)
             other.datagrams.tell(tell, ())
             async with asyncio.timeout(5):
-                assert (await side.heard.get()).word == WORD
+                assert (await side.heard.get()).message == WORD
 
     peers.run(check())
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -36,7 +36,7 @@
         keys.update_configuration(self.router.index.configuration)
         keys.record_read(keys.read_clock(), facts.NO_ERA)
 
-    def show(self, target: str = '/search/1') -> int:
+    def send_with_key(self, target: str = '/search/1') -> int:
         """Bring a request with a key."""
         request = events.Request(
             f'id {target}',
@@ -51,21 +51,19 @@
         )
         return self.submit(request)
 
-    def stand_still(self) -> None:
+    def pause_host(self) -> None:
         """Have the host be frozen for longer than keys may live."""
         self.router.controls.freshness.confirmed_at -= REVOKE_S
 
 
-def test_refuses_what_waited_for_a_connection_while_the_host_stood_still() -> (
-    None
-):
+def test_refuses_unsent_requests_after_the_host_was_paused() -> None:
     """Symptom: a frozen host sends on what it had taken in before."""
     rig = Rig()
-    rig.show()
+    rig.send_with_key()
     send = rig.sent[0]
-    assert admission.may_leave(rig.router, send.key)
-    rig.stand_still()
-    assert not admission.may_leave(rig.router, send.key)
+    assert admission.may_send(rig.router, send.key)
+    rig.pause_host()
+    assert not admission.may_send(rig.router, send.key)
     rig.post(events.AttemptUnsent(send.key, unreachable=False))
     outcome = rig.replies[0].outcome
     assert isinstance(outcome, errors.Failure)
@@ -75,23 +73,23 @@
     assert len(rig.sent) == 1
 
 
-def test_sends_on_what_was_sent_before_the_host_stood_still() -> None:
+def test_goes_on_with_requests_sent_before_the_host_was_paused() -> None:
     """It was sent in time, and another target may answer it."""
     rig = Rig()
-    rig.show('/wide/1')
-    rig.stand_still()
-    assert all(admission.may_leave(rig.router, it.key) for it in rig.sent)
+    rig.send_with_key('/wide/1')
+    rig.pause_host()
+    assert all(admission.may_send(rig.router, it.key) for it in rig.sent)
     rig.post(events.AttemptUnsent(rig.sent[0].key, unreachable=True))
     assert not rig.replies
     assert len(rig.sent) == 3
 
 
-def test_sends_on_requests_of_public_routes() -> None:
+def test_sends_requests_of_public_routes_after_a_pause() -> None:
     """They need no key, so nothing is known too late of it."""
     rig = Rig(public=True)
-    rig.show()
-    rig.stand_still()
-    assert admission.may_leave(rig.router, rig.sent[0].key)
+    rig.send_with_key()
+    rig.pause_host()
+    assert admission.may_send(rig.router, rig.sent[0].key)
     rig.post(events.AttemptUnsent(rig.sent[0].key, unreachable=True))
     assert not rig.replies
 
@@ -100,9 +98,9 @@
     """Symptom: callers are sent to a host that refuses nearly all of them."""
     rig = Rig()
     assert not dispatch.find_obstacle(rig.router, rig.now)
-    rig.stand_still()
+    rig.pause_host()
     assert dispatch.find_obstacle(rig.router, rig.now)
-    rig.show()
+    rig.send_with_key()
     outcome = rig.replies[0].outcome
     assert isinstance(outcome, errors.Failure)
     assert outcome.kind is errors.Kind.STALE_KEYS
--- a/tests/routing/test_capacities.py
+++ b/tests/routing/test_capacities.py
@@ -7,8 +7,8 @@
 from fuchsiahaven.platform import records
 from fuchsiahaven.routing import (
     capacities,
+    chunk_assignments,
     deployments,
-    duties,
     facts,
     quota_holders,
     quota_slots,
@@ -25,7 +25,9 @@
     deployments.Host(f'large-{number}', f'10.0.2.{number}:1', 'north', 2.151)
     for number in range(2)
 )
-DUTIES = tuple(duties.Duty('north', f'chunk-{it}') for it in range(100))
+DUTIES = tuple(
+    chunk_assignments.ChunkKey('north', f'chunk-{it}') for it in range(100)
+)
 NEVER = float('-inf')
 
 
@@ -38,7 +40,7 @@
 
 def count_first_on_duty(hosts: tuple[deployments.Host, ...], name: str) -> int:
     """Count the chunks of a hundred that a host is on duty for, the first."""
-    ranked = [duties.rank_hosts(duty, hosts) for duty in DUTIES]
+    ranked = [chunk_assignments.rank_hosts(duty, hosts) for duty in DUTIES]
     return sum(it[0].name.startswith(name) for it in ranked)
 
 
@@ -138,8 +140,8 @@
 
 def test_duties_spread_when_all_large_hosts_die() -> None:
     """No host takes over more than a few of their chunks."""
-    ranked = [duties.rank_hosts(duty, SMALL) for duty in DUTIES]
-    for position in range(duties.ON_DUTY):
+    ranked = [chunk_assignments.rank_hosts(duty, SMALL) for duty in DUTIES]
+    for position in range(chunk_assignments.HOSTS_PER_CHUNK):
         for host in SMALL:
             assert sum(it[position] == host for it in ranked) < 12
 
@@ -160,17 +162,22 @@
     capacity = capacities.decode_capacity({'capacity': 1e300})
     faulty = deployments.Host('liar', '10.0.3.1:1', 'north', capacity)
     for duty in DUTIES:
-        first = duties.rank_hosts(duty, (*SMALL, faulty))[: duties.ON_DUTY]
-        assert sum(host != faulty for host in first) >= duties.ON_DUTY - 1
+        first = chunk_assignments.rank_hosts(duty, (*SMALL, faulty))[
+            : chunk_assignments.HOSTS_PER_CHUNK
+        ]
+        assert (
+            sum(host != faulty for host in first)
+            >= chunk_assignments.HOSTS_PER_CHUNK - 1
+        )
 
 
 def test_two_hosts_share_the_connections_of_each_chunk() -> None:
     """The seats at a target are shared out among so many, large or not."""
     hosts = (*SMALL, *LARGE)
-    sharers = duties.count_sharers(
+    sharers = chunk_assignments.count_sharers(
         'one', frozenset(('one',)), hosts, len(hosts)
     )
-    assert sharers == duties.ON_DUTY
+    assert sharers == chunk_assignments.HOSTS_PER_CHUNK
 
 
 def test_identifies_itself_whatever_its_reported_capacity() -> None:
@@ -181,7 +188,7 @@
     own = router_rig.HOST._replace(capacity=2.151)
     quota = deployments.QuotaTolerance(10.0, 0.1, 20.0)
     limit = quota_slots.Limit('shop', 10.0, 20.0)
-    slots = quota_slots.split(limit, quota, (own.data_centre,))
+    slots = quota_slots.split_quota(limit, quota, (own.data_centre,))
     holders = quota_holders.Holders(own)
-    holders.note_hosts((router_rig.HOST,))
-    assert holders.holds(limit, slots, 0)
+    holders.update_hosts((router_rig.HOST,))
+    assert holders.holds_slot(limit, slots, 0)
--- a/tests/routing/test_centre_health.py
+++ b/tests/routing/test_centre_health.py
@@ -2,9 +2,9 @@
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
-    assist_codecs,
     centre_health,
     configs,
+    delegation_codecs,
     deployments,
     dispatch,
     events,
@@ -183,8 +183,8 @@
         for it in rig.other_actions
         if isinstance(it, events.SendDelegationReport)
     ]
-    line = assist_codecs.write_share(give.share)
-    assert assist_codecs.read_share(line).silent_centres == ('south',)
+    line = delegation_codecs.encode_report(give.share)
+    assert delegation_codecs.decode_report(line).silent_centres == ('south',)
 
 
 def measure_part_timeout(rig: router_rig.Rig) -> float:
--- a/tests/routing/test_duties.py
+++ b/tests/routing/test_chunk_assignments.py
@@ -6,11 +6,11 @@
 
 from fuchsiahaven.routing import (
     centre_health,
+    chunk_assignments,
     configs,
+    delegation_plans,
     deployments,
-    duties,
     events,
-    plans,
 )
 from tests.routing import router_rig
 
@@ -41,14 +41,16 @@
     return rig
 
 
-def list_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
+def pop_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
     """Return the requests for assistance since the last time."""
-    found = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
+    delegates = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
     rig.other_actions = []
-    return found
+    return delegates
 
 
-def test_shares_a_wide_query_among_the_hosts_on_duty() -> None:
+def test_delegates_a_wide_query_to_the_assigned_hosts() -> None:
     """Symptom: one host of half a core takes 65 ms for a query of 90 shards.
 
     Six chunks of fifteen go to the hosts on duty; what this host is on duty
@@ -56,7 +58,7 @@
     """
     rig = make_rig()
     rig.send_request()
-    delegates = list_delegates(rig)
+    delegates = pop_delegates(rig)
     asked = [it for one in delegates for it in one.assist.services]
     asked.extend(send.key.service for send in rig.pop_sent())
     assert sorted(asked) == list(SHARDS)
@@ -64,20 +66,22 @@
     assert len(delegates) >= 4
 
 
-def test_asks_the_same_hosts_from_everywhere() -> None:
+def test_all_hosts_compute_the_same_assignment() -> None:
     """Few hosts hold connections to a target: two of each data centre."""
-    duty = duties.Duty('north', SHARDS[0])
-    ranked = duties.rank_hosts(duty, [*NORTH, *SOUTH])
+    chunk_key = chunk_assignments.ChunkKey('north', SHARDS[0])
+    ranked = chunk_assignments.rank_hosts(chunk_key, [*NORTH, *SOUTH])
     assert {host.data_centre for host in ranked} == {'north'}
-    again = duties.rank_hosts(duty, list(reversed([*NORTH, *SOUTH])))
+    again = chunk_assignments.rank_hosts(
+        chunk_key, list(reversed([*NORTH, *SOUTH]))
+    )
     assert ranked == again
     wide = frozenset(SHARDS)
     hosts = [*NORTH, *SOUTH]
-    assert duties.count_sharers(SHARDS[0], wide, hosts, 16) == 4
-    assert duties.count_sharers('other', wide, hosts, 16) == 16
+    assert chunk_assignments.count_sharers(SHARDS[0], wide, hosts, 16) == 4
+    assert chunk_assignments.count_sharers('other', wide, hosts, 16) == 16
 
 
-def test_passes_over_a_host_on_duty_that_is_silent() -> None:
+def test_hedges_through_the_second_host_when_the_first_is_silent() -> None:
     """Symptom: each query waits for a paused host.
 
     The host on duty has said nothing for half the objective: the parts go to
@@ -85,9 +89,9 @@
     """
     rig = make_rig()
     rig.send_request()
-    first = list_delegates(rig)
+    first = pop_delegates(rig)
     rig.advance_time(0.06)
-    second = list_delegates(rig)
+    second = pop_delegates(rig)
     by_services = {one.assist.services[0]: one.helper for one in first}
     assert second
     for one in second:
@@ -95,22 +99,32 @@
         assert by_services.get(one.assist.services[0]) != one.helper
 
 
-def test_moves_few_duties_when_a_host_goes() -> None:
+def test_reassigns_only_the_chunks_of_a_removed_host() -> None:
     """Only the chunks of the host that goes get another one."""
     for shard in SHARDS[::15]:
-        duty = duties.Duty('north', shard)
-        before = duties.rank_hosts(duty, NORTH)
-        after = duties.rank_hosts(duty, NORTH[1:])
+        chunk_key = chunk_assignments.ChunkKey('north', shard)
+        before = chunk_assignments.rank_hosts(chunk_key, NORTH)
+        after = chunk_assignments.rank_hosts(chunk_key, NORTH[1:])
         assert [it for it in before if it != NORTH[0]] == after
 
 
 @given(strategies.integers(1, 120), strategies.integers(1, 6))
-def test_shares_no_more_slack_than_there_is(total: int, centres: int) -> None:
+def test_shares_of_the_slack_add_up_to_at_most_one(
+    total: int, centres: int
+) -> None:
     """All hosts together stay within the slack, on duty or not."""
-    used = min(total, centres)
-    on_duty = duties.count_slack_sharers(used, total, on_duty=True)
-    others = duties.count_slack_sharers(used, total, on_duty=False)
-    assert duties.ON_DUTY * used / on_duty + total / others <= 1.000001
+    centre_count = min(total, centres)
+    assigned = chunk_assignments.count_slack_sharers(
+        centre_count, total, assigned=True
+    )
+    others = chunk_assignments.count_slack_sharers(
+        centre_count, total, assigned=False
+    )
+    assert (
+        chunk_assignments.HOSTS_PER_CHUNK * centre_count / assigned
+        + total / others
+        <= 1.000001
+    )
 
 
 def make_far_rig(name: str = 'far-1') -> router_rig.Rig:
@@ -124,9 +138,9 @@
     ]
     rig = router_rig.Rig([SEARCH], targets)
     host = deployments.Host(name, '10.0.9.1:1', 'far')
-    beside = deployments.Host('far-9', '10.0.9.9:1', 'far')
+    neighbour = deployments.Host('far-9', '10.0.9.9:1', 'far')
     rig.router.host = host
-    hosts = (host, beside, *NORTH, *SOUTH)
+    hosts = (host, neighbour, *NORTH, *SOUTH)
     rig.post(events.HostsChanged(len(hosts), hosts))
     return rig
 
@@ -142,7 +156,7 @@
     for number in range(40):
         rig = make_far_rig(f'far-{number}')
         rig.send_request()
-        helpers = {one.helper.data_centre for one in list_delegates(rig)}
+        helpers = {one.helper.data_centre for one in pop_delegates(rig)}
         assert len(helpers) == 1
         chosen.update(helpers)
     assert min(chosen['north'], chosen['south']) >= 10
@@ -156,37 +170,37 @@
     the others are asked for came in groups of three, too few for a helper.
     """
     for number in range(8):
-        rig = make_split_rig(f'north-{number}')
+        rig = make_scattered_rig(f'north-{number}')
         rig.send_request()
         far = [
-            it for it in list_delegates(rig) if it.helper.data_centre != 'north'
+            it for it in pop_delegates(rig) if it.helper.data_centre != 'north'
         ]
         assert len({it.helper.data_centre for it in far}) <= 2
         # Of 54 far shards the data centre that adds most holds 36.
         assert sum(len(it.assist.services) for it in far) >= 36
 
 
-def make_split_rig(name: str) -> router_rig.Rig:
+def make_scattered_rig(name: str) -> router_rig.Rig:
     """Make a host among five data centres, each with two fifths of shards."""
     targets = [
-        one._replace(data_centre=CENTRES[(place + number) % len(CENTRES)])
-        for place, shard in enumerate(SHARDS)
+        one._replace(data_centre=CENTRES[(position + number) % len(CENTRES)])
+        for position, shard in enumerate(SHARDS)
         for number, one in enumerate(router_rig.make_instances([shard]))
     ]
     rig = router_rig.Rig([SEARCH], targets)
     rig.router.host = deployments.Host(name, '10.0.0.1:1', CENTRES[0])
     hosts = tuple(
         deployments.Host(
-            f'{centre}-{number}', f'10.0.{place}.{number}:1', centre
+            f'{centre}-{number}', f'10.0.{position}.{number}:1', centre
         )
-        for place, centre in enumerate(CENTRES)
+        for position, centre in enumerate(CENTRES)
         for number in range(8)
     )
     rig.post(events.HostsChanged(len(hosts), hosts))
     return rig
 
 
-def test_repeats_go_to_hosts_that_know_the_other_target() -> None:
+def test_hedges_go_to_the_data_centre_of_the_other_target() -> None:
     """Symptom: second sendings from far away come too late to count.
 
     They went to the hosts on duty of the own data centre, which has no
@@ -195,15 +209,15 @@
     """
     rig = make_far_rig()
     rig.send_request()
-    first = list_delegates(rig)[0]
+    first = pop_delegates(rig)[0]
     waiting = tuple(
         events.MissingPart(service, _find_target(rig, service, first), True)
         for service in first.assist.services[:2]
     )
-    share = events.DelegationReport((), b'', waiting, (), is_last=False)
-    rig.post(events.DelegationReportReceived(first.key, share))
+    report = events.DelegationReport((), b'', waiting, (), is_last=False)
+    rig.post(events.DelegationReportReceived(first.key, report))
     rig.advance_time(0)
-    (second,) = list_delegates(rig)
+    (second,) = pop_delegates(rig)
     assert second.assist.services == first.assist.services[:2]
     centres = {first.helper.data_centre, second.helper.data_centre}
     assert centres == {'north', 'south'}
@@ -213,26 +227,28 @@
     rig: router_rig.Rig, service: str, delegate: events.Delegate
 ) -> str:
     centre = delegate.helper.data_centre
-    found = rig.router.directory.by_service[service]
-    return next(one.name for one in found if one.data_centre == centre)
+    targets = rig.router.directory.by_service[service]
+    return next(one.name for one in targets if one.data_centre == centre)
 
 
-class Helping:
+class HelperRig:
     """Own a host on duty for a chunk, all of whose targets are slow."""
 
     def __init__(self) -> None:
         """Know the other hosts."""
         self.rig = make_rig()
-        self._last = 100
+        self._last_number = 100
 
-    def assist(self, avoid: tuple[str, ...] = ()) -> list[events.SendAttempt]:
+    def handle_request(
+        self, avoid: tuple[str, ...] = ()
+    ) -> list[events.SendAttempt]:
         """Take a request for one part; return what is sent."""
-        self._last += 1
+        self._last_number += 1
         now = self.rig.now
         request = events.Request(
-            f'id-{self._last}', 'GET', '/', '', (), b'', now, now + 0.8
+            f'id-{self._last_number}', 'GET', '/', '', (), b'', now, now + 0.8
         )
-        assist = events.DelegatedRequest(
+        delegated = events.DelegatedRequest(
             request,
             'route',
             0.1,
@@ -243,46 +259,50 @@
             counts_load=True,
             is_retry=bool(avoid),
         )
-        self.rig.post(events.DelegatedRequestReceived(self._last, assist))
+        self.rig.post(
+            events.DelegatedRequestReceived(self._last_number, delegated)
+        )
         return self.rig.pop_sent()
 
-    def take_shares(self) -> list[events.DelegationReport]:
+    def pop_reports(self) -> list[events.DelegationReport]:
         """Return what was given to the other host."""
-        found = [
+        actions = [
             it
             for it in self.rig.other_actions
             if isinstance(it, events.SendDelegationReport)
         ]
         self.rig.other_actions = []
-        return [give.share for give in found]
+        return [give.share for give in actions]
 
 
-def test_sends_a_repeat_to_another_target_and_tells_it_at_once() -> None:
+def test_sends_a_retry_to_another_target_and_its_answer_at_once() -> None:
     """The other host is short of time: nothing is held to be merged."""
-    helping = Helping()
-    (first,) = helping.assist()
-    (second,) = helping.assist((first.instance.name,))
+    helper_rig = HelperRig()
+    (first,) = helper_rig.handle_request()
+    (second,) = helper_rig.handle_request((first.instance.name,))
     assert second.instance != first.instance
-    helping.rig.answer(second, b'x' * 16)
-    assert b'x' * 16 in [share.body for share in helping.take_shares()]
+    helper_rig.rig.answer(second, b'x' * 16)
+    assert b'x' * 16 in [report.body for report in helper_rig.pop_reports()]
 
 
-def test_refuses_repeats_beyond_its_share_of_the_slack() -> None:
+def test_refuses_retries_beyond_its_share_of_the_slack() -> None:
     """Symptom: a slow shard gets so many repeats that it never recovers.
 
     Of a slack of 40 for all, a host on duty of two in one data centre has
     0.3, with a margin; beyond that, and a fifth of its requests, nothing is
     sent, and the host that asked is told that nothing arrived.
     """
-    helping = Helping()
-    (first,) = helping.assist()
-    sent = [helping.assist((first.instance.name,)) for _ in range(30)]
+    helper_rig = HelperRig()
+    (first,) = helper_rig.handle_request()
+    sent = [
+        helper_rig.handle_request((first.instance.name,)) for _ in range(30)
+    ]
     assert sum(1 for it in sent if it) == 10
-    lost = helping.take_shares()[-1].lost
-    assert not any(out.may_have_arrived for out in lost)
+    lost = helper_rig.pop_reports()[-1].lost
+    assert not any(part.may_have_arrived for part in lost)
 
 
-def test_a_repeat_that_does_not_come_speaks_against_nobody() -> None:
+def test_a_pending_retry_makes_no_data_centre_silent() -> None:
     """Symptom: on a day without trouble hosts refuse one request in 200.
 
     A search was answered while parts that had been sent again were still out.
@@ -292,7 +312,7 @@
     """
     rig = make_far_rig()
     rig.send_request()
-    first = list_delegates(rig)
+    first = pop_delegates(rig)
     for one in first:
         waiting = tuple(
             events.MissingPart(service, _find_target(rig, service, one), True)
@@ -302,10 +322,10 @@
             events.ReceivedPart(service, f'signed {service}')
             for service in one.assist.services[1:]
         )
-        share = events.DelegationReport(parts, b'', waiting, (), is_last=False)
-        rig.post(events.DelegationReportReceived(one.key, share))
+        report = events.DelegationReport(parts, b'', waiting, (), is_last=False)
+        rig.post(events.DelegationReportReceived(one.key, report))
     rig.advance_time(0)
-    assert len(list_delegates(rig)) >= centre_health.MIN_SILENT_PEERS
+    assert len(pop_delegates(rig)) >= centre_health.MIN_SILENT_PEERS
     rig.advance_time(0.1)
     assert rig.pop_outcome()
     for _ in range(6):
@@ -317,7 +337,7 @@
     )
 
 
-def test_takes_the_first_share_as_the_sample_of_a_helper() -> None:
+def test_measures_the_latency_of_a_helper_by_its_first_report() -> None:
     """Symptom: hosts on duty are passed over while they are as quick as ever.
 
     Each later share of a request counted as an answer that took no time, so
@@ -325,14 +345,14 @@
     """
     rig = make_far_rig()
     rig.send_request()
-    one = list_delegates(rig)[0]
+    one = pop_delegates(rig)[0]
     rig.advance_time(0.03)
     for service in one.assist.services[:5]:
         part = events.ReceivedPart(service, f'signed {service}')
-        share = events.DelegationReport((part,), b'', (), (), is_last=False)
-        rig.post(events.DelegationReportReceived(one.key, share))
-    known = rig.router.helper_health.get(one.helper.name)
-    assert abs(known.stats.latency - 0.03) < 0.001
+        report = events.DelegationReport((part,), b'', (), (), is_last=False)
+        rig.post(events.DelegationReportReceived(one.key, report))
+    health = rig.router.helper_health.get(one.helper.name)
+    assert abs(health.stats.latency - 0.03) < 0.001
 
 
 @given(
@@ -347,12 +367,22 @@
 ) -> None:
     """The own one comes first, none twice, and none that adds nothing."""
     host = deployments.Host('host-1', '10.0.0.1:1', CENTRES[0])
-    order = plans.rank_centres(host, holders)
+    order = delegation_plans.rank_centres(host, holders)
     assert order[0] == host.data_centre
     assert len(set(order)) == len(order)
-    assert all(set(order) & found for found in holders.values() if found)
-    left = [found for found in holders.values() if found]
-    for place, centre in enumerate(order):
-        rest = [found for found in left if centre not in found]
-        assert not place or len(rest) < len(left)
-        left = rest
+    assert all(
+        set(order) & part_centres
+        for part_centres in holders.values()
+        if part_centres
+    )
+    uncovered = [
+        part_centres for part_centres in holders.values() if part_centres
+    ]
+    for position, centre in enumerate(order):
+        rest = [
+            part_centres
+            for part_centres in uncovered
+            if centre not in part_centres
+        ]
+        assert not position or len(rest) < len(uncovered)
+        uncovered = rest
--- /dev/null
+++ b/tests/routing/test_contention.py
@@ -0,0 +1,26 @@
+"""Test what a host does only where customers compete."""
+
+import pytest
+
+from fuchsiahaven.routing import centre_health, configs, contention
+
+WITHOUT_CUSTOMERS = configs.build_index(configs.EMPTY_CONFIGURATION)
+WITH_CUSTOMERS = configs.build_index(
+    configs.EMPTY_CONFIGURATION._replace(customers=())
+)
+
+
+@pytest.mark.parametrize(
+    ('index', 'told'), [(WITHOUT_CUSTOMERS, set()), (WITH_CUSTOMERS, {'south'})]
+)
+def test_reports_silence_only_with_customers(
+    index: configs.Index, told: set[str]
+) -> None:
+    """Deployments without customers send no message more."""
+    health = centre_health.CentreHealth('north')
+    health.review(4.9)
+    for name in ('a', 'b', 'c'):
+        health.record_sent('south', name, 4.9)
+    for tenth in range(50, 56):
+        health.review(tenth / 10)
+    assert contention.list_unreported(index, health, 5.6) == told
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -10,18 +10,18 @@
 from fuchsiahaven.routing import (
     active_requests,
     admission,
-    assist_codecs,
     configs,
     customers,
+    delegation_codecs,
     deployments,
     events,
 )
 from tests.routing import router_rig
 
 KEY: Final = 'wbr9bc582dm2buc7takh'
-OTHER: Final = 'k-2'
+OTHER_KEY: Final = 'k-2'
 SHOP: Final = configs.Customer('shop', (exchanges.digest_key(KEY),))
-BANK: Final = configs.Customer('bank', (exchanges.digest_key(OTHER),))
+BANK: Final = configs.Customer('bank', (exchanges.digest_key(OTHER_KEY),))
 SHARDS: Final = tuple(f'shard-{number:02}' for number in range(10))
 RECORDS: Final = ('records',)
 SINGLE: Final = router_rig.make_route(configs.Single('records'), prefix='/one/')
@@ -34,17 +34,17 @@
 
 
 def make_rig(
-    held: tuple[configs.Customer, ...] | None = (SHOP, BANK),
+    known_customers: tuple[configs.Customer, ...] | None = (SHOP, BANK),
     data_centre: str = 'north',
 ) -> router_rig.Rig:
     """Make a host with two customers."""
     targets = router_rig.make_instances((*SHARDS, *RECORDS), 3, data_centre)
     rig = router_rig.Rig((), targets)
-    rig.configure(2, ROUTES, held)
+    rig.configure(2, ROUTES, known_customers)
     return rig
 
 
-def read(
+def make_request(
     rig: router_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
 ) -> events.Request:
     """Read a request with the keys that are shown."""
@@ -59,7 +59,7 @@
     return exchanges.read_request(message, rig.now)
 
 
-def take_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
+def pop_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
     """Return the status and the line of the one refusal."""
     outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
@@ -67,7 +67,7 @@
     return exchanges.write_failure(outcome).status, rig.summaries.pop()
 
 
-def show(rig: router_rig.Rig, send: events.SendAttempt) -> str:
+def check_sent_customer(rig: router_rig.Rig, send: events.SendAttempt) -> str:
     """Return the customer that a target is shown, and that it sees no key."""
     fields = exchanges.write_request(send, rig.now)
     assert KEY not in str(fields)
@@ -76,39 +76,42 @@
     return dict(fields).get(headers.CUSTOMER, '')
 
 
-def test_shows_targets_the_name_in_place_of_the_key() -> None:
+def test_sends_targets_the_name_in_place_of_the_key() -> None:
     """Symptom: whoever reads a target's log can ask as the customer."""
     rig = make_rig()
-    rig.submit(read(rig, '/one/1', KEY))
+    rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
-    assert show(rig, send) == 'shop'
+    assert check_sent_customer(rig, send) == 'shop'
     rig.answer(send)
     assert rig.summaries.pop().customer == 'shop'
 
 
-def test_names_the_customer_on_second_sendings_and_repeats() -> None:
+def test_names_the_customer_on_hedges_and_retries() -> None:
     """Each way to a second target is a copy of the first request."""
     rig = make_rig()
-    rig.submit(read(rig, '/one/1', KEY))
+    rig.submit(make_request(rig, '/one/1', KEY))
     rig.advance_time(0.09)
     first, second = rig.pop_sent()
-    assert (show(rig, first), show(rig, second)) == ('shop', 'shop')
-    rig.submit(read(rig, '/one/2', KEY, request_id='id-2'))
+    assert (
+        check_sent_customer(rig, first),
+        check_sent_customer(rig, second),
+    ) == ('shop', 'shop')
+    rig.submit(make_request(rig, '/one/2', KEY, request_id='id-2'))
     (send,) = rig.pop_sent()
     rig.refuse(send)
     (again,) = rig.pop_sent()
-    assert show(rig, again) == 'shop'
+    assert check_sent_customer(rig, again) == 'shop'
     rig.break_attempt(again, messages.Fault.MALFORMED)
     for repeat in rig.pop_sent():
-        assert show(rig, repeat) == 'shop'
+        assert check_sent_customer(rig, repeat) == 'shop'
 
 
 def test_names_the_customer_at_each_shard() -> None:
     """Parts are requests of the same customer."""
     rig = make_rig()
-    rig.submit(read(rig, '/search/1', KEY))
+    rig.submit(make_request(rig, '/search/1', KEY))
     sent = rig.pop_sent()
-    assert {show(rig, send) for send in sent} == {'shop'}
+    assert {check_sent_customer(rig, send) for send in sent} == {'shop'}
     assert len(sent) == len(SHARDS)
 
 
@@ -135,100 +138,102 @@
     routes = (SEARCH._replace(public=public),)
     rig.configure(3, routes, (SHOP, BANK))
     rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
-    rig.submit(read(rig, path, *shown))
+    rig.submit(make_request(rig, path, *shown))
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
-    text = assist_codecs.write_assist(delegate.assist, rig.now)
+    text = delegation_codecs.encode_request(delegate.assist, rig.now)
     assert KEY.encode() not in text
     assert b'strange' not in text
     assert b'authorization' not in text
-    assist = assist_codecs.read_assist(text, rig.now)
-    request = exchanges.identify(assist.request)
+    delegated = delegation_codecs.decode_request(text, rig.now)
+    request = exchanges.identify(delegated.request)
     assert request.customer == wanted
     assert request.identity == delegate.assist.request.identity
 
     helper = make_rig()
     helper.post(
-        events.DelegatedRequestReceived(1, assist._replace(request=request))
+        events.DelegatedRequestReceived(1, delegated._replace(request=request))
     )
     sent = helper.pop_sent()
-    assert {show(helper, send) for send in sent} == {wanted}
+    assert {check_sent_customer(helper, send) for send in sent} == {wanted}
 
 
 @pytest.mark.parametrize(
     ('shown', 'why'),
     [
-        ((), customers.Reason.NONE),
-        (('strange',), customers.Reason.UNKNOWN),
-        ((KEY, KEY), customers.Reason.UNUSABLE),
+        ((), customers.RefusalReason.NONE),
+        (('strange',), customers.RefusalReason.UNKNOWN),
+        ((KEY, KEY), customers.RefusalReason.UNUSABLE),
     ],
 )
-def test_refuses_at_once_what_is_of_no_customer(
+def test_refuses_requests_without_a_customer(
     shown: tuple[str, ...], why: str
 ) -> None:
     """The line tells the route and why, and the answer only that it is so."""
     rig = make_rig()
-    rig.submit(read(rig, '/one/1', *shown))
-    status, story = take_refusal(rig)
+    rig.submit(make_request(rig, '/one/1', *shown))
+    status, summary = pop_refusal(rig)
     assert status == 401
-    assert (story.route, story.why) == ('route /one/', why)
-    assert KEY not in str(story)
-    assert 'strange' not in str(story)
+    assert (summary.route, summary.why) == ('route /one/', why)
+    assert KEY not in str(summary)
+    assert 'strange' not in str(summary)
 
 
-def test_refuses_a_key_that_a_version_takes_away() -> None:
+def test_refuses_a_key_that_a_configuration_removed() -> None:
     """Given again, it is valid again."""
     rig = make_rig()
     rig.configure(3, ROUTES, (SHOP._replace(keys=()), BANK))
-    rig.submit(read(rig, '/one/1', KEY))
-    assert take_refusal(rig)[0] == 401
+    rig.submit(make_request(rig, '/one/1', KEY))
+    assert pop_refusal(rig)[0] == 401
     rig.configure(4, ROUTES, (SHOP, BANK))
-    rig.submit(read(rig, '/one/1', KEY))
-    assert [show(rig, send) for send in rig.pop_sent()] == ['shop']
+    rig.submit(make_request(rig, '/one/1', KEY))
+    assert [check_sent_customer(rig, send) for send in rig.pop_sent()] == [
+        'shop'
+    ]
 
 
-def test_needs_keys_where_no_customer_is_left() -> None:
+def test_requires_keys_after_the_last_customer_is_removed() -> None:
     """Symptom: the last customer is removed, and everybody is served."""
     rig = make_rig(())
-    rig.submit(read(rig, '/one/1', KEY))
-    assert take_refusal(rig)[0] == 401
+    rig.submit(make_request(rig, '/one/1', KEY))
+    assert pop_refusal(rig)[0] == 401
 
 
 @pytest.mark.parametrize('shown', [(), ('strange',), (KEY, KEY)])
-def test_a_public_route_asks_for_no_key(shown: tuple[str, ...]) -> None:
+def test_a_public_route_requires_no_key(shown: tuple[str, ...]) -> None:
     """A strange key turns nobody away, and names nobody."""
     rig = make_rig()
-    rig.submit(read(rig, '/public/1', *shown))
+    rig.submit(make_request(rig, '/public/1', *shown))
     (send,) = rig.pop_sent()
-    assert show(rig, send) == ''
+    assert check_sent_customer(rig, send) == ''
 
 
-def test_does_not_know_keys_without_a_configuration() -> None:
+def test_is_not_ready_without_a_configuration() -> None:
     """Symptom: callers with good keys are told for good that they have none.
 
     A host that has just started says when to come back.
     """
     rig = router_rig.Rig((), ())
     rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
-    rig.submit(read(rig, '/one/1', KEY))
-    status, story = take_refusal(rig)
-    assert (status, story.result) == (503, errors.Kind.NOT_READY)
+    rig.submit(make_request(rig, '/one/1', KEY))
+    status, summary = pop_refusal(rig)
+    assert (status, summary.result) == (503, errors.Kind.NOT_READY)
 
 
-def test_tells_that_there_is_no_route_whatever_is_shown() -> None:
+def test_reports_a_missing_route_before_a_missing_key() -> None:
     """A path that leads nowhere is no matter of keys."""
     rig = make_rig()
-    rig.submit(read(rig, '/none/1'))
-    assert take_refusal(rig)[0] == 404
+    rig.submit(make_request(rig, '/none/1'))
+    assert pop_refusal(rig)[0] == 404
 
 
-def test_tells_requests_of_customers_apart() -> None:
+def test_identities_of_requests_differ_by_customer() -> None:
     """Symptom: what one customer asks is quarantined for all others."""
     rig = make_rig()
     identities = set()
-    for key in (KEY, OTHER):
-        rig.submit(read(rig, '/one/1', key))
+    for key in (KEY, OTHER_KEY):
+        rig.submit(make_request(rig, '/one/1', key))
         (send,) = rig.pop_sent()
         identities.add(send.request.identity)
         assert send.request.identity.customer in {'shop', 'bank'}
@@ -241,20 +246,20 @@
 ) -> None:
     """A customer that has none is as urgent as its route."""
     rig = make_rig((SHOP._replace(priority=priority),))
-    asked = events.RequestReceived(7, read(rig, '/one/1', KEY))
-    taken = admission.admit(rig.router, asked, rig.now)
-    assert isinstance(taken, active_requests.RoutedRequest)
-    assert taken.priority == wanted
+    event = events.RequestReceived(7, make_request(rig, '/one/1', KEY))
+    admitted = admission.admit(rig.router, event, rig.now)
+    assert isinstance(admitted, active_requests.RoutedRequest)
+    assert admitted.priority == wanted
 
 
-def test_sends_what_it_sent_where_there_are_no_customers() -> None:
+def test_forwards_the_key_without_customers() -> None:
     """Whatever a caller shows is between it and the target."""
     rig = make_rig(None)
-    rig.submit(read(rig, '/one/1', KEY))
+    rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
-    written = dict(exchanges.write_request(send, rig.now))
-    assert written[headers.KEY] == f'Token {KEY}'
-    assert headers.CUSTOMER not in written
+    fields = dict(exchanges.write_request(send, rig.now))
+    assert fields[headers.KEY] == f'Token {KEY}'
+    assert headers.CUSTOMER not in fields
     rig.answer(send)
-    story = rig.summaries.pop()
-    assert (story.customer, story.why) == ('', '')
+    summary = rig.summaries.pop()
+    assert (summary.customer, summary.why) == ('', '')
