--- a/tests/routing/test_delegations.py
+++ b/tests/routing/test_delegations.py
@@ -3,12 +3,12 @@
 import pytest
 
 from fuchsiahaven.routing import (
-    assist_codecs,
     configs,
+    delegation_codecs,
+    delegation_plans,
     delegations,
     deployments,
     events,
-    plans,
 )
 from tests.routing import router_rig
 
@@ -17,12 +17,12 @@
 HELPER = deployments.Host('host-9', '10.0.9.1:7000', 'south')
 
 
-def record(letter: str) -> bytes:
+def make_record(letter: str) -> bytes:
     """Make a record of 16 bytes."""
     return letter.encode() * 16
 
 
-def make_entry() -> router_rig.Rig:
+def make_rig() -> router_rig.Rig:
     """Make a host whose shards all have their targets in the south."""
     targets = router_rig.make_instances(SHARDS, 2, 'south')
     rig = router_rig.Rig([SEARCH], targets)
@@ -30,7 +30,7 @@
     return rig
 
 
-def take_delegate(rig: router_rig.Rig) -> events.Delegate:
+def pop_delegate(rig: router_rig.Rig) -> events.Delegate:
     """Return the one request for assistance."""
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
@@ -39,7 +39,7 @@
     return delegate
 
 
-def make_share(
+def make_report(
     services: tuple[str, ...], body: bytes = b'', *, last: bool = False
 ) -> events.DelegationReport:
     """Make a share of parts that are in."""
@@ -47,43 +47,43 @@
     return events.DelegationReport(parts, body, (), (), last)
 
 
-def test_sends_one_request_for_all_parts_that_are_far() -> None:
+def test_sends_one_request_for_all_remote_parts() -> None:
     """Nothing crosses but the request and the merged records."""
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     assert not rig.pop_sent()
     assert set(delegate.assist.services) == set(SHARDS)
-    body = record('b') + record('a')
-    share = make_share(SHARDS, body, last=True)
-    rig.post(events.DelegationReportReceived(delegate.key, share))
+    body = make_record('b') + make_record('a')
+    report = make_report(SHARDS, body, last=True)
+    rig.post(events.DelegationReportReceived(delegate.key, report))
     outcome = rig.pop_outcome()
     assert isinstance(outcome, events.MergedAnswer)
     assert (outcome.body, outcome.missing) == (body, 0)
     assert len(set(outcome.signatures)) == 10
 
 
-def test_sends_what_still_waits_at_a_helper_to_another_target() -> None:
+def test_hedges_parts_that_are_pending_at_a_helper() -> None:
     """The helper waits for one target, which is not asked a second time."""
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     waiting = events.MissingPart(
         SHARDS[0], f'{SHARDS[0]}-0', may_have_arrived=True
     )
-    share = make_share(SHARDS[1:])._replace(pending=(waiting,))
-    rig.post(events.DelegationReportReceived(delegate.key, share))
+    report = make_report(SHARDS[1:])._replace(pending=(waiting,))
+    rig.post(events.DelegationReportReceived(delegate.key, report))
     rig.advance_time(0)
     (hedge,) = rig.pop_sent()
     assert hedge.instance.name == f'{SHARDS[0]}-1'
-    rig.answer(hedge, record('z'))
+    rig.answer(hedge, make_record('z'))
     outcome = rig.pop_outcome()
     assert isinstance(outcome, events.MergedAnswer)
-    assert outcome.body == record('z')
+    assert outcome.body == make_record('z')
 
 
 @pytest.mark.parametrize(('asked', 'more'), [(True, 0), (False, 10)])
-def test_sends_parts_directly_where_a_helper_breaks_off(
+def test_sends_parts_directly_when_a_helper_fails(
     asked: bool, more: int
 ) -> None:
     """Symptom: queries fail for as long as a dead host is asked for help.
@@ -91,9 +91,9 @@
     The parts go to targets directly, as the second sending where the helper
     may have sent them, and no third one follows.
     """
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.post(events.DelegationFailed(delegate.key, asked, 'status 503'))
     sent = rig.pop_sent()
     assert {send.key.service for send in sent} == set(SHARDS)
@@ -105,49 +105,49 @@
     assert not any(isinstance(it, events.Delegate) for it in rig.other_actions)
 
 
-def test_says_why_a_helper_is_left_out() -> None:
+def test_logs_why_a_helper_is_left_out() -> None:
     """Symptom: the log says that a host did not help, and not why.
 
     One that is stopping, one that is cut off and one that answers nonsense
     looked alike.
     """
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.post(events.DelegationFailed(delegate.key, False, 'status 503'))
-    whys = [
+    reasons = [
         it.reason
         for it in rig.other_actions
         if isinstance(it, events.TargetStatusReport)
     ]
-    assert whys == ['no help: status 503']
+    assert reasons == ['no help: status 503']
 
 
-def test_sends_parts_directly_where_a_helper_is_silent() -> None:
+def test_sends_parts_directly_when_a_helper_is_silent() -> None:
     """Symptom: queries wait for a host that is paused or cut off.
 
     At half of the objective nothing has come: all parts are sent to targets,
     and what the helper brings in the end is not mixed with their answers.
     """
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.advance_time(0.045)
     assert not rig.pop_sent()
     rig.advance_time(0.02)
     sent = rig.pop_sent()
     assert len(sent) == 10
-    rig.answer(sent[0], record('q'))
-    late = make_share(SHARDS, record('z') * 2, last=True)
+    rig.answer(sent[0], make_record('q'))
+    late = make_report(SHARDS, make_record('z') * 2, last=True)
     rig.post(events.DelegationReportReceived(delegate.key, late))
     for send in sent[1:]:
-        rig.answer(send, record('p'))
+        rig.answer(send, make_record('p'))
     outcome = rig.pop_outcome()
     assert isinstance(outcome, events.MergedAnswer)
-    assert outcome.body == record('q') + record('p')
+    assert outcome.body == make_record('q') + make_record('p')
 
 
-def test_gives_a_helper_the_time_that_small_hosts_take() -> None:
+def test_waits_for_helpers_on_small_hosts() -> None:
     """Symptom: of 90 parts with an objective of 59 ms all are sent twice.
 
     Two busy hosts of a third of a core take 10 ms and more to read, send and
@@ -168,41 +168,41 @@
 
 def test_dismisses_a_helper_when_the_caller_leaves() -> None:
     """Work for nobody ends at the targets of the helper as well."""
-    rig = make_entry()
+    rig = make_rig()
     number = rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.post(events.RequestAbandoned(number))
     assert events.CancelDelegation(delegate.key) in rig.other_actions
 
 
-def test_thinks_no_worse_of_a_helper_that_it_dismissed() -> None:
+def test_does_not_leave_out_a_dismissed_helper() -> None:
     """Symptom: while callers leave, far parts cross one by one for seconds.
 
     The end of the connection to the dismissed helper looked like a helper
     that breaks off, which is left out for two seconds.
     """
-    rig = make_entry()
+    rig = make_rig()
     number = rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.post(events.RequestAbandoned(number))
     rig.post(events.DelegationFailed(delegate.key, True, 'connection_lost'))
     rig.other_actions = []
     rig.send_request()
-    assert take_delegate(rig).helper == HELPER
+    assert pop_delegate(rig).helper == HELPER
 
 
-def test_asks_no_help_for_a_few_parts() -> None:
+def test_does_not_delegate_few_parts() -> None:
     """The detour pays only for many parts."""
-    few = plans.FEWEST - 1
-    near = router_rig.make_instances(SHARDS[few:])
-    far = router_rig.make_instances(SHARDS[:few], 2, 'south')
+    few_parts = delegation_plans.MIN_DELEGATED_PARTS - 1
+    near = router_rig.make_instances(SHARDS[few_parts:])
+    far = router_rig.make_instances(SHARDS[:few_parts], 2, 'south')
     rig = router_rig.Rig([SEARCH], [*near, *far])
     rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
     rig.send_request()
     assert len(rig.pop_sent()) == 10
 
 
-class Helping:
+class HelperRig:
     """Own a host that gathers parts for another one."""
 
     def __init__(self) -> None:
@@ -212,115 +212,115 @@
         request = events.Request(
             'id-1', 'GET', '/search/1', '', (), b'', now, now + 0.8
         )
-        self.assist = events.DelegatedRequest(
+        self.delegated = events.DelegatedRequest(
             request, 'route', 0.1, 2, SHARDS, now + 0.8
         )
-        self.rig.post(events.DelegatedRequestReceived(1, self.assist))
+        self.rig.post(events.DelegatedRequestReceived(1, self.delegated))
         self.sent = self.rig.pop_sent()
 
-    def take_shares(self) -> list[events.DelegationReport]:
+    def pop_reports(self) -> list[events.DelegationReport]:
         """Return what was given to the other host."""
-        found = [
+        actions = [
             it
             for it in self.rig.other_actions
             if isinstance(it, events.SendDelegationReport)
         ]
         self.rig.other_actions = []
-        return [give.share for give in found]
+        return [give.share for give in actions]
 
 
-def test_gives_all_parts_merged_once_all_are_in() -> None:
+def test_sends_all_parts_merged_once_all_are_in() -> None:
     """One share holds the greatest records of all parts."""
-    helping = Helping()
-    for place, send in enumerate(helping.sent):
-        helping.rig.answer(send, record('abcdefghij'[place]))
-    (share,) = helping.take_shares()
-    assert share.is_last
-    assert len(share.parts) == 10
-    assert share.body == record('j') + record('i')
+    helper_rig = HelperRig()
+    for position, send in enumerate(helper_rig.sent):
+        helper_rig.rig.answer(send, make_record('abcdefghij'[position]))
+    (report,) = helper_rig.pop_reports()
+    assert report.is_last
+    assert len(report.parts) == 10
+    assert report.body == make_record('j') + make_record('i')
 
 
-def test_gives_what_is_in_when_most_should_be() -> None:
+def test_sends_a_partial_report_when_most_parts_should_be_in() -> None:
     """What is slow is told of, and goes out by itself when it comes."""
-    helping = Helping()
-    for send in helping.sent[2:]:
-        helping.rig.answer(send)
-    assert not helping.take_shares()
-    helping.rig.advance_time(0.045)
-    (share,) = helping.take_shares()
-    assert (len(share.parts), share.is_last) == (8, False)
-    assert {out.service for out in share.pending} == {
-        send.key.service for send in helping.sent[:2]
+    helper_rig = HelperRig()
+    for send in helper_rig.sent[2:]:
+        helper_rig.rig.answer(send)
+    assert not helper_rig.pop_reports()
+    helper_rig.rig.advance_time(0.045)
+    (report,) = helper_rig.pop_reports()
+    assert (len(report.parts), report.is_last) == (8, False)
+    assert {part.service for part in report.pending} == {
+        send.key.service for send in helper_rig.sent[:2]
     }
-    helping.rig.answer(helping.sent[0], record('x'))
-    (late,) = helping.take_shares()
-    assert (late.body, late.is_last) == (record('x'), False)
-    helping.rig.answer(helping.sent[1])
-    assert helping.take_shares()[-1].is_last
+    helper_rig.rig.answer(helper_rig.sent[0], make_record('x'))
+    (late,) = helper_rig.pop_reports()
+    assert (late.body, late.is_last) == (make_record('x'), False)
+    helper_rig.rig.answer(helper_rig.sent[1])
+    assert helper_rig.pop_reports()[-1].is_last
 
 
-def test_tells_with_the_last_part_that_it_is_the_last() -> None:
+def test_marks_the_report_of_the_last_part_as_last() -> None:
     """A message for that alone costs the host that asked as much as a part."""
-    helping = Helping()
-    for send in helping.sent[2:]:
-        helping.rig.answer(send)
-    helping.rig.advance_time(0.045)
-    helping.take_shares()
-    for send, last in zip(helping.sent[:2], (False, True), strict=True):
-        helping.rig.answer(send)
-        (share,) = helping.take_shares()
-        assert (len(share.parts), share.is_last) == (1, last)
-
-
-def test_sends_each_part_once_and_tells_what_is_lost() -> None:
+    helper_rig = HelperRig()
+    for send in helper_rig.sent[2:]:
+        helper_rig.rig.answer(send)
+    helper_rig.rig.advance_time(0.045)
+    helper_rig.pop_reports()
+    for send, last in zip(helper_rig.sent[:2], (False, True), strict=True):
+        helper_rig.rig.answer(send)
+        (report,) = helper_rig.pop_reports()
+        assert (len(report.parts), report.is_last) == (1, last)
+
+
+def test_sends_each_part_once_and_reports_lost_parts() -> None:
     """The host that asked decides whether a part is sent again."""
-    helping = Helping()
-    helping.rig.break_attempt(helping.sent[0])
-    helping.rig.refuse(helping.sent[1])
-    assert not helping.rig.pop_sent()
-    for send in helping.sent[2:]:
-        helping.rig.answer(send)
-    (share,) = helping.take_shares()
-    assert {out.service for out in share.lost} == {
-        send.key.service for send in helping.sent[:2]
+    helper_rig = HelperRig()
+    helper_rig.rig.break_attempt(helper_rig.sent[0])
+    helper_rig.rig.refuse(helper_rig.sent[1])
+    assert not helper_rig.rig.pop_sent()
+    for send in helper_rig.sent[2:]:
+        helper_rig.rig.answer(send)
+    (report,) = helper_rig.pop_reports()
+    assert {part.service for part in report.lost} == {
+        send.key.service for send in helper_rig.sent[:2]
     }
-    assert all(out.may_have_arrived for out in share.lost)
+    assert all(part.may_have_arrived for part in report.lost)
 
 
-def test_ends_with_the_time_it_was_given() -> None:
+def test_ends_a_delegated_request_at_its_deadline() -> None:
     """A helper keeps nothing for longer than the caller waits."""
-    helping = Helping()
-    helping.rig.advance_time(0.9)
-    shares = helping.take_shares()
-    assert shares[-1].is_last
-    assert len(shares[-1].lost) == 10
-    assert not helping.rig.router.active_requests
+    helper_rig = HelperRig()
+    helper_rig.rig.advance_time(0.9)
+    reports = helper_rig.pop_reports()
+    assert reports[-1].is_last
+    assert len(reports[-1].lost) == 10
+    assert not helper_rig.rig.router.active_requests
 
 
-def test_reads_what_it_writes() -> None:
+def test_decodes_what_it_encodes() -> None:
     """Requests for assistance and shares survive the way."""
-    helping = Helping()
-    now = helping.rig.now
-    text = assist_codecs.write_assist(helping.assist, now)
-    read = assist_codecs.read_assist(text, now)
-    assert read.services == helping.assist.services
-    assert abs(read.deadline - helping.assist.deadline) < 0.002
-    out = events.MissingPart('a', 'b', may_have_arrived=False)
-    share = make_share(SHARDS, record('a'))._replace(pending=(out,))
-    line = assist_codecs.write_share(share)
+    helper_rig = HelperRig()
+    now = helper_rig.rig.now
+    text = delegation_codecs.encode_request(helper_rig.delegated, now)
+    read = delegation_codecs.decode_request(text, now)
+    assert read.services == helper_rig.delegated.services
+    assert abs(read.deadline - helper_rig.delegated.deadline) < 0.002
+    part = events.MissingPart('a', 'b', may_have_arrived=False)
+    report = make_report(SHARDS, make_record('a'))._replace(pending=(part,))
+    line = delegation_codecs.encode_report(report)
     assert line.count(b'\n') == 1
-    assert assist_codecs.read_share(line) == share
+    assert delegation_codecs.decode_report(line) == report
 
 
-def test_dismisses_a_helper_that_has_told_nothing_by_the_end() -> None:
+def test_dismisses_a_helper_without_any_report_at_the_end() -> None:
     """Symptom: targets get parts of searches that were answered long ago.
 
     A helper that stood still comes to its questions when all of them have
     been answered without it, and sends their parts.
     """
-    rig = make_entry()
+    rig = make_rig()
     rig.send_request()
-    delegate = take_delegate(rig)
+    delegate = pop_delegate(rig)
     rig.advance_time(0.07)
     for send in rig.pop_sent():
         rig.answer(send)
@@ -338,7 +338,7 @@
 ]
 
 
-def make_member(
+def make_wide_rig(
     coverage: float = 0.95, objective: float = 0.1
 ) -> router_rig.Rig:
     """Make one of 63 hosts, with two near targets of each shard."""
@@ -349,33 +349,33 @@
     return rig
 
 
-def take_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
+def pop_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
     """Return what was asked of other hosts since the last time."""
     taken = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
     rig.other_actions = []
     return taken
 
 
-def test_hands_parts_that_failed_to_the_hosts_on_duty() -> None:
+def test_delegates_retries_to_the_assigned_hosts() -> None:
     """Symptom: queries fail while targets stand ready for what they lack.
 
     Half of the targets lose two in five answers. Each host may repeat less
     than once in ten seconds, for its share of the bound is that of one in 63,
     and gave the parts up. Those on duty may repeat several times.
     """
-    rig = make_member()
+    rig = make_wide_rig()
     rig.send_request()
-    first = take_delegates(rig)
+    first = pop_delegates(rig)
     for delegate in first:
         services = delegate.assist.services
         lost = tuple(
             events.MissingPart(it, f'{it}-0', may_have_arrived=True)
             for it in services[:6]
         )
-        share = make_share(services[6:], last=True)._replace(lost=lost)
-        rig.post(events.DelegationReportReceived(delegate.key, share))
+        report = make_report(services[6:], last=True)._replace(lost=lost)
+        rig.post(events.DelegationReportReceived(delegate.key, report))
     assert not rig.replies
-    again = take_delegates(rig)
+    again = pop_delegates(rig)
     assert {it.assist.is_retry for it in again} == {True}
     assert all(it.assist.counts_load for it in again)
     wanted = {it for one in first for it in one.assist.services[:6]}
@@ -384,14 +384,14 @@
         assert {f'{it}-0' for it in delegate.assist.services} <= set(
             delegate.assist.avoided_targets
         )
-        share = make_share(delegate.assist.services, last=True)
-        rig.post(events.DelegationReportReceived(delegate.key, share))
+        report = make_report(delegate.assist.services, last=True)
+        rig.post(events.DelegationReportReceived(delegate.key, report))
     outcome = rig.pop_outcome()
     assert isinstance(outcome, events.MergedAnswer)
     assert not outcome.missing
 
 
-def make_late_share(
+def make_partial_report(
     delegate: events.Delegate, waiting: int
 ) -> events.DelegationReport:
     """Make a share without the first so many parts, which are still out."""
@@ -400,14 +400,14 @@
         events.MissingPart(it, f'{it}-0', may_have_arrived=True)
         for it in services[:waiting]
     )
-    return make_share(services[waiting:])._replace(pending=pending)
+    return make_report(services[waiting:])._replace(pending=pending)
 
 
 @pytest.mark.parametrize(
     ('when', 'waiting', 'again'),
     [(0.03, 12, 12), (0.046, 12, 3), (0.046, 9, 0), (0.07, 12, 3)],
 )
-def test_sends_again_near_the_end_what_coverage_needs(
+def test_hedges_late_parts_only_as_coverage_needs(
     when: float, waiting: int, again: int
 ) -> None:
     """Symptom: small hosts answer late for parts that coverage lets go.
@@ -416,86 +416,86 @@
     before the answer is decided is not in by then, and reading what comes of
     it makes the answer late. Without enough parts there is no answer at all.
     """
-    rig = make_member(0.8, 0.059)
+    rig = make_wide_rig(0.8, 0.059)
     rig.send_request()
-    first = take_delegates(rig)
+    first = pop_delegates(rig)
     rig.now += when
     for delegate in first:
-        share = make_late_share(delegate, waiting)
-        waiting -= len(share.pending)
-        rig.post(events.DelegationReportReceived(delegate.key, share))
+        report = make_partial_report(delegate, waiting)
+        waiting -= len(report.pending)
+        rig.post(events.DelegationReportReceived(delegate.key, report))
     rig.advance_time(0)
     sent = [it.key.service for it in rig.pop_sent()]
-    for second in take_delegates(rig):
+    for second in pop_delegates(rig):
         sent.extend(second.assist.services)
     assert len(sent) == again
 
 
-def test_gives_a_part_up_that_failed_as_often_as_it_may() -> None:
+def test_gives_a_part_up_after_its_last_attempt() -> None:
     """A route allows two attempts: what fails at both is sent no more."""
-    rig = make_member()
+    rig = make_wide_rig()
     rig.send_request()
     for attempt in range(2):
-        delegates = take_delegates(rig)
+        delegates = pop_delegates(rig)
         assert delegates
         for delegate in delegates:
             lost = tuple(
                 events.MissingPart(it, f'{it}-{attempt}', may_have_arrived=True)
                 for it in delegate.assist.services
             )
-            share = make_share((), last=True)._replace(lost=lost)
-            rig.post(events.DelegationReportReceived(delegate.key, share))
-    assert not take_delegates(rig)
+            report = make_report((), last=True)._replace(lost=lost)
+            rig.post(events.DelegationReportReceived(delegate.key, report))
+    assert not pop_delegates(rig)
     assert not rig.pop_sent()
     assert rig.replies
 
 
-def hand_back(rig: router_rig.Rig) -> tuple[str, list[events.Delegate]]:
+def return_chunk(rig: router_rig.Rig) -> tuple[str, list[events.Delegate]]:
     """Hand the parts of one chunk back; return by whom, and who is asked."""
     rig.send_request()
-    first = take_delegates(rig)[0]
+    first = pop_delegates(rig)[0]
     lost = tuple(
         events.MissingPart(it, '', may_have_arrived=False)
         for it in first.assist.services
     )
-    share = make_share((), last=True)._replace(lost=lost)
-    rig.post(events.DelegationReportReceived(first.key, share))
-    return first.helper.name, take_delegates(rig)
+    report = make_report((), last=True)._replace(lost=lost)
+    rig.post(events.DelegationReportReceived(first.key, report))
+    return first.helper.name, pop_delegates(rig)
 
 
-def test_parts_that_a_busy_host_hands_back_go_to_the_other_on_duty() -> None:
+def test_returned_parts_go_to_the_other_assigned_host() -> None:
     """Symptom: parts go back and forth with a host that has no time."""
-    rig = make_member()
+    rig = make_wide_rig()
     (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
     rig.configure(2, [public], (configs.Customer('hot', ('key',)),))
-    helper, again = hand_back(rig)
+    helper, again = return_chunk(rig)
     (delegate,) = again
     assert delegate.helper.name != helper
     assert not delegate.assist.is_retry
     assert not rig.pop_sent()
 
 
-def test_parts_go_back_to_the_same_host_without_customers() -> None:
+def test_returned_parts_go_to_the_same_host_without_customers() -> None:
     """Deployments without customers are served as before."""
-    helper, again = hand_back(make_member())
+    helper, again = return_chunk(make_wide_rig())
     assert [it.helper.name for it in again] == [helper]
 
 
-def make_competing() -> router_rig.Rig:
+def make_customer_rig() -> router_rig.Rig:
     """Make one of 63 hosts whose callers are of customers."""
-    rig = make_member()
+    rig = make_wide_rig()
     (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
     rig.configure(2, [public], (configs.Customer('hot', ('key',)),))
     return rig
 
 
-def test_parts_that_wait_at_a_host_that_dies_go_elsewhere_at_once() -> None:
+def test_parts_queued_at_a_host_that_dies_are_retried_at_once() -> None:
     """Symptom: parts in the queue of a dead host are lost with it."""
-    rig = make_competing()
+    rig = make_customer_rig()
     rig.send_request()
-    first = take_delegates(rig)[0]
+    first = pop_delegates(rig)[0]
     rig.pop_sent()
     rig.post(
         events.DelegationFailed(
@@ -503,19 +503,19 @@
         )
     )
     moved = {it.key.service for it in rig.pop_sent()}
-    for delegate in take_delegates(rig):
+    for delegate in pop_delegates(rig):
         assert delegate.helper.name != first.helper.name
         moved.update(delegate.assist.services)
     assert moved == set(first.assist.services)
 
 
-def test_hosts_that_hand_all_back_for_ever_cost_no_answer() -> None:
+def test_answers_while_hosts_return_all_parts_unsent() -> None:
     """Symptom: a query goes round among hosts that take none of its parts."""
-    rig = make_competing()
+    rig = make_customer_rig()
     for _ in range(20):
         rig.send_request()
         rounds = 0
-        while asked := take_delegates(rig):
+        while asked := pop_delegates(rig):
             rounds += 1
             assert rounds <= 4
             for delegate in asked:
@@ -524,10 +524,10 @@
                     events.MissingPart(it, '', may_have_arrived=False)
                     for it in services
                 )
-                share = make_share((), last=True)._replace(lost=lost)
-                rig.post(events.DelegationReportReceived(delegate.key, share))
+                report = make_report((), last=True)._replace(lost=lost)
+                rig.post(events.DelegationReportReceived(delegate.key, report))
         for send in rig.pop_sent():
-            rig.answer(send, record('a'))
+            rig.answer(send, make_record('a'))
         outcome = rig.pop_outcome()
         assert isinstance(outcome, events.MergedAnswer)
         assert outcome.missing == 0
@@ -551,52 +551,52 @@
         delegate = delegates.pop()
         asked.add(delegate.helper.name)
         rig.post(make_refusal(delegate))
-        delegates += take_delegates(rig)
+        delegates += pop_delegates(rig)
     return len(asked)
 
 
-def test_asks_the_next_hosts_on_duty_while_a_fleet_starts() -> None:
+def test_asks_the_next_assigned_hosts_while_a_fleet_starts() -> None:
     """Symptom: for two seconds after all hosts lost power answers are late.
 
     The hosts on duty have just started and know no target yet. Each asker sent
     all 45 parts itself; 63 hosts opened connections to targets that take 54.
     """
-    rig = make_member()
+    rig = make_wide_rig()
     rig.send_request()
-    first = take_delegates(rig)
+    first = pop_delegates(rig)
     chunks = len(first)
     rig.post(make_refusal(first[0]))
-    again = take_delegates(rig)
-    (handed,) = [set(it.assist.services) for it in again]
-    assert handed == set(first[0].assist.services)
+    again = pop_delegates(rig)
+    (delegated,) = [set(it.assist.services) for it in again]
+    assert delegated == set(first[0].assist.services)
     assert again[0].helper != first[0].helper
     assert not again[0].assist.is_retry
     assert not rig.pop_sent()
     # In the end it sends the parts itself: somebody has to.
     asked = count_hosts_asked(rig, [*first[1:], *again])
-    assert asked <= chunks * delegations.MOST_HANDINGS
+    assert asked <= chunks * delegations.MAX_PART_SENDINGS
     assert {send.key.service for send in rig.pop_sent()} == set(WIDE)
 
 
-def test_asks_a_host_again_soon_that_has_just_started() -> None:
+def test_soon_asks_a_host_again_that_has_just_started() -> None:
     """One that starts is ready in a moment, one that stops is not."""
     absences = events.HelperFault
     for absence, left_out in (
         (absences.STARTING, False),
         (absences.REFUSED, True),
     ):
-        rig = make_member()
+        rig = make_wide_rig()
         rig.send_request()
-        delegate = take_delegates(rig)[0]
+        delegate = pop_delegates(rig)[0]
         rig.post(make_refusal(delegate, absence))
-        rig.advance_time(delegations.STARTING_S + 0.1)
+        rig.advance_time(delegations.STARTING_HELPER_PAUSE_S + 0.1)
         rig.other_actions = []
         rig.send_request()
-        asked = {it.helper for it in take_delegates(rig)}
+        asked = {it.helper for it in pop_delegates(rig)}
         assert (delegate.helper not in asked) == left_out
 
 
-def test_hosts_that_refuse_prove_the_way_to_their_data_centre() -> None:
+def test_refusals_show_that_a_data_centre_is_reachable() -> None:
     """Symptom: a data centre is left out because its hosts are restarted.
 
     Three hosts of the south say one after the other that they stop. Counted
@@ -610,11 +610,11 @@
     rig = router_rig.Rig([SEARCH], targets)
     rig.post(events.HostsChanged(4, (router_rig.HOST, *south)))
     rig.send_request()
-    refused = take_delegates(rig)
+    refused = pop_delegates(rig)
     rig.send_request()
-    refused += take_delegates(rig)
+    refused += pop_delegates(rig)
     rig.send_request()
-    refused += take_delegates(rig)
+    refused += pop_delegates(rig)
     for delegate in refused:
         rig.post(make_refusal(delegate, events.HelperFault.REFUSED))
     assert len({it.helper for it in refused}) == len(south)
@@ -623,15 +623,15 @@
     assert not rig.router.centre_health.is_silent('south')
 
 
-def test_does_not_ask_for_ever_what_may_not_be_repeated() -> None:
+def test_bounds_delegations_of_parts_that_may_not_be_retried() -> None:
     """Symptom: hosts do nothing but ask each other while targets are slow.
 
     A part has failed once. The hosts on duty have used up their share of the
     bound on repeats, and each says at once that it has not sent the part.
     """
-    rig = make_member()
+    rig = make_wide_rig()
     rig.send_request()
-    delegates = take_delegates(rig)
+    delegates = pop_delegates(rig)
     arrived = True
     asked = 0
     while delegates and asked < 100 * len(WIDE):
@@ -639,8 +639,8 @@
         services = delegate.assist.services
         asked += len(services)
         lost = tuple(events.MissingPart(it, '', arrived) for it in services)
-        share = make_share((), last=True)._replace(lost=lost)
+        report = make_report((), last=True)._replace(lost=lost)
         arrived = False
-        rig.post(events.DelegationReportReceived(delegate.key, share))
-        delegates += take_delegates(rig)
-    assert asked <= delegations.MOST_HANDINGS * len(WIDE)
+        rig.post(events.DelegationReportReceived(delegate.key, report))
+        delegates += pop_delegates(rig)
+    assert asked <= delegations.MAX_PART_SENDINGS * len(WIDE)
--- a/tests/routing/test_extra_attempts.py
+++ b/tests/routing/test_extra_attempts.py
@@ -7,9 +7,9 @@
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
+    chunk_assignments,
     configs,
     deployments,
-    duties,
     events,
     extra_attempts,
 )
@@ -162,11 +162,13 @@
     """
     rig = router_rig.Rig([WIDE_SEARCH], router_rig.make_instances(WIDE_SHARDS))
     rig.post(events.HostsChanged(100, (router_rig.HOST,)))
-    chunks = len(set(duties.find_chunks(WIDE_GATHER).values()))
+    chunks = len(set(chunk_assignments.find_chunks(WIDE_GATHER).values()))
     rig.send_request()
     sent = rig.pop_sent()
     with mock.patch.object(
-        duties, 'rank_hosts', side_effect=duties.rank_hosts
+        chunk_assignments,
+        'rank_hosts',
+        side_effect=chunk_assignments.rank_hosts,
     ) as ranked:
         decisions = [
             extra_attempts.may_send_extra(
--- /dev/null
+++ b/tests/routing/test_fair_queues.py
@@ -0,0 +1,149 @@
+"""Test which of the new work that waits at a busy host comes next."""
+
+from collections import Counter
+
+import pytest
+
+from fuchsiahaven.routing import fair_queues
+
+NEVER = 99.0
+
+
+def make_work(
+    number: int,
+    customer: str,
+    priority: int = 1,
+    cost: int = 15,
+    deadline: float = 1.0,
+    latest_start: float = NEVER,
+) -> fair_queues.Work[str]:
+    """Make work that came at 0."""
+    return fair_queues.Work(
+        number, customer, priority, cost, deadline, latest_start, 0.0, 'what'
+    )
+
+
+def pop_up_to(
+    queue: fair_queues.FairQueue[str], count: int
+) -> list[fair_queues.Work[str]]:
+    """Take so many at the most."""
+    popped = (queue.pop() for _ in range(count))
+    return [work for work in popped if work is not None]
+
+
+def test_customers_of_one_priority_share_by_cost() -> None:
+    """Symptom: who asks for most gets most, and wide queries count as one."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(100):
+        queue.push(make_work(number, 'hot'))
+        queue.push(make_work(100 + number, 'calm', cost=5))
+    done: Counter[str] = Counter()
+    for work in pop_up_to(queue, 80):
+        done[work.customer] += work.cost
+    assert done['hot'] == pytest.approx(done['calm'], abs=15)
+
+
+def test_a_customer_with_little_work_is_served_next() -> None:
+    """Symptom: one request waits behind all of a hot customer's."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(50):
+        queue.push(make_work(number, 'hot'))
+    pop_up_to(queue, 10)
+    queue.push(make_work(99, 'calm', deadline=2.0))
+    assert 'calm' in {it.customer for it in pop_up_to(queue, 2)}
+
+
+def test_urgent_work_gets_more_and_starves_nobody() -> None:
+    """Symptom: less urgent work gets nothing while urgent work keeps on."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(100):
+        queue.push(make_work(number, 'calm'))
+        queue.push(make_work(100 + number, 'urgent', priority=0))
+    done = Counter(it.customer for it in pop_up_to(queue, 100))
+    assert done['urgent'] == pytest.approx(
+        fair_queues.PRIORITY_WEIGHT_RATIO * done['calm'], rel=0.1
+    )
+    assert done['calm']
+
+
+def test_a_lagging_priority_does_not_set_the_virtual_time_back() -> None:
+    """Symptom: urgent work waits behind dozens of pieces of less urgent work.
+
+    One piece of the least urgent was done, and then others begin to ask.
+    """
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    queue.push(make_work(0, 'last', priority=4))
+    queue.push(make_work(1, 'last', priority=4))
+    for number in range(2, 400):
+        queue.push(make_work(number, 'urgent', priority=0))
+    while 'last' not in {it.customer for it in pop_up_to(queue, 1)}:
+        assert queue
+    for number in range(400, 500):
+        queue.push(make_work(number, 'calm'))
+    done = Counter(it.customer for it in pop_up_to(queue, 20))
+    assert done['urgent'] >= 14
+
+
+def test_unused_time_is_not_saved_up() -> None:
+    """Symptom: a customer that was idle keeps others away when it comes."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(100):
+        queue.push(make_work(number, 'calm'))
+    pop_up_to(queue, 50)
+    for number in range(100, 200):
+        queue.push(make_work(number, 'late'))
+    done = Counter(it.customer for it in pop_up_to(queue, 20))
+    assert done['calm'] >= 9
+
+
+def test_the_earliest_deadline_of_a_customer_is_next() -> None:
+    """Symptom: what came first is done first, and both are late."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    queue.push(make_work(1, 'calm', deadline=2.0))
+    queue.push(make_work(2, 'calm', deadline=1.0))
+    assert [it.number for it in pop_up_to(queue, 2)] == [2, 1]
+
+
+def test_removes_work_past_its_latest_start() -> None:
+    """Symptom: parts are sent a moment before their end, for nobody."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    queue.push(make_work(1, 'calm', latest_start=0.5))
+    queue.push(make_work(2, 'calm', latest_start=1.5))
+    assert [it.number for it in queue.pop_expired(1.0)] == [1]
+    assert [it.number for it in pop_up_to(queue, 9)] == [2]
+
+
+def test_a_full_queue_evicts_from_the_largest_customer() -> None:
+    """Symptom: memory grows, or a hot customer pushes the others out."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue(max_queued=20)
+    queue.push(make_work(1, 'calm'))
+    evicted = [queue.push(make_work(number, 'hot')) for number in range(2, 60)]
+    assert len(queue) == 20
+    assert {it.customer for it in evicted if it is not None} == {'hot'}
+    assert queue.remove(1) is not None
+
+
+def test_applies_new_priorities_to_queued_work() -> None:
+    """Symptom: what waited when a version came goes by the one before."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(10):
+        queue.push(make_work(number, 'hot', priority=0))
+    queue.push(make_work(10, 'calm', priority=1))
+    queue.update_priorities(lambda it: 0 if it.customer == 'calm' else 3)
+    first = queue.pop()
+    assert first is not None
+    assert (first.customer, first.priority) == ('calm', 0)
+    assert len(queue) == 10
+
+
+def test_each_work_is_removed_once() -> None:
+    """Symptom: work whose caller has left is begun, or begun twice."""
+    queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
+    for number in range(9):
+        queue.push(make_work(number, f'customer {number % 3}', number % 2))
+    assert queue.remove(4) is not None
+    assert queue.remove(4) is None
+    assert sorted(it.number for it in pop_up_to(queue, 20)) == [
+        number for number in range(9) if number != 4
+    ]
+    assert not queue
--- a/tests/routing/test_lags.py
+++ b/tests/routing/test_lags.py
@@ -5,10 +5,10 @@
 from hypothesis import given, strategies
 
 from fuchsiahaven.routing import (
-    assist_codecs,
+    chunk_assignments,
     configs,
+    delegation_codecs,
     deployments,
-    duties,
     events,
     lags,
 )
@@ -33,9 +33,11 @@
 def find_other_pair(rig: router_rig.Rig) -> tuple[deployments.Host, ...]:
     """Find two hosts on duty for one chunk that are others."""
     hosts = rig.router.centre_health.list_hosts('north')
-    for shard in SHARDS[:: duties.CHUNK]:
-        ranked = duties.rank_hosts(duties.Duty('north', shard), hosts)
-        pair = tuple(ranked[: duties.ON_DUTY])
+    for shard in SHARDS[:: chunk_assignments.SHARDS_PER_CHUNK]:
+        ranked = chunk_assignments.rank_hosts(
+            chunk_assignments.ChunkKey('north', shard), hosts
+        )
+        pair = tuple(ranked[: chunk_assignments.HOSTS_PER_CHUNK])
         if router_rig.HOST not in pair:
             return pair
     raise AssertionError('this host is on duty for all')
@@ -88,9 +90,9 @@
     """Hosts of the version before pass over it; on time, it costs nothing."""
     share = events.DelegationReport((), b'', (), (), is_last=True)
     for lag, encoded_ms in ((0.0, None), (0.0004, None), (0.03, 30)):
-        line = assist_codecs.write_share(share._replace(lag_s=lag))
+        line = delegation_codecs.encode_report(share._replace(lag_s=lag))
         assert json.loads(line).get('lag') == encoded_ms
-        decoded = assist_codecs.read_share(line)
+        decoded = delegation_codecs.decode_report(line)
         assert decoded.lag_s == (encoded_ms or 0) / 1000
 
 
--- a/tests/routing/test_waitings.py
+++ b/tests/routing/test_queued_work.py
@@ -1,7 +1,7 @@
 """Test how new work that waits is weighed, and what becomes of refused work."""
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.routing import configs, events, waitings
+from fuchsiahaven.routing import configs, events, queued_work
 from tests.routing import router_rig
 
 SHARDS = tuple(f'shard-{number}' for number in range(45))
@@ -20,7 +20,7 @@
     return rig
 
 
-def make_asked(
+def make_request(
     rig: router_rig.Rig, key: str, target: str
 ) -> events.RequestReceived:
     """Make a request that shows a key."""
@@ -30,12 +30,12 @@
     return events.RequestReceived(7, request._replace(key_digest=key))
 
 
-def make_assisted(
+def make_delegated(
     rig: router_rig.Rig, customer: str
 ) -> events.DelegatedRequestReceived:
     """Make another host's call for some parts."""
-    request = make_asked(rig, '', '/search/1').request
-    assist = events.DelegatedRequest(
+    request = make_request(rig, '', '/search/1').request
+    delegated = events.DelegatedRequest(
         request._replace(customer=customer),
         WIDE.name,
         WIDE.objective,
@@ -43,98 +43,108 @@
         SHARDS[:15],
         rig.now + 0.11,
     )
-    return events.DelegatedRequestReceived(8, assist)
+    return events.DelegatedRequestReceived(8, delegated)
 
 
-def test_a_wide_query_counts_by_its_parts() -> None:
+def test_a_wide_query_costs_its_parts() -> None:
     """Symptom: a customer of wide queries takes many times its share."""
     rig = make_rig()
-    asked = make_asked(rig, 'hot-key', '/search/1')
-    work = waitings.weigh(rig.router, asked, rig.now)
-    helped = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
+    event = make_request(rig, 'hot-key', '/search/1')
+    work = queued_work.make_work(rig.router, event, rig.now)
+    delegated_work = queued_work.make_work(
+        rig.router, make_delegated(rig, 'hot'), rig.now
+    )
     assert work is not None
-    assert helped is not None
+    assert delegated_work is not None
     assert (work.cost, work.customer, work.priority) == (45, 'hot', 1)
-    assert (helped.cost, helped.customer, helped.priority) == (15, 'hot', 1)
+    assert (
+        delegated_work.cost,
+        delegated_work.customer,
+        delegated_work.priority,
+    ) == (15, 'hot', 1)
 
 
-def test_a_split_counts_as_one_part() -> None:
+def test_a_split_costs_one_part() -> None:
     """Symptom: a request that goes to one service is charged for all."""
     rig = make_rig()
     parts = tuple(configs.Weighted(it, 1.0) for it in ('records', 'trial'))
     split = router_rig.make_route(configs.Split(parts), prefix='/split/')
     rig.configure(3, [split], (HOT,))
-    asked = make_asked(rig, 'hot-key', '/split/1')
-    work = waitings.weigh(rig.router, asked, rig.now)
+    event = make_request(rig, 'hot-key', '/split/1')
+    work = queued_work.make_work(rig.router, event, rig.now)
     assert work is not None
     assert work.cost == 1
 
 
-def test_what_is_refused_in_no_time_does_not_wait() -> None:
+def test_does_not_queue_what_is_refused_at_once() -> None:
     """Symptom: a caller without a key waits among customers."""
     rig = make_rig()
-    asked = make_asked(rig, 'nobody', '/search/1')
-    assert waitings.weigh(rig.router, asked, rig.now) is None
+    event = make_request(rig, 'nobody', '/search/1')
+    assert queued_work.make_work(rig.router, event, rig.now) is None
 
 
-def test_goes_by_the_priority_in_force() -> None:
+def test_uses_the_priority_in_force() -> None:
     """Symptom: queued work keeps a priority that was taken away."""
     rig = make_rig()
     works = [
-        waitings.weigh(rig.router, event, rig.now)
+        queued_work.make_work(rig.router, event, rig.now)
         for event in (
-            make_asked(rig, 'urgent-key', '/search/1'),
-            make_assisted(rig, 'urgent'),
+            make_request(rig, 'urgent-key', '/search/1'),
+            make_delegated(rig, 'urgent'),
         )
     ]
     rig.configure(3, [WIDE], (HOT, URGENT._replace(priority=3)))
     for work in works:
         assert work is not None
         assert work.priority == 0
-        assert waitings.find_priority(rig.router, work) == 3
+        assert queued_work.find_priority(rig.router, work) == 3
 
 
-def test_what_is_refused_has_not_run_and_never_will() -> None:
+def test_a_refused_request_has_not_run() -> None:
     """Symptom: a request that runs at most once runs after its refusal."""
     rig = make_rig()
-    asked = make_asked(rig, 'hot-key', '/one/1')
-    work = waitings.weigh(rig.router, asked, rig.now)
+    event = make_request(rig, 'hot-key', '/one/1')
+    work = queued_work.make_work(rig.router, event, rig.now)
     assert work is not None
-    found = waitings.hand_back(
-        rig.router, work, waitings.Why.LATE, rig.now + 0.5
+    actions = queued_work.refuse(
+        rig.router, work, queued_work.QueueRefusal.LATE, rig.now + 0.5
     )
-    reply, story = found
+    reply, summary = actions
     assert isinstance(reply, events.Reply)
     assert isinstance(reply.outcome, errors.Failure)
     assert reply.outcome.ran is errors.Ran.NO
     assert reply.outcome.retry_after
-    assert isinstance(story, events.RequestSummary)
-    assert 'waited 0.500 s' in story.why
+    assert isinstance(summary, events.RequestSummary)
+    assert 'waited 0.500 s' in summary.why
     assert not rig.router.active_requests
 
 
-def test_parts_go_back_as_not_sent() -> None:
+def test_returns_parts_as_not_sent() -> None:
     """Symptom: parts that wait too long spend an attempt of their query."""
     rig = make_rig()
-    work = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
+    work = queued_work.make_work(
+        rig.router, make_delegated(rig, 'hot'), rig.now
+    )
     assert work is not None
-    give, story = waitings.hand_back(
-        rig.router, work, waitings.Why.LATE, rig.now
+    action, summary = queued_work.refuse(
+        rig.router, work, queued_work.QueueRefusal.LATE, rig.now
     )
-    assert isinstance(give, events.SendDelegationReport)
-    assert give.share.is_last
-    assert [it.service for it in give.share.lost] == list(SHARDS[:15])
-    assert not any(it.may_have_arrived for it in give.share.lost)
-    assert isinstance(story, events.RequestSummary)
-    assert story.assists
+    assert isinstance(action, events.SendDelegationReport)
+    assert action.share.is_last
+    assert [it.service for it in action.share.lost] == list(SHARDS[:15])
+    assert not any(it.may_have_arrived for it in action.share.lost)
+    assert isinstance(summary, events.RequestSummary)
+    assert summary.assists
 
 
-def test_only_the_less_urgent_are_handed_back_early() -> None:
+def test_returns_only_less_urgent_parts_early() -> None:
     """Symptom: urgent parts go from one busy host to the next."""
     rig = make_rig()
-    hot = waitings.weigh(rig.router, make_assisted(rig, 'hot'), rig.now)
-    urgent = waitings.weigh(rig.router, make_assisted(rig, 'urgent'), rig.now)
+    hot = queued_work.make_work(rig.router, make_delegated(rig, 'hot'), rig.now)
+    urgent = queued_work.make_work(
+        rig.router, make_delegated(rig, 'urgent'), rig.now
+    )
     assert hot is not None
     assert urgent is not None
-    assert hot.latest < hot.due
-    assert urgent.latest == urgent.due
+    assert hot.latest_start < hot.deadline
+    assert urgent.latest_start == urgent.deadline
--- a/tests/routing/test_quota_codecs.py
+++ b/tests/routing/test_quota_codecs.py
@@ -4,19 +4,19 @@
 import pytest
 from hypothesis import strategies as some
 
-from fuchsiahaven.routing import quota_codecs, quota_words, report_codecs
+from fuchsiahaven.routing import quota_codecs, quota_messages, report_codecs
 
 
 @pytest.mark.parametrize(
     'word',
     [
-        quota_words.Ask('Café 9', 3, 71, 12, 4),
-        quota_words.Verdict(71, 12, 0, 0.25),
+        quota_messages.TokenRequest('Café 9', 3, 71, 12, 4),
+        quota_messages.TokenReply(71, 12, 0, 0.25),
     ],
 )
-def test_reads_what_was_written(word: quota_words.Word) -> None:
-    datagram = quota_codecs.write_word(word)
-    assert quota_codecs.read_word(datagram) == word
+def test_decodes_what_was_encoded(word: quota_messages.Message) -> None:
+    datagram = quota_codecs.encode_message(word)
+    assert quota_codecs.decode_message(datagram) == word
     assert len(datagram) < 100
 
 
@@ -37,16 +37,16 @@
         b'["verdict",1,2,3,99999999999999999999999]',
     ],
 )
-def test_refuses_what_is_no_word(datagram: bytes) -> None:
+def test_refuses_malformed_datagrams(datagram: bytes) -> None:
     """Guard against bytes of something else that end a host's loop."""
     with pytest.raises(report_codecs.MalformedReport):
-        quota_codecs.read_word(datagram)
+        quota_codecs.decode_message(datagram)
 
 
 @hypothesis.given(some.binary(max_size=200))
-def test_any_bytes_are_a_word_or_malformed(datagram: bytes) -> None:
+def test_any_bytes_are_a_message_or_malformed(datagram: bytes) -> None:
     """Guard against an error that nobody expects."""
     try:
-        quota_codecs.read_word(datagram)
+        quota_codecs.decode_message(datagram)
     except report_codecs.MalformedReport:
         return
--- a/tests/routing/test_quota_slots.py
+++ b/tests/routing/test_quota_slots.py
@@ -20,31 +20,33 @@
     some.floats(0, 1),
     some.floats(0, 100),
 )
-def test_shares_add_up_to_less_than_is_tolerated(
-    rate: float, burst: float, centres: int, overage: float, slack: float
+def test_slot_shares_stay_within_the_tolerated_excess(
+    rate: float, burst: float, centre_count: int, overage: float, slack: float
 ) -> None:
     """Guard against slots that give more together than is tolerated."""
     quota = deployments.QuotaTolerance(5.0, overage, slack)
     limit = quota_slots.Limit('shop', rate, burst)
-    names = tuple(f'centre-{number}' for number in range(centres))
-    shares = quota_slots.split(limit, quota, names).shares
-    excess = quota_slots.count_excess(limit, quota)
-    most = sum(it.most for it in shares)
-    assert burst <= most * 1.000001
-    starts = sum(it.start for it in shares)
-    given = sum(it.rate for it in shares) * quota.window_s
+    names = tuple(f'centre-{number}' for number in range(centre_count))
+    shares = quota_slots.split_quota(limit, quota, names).shares
+    excess = quota_slots.compute_excess(limit, quota)
+    capacity = sum(it.capacity for it in shares)
+    assert burst <= capacity * 1.000001
+    starts = sum(it.start_tokens for it in shares)
+    refilled = sum(it.rate for it in shares) * quota.window_s
     allowed = rate * quota.window_s + burst + excess
-    assert most + given + starts <= max(allowed, 1 + given) + 0.001
+    assert capacity + refilled + starts <= max(allowed, 1 + refilled) + 0.001
     # What is out of reach, as no slot gives a part of a token.
     stranded = len(shares) if len(shares) > 1 else 0
-    assert most - stranded >= burst - 0.001
+    assert capacity - stranded >= burst - 0.001
 
 
 def test_two_hosts_of_each_data_centre_hold_slots() -> None:
     """Guard against a data centre that is cut off without any tokens."""
     large = quota_slots.Limit('shop', 100.0, 10.0)
-    slots = quota_slots.split(large, QUOTA, CENTRES)
-    assert sorted(slots.centres) == sorted(CENTRES * quota_slots.IN_CENTRE)
+    slots = quota_slots.split_quota(large, QUOTA, CENTRES)
+    assert sorted(slots.data_centres) == sorted(
+        CENTRES * quota_slots.HOLDERS_PER_DATA_CENTRE
+    )
     hosts = {
         centre: tuple(
             deployments.Host(f'{centre}-{number}', f'{number}', centre)
@@ -54,21 +56,21 @@
     }
     holders = quota_slots.list_holders('shop', slots, hosts)
     assert len(set(holders)) == len(slots.shares)
-    assert [it.data_centre for it in holders if it] == list(slots.centres)
+    assert [it.data_centre for it in holders if it] == list(slots.data_centres)
 
 
 def test_a_slot_without_a_host_has_no_holder() -> None:
     """Guard against an error where a data centre has lost its hosts."""
-    slots = quota_slots.split(LIMIT, QUOTA, CENTRES)
+    slots = quota_slots.split_quota(LIMIT, QUOTA, CENTRES)
     holders = quota_slots.list_holders('shop', slots, {})
     assert set(holders) == {None}
 
 
 @pytest.mark.parametrize('rate', [0.1, 0.3, 2.0, 5.0])
-def test_a_token_fits_however_little_is_tolerated(rate: float) -> None:
+def test_a_slot_holds_at_least_one_token(rate: float) -> None:
     """Guard against a customer that is refused for ever."""
     limit = quota_slots.Limit('shop', rate, 0.0)
-    exact = deployments.QuotaTolerance(5.0, 0.0, 0.0)
-    (share,) = quota_slots.split(limit, exact, CENTRES).shares
-    assert share.most == 1
+    quota = deployments.QuotaTolerance(5.0, 0.0, 0.0)
+    (share,) = quota_slots.split_quota(limit, quota, CENTRES).shares
+    assert share.capacity == 1
     assert share.rate >= rate / 2
--- a/tests/routing/test_suspect_codecs.py
+++ b/tests/routing/test_suspect_codecs.py
@@ -7,7 +7,7 @@
 
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import (
-    assist_codecs,
+    delegation_codecs,
     events,
     facts,
     report_codecs,
@@ -37,8 +37,8 @@
     share = events.DelegationReport(
         (), b'', (), (), is_last=True, suspect=REPORT
     )
-    encoded = assist_codecs.write_share(share)
-    assert assist_codecs.read_share(encoded) == share
+    encoded = delegation_codecs.encode_report(share)
+    assert delegation_codecs.decode_report(encoded) == share
 
 
 def test_a_report_carries_quarantines() -> None:
