--- a/fuchsiahaven/core/targets/shardmaps.py
+++ b/fuchsiahaven/core/targets/shardmaps.py
@@ -1,9 +1,9 @@
-"""Work out the shard map of one snapshot from what its holders report.
+"""Build the shard map of one snapshot from its holders' reports.
 
-The ranges of a snapshot's shards follow each other in the order of the shard
-numbers and cover every position once. A report that cannot be true together
-with the others is refused. Most holders win: a single target with a wrong
-index must not take the snapshot away from all the others.
+The ranges of a snapshot's shards are in the order of the shard numbers and
+cover every position once. A report that contradicts the others is refused. The
+majority decides: a single target with a wrong index must not make the snapshot
+unusable.
 """
 
 import collections
@@ -13,17 +13,18 @@
 
 from fuchsiahaven.core import coverage
 
-POSITIONS: Final = coverage.KEY_SPACE_SIZE
+KEY_SPACE_SIZE: Final = coverage.KEY_SPACE_SIZE
 
 _Entry = TypeVar('_Entry')
 
 
 class Holding(NamedTuple):
-    """Say that a target holds one shard of one snapshot of its group.
+    """Describe one shard of one snapshot that a target holds.
 
-    Keys hash into 0..65535; the shard covers `low <= position < high`. The
-    shard count and the ranges belong to the snapshot, so a repartition is a
-    new snapshot. Snapshot numbers of a group only grow.
+    The position of a key is its hash, in 0..65535; the shard covers
+    `low <= position < high`. The shard count and the ranges are fixed for a
+    snapshot, so a repartition is a new snapshot. Snapshot numbers of a group
+    only increase.
     """
 
     snapshot: int
@@ -42,7 +43,7 @@
 
 
 class HoldingFault(NamedTuple):
-    """Carry a refused holding with its source and the reason."""
+    """Hold a refused holding with its target and the reason."""
 
     kind: FaultKind
     target: str
@@ -50,14 +51,14 @@
 
 
 class HoldingReport(NamedTuple):
-    """Hold one holding with the target that reports it."""
+    """Hold one holding and the target that reports it."""
 
     target: str
     holding: Holding
 
 
 class Changes(NamedTuple):
-    """Hold what a target no longer holds of one snapshot, and holds anew."""
+    """Hold the removed and added holdings of a target in one snapshot."""
 
     target: str
     removed: tuple[Holding, ...]
@@ -74,8 +75,8 @@
 class ShardMap(NamedTuple):
     """Hold one snapshot's ranges and holders, by shard number.
 
-    A range is None until a holder told it. It stays known after its last
-    holder went, so that an answer can name it as missing.
+    A range is None until a holder reports it. It is kept after its last holder
+    is removed, so that answers can report it as missing.
     """
 
     snapshot: int
@@ -85,14 +86,14 @@
 
 
 def is_well_formed(holding: Holding) -> bool:
-    """Tell whether a holding is possible by itself."""
-    # Each shard is at least one position wide, which also bounds the memory
-    # that a wrong shard count could ask for.
+    """Return whether a holding is valid by itself."""
+    # Each shard has at least one position. This also bounds the memory that a
+    # wrong shard count would need.
     return (
         holding.snapshot > 0
         and 0 <= holding.shard < holding.shards
         and 0 <= holding.low < holding.high
-        and max(holding.shards, holding.high) <= POSITIONS
+        and max(holding.shards, holding.high) <= KEY_SPACE_SIZE
     )
 
 
@@ -101,11 +102,11 @@
     changes: Changes,
     reports: Iterable[HoldingReport],
 ) -> ShardMap | None:
-    """Follow a target's changes; None where nobody holds the snapshot.
+    """Apply a target's changes; None if no target holds the snapshot any more.
 
-    `claims` are the reports of all targets after the changes. They are read
-    only where reports disagree: the map is then built anew from all of them,
-    for each change can make another side the larger one.
+    `reports` are those of all targets after the changes. They are read only if
+    reports contradict each other: the map is then rebuilt from all of them,
+    because each change can give another variant the majority.
     """
     if previous is not None and previous.refused:
         return _build_by_majority(previous, reports)
@@ -128,8 +129,8 @@
 def fill_ranges(shard_map: ShardMap) -> tuple[Range, ...]:
     """Return a range for each shard; together they cover every position.
 
-    The shards of a gap that no holder ever told share it evenly. Only the
-    whole of the gap is certain then.
+    Shards whose ranges were never reported divide their gap evenly. Only the
+    outer bounds of the gap are certain then.
     """
     filled: list[Range] = []
     shard = 0
@@ -148,7 +149,7 @@
 def _add_holder(
     shard_map: ShardMap | None, report: HoldingReport
 ) -> ShardMap | None:
-    """Add a holder; None where its report contradicts the map."""
+    """Add a holder; None if its report contradicts the map."""
     target, holding = report
     if shard_map is None:
         shard_map = _make_empty(holding.snapshot, holding.shards)
@@ -181,10 +182,10 @@
 def _build_by_majority(
     previous: ShardMap | None, reports: Iterable[HoldingReport]
 ) -> ShardMap | None:
-    """Build the map that most targets agree on, and refuse the rest.
+    """Build the map that most targets report, and refuse other reports.
 
-    Between equals the map `before` stands, so that a tie does not make the
-    map change with the order of the reports.
+    In a tie the `previous` map is kept, so that the result doesn't depend on
+    the order of the reports.
     """
     ordered = sorted(reports)
     if not ordered:
@@ -227,7 +228,7 @@
 
 
 def _fits_below(ranges: tuple[Range | None, ...], holding: Holding) -> bool:
-    # Each shard in between that is not known yet needs a position at least.
+    # Each unknown shard in between needs at least one position.
     unknown = 0
     for known_range in reversed(ranges[: holding.shard]):
         if known_range is not None:
@@ -242,7 +243,7 @@
         if known_range is not None:
             return _can_span(holding.high, known_range.low, unknown)
         unknown += 1
-    return _can_span(holding.high, POSITIONS, unknown)
+    return _can_span(holding.high, KEY_SPACE_SIZE, unknown)
 
 
 def _can_span(low: int, high: int, shards: int) -> bool:
@@ -312,7 +313,7 @@
     left = ranges[start - 1] if start else None
     right = ranges[end] if end < len(ranges) else None
     low = left.high if left else 0
-    high = right.low if right else POSITIONS
+    high = right.low if right else KEY_SPACE_SIZE
     shards = end - start
     edges = [
         low + (high - low) * index // shards for index in range(shards + 1)
--- a/fuchsiahaven/core/targets/snapshots.py
+++ b/fuchsiahaven/core/targets/snapshots.py
@@ -1,4 +1,4 @@
-"""Hold which searcher holds which shard of which snapshot."""
+"""Track which searcher holds which shard of which snapshot."""
 
 import bisect
 import hashlib
@@ -10,18 +10,18 @@
 
 Holding = shardmaps.Holding
 
-#: A newer snapshot is taken with at least one part in this many of the
-#: strength of the best one.
+#: A newer snapshot is chosen once it has at least one part in this many of the
+#: largest capacity.
 MIN_CAPACITY_DIVISOR: Final = 2
 _KEY_BYTES: Final = 2
 
 
 class GroupSnapshots(NamedTuple):
-    """Hold what is known of one group's snapshots.
+    """Hold the snapshots of one group.
 
-    `holdings` is what each target reported last, `maps` the shard maps that
-    follow from it, newest first. `refusals` counts the reported holdings
-    that contradicted a map, over the life of this state.
+    `holdings` are the last reported ones of each target, `maps` the shard maps
+    built from them, newest first. `refusals` counts the reported holdings that
+    were malformed or contradicted a map, over the lifetime of this state.
     """
 
     group: str
@@ -33,8 +33,8 @@
 class PinnedShard(NamedTuple):
     """Hold one shard of a pinned snapshot and its usable replicas.
 
-    Its keys lie in `low <= position < high`. Where no target ever told the
-    range, it is the gap between the neighbours that are known.
+    Its keys have `low <= position < high`. If no target has reported the
+    range, it is an even part of the gap between the known neighbours.
     """
 
     shard: int
@@ -47,9 +47,10 @@
     """Hold one snapshot of one group as a query uses it.
 
     `shards` has an entry for each shard, in the order of the ranges;
-    `held` counts those with a usable replica. `strength` is the least, over
-    the shards, of usable replicas for the shard's part of all positions: it
-    compares what snapshots with different shard maps can carry.
+    `available_shards` counts those with a usable replica. `capacity` is the
+    minimum, over the shards, of usable replicas divided by the shard's
+    fraction of all positions. It compares the load that snapshots with
+    different shard maps can serve.
     """
 
     group: str
@@ -60,14 +61,14 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether every shard has a usable replica."""
+        """Return whether every shard has a usable replica."""
         return self.available_shards == len(self.shards)
 
 
 def update_holdings(
     current: GroupSnapshots, target: str, holdings: Sequence[Holding]
 ) -> GroupSnapshots:
-    """Replace what is known of a target; the same state if nothing changed."""
+    """Replace the holdings of a target; the same object if nothing changed."""
     reported = tuple(sorted(set(holdings)))
     previous = current.holdings.get(target, ())
     if reported == previous:
@@ -79,14 +80,14 @@
 
 
 def remove_target(current: GroupSnapshots, target: str) -> GroupSnapshots:
-    """Drop what is known of a target."""
+    """Remove the holdings of a target."""
     return update_holdings(current, target, ())
 
 
 def discard_snapshot(
     current: GroupSnapshots, target: str, snapshot: int
 ) -> GroupSnapshots:
-    """Drop one snapshot of a target which says that it no longer has it."""
+    """Remove the holdings of a target in a snapshot that it reported gone."""
     remaining = [
         holding
         for holding in current.holdings.get(target, ())
@@ -98,8 +99,8 @@
 def list_pins(current: GroupSnapshots, usable: Set[str]) -> tuple[Pin, ...]:
     """List every snapshot with its usable replicas, newest first.
 
-    This visits every replica. A caller keeps the result until the known
-    state or the usable targets change, and asks `choose` for each query.
+    This visits every replica. A caller keeps the result until the snapshots or
+    the usable targets change, and calls `choose_pin` for each query.
     """
     return tuple(
         _make_pin(current.group, shard_map, usable)
@@ -116,10 +117,10 @@
 ) -> Pin | None:
     """Choose the newest complete snapshot, else the one with best coverage.
 
-    `in_use` is the snapshot chosen last: while one from it on is complete,
-    answers do not go back to an older one. With a key's position, a snapshot
-    that holds its shard does where none is complete. None means that no
-    snapshot is known at all.
+    `in_use` is the snapshot chosen last: while it or a newer one is complete,
+    no older one is chosen. If none is complete and a key's position is given,
+    the newest snapshot with a usable replica of its shard is chosen. None if
+    there is no snapshot newer than `newer_than`.
     """
     newer = [pin for pin in pins if pin.snapshot > newer_than]
     complete = [pin for pin in newer if pin.complete]
@@ -135,7 +136,7 @@
 def pin_snapshot(
     current: GroupSnapshots, usable: Set[str], newer_than: int = 0
 ) -> Pin | None:
-    """Pin a snapshot at once, where nothing is kept between queries."""
+    """Pin a snapshot without keeping the list of pins between queries."""
     return choose_pin(list_pins(current, usable), newer_than)
 
 
@@ -148,14 +149,14 @@
 def get_shard(pinned: Pin, position: int) -> PinnedShard:
     """Return the shard that covers the position."""
     # The ranges of a map are in order and cover every position.
-    updated = bisect.bisect_right(
+    index = bisect.bisect_right(
         pinned.shards, position, key=lambda shard: shard.low
     )
-    return pinned.shards[updated - 1]
+    return pinned.shards[index - 1]
 
 
 def list_faults(current: GroupSnapshots) -> tuple[shardmaps.HoldingFault, ...]:
-    """List the reported holdings that are refused now, with the reasons."""
+    """List the reported holdings that are currently refused, with reasons."""
     malformed = [
         shardmaps.HoldingFault(shardmaps.FaultKind.MALFORMED, target, holding)
         for target, holdings in current.holdings.items()
@@ -172,9 +173,7 @@
     current: GroupSnapshots, target: str, previous: Sequence[Holding]
 ) -> GroupSnapshots:
     reported = current.holdings.get(target, ())
-    maps = {
-        previous_map.snapshot: previous_map for previous_map in current.maps
-    }
+    maps = {shard_map.snapshot: shard_map for shard_map in current.maps}
     refusals = current.refusals + _count_malformed(reported, previous)
     changed = set(previous).symmetric_difference(reported)
     snapshots = {holding.snapshot for holding in changed}
@@ -247,17 +246,17 @@
 
 
 def _compute_capacity(shard: PinnedShard) -> float:
-    fraction = (shard.high - shard.low) / shardmaps.POSITIONS
+    fraction = (shard.high - shard.low) / shardmaps.KEY_SPACE_SIZE
     return len(shard.replicas) / fraction
 
 
 def _choose_complete(complete: Sequence[Pin], in_use: int) -> Pin:
-    """Choose the newest that has replicas enough to carry the load.
+    """Choose the newest snapshot with enough replicas to serve the load.
 
-    While an index change rolls through the targets, the new snapshot is
-    complete with its first replica of each shard. All queries would go to
-    these few at once, which shows as a burst of refusals and a jump of the
-    tail latency while the other replicas idle.
+    While an index change rolls out, the new snapshot is complete with the
+    first replica of each shard. If it were chosen then, all queries would go
+    to these few targets: a burst of refusals and a jump of the tail latency,
+    while the other replicas are idle.
     """
     candidates = [pin for pin in complete if pin.snapshot >= in_use] or complete
     max_capacity = max(pin.capacity for pin in candidates)
--- a/tests/core/queries/test_admission.py
+++ b/tests/core/queries/test_admission.py
@@ -1,4 +1,4 @@
-"""Test which queries are started, queued and refused."""
+"""Test which queries are started, queued or refused."""
 
 import itertools
 
@@ -15,14 +15,14 @@
 
 
 def make_busy(running: int = 8, run_s: float = 0.1) -> admission.Admission:
-    """Return an admission whose window is full."""
-    pace = admission.RunTime(run_s, 0.0)
+    """Return an admission with a full window."""
+    run_time = admission.RunTime(run_s, 0.0)
     return admission.EMPTY._replace(
         running=running,
         window=float(running),
         mean_run_s=run_s,
         finish_interval_s=run_s / running,
-        run_times={'': pace},
+        run_times={'': run_time},
         last_finish_at=NOW,
         window_cut_at=NOW,
     )
@@ -35,12 +35,11 @@
 
 
 def test_a_query_that_cannot_be_answered_in_time_is_refused_at_once() -> None:
-    """A caller learns at once that it must come back, and when.
+    """A query that can't be answered in time is refused with a retry-after.
 
-    Symptom: under load callers wait for their whole deadline for nothing.
-    Sequence: 40 queries wait, 80 finish in a second, and one more comes
-    with 0.3 s to go.
-    Cause: a queue that takes in what it cannot serve in time.
+    Guards against callers that wait for their whole deadline under load: 40
+    queries are queued, 80 finish per second, and the queue accepts one more
+    with a time limit of 0.3 s.
     """
     current = make_busy()
     for token in range(40):
@@ -56,11 +55,11 @@
 
 
 def test_a_query_that_expires_in_the_queue_is_not_started() -> None:
-    """Nothing is sent for a query that would end past its deadline.
+    """Nothing is sent for a query that would end after its deadline.
 
-    Symptom: under load half of the answers are partial, at the deadline.
-    Sequence: a query waits until less time is left than queries take.
-    Cause: only the deadline itself was checked at the start.
+    Guards against partial answers at the deadline, half of all under load: a
+    query starts when less time is left than queries take, because only the
+    deadline itself is checked at the start.
     """
     current = make_busy()
     entry = make_entry(1, allowed_s=0.4)
@@ -72,11 +71,11 @@
 
 
 def test_the_lowest_priority_is_served_under_higher_load() -> None:
-    """A bounded share of starts goes to whoever has waited longest.
+    """A fixed part of the starts goes to the query that has waited longest.
 
-    Symptom: reports never arrive on a day with many gate lookups.
-    Sequence: one weak query waits while strong ones come without end.
-    Cause: strict priorities starve the weakest class.
+    Guards against starvation by strict priorities: a query of low priority
+    never starts while queries of high priority keep arriving, such as reports
+    on a day with many gate lookups.
     """
     current = admission.offer(
         make_busy(), make_entry(0, LOWEST_PRIORITY, 60.0), NOW
@@ -130,12 +129,10 @@
 
 
 def test_a_class_with_a_long_run_time_estimate_still_starts() -> None:
-    """A bad spell does not lock a class out.
+    """A class is admitted again after its queries ran past their deadline.
 
-    Symptom: after an incident one class is refused until the host restarts.
-    Sequence: its queries ran longer than their deadline; from then on the
-    estimate says that no query can be in time, so none runs to correct it.
-    Cause: an estimate that is only updated by what it lets through.
+    Guards against a class that is refused until the host restarts: by the run
+    time estimate no query can be in time, so none runs to correct the estimate.
     """
     slow = make_busy(run_s=5.0)._replace(running=0)
     step = admission.offer(slow, make_entry(1, allowed_s=0.5), NOW)
--- a/tests/core/queries/test_allocations.py
+++ b/tests/core/queries/test_allocations.py
@@ -1,4 +1,4 @@
-"""Test that hosts which see different members keep under a target's cap."""
+"""Test that hosts that see different members stay within the maximum."""
 
 import collections
 from typing import Any, Final
@@ -31,7 +31,7 @@
 
 
 class DataCentre:
-    """Drive several hosts of one data centre, each with its own news."""
+    """Drive several hosts of one data centre, each with its own member list."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -39,7 +39,7 @@
         self.connections: dict[str, dict[str, int]] = {}
 
     def start_host(self, host: str) -> None:
-        """Start a host whose targets have told what they hold."""
+        """Start a host whose targets have reported their holdings."""
         self.hosts[host] = states.make_state(rig.DATA_CENTRE, float)
         self.connections[host] = {}
         self.handle(host, messages.ConfigurationReceived(CONFIGURATION))
@@ -51,12 +51,12 @@
             self.handle(host, messages.TargetProbed(target.name, health))
 
     def stop_host(self, host: str) -> None:
-        """Let a host end; its connections end with it."""
+        """Stop a host; its connections are closed."""
         self.hosts.pop(host, None)
         self.connections.pop(host, None)
 
     def handle(self, host: str, event: messages.Event) -> None:
-        """Let one event happen at one host."""
+        """Let one host handle one event."""
         state, actions = dispatch.handle_event(
             self.hosts[host], event, self.now
         )
@@ -66,7 +66,7 @@
                 self.connections[host][action.target.name] = action.connections
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass in small steps, and check the caps at each."""
+        """Let time pass in small steps; check the maximum at each step."""
         end_at = self.now + seconds
         while self.now < end_at:
             self.now += STEP_S
@@ -78,7 +78,7 @@
             )
 
     def count_connections(self) -> 'collections.Counter[str]':
-        """Count the seats in use at each target."""
+        """Count the connections in use at each target."""
         connections: collections.Counter[str] = collections.Counter()
         for allocation in self.connections.values():
             connections.update(allocation)
@@ -86,11 +86,11 @@
 
 
 RANGES: Final = ((0, 32768), (32768, 65536))
-#: With one host more, the reserve would be given up for the hosts left short
-#: and a target may have to refuse a connection while a host joins.
+#: With one host more, the reserve would be released for hosts below their
+#: quota, and a target might refuse a connection while a host joins.
 NAMES: Final = tuple('abcdef')
 STEP_S: Final = 0.5
-#: Who joins or leaves, and how late each host hears of it.
+#: Which host joins or leaves, and the steps until each host is notified.
 CHANGES: Final = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(NAMES),
@@ -109,12 +109,11 @@
 def test_slow_member_changes_keep_targets_within_max_connections(
     members: set[str], changes: list[tuple[str, list[int]]]
 ) -> None:
-    """Take no seat before its former holder has had time to give it up.
+    """A host waits to use a connection until its former holder gave it up.
 
-    Symptom: targets close connections whenever a host joins or leaves.
-    Sequence: a member more; some hosts hear of it at once and use their new
-    seats; others, who hear of it seconds later, still use the same ones.
-    Cause: each host counts on its own view of the deal.
+    Guards against targets that close connections whenever a host joins or
+    leaves: some hosts are notified at once and use their new connections, while
+    others, notified seconds later, still use the same ones.
     """
     data_centre = DataCentre()
     for member in sorted(members):
@@ -129,7 +128,7 @@
         else:
             data_centre.stop_host(name)
         update_members(data_centre, members, delays)
-        # The next change comes when this one has settled.
+        # The next change comes after the settle delay of this one.
         data_centre.pass_time(2 * grants.SETTLE_DELAY_S)
         expected = allocator.allocate(members, SHARDS, MAX_CONNECTIONS)
         actual = {
@@ -143,14 +142,14 @@
 
 
 def drop_zeros(allocation: allocator.Allocation) -> allocator.Allocation:
-    """Leave out the targets without a seat."""
+    """Leave out the targets without a connection."""
     return {target: count for target, count in allocation.items() if count}
 
 
 def update_members(
     data_centre: DataCentre, members: set[str], delays: list[int]
 ) -> None:
-    """Let each member hear of all members after its own delay."""
+    """Notify each member of all members after its own delay."""
     hosts = tuple(sorted(members))
     changed_at = data_centre.now
     for delay, host in sorted(zip(delays, NAMES, strict=True)):
@@ -162,12 +161,11 @@
 def test_an_unrelated_change_allocates_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Deal a group again only for what its deal depends on.
+    """A group is allocated again only if its allocation inputs change.
 
-    Symptom: with thousands of targets each change of a label costs a host
-    half a second of processor time. Sequence: an operator changes a label;
-    every host deals the seats of all groups anew and finds them the same.
-    Cause: any new configuration counted as a reason to deal.
+    Guards against half a second of processor time on each host for each label
+    change with thousands of targets: every new configuration makes the hosts
+    allocate all groups again, with the same result.
     """
     data_centre = DataCentre()
     data_centre.start_host('a')
@@ -180,7 +178,7 @@
         calls.append(arguments)
         return allocate(*arguments)
 
-    monkeypatch.setattr(allocator, 'deal', count_call)
+    monkeypatch.setattr(allocator, 'allocate', count_call)
     labelled = GROUP._replace(labels=(('kind', 'web'), ('tier', 'gold')))
     smaller = labelled._replace(targets=TARGETS[1:])
     call_counts = []
--- a/tests/core/queries/test_budgets.py
+++ b/tests/core/queries/test_budgets.py
@@ -1,4 +1,4 @@
-"""Test the bound on extra sub-requests."""
+"""Test the limit on hedges and retries."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 ROUNDING = 1e-6
 SHARES = st.floats(0, 0.5)
-# So many first tries, or so many attempts at hedges or retries in a row.
+# A number of first attempts, or of requested hedges or retries, in a row.
 STEPS = st.lists(
     st.tuples(st.sampled_from(('first', 'hedge', 'retry')), st.integers(1, 100))
 )
@@ -30,15 +30,15 @@
 def test_extra_load_is_bounded_by_first_attempts(
     hedge_share: float, retry_share: float, steps: list[tuple[str, int]]
 ) -> None:
-    """Extra sub-requests stay under their formula in every stretch.
+    """Hedges and retries stay within their formula in every period.
 
-    Symptom: a group that fails gets several times its load, and stays down.
-    Sequence: every sub-request fails or is slow, and each asks for another.
-    Cause: retries and hedges that are not bounded by first tries, or that
-    count as such themselves.
+    Guards against a failing group that gets several times its load and stays
+    down: every sub-request fails or is slow and causes another one, because
+    hedges and retries are not bounded by first attempts, or count as such.
     """
     budget = budgets.Budget(hedge_share, retry_share)
-    # By how much the worst stretch that ends here exceeds its shares.
+    # Tokens used above the shares of first attempts, in the worst period that
+    # ends here.
     hedges = 0.0
     extras = 0.0
     for kind, count in steps:
@@ -55,12 +55,11 @@
 
 
 def test_hedges_leave_tokens_for_retries() -> None:
-    """A retry after a refusal still goes out when hedges have run dry.
+    """A retry is still allowed after hedges have used up their tokens.
 
-    Symptom: during a slow spell every shed part is reported missing.
-    Sequence: slow answers draw hedges until the budget is empty, then a
-    target sheds a part that another replica could run.
-    Cause: one purse for both, emptied by hedges.
+    Guards against shed parts that are reported missing while answers are slow:
+    hedges empty a budget that they share with retries, and then a target sheds
+    a part that another replica could run.
     """
     budget: budgets.Budget | None = budgets.Budget(0.05, 0.1, 0.0, 0.0)
     assert budget is not None
--- a/tests/core/queries/test_crashes.py
+++ b/tests/core/queries/test_crashes.py
@@ -1,4 +1,4 @@
-"""Test that queries under which targets end are held back."""
+"""Test that queries that crash targets are held back."""
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import configurations
@@ -10,7 +10,7 @@
 
 
 def submit_twice(host: rig.Rig) -> list[messages.Send]:
-    """Ask a query under which its first target and the next one end."""
+    """Submit a query that crashes two targets, then submit it again."""
     (first,) = host.submit(token=1)
     (second,) = rig.list_sends(host.crash_target(first))
     host.crash_target(second)
@@ -18,7 +18,7 @@
 
 
 def test_refuses_a_query_that_crashed_several_targets() -> None:
-    """Guard against callers' repeats that end the targets that are left."""
+    """Guard against callers that crash the remaining targets by retrying."""
     host = rig.Rig(PARTIAL, shards=1, replicas=6)
     assert not submit_twice(host)
     outcome = host.list_replies()[-1].outcome
@@ -29,7 +29,7 @@
 
 
 def test_serves_other_queries_during_a_quarantine() -> None:
-    """Guard against callers who pay for what somebody else asks."""
+    """Guard against a quarantine that affects queries with other content."""
     host = rig.Rig(PARTIAL, shards=1, replicas=6)
     submit_twice(host)
     query = messages.Query(
@@ -39,7 +39,7 @@
 
 
 def test_a_reset_connection_is_not_counted_as_a_crash() -> None:
-    """Guard against quarantines for targets that live on."""
+    """Guard against a quarantine where no target has exited."""
     host = rig.Rig(PARTIAL, shards=1, replicas=6)
     for token in range(6):
         (send,) = host.submit(token=token)
@@ -51,7 +51,10 @@
 
 
 def test_sends_one_trial_part_and_the_rest_after_its_answer() -> None:
-    """Guard against a rack that dies under a query many callers ask."""
+    """Guard against holding back a query that only seems to crash targets.
+
+    If a rack fails, this is so for the queries that many callers send.
+    """
     host = rig.Rig(PARTIAL, shards=3)
     sends = host.submit()
     host.answer(sends[0], 'row-0')
@@ -69,7 +72,7 @@
 
 
 def test_retries_when_the_target_check_times_out() -> None:
-    """Guard against parts that wait for word that never comes."""
+    """Guard against parts that wait for a target check that never ends."""
     host = rig.Rig(PARTIAL, shards=1)
     (send,) = host.submit()
     lost = messages.Fault.CONNECTION_LOST
--- a/tests/core/queries/test_customers.py
+++ b/tests/core/queries/test_customers.py
@@ -1,4 +1,4 @@
-"""Check what becomes of a query that is some customer's."""
+"""Test the queries of customers."""
 
 from typing import Any, Final
 
@@ -46,10 +46,10 @@
 
 
 def test_a_query_without_an_admitted_key_does_not_run() -> None:
-    """Guard against a query let in before its caller needed a key.
+    """Guard against a query that arrived before its caller needed a key.
 
-    The callers' threads and the dispatch learn of a configuration one after
-    the other.
+    The callers' threads and the dispatch receive a configuration at different
+    times.
     """
     host = make_host(CLASS)
     (reply,) = host.handle(messages.QuerySubmitted(1, make_query(host)))
@@ -65,7 +65,7 @@
 def test_a_recorded_answer_is_replayed_to_its_customer_only(
     customer: str, *, replayed: bool
 ) -> None:
-    """Guard against a customer that asks with the id of another."""
+    """Guard against a customer that uses the request id of another."""
     host = make_host(AT_MOST_ONCE)
     query = make_query(host, customer=customer, admitted=True)
     host.handle(messages.QuerySubmitted(1, query))
@@ -89,7 +89,7 @@
 
 
 def test_a_customer_priority_overrides_that_of_the_class() -> None:
-    """Guard against a customer that waits behind whom it goes before."""
+    """Guard against queueing a customer by the priority of the class."""
     host = make_host(CLASS)
     for token in range(1, 40):
         query = make_query(host, admitted=True, deadline=host.now + 100)
--- a/tests/core/queries/test_dispatch.py
+++ b/tests/core/queries/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Test one host's decisions from a query to its one answer."""
+"""Test the dispatch of one host from a query to its reply."""
 
 import pytest
 
@@ -44,12 +44,11 @@
 
 
 def test_a_late_answer_is_not_used_for_the_next_query() -> None:
-    """Drop what arrives for a query that has been answered.
+    """Answers to a query that has been replied to are dropped.
 
-    Symptom: a caller sees rows of another caller's query.
-    Sequence: the deadline passes, a partial answer leaves; the missing
-    shard answers while the next query of the same class waits for it.
-    Cause: answers are matched by shard alone.
+    Guards against rows of another caller's query: a partial answer is sent at
+    the deadline, the missing shard answers during the next query of the same
+    class, and answers are matched by shard alone.
     """
     host = rig.Rig(PARTIAL, shards=2)
     first = host.submit(token=1)
@@ -59,18 +58,16 @@
     host.answer(first[1], 'stale-1')
     for send in second:
         host.answer(send, f'second-{send.part.shard}')
-    one, two = host.list_replies()
-    assert list_ids(one.outcome) == {'first-0'}
-    assert list_ids(two.outcome) == {'second-0', 'second-1'}
+    first_reply, second_reply = host.list_replies()
+    assert list_ids(first_reply.outcome) == {'first-0'}
+    assert list_ids(second_reply.outcome) == {'second-0', 'second-1'}
 
 
 def test_second_answer_to_a_part_is_dropped() -> None:
-    """Count each shard once, although two replicas have answered.
+    """Each shard is used once even if two replicas answer.
 
-    Symptom: listings appear twice in one answer.
-    Sequence: a connection breaks, another replica answers; the first
-    attempt's answer crosses and arrives as well.
-    Cause: rows are appended as they come.
+    Guards against duplicate rows: a connection breaks, another replica answers,
+    and the answer of the first attempt arrives as well.
     """
     host = rig.Rig(PARTIAL, shards=2)
     sends = host.submit()
@@ -84,7 +81,7 @@
 
 
 def record_latencies(host: rig.Rig) -> None:
-    """Let the host see that answers take 10 ms."""
+    """Let the host measure latencies of 10 ms."""
     for token in range(100, 250):
         sends = host.submit(token)
         host.pass_time(0.01)
@@ -93,22 +90,21 @@
 
 
 def test_a_slower_attempt_is_cancelled_and_its_answer_dropped() -> None:
-    """Take the first answer of two attempts, and cancel the other.
+    """The first answer of two attempts is used, and the other is cancelled.
 
-    Symptom: rows appear twice, or a straggler's slots fill with work that
-    nobody waits for.
-    Sequence: a first try takes long, a hedge answers, the first answers too.
-    Cause: an attempt is not ended with its part.
+    Guards against duplicate rows, and against slots of a slow target that are
+    taken by abandoned sub-requests: the first attempt is slow, a hedge answers,
+    and the first attempt is left running and answers too.
     """
     host = rig.Rig(PARTIAL, shards=2)
     record_latencies(host)
     sends = host.submit()
     hedges = rig.list_sends(host.pass_time(0.05))
-    (hedge,) = (one for one in hedges if one.part.shard == 0)
+    (hedge,) = (it for it in hedges if it.part.shard == 0)
     assert hedge.target.name != sends[0].target.name
     actions = host.answer(hedge, 'hedged')
     assert messages.Cancel(sends[0].part, sends[0].target.name) in actions
-    assert not host.answer(sends[0], 'beaten')
+    assert not host.answer(sends[0], 'slower')
     host.answer(sends[1], 'first')
     assert list_ids(host.list_replies()[-1].outcome) == {'hedged', 'first'}
 
@@ -126,12 +122,11 @@
 
 
 def test_a_lost_snapshot_restarts_the_whole_query() -> None:
-    """Restart the whole query on the newer snapshot.
+    """The whole query is restarted on the newer snapshot.
 
-    Symptom: one answer holds rows of two index versions.
-    Sequence: shard 0 answers from snapshot 1; shard 1's replicas have
-    dropped it for snapshot 2 and refuse.
-    Cause: the refused shard alone is asked again on the newer snapshot.
+    Guards against rows of two index versions in one answer: shard 0 answers
+    from snapshot 1, the replicas of shard 1 have replaced it by snapshot 2 and
+    refuse, and only the refused shard is retried on snapshot 2.
     """
     host = rig.Rig(COMPLETE, shards=2)
     sends = host.submit()
@@ -150,12 +145,11 @@
 
 
 def test_a_failure_after_a_restart_reports_the_earlier_run() -> None:
-    """Count what ran for the older snapshot as run.
+    """Parts that ran on the older snapshot count as run.
 
-    Symptom: a caller is told `not run`, and searchers have run its query.
-    Sequence: shard 0 answers; shard 1's snapshot has gone, so the query
-    starts again; every replica refuses the newer one.
-    Cause: each run of a query is looked at for itself.
+    Guards against a `not run` failure for a query that searchers have run:
+    shard 0 answers, the snapshot of shard 1 is gone, the query is restarted,
+    every replica refuses the newer snapshot, and only the last run is checked.
     """
     host = rig.Rig(COMPLETE, shards=2)
     sends = host.submit()
@@ -180,11 +174,11 @@
 
 
 def test_a_complete_class_gets_an_error_and_no_partial_answer() -> None:
-    """Fail a class that needs all at its first lost part, and at once.
+    """A query that needs all parts fails at its first missing part.
 
-    Symptom: a gate waits for its deadline, or sees a short holder list.
-    Sequence: both replicas of a shard break; the others have answered.
-    Cause: missing parts are only looked at when the deadline comes.
+    Guards against callers that wait for their deadline or get an incomplete
+    answer: both replicas of a shard fail, and missing parts are checked only
+    at the deadline.
     """
     host = rig.Rig(COMPLETE, shards=3)
     sends = host.submit()
@@ -196,7 +190,7 @@
     assert failure.kind is errors.Kind.INCOMPLETE
     assert failure.ran is errors.Ran.YES
     assert failure.retry_after
-    cancels = [one for one in actions if isinstance(one, messages.Cancel)]
+    cancels = [it for it in actions if isinstance(it, messages.Cancel)]
     assert [cancel.part for cancel in cancels] == [sends[2].part]
 
 
@@ -243,11 +237,10 @@
 
 
 def test_unknown_outcome_ends_an_at_most_once_request() -> None:
-    """Never ask a second replica once the first may have run.
+    """An at-most-once request is not retried if it may have run.
 
-    Symptom: a refund lands twice.
-    Sequence: the connection breaks after the request was sent.
-    Cause: a broken attempt is retried like that of a search.
+    Guards against a refund that is made twice: the connection breaks after the
+    request was sent, and the attempt is retried like that of a search.
     """
     host = rig.Rig(REFUND)
     host.submit(key='pass-17')
@@ -274,12 +267,11 @@
 
 
 def test_a_claim_granted_too_late_is_not_run() -> None:
-    """Tell `not run` in time, and keep to it when the claim comes late.
+    """A query whose claim is granted after its deadline is not run.
 
-    Symptom: a refund that was refused as not run lands all the same.
-    Sequence: the platform is slow; the caller's deadline passes; then the
-    claim is granted.
-    Cause: the grant starts the query whoever still waits for it.
+    Guards against a refund that is made after its caller got `not run`: the
+    platform is slow, the deadline passes, then the claim is granted and starts
+    the query although it has been replied to.
     """
     host = rig.Rig(REFUND)
     host.submit(key='pass-17')
@@ -318,11 +310,11 @@
 def test_a_settled_claim_is_reported_with_its_true_outcome(
     settled: messages.ClaimSettled, kind: errors.Kind, ran: errors.Ran
 ) -> None:
-    """Never tell a claimed request as done or as not run on a guess.
+    """A claimed request is reported as run or not run only if that is certain.
 
-    Symptom: a refund is given by hand a second time. Sequence: its first
-    attempt ended without an answer; the caller asks again. Cause: a held
-    claim, or one from long ago, is told as a plain refusal.
+    Guards against a refund that is made a second time by hand: its first
+    attempt ended without an answer, the caller repeats the request, and a held
+    or expired claim is reported as not run.
     """
     host = rig.Rig(REFUND)
     host.submit(key='pass-17')
@@ -353,12 +345,11 @@
 
 
 def test_pending_claims_do_not_delay_searches() -> None:
-    """Admit what needs a claim apart from what does not.
+    """Queries that need a claim have an admission of their own.
 
-    Symptom: while the platform is slow, searches are refused too.
-    Sequence: refunds wait for their claims until their deadline and take
-    every place there is to run; lookups of the same group queue behind.
-    Cause: one count of running queries for both.
+    Guards against searches that are refused while the platform is slow:
+    refunds wait for their claims until their deadline and fill the window that
+    they share with lookups of the same group.
     """
     host = rig.Rig(PARTIAL, other_classes=(REFUND,))
     for token in range(100, 120):
@@ -367,12 +358,11 @@
 
 
 def test_a_failing_target_is_ejected_until_it_answers() -> None:
-    """Eject a target whose sub-requests break, one after another.
+    """A target whose sub-requests keep failing is ejected.
 
-    Symptom: a share of all queries meets the lost replica and loses time.
-    Sequence: three connections to one target break, and fail at once; the
-    other replica is busy.
-    Cause: with nothing in flight the lost target looks like the best choice.
+    Guards against queries that lose time on a failing replica: three
+    connections to it break at once, the other replica is busy, and the failing
+    one is preferred because it has nothing in flight.
     """
     host = rig.Rig(PARTIAL, shards=1)
     allocate_all_connections(host)
@@ -395,17 +385,16 @@
 
 
 def submit_many(host: rig.Rig, tokens: range) -> list[messages.Send]:
-    """Ask queries that stay open; return their sub-requests."""
+    """Submit queries and leave them open; return their sub-requests."""
     return [send for token in tokens for send in host.submit(token)]
 
 
 def test_a_slow_hedge_is_hedged_once_more() -> None:
-    """Hedge a part again where first try and hedge are both slow.
+    """A part is hedged again if its first attempt and its hedge are slow.
 
-    Symptom: with 5 % of answers slow, one query in eight is slow though every
-    slow part was hedged.
-    Sequence: both replicas of a shard have been asked, neither has answered.
-    Cause: a hedge went only to replicas that had not been asked.
+    Guards against one slow query in eight with 5 % slow answers although every
+    slow part is hedged: both replicas of a shard have an attempt in flight, and
+    hedges are sent only to replicas that were not tried.
     """
     host = rig.Rig(PARTIAL, shards=2)
     allocate_all_connections(host)
@@ -419,18 +408,17 @@
     ]
     assert attempts == [2, 3]
     actions = host.answer(sends[0])
-    cancels = [one for one in actions if isinstance(one, messages.Cancel)]
+    cancels = [it for it in actions if isinstance(it, messages.Cancel)]
     assert [cancel.part.attempt for cancel in cancels] == [2, 3]
 
 
 def test_a_frozen_target_is_ejected() -> None:
-    """Leave out a target that accepts everything and answers nothing.
+    """A target that accepts every request and answers none is ejected.
 
-    Symptom: refunds time out with unknown outcome, one in two, for hours.
-    Sequence: one of two replicas freezes; nothing breaks; each request
-    that it gets is given up at its deadline, which is not much longer than
-    an answer takes.
-    Cause: only broken connections counted as failures.
+    Guards against half of all refunds ending with unknown outcome for hours:
+    one of two replicas freezes, no connection breaks, and each of its requests
+    ends at its deadline, which is not much longer than an answer takes. Only
+    broken connections count as failures.
     """
     host = rig.Rig(REFUND, shards=1)
     allocate_all_connections(host)
@@ -454,11 +442,11 @@
 
 
 def test_an_at_most_once_request_is_not_used_as_a_trial() -> None:
-    """Let a request that may run twice find out whether a target is back.
+    """Only a request that may run twice is sent as the trial of a target.
 
-    Symptom: each second one refund ends with unknown outcome.
-    Sequence: a target was ejected, its time is over, it still fails.
-    Cause: the trial that may end the ejection is a refund.
+    Guards against one refund per second that ends with unknown outcome: the
+    ejection time of a target is over, it still fails, and the trial is a
+    refund.
     """
     host = rig.Rig(REFUND, shards=1, other_classes=(PARTIAL,))
     allocate_all_connections(host)
@@ -479,7 +467,7 @@
 
 
 def submit_refunds(host: rig.Rig, tokens: range) -> list[messages.Send]:
-    """Ask requests that run at most once, each granted its claim."""
+    """Submit at-most-once requests and grant their claims."""
     sends: list[messages.Send] = []
     for token in tokens:
         host.submit(token, key='pass-17', class_name=REFUND.name)
@@ -488,18 +476,17 @@
 
 
 def allocate_all_connections(host: rig.Rig) -> None:
-    """Let the host use every seat at its targets."""
+    """Let the host use every connection of its targets."""
     host.handle(messages.MembersChanged(('host-0',), 'host-0'))
     host.pass_time(20.0)
 
 
 def test_a_target_with_a_new_address_is_another_process() -> None:
-    """Ask anew what a target holds once its name has another address.
+    """A target is probed again after its address changed.
 
-    Symptom: requests go to an address that another process has now.
-    Sequence: a target is replaced under its name; the configuration brings
-    the new address.
-    Cause: what is known of a target is kept by its name alone.
+    Guards against requests to an address that another process uses now: a
+    target is replaced under its name, the configuration has the new address,
+    and the state of the target is kept by name alone.
     """
     host = rig.Rig(PARTIAL, shards=1, replicas=1)
     (group,) = host.configuration.groups
@@ -518,12 +505,11 @@
 
 
 def test_a_shed_part_is_retried_once_the_budget_allows() -> None:
-    """Keep a part that was shed until a retry may leave, or the deadline.
+    """A shed part is retried as soon as the budget allows, until its deadline.
 
-    Symptom: in a burst answers miss shards that are free a moment later.
-    Sequence: so many parts are shed that the budget is spent; the next one
-    is shed; 20 ms later other queries have earned a token.
-    Cause: a part without a token was given up at once.
+    Guards against missing shards in a burst: sheds use up the budget, the next
+    part is shed and marked as missing at once, although 20 ms later other
+    queries have added a token.
     """
     host = rig.Rig(PARTIAL, shards=1)
     class_group = tables.ClassGroup(PARTIAL.name, 'web')
@@ -541,9 +527,9 @@
 
 
 def test_a_query_that_crashes_targets_reaches_few_of_them() -> None:
-    """Guard against a query that ends, one after the other, whatever runs it.
+    """Guard against a query that crashes every target that runs it.
 
-    Asked twice, it ends three targets; at most three more get it.
+    Submitted twice, it crashes three targets; at most three more get it.
     """
     host = rig.Rig(PARTIAL, shards=1, replicas=12)
     crashed = 0
--- a/tests/core/queries/test_hedges.py
+++ b/tests/core/queries/test_hedges.py
@@ -1,4 +1,4 @@
-"""Test when a sub-request is worth a second try."""
+"""Test the hedge delay."""
 
 import math
 
@@ -47,12 +47,12 @@
 
 
 def test_an_overload_turns_hedging_off() -> None:
-    """Hedges stop while a group sheds, and come back after.
+    """Hedging stops while a group sheds and resumes afterwards.
 
-    Symptom: a group at its limit gets 5 % more load and sheds the more.
-    Sequence: one sub-request in five is shed; the answers that still come
-    are late, so that more of them pass the quantile.
-    Cause: a hedge helps against a slow replica, not against a full group.
+    Guards against 5 % more load on a group at its limit, which then sheds more:
+    one sub-request in five is shed, and the answers are late, so that more of
+    them exceed the quantile. A hedge helps if a replica is slow, not if the
+    whole group is overloaded.
     """
     window = make_window([QUICK_S] * 200)
     assert hedges.find_delay(window) is not None
@@ -74,12 +74,10 @@
 
 
 def test_the_delay_stays_short_where_the_quantile_is_a_slow_answer() -> None:
-    """A share of slow answers above 5 % does not push the delay up to them.
+    """The delay stays short if more than 5 % of the answers are slow.
 
-    Symptom: with 6 % of answers slow, hedging stops just when it is needed.
-    Sequence: the slow answers fill the last 6 % of the window, the 95 %
-    quantile is one of them, and a hedge would leave after 0.2 s.
-    Cause: the quantile alone says nothing of how slow is too slow.
+    Guards against hedges that are sent too late: with 6 % slow answers the 95 %
+    quantile is a slow answer, and a hedge would be sent after 0.2 s.
     """
     window = make_window(([QUICK_S] * 47 + [SLOW_S] * 3) * 8)
     assert hedges.estimate_quantile(window, 0.95) >= SLOW_S
--- a/tests/core/rig.py
+++ b/tests/core/rig.py
@@ -1,4 +1,4 @@
-"""Drive the decisions of one host by hand, without sockets or clocks."""
+"""Drive the dispatch of one host without sockets or clocks."""
 
 from fuchsiahaven.core import policies
 from fuchsiahaven.core.configuration import configurations
@@ -11,7 +11,7 @@
 
 
 class Rig:
-    """Hold one host, its time, and what it has asked the edge to do."""
+    """Hold one host, its time, and the actions it has requested."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
             1,
             (group,),
             tuple(
-                configurations.Selector(one.name, one.name, 'kind=web')
-                for one in classes
+                configurations.Selector(it.name, it.name, 'kind=web')
+                for it in classes
             ),
             classes,
         )
@@ -51,19 +51,19 @@
         self.report_all(1)
 
     def handle(self, event: messages.Event) -> list[messages.Action]:
-        """Let one event happen; return what it made the host do."""
+        """Handle one event; return the resulting actions."""
         state, actions = dispatch.handle_event(self._state, event, self.now)
         self._state = state
         self.actions.extend(actions)
         return actions
 
     def pass_time(self, seconds: float) -> list[messages.Action]:
-        """Let time pass."""
+        """Let time pass; return the resulting actions."""
         self.now += seconds
         return self.handle(messages.Tick())
 
     def report_all(self, *snapshot_numbers: int, sequence: int = 1) -> None:
-        """Let every target report that it holds these snapshots."""
+        """Let every target report these snapshots."""
         for shard, replica in self.target_names:
             self.report(shard, replica, *snapshot_numbers, sequence=sequence)
 
@@ -75,7 +75,7 @@
         sequence: int = 1,
         version: int | None = None,
     ) -> None:
-        """Let one target report what it holds."""
+        """Let one target report its snapshots."""
         size = 65536 // self.shards
         high = 65536 if shard == self.shards - 1 else (shard + 1) * size
         holdings = tuple(
@@ -95,7 +95,7 @@
         deadline: float = 1.0,
         class_name: str = '',
     ) -> list[messages.Send]:
-        """Ask a query; return the sub-requests that it made."""
+        """Submit a query; return its sub-requests."""
         query = messages.Query(
             f'id-{token}',
             class_name or self._class,
@@ -116,7 +116,7 @@
     def refuse(
         self, send: messages.Send, reason: messages.RefusalReason
     ) -> list[messages.Action]:
-        """Refuse a sub-request, not run."""
+        """Refuse a sub-request without running it."""
         name = send.target.name
         return self.handle(messages.PartRefused(send.part, name, reason))
 
@@ -125,9 +125,9 @@
         send: messages.Send,
         fault: messages.Fault = messages.Fault.CONNECTION_LOST,
     ) -> list[messages.Action]:
-        """Break a sub-request with unknown outcome; its target lives on.
+        """Fail a sub-request with unknown outcome; its target stays up.
 
-        Its pool looks whether it does where a connection was lost.
+        After a lost connection, the target is checked.
         """
         name = send.target.name
         actions = self.handle(messages.PartFailed(send.part, name, fault))
@@ -136,14 +136,14 @@
         return actions
 
     def crash_target(self, send: messages.Send) -> list[messages.Action]:
-        """End the target that runs a sub-request."""
+        """Crash the target that runs a sub-request."""
         lost = messages.Fault.CONNECTION_LOST
         name = send.target.name
         actions = self.handle(messages.PartFailed(send.part, name, lost))
         return actions + self.handle(messages.TargetChecked(name, exited=True))
 
     def list_replies(self) -> list[messages.Reply]:
-        """List the replies given so far."""
+        """List the replies so far."""
         return [
             action
             for action in self.actions
@@ -151,7 +151,7 @@
         ]
 
     def set_hedge_delay(self, class_name: str, delay_s: float) -> None:
-        """Let the host know how long answers to a class take."""
+        """Set the hedge delay of a class."""
         class_group = tables.ClassGroup(class_name, 'web')
         window = hedges.Window(
             samples=hedges.MIN_SAMPLES, samples_since_refresh=0, delay_s=delay_s
@@ -159,7 +159,7 @@
         self._state.tables.latency_windows[class_group] = window
 
     def check_idle(self) -> None:
-        """Check that nothing is kept of queries that have ended."""
+        """Check that no state is kept of completed queries."""
         host_tables = self._state.tables
         remaining = (
             host_tables.active_runs,
@@ -172,5 +172,5 @@
 
 
 def list_sends(actions: list[messages.Action]) -> list[messages.Send]:
-    """Pick the sub-requests out of what a host does."""
+    """List the sub-requests among actions."""
     return [action for action in actions if isinstance(action, messages.Send)]
--- a/tests/core/targets/__init__.py
+++ b/tests/core/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package targets of the core."""
+"""Tests of the package `targets` of the core."""
--- a/tests/core/targets/test_allocator.py
+++ b/tests/core/targets/test_allocator.py
@@ -1,4 +1,4 @@
-"""Test the deal of connection seats for any members and replicas."""
+"""Test the allocation of connections for any members and replicas."""
 
 import collections
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 
 @strategies.composite
 def draw_sizes(draw: strategies.DrawFn) -> Sizes:
-    """Draw hosts, replicas and cap, every other time as tight as it gets."""
+    """Draw hosts, replicas and the maximum, half the time at the limit."""
     replicas = draw(strategies.integers(1, 16))
     max_connections = draw(strategies.sampled_from((1, 2, 5, 25, 50, 110)))
     hosts = draw(strategies.integers(1, MAX_HOSTS))
@@ -55,7 +55,7 @@
     before: dict[str, allocator.Allocation],
     after: dict[str, allocator.Allocation],
 ) -> int:
-    """Count the seats that the hosts of `before` have more in `after`."""
+    """Count the connections that hosts of `before` have more in `after`."""
     return sum(
         max(0, count - allocation.get(target, 0))
         for host, allocation in before.items()
@@ -66,7 +66,7 @@
 def count_fewest_replicas(
     allocations: dict[str, allocator.Allocation], replicas: Sequence[str]
 ) -> int:
-    """Count the replicas of the host that has fewest."""
+    """Count the replicas of the host that has the fewest."""
     return min(
         sum(bool(allocation.get(target)) for target in replicas)
         for allocation in allocations.values()
@@ -78,12 +78,12 @@
 def test_each_host_gets_two_replicas_within_max_connections(
     sizes: Sizes, salt: int
 ) -> None:
-    """Leave no host without a shard that it could have.
+    """Each host gets every shard if the connections suffice.
 
-    Symptom: one host of the data centre answers without a shard, for good.
-    Sequence: more hosts than a replica has connections; each takes the
-    replicas that it ranks highest and that still have room.
-    Cause: the last hosts find free seats only at replicas they have already.
+    Guards against a host that permanently answers without a shard: there are
+    more hosts than connections to a replica, each host gets the replicas that
+    it ranks highest and that have free connections, and the last hosts find
+    free connections only at replicas that they have already.
     """
     hosts, replicas, max_connections = sizes
     shards = [make_names(name, salt, replicas) for name in ('a', 'b')]
@@ -95,7 +95,7 @@
         count_fewest_replicas(allocations, shard) >= wanted for shard in shards
     )
     assert enough is allocator.is_sufficient(hosts, replicas, max_connections)
-    # The reserve is given up only for hosts that would be left short.
+    # The reserve is released only for hosts below their quota.
     connection_counts = sum_connections(allocations).values()
     needed = -(-hosts * wanted // replicas)
     usable = max_connections - allocator.compute_reserve(hosts, max_connections)
@@ -118,8 +118,8 @@
     before = allocator.allocate(names, shards, sizes.max_connections)
     after = allocator.allocate([*names, 'new'], shards, sizes.max_connections)
     allocation = after.pop('new')
-    # A seat more or less at each target, where the reserve changes, is dealt
-    # as well; docs/MEASUREMENTS.md has the usual figures.
+    # If the reserve changes, one connection of each target moves as well;
+    # docs/MEASUREMENTS.md has the usual figures.
     bound = 6 * sum(allocation.values())
     totals = {
         max(sum_connections(allocations).values())
--- a/tests/core/targets/test_drains.py
+++ b/tests/core/targets/test_drains.py
@@ -1,4 +1,4 @@
-"""Test live or leaving from signals that lag, cross and contradict."""
+"""Test the drain state with signals that lag, reorder and contradict."""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import (
@@ -21,12 +21,11 @@
 
 
 def test_an_older_live_report_does_not_end_a_drain() -> None:
-    """Let an answer's `leaving` stand against a health report that lags.
+    """A `leaving` answer is not revoked by a health report that lags.
 
-    Symptom: a target in its drain is sent new work again.
-    Sequence: report 1 says live; an answer says leaving; report 2, taken
-    before the drain began, says live; the host list says live.
-    Cause: the last signal wins.
+    Guards against new requests to a draining target because the last signal
+    wins: report 1 is live, an answer is leaving, report 2, made before the
+    drain, is live, and so is the host list.
     """
     drain_state = drains.record_health(
         drains.DrainState(), make_report(LIVE, 5, 1), 0
@@ -35,7 +34,7 @@
     drain_state = drains.record_health(drain_state, make_report(LIVE, 5, 2), 2)
     drain_state = drains.record_listing(drain_state, leaving=False, now=3)
     assert drains.is_leaving(drain_state)
-    # The report confirms the drain, and a later one ends it.
+    # A report confirms the drain, and a later one ends it.
     drain_state = drains.record_health(
         drain_state, make_report(LEAVING, 5, 3), 4
     )
@@ -46,12 +45,11 @@
 
 
 def test_late_evidence_of_the_previous_process_is_ignored() -> None:
-    """Keep a restarted target in.
+    """A restarted target is used again.
 
-    Symptom: a target stays out after its restart until the next one.
-    Sequence: it says leaving, ends and starts anew; the new process reports
-    live; then an answer of the old one, and a host list that lags, are read.
-    Cause: evidence taken without a look at which process it is about.
+    Guards against a target that stays out of use until its next restart: it is
+    leaving, restarts and reports live; then an answer of the old process and a
+    host list that lags are read and taken for the new process.
     """
     drain_state = drains.record_health(
         drains.DrainState(), make_report(LIVE, 5, 9), 0
@@ -62,19 +60,18 @@
     drain_state = drains.record_answer(drain_state, LEAVING, sent_at=1)
     drain_state = drains.record_listing(drain_state, leaving=True, now=12)
     assert not drains.is_leaving(drain_state)
-    # A list read well after the restart means the new process.
+    # A list read long enough after the restart describes the new process.
     late = 10 + drains.MAX_LIST_LAG_S
     drain_state = drains.record_listing(drain_state, leaving=True, now=late)
     assert drains.is_leaving(drain_state)
 
 
 def test_a_listing_ends_only_by_both_list_and_report() -> None:
-    """Believe neither an old copy of the list nor a report that lags.
+    """A listing is not revoked by an old copy of the list and an old report.
 
-    Symptom: a target that the platform takes away is sent new work again.
-    Sequence: the list says leaving, then an older copy says live, and a
-    report from before the drain is read.
-    Cause: two signals that lag outvote the newer one.
+    Guards against new requests to a target that the platform removes: the list
+    has it as leaving, then an older copy has it as live, and a report from
+    before the drain is read.
     """
     drain_state = drains.record_listing(
         drains.DrainState(), leaving=True, now=0
@@ -99,7 +96,7 @@
     assert drains.is_leaving(drain_state)
     drain_state = drains.record_mark(drain_state, marked=False, now=3)
     assert not drains.is_leaving(drain_state)
-    # A clock that went back between two processes hides the second no more.
+    # Reports of a process whose clock was set back are accepted again.
     assert drains.is_newer(drain_state, make_report(LIVE, 6, 1))
     drain_state = drains.record_mark(drain_state, marked=True, now=4)
     drain_state = drains.record_health(drain_state, make_report(LIVE, 8, 1), 5)
@@ -109,9 +106,9 @@
 class DrainModel(RuleBasedStateMachine):
     """Drive one target through processes that drain, with any lag.
 
-    No drain is taken back here, so `leaving` of a process must stand until
-    something of a later process has been seen, however signals cross. The
-    target makes a report at each step; which is read is drawn.
+    No drain is revoked here, so `leaving` of a process must hold until a report
+    of a later process is read, in whatever order the signals arrive. The target
+    makes a report at each step; a random recent one is read.
     """
 
     def __init__(self) -> None:
@@ -123,7 +120,7 @@
         self.drain_state = drains.DrainState()
         self.latest_seen = 0
         self.latest_leaving = 0
-        self.make_report()
+        self.advance()
 
     @rule(listed=strategies.booleans())
     def begin_drain(self, listed: bool) -> None:
@@ -132,17 +129,17 @@
             self.read_list(40)
         else:
             self.read_answer()
-        self.make_report()
+        self.advance()
 
     @rule()
     def restart(self) -> None:
         self.started += 1
         self.state = LIVE
-        self.make_report()
+        self.advance()
 
     @rule(age=strategies.integers(0, 3))
     def read_report(self, age: int) -> None:
-        # Reports overtake each other by up to three.
+        # Reports arrive up to three steps late.
         report = self.reports[-1 - age % len(self.reports)]
         is_newer = drains.is_newer(self.drain_state, report)
         self.drain_state = drains.record_health(
@@ -152,7 +149,7 @@
         self.latest_seen = max(self.latest_seen, int(report.started_epoch))
         if is_newer and report.state is LEAVING:
             self.latest_leaving = int(report.started_epoch)
-        self.make_report()
+        self.advance()
 
     def read_answer(self) -> None:
         self.drain_state = drains.record_answer(
@@ -178,7 +175,7 @@
         )
         self.read_report(age)
         self.leaving_stands_until_a_later_process_is_seen()
-        # It lags for less than the bound: a true one comes within it.
+        # A current copy follows within the maximum lag.
         self.read_list(1)
 
     @invariant()
@@ -187,7 +184,7 @@
             assert drains.is_leaving(self.drain_state)
 
     def teardown(self) -> None:
-        """Check that a later process is believed at once."""
+        """Check that a later process is live at once."""
         self.read_report(0)
         self.restart()
         self.read_report(0)
@@ -196,20 +193,20 @@
         assert drains.is_leaving(self.drain_state)
 
     @rule()
-    def make_report(self) -> None:
-        """Let time pass, and the target make a report."""
+    def advance(self) -> None:
+        """Let time pass and the target make a report."""
         self.now += 1
         self.reports.append(
             make_report(self.state, self.started, int(self.now))
         )
 
     def expect_leaving(self) -> None:
-        """Expect that the process seen last stays out."""
-        # Neither an answer nor the list tells of which process it is.
+        """Expect that the latest process seen stays out of use."""
+        # Neither an answer nor the list identifies its process.
         if self.state is LEAVING:
             self.latest_leaving = self.latest_seen
 
 
 TestDrainModel = DrainModel.TestCase
-# Short runs reach each order of few events far oftener than long ones.
+# Short runs cover the orders of a few events far better than long ones.
 TestDrainModel.settings = settings(max_examples=500, stateful_step_count=10)
--- a/tests/core/targets/test_limits.py
+++ b/tests/core/targets/test_limits.py
@@ -32,11 +32,10 @@
 def test_the_limit_never_exceeds_the_connections(
     events: list[tuple[str, int, float]], in_flight: int
 ) -> None:
-    """No sequence of events lets more out than there are seats.
+    """No sequence of events sends more sub-requests than connections.
 
-    Symptom: a target closes connections, and hosts reopen them for 6 ms each.
-    Sequence: answers raise the limit while a new deal takes seats away.
-    Cause: a limit that grows on its own and not below the seats of today.
+    Guards against a target that closes connections, which hosts reopen for 6 ms
+    each: answers raise the limit while a new allocation takes connections away.
     """
     limit = limits.make_limit(3)
     now = NOW
@@ -49,11 +48,10 @@
 
 
 def test_one_burst_of_sheds_cuts_once() -> None:
-    """A burst does not close a target that still runs its slots.
+    """Several sheds of one burst cut the limit only once.
 
-    Symptom: after one burst the host sends a single sub-request at a time.
-    Sequence: twenty sub-requests leave together, twelve are shed together.
-    Cause: one event, the full queue, taken for twelve.
+    Guards against a limit of one after a single burst: twenty sub-requests are
+    sent together, and twelve are shed for the same full queue.
     """
     limit = limits.make_limit(20)
     for _ in range(12):
@@ -72,11 +70,11 @@
 
 
 def test_rising_latency_cuts_the_limit() -> None:
-    """A target that queues without shedding gets less in flight.
+    """A target that queues without shedding gets a lower limit.
 
-    Symptom: every answer of one target takes four times its usual time.
-    Sequence: more in flight than slots, an endless queue, nothing shed.
-    Cause: sheds alone as the sign of too much.
+    Guards against answers of one target that take four times their usual time:
+    it has more sub-requests in flight than slots and an unbounded queue, and
+    only sheds are taken as a sign of overload.
     """
     limit = limits.make_limit(20)
     now = NOW
--- a/tests/core/targets/test_shardmaps.py
+++ b/tests/core/targets/test_shardmaps.py
@@ -1,4 +1,4 @@
-"""Check the known snapshots against what targets report, in any order."""
+"""Test the snapshots of a group with any order of reports."""
 
 import collections
 import itertools
@@ -10,11 +10,11 @@
 
 TARGETS = tuple('abcdef')
 USABLE = frozenset('abcd')
-#: Edges of shards that agree now and then and contradict now and then.
+#: Bounds of shards; some ranges between them are consistent and some not.
 EDGES = (0, 20000, 30000, 65536)
 
 
-#: Holdings, some of which cannot be true together.
+#: Holdings, some of which contradict each other.
 REPORTS = [
     snapshots.Holding(number, shard, shards, low, high)
     for number, (shard, shards), (low, high) in itertools.product(
@@ -26,7 +26,7 @@
 
 
 class ReportModel(RuleBasedStateMachine):
-    """Let targets report, change their minds and go."""
+    """Let targets report holdings, replace them and be removed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,7 +35,7 @@
 
     @rule(
         name=strategies.sampled_from(TARGETS),
-        told=strategies.sets(strategies.sampled_from(REPORTS), max_size=3),
+        holdings=strategies.sets(strategies.sampled_from(REPORTS), max_size=3),
     )
     def report(self, name: str, holdings: set[snapshots.Holding]) -> None:
         self.reported[name] = holdings
@@ -106,7 +106,7 @@
         for pinned in snapshots.list_pins(self.group_snapshots, USABLE):
             bounds = [(shard.low, shard.high) for shard in pinned.shards]
             assert bounds[0][0] == 0
-            assert bounds[-1][1] == shardmaps.POSITIONS
+            assert bounds[-1][1] == shardmaps.KEY_SPACE_SIZE
             assert all(low < high for low, high in bounds)
             for before, after in itertools.pairwise(bounds):
                 assert before[1] == after[0]
@@ -123,7 +123,7 @@
             assert votes[len(shard_map.ranges)] == max(votes.values())
 
     def list_reported(self) -> list[tuple[str, snapshots.Holding]]:
-        """List what each target told last."""
+        """List the last reported holdings of each target."""
         return [
             (name, holding)
             for name, holdings in self.reported.items()
--- a/tests/core/targets/test_snapshots.py
+++ b/tests/core/targets/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Test what is known of snapshots and which one a query pins."""
+"""Test the snapshots of a group and which one a query pins."""
 
 import hashlib
 
@@ -64,11 +64,11 @@
 
 
 def test_a_newer_snapshot_needs_enough_replicas() -> None:
-    """Do not send all queries to the first targets that have an index.
+    """A newer snapshot is not pinned while too few replicas hold it.
 
-    Symptom: refusals and a jump of the tail while an index change rolls on.
-    Sequence: of six replicas one has loaded snapshot 2; every query pins it.
-    Cause: the newest complete snapshot wins, however few can serve it.
+    Guards against refusals and a jump of the tail latency during an index
+    change: one of six replicas has loaded snapshot 2, and every query pins it
+    because it is the newest complete one.
     """
     group_snapshots = update_all(
         {name: [make_holding(1, 0, 1)] for name in USABLE}
@@ -84,12 +84,12 @@
 
 
 def test_larger_shards_need_more_replicas() -> None:
-    """Compare snapshots by what they can carry, not by replicas alone.
+    """Snapshots are compared by capacity, not by the number of replicas.
 
-    Symptom: refusals while data is partitioned anew into fewer shards.
-    Sequence: eight targets hold four shards twice; two of them load snapshot
-    2 in two shards, one replica each, and get all queries.
-    Cause: one replica of two for a shard taken for half of the strength.
+    Guards against refusals during a repartition into fewer shards: eight
+    targets hold four shards with two replicas each, two of them load snapshot 2
+    in two shards with one replica each and get all queries, because one replica
+    of a shard instead of two is taken for half of the capacity.
     """
     names = [f't{number}' for number in range(8)]
     group_snapshots = update_all(
@@ -112,12 +112,11 @@
 
 
 def test_answers_do_not_go_back_to_an_older_snapshot() -> None:
-    """Stay on a snapshot once it is in use.
+    """A snapshot in use is not replaced by an older one.
 
-    Symptom: a price that a dealer has just seen is gone a moment later.
-    Sequence: two of four replicas have snapshot 2, which is taken into use;
-    one of them leaves, and the older one has more replicas again.
-    Cause: the choice looks at replicas alone.
+    Guards against rows that disappear between two queries: two of four replicas
+    have snapshot 2, which is pinned; one of them leaves, and the older snapshot
+    has more replicas again.
     """
     group_snapshots = update_all(
         {f't{n}': [make_holding(1, 0, 1)] for n in range(4)}
@@ -133,7 +132,7 @@
     older = snapshots.choose_pin(pins, in_use=1)
     assert newer is not None and older is not None
     assert (newer.snapshot, older.snapshot) == (2, 1)
-    # Where it is complete no more, an older one is better than a short one.
+    # If it is no longer complete, an older complete one is preferred.
     remaining = snapshots.list_pins(group_snapshots, USABLE - {'t0', 't1'})
     pin = snapshots.choose_pin(remaining, in_use=2)
     assert pin is not None
@@ -157,12 +156,11 @@
 def test_one_wrong_target_does_not_make_a_snapshot_incomplete(
     wrong: snapshots.Holding,
 ) -> None:
-    """Let most holders decide on the shard map.
+    """The majority of holders decides on the shard map.
 
-    Symptom: after an index change no query of the group is complete.
-    Sequence: a target with a wrong index reports snapshot 1 first, in three
-    shards or with another range; the others' reports are refused.
-    Cause: the first report fixed the map of the snapshot.
+    Guards against a group without complete answers after an index change: a
+    target with a wrong index reports snapshot 1 first, in three shards or with
+    another range, and the reports of all others are refused.
     """
     group_snapshots = update_all(
         {'wrong': [wrong], 't0': [make_holding(1, 0, 2)]}
@@ -184,12 +182,11 @@
 
 
 def test_ranges_that_overlap_or_leave_a_gap_are_refused() -> None:
-    """Cover each position once.
+    """Each position is covered by one shard.
 
-    Symptom: rows are doubled, or an answer told as complete lacks some.
-    Sequence: of one snapshot a target reports a range that its neighbours
-    also hold, or one that leaves positions to nobody.
-    Cause: ranges taken without a look at the other shards.
+    Guards against duplicate rows, and against answers that are reported as
+    complete but lack rows: a target reports a range that overlaps that of a
+    neighbour or leaves a gap, and it is not compared with the other shards.
     """
     good = {'t0': [make_holding(1, 0, 3)], 't2': [make_holding(1, 2, 3)]}
     for low, high in ((21000, 43690), (22000, 43690), (21845, 43000)):
@@ -260,7 +257,7 @@
         {'t0': [make_holding(1, shard, 7) for shard in (0, 3, 4)]}
     )
     pinned = snapshots.list_pins(group_snapshots, USABLE)[0]
-    pin = snapshots.get_shard(pinned, position)
+    covering = snapshots.get_shard(pinned, position)
     assert [
         shard for shard in pinned.shards if shard.low <= position < shard.high
-    ] == [pin]
+    ] == [covering]
--- a/tests/core/targets/test_target_stats.py
+++ b/tests/core/targets/test_target_stats.py
@@ -1,4 +1,4 @@
-"""Test the choice of replicas."""
+"""Test the selection of replicas."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -39,11 +39,10 @@
 
 
 def test_a_failing_target_is_ejected_and_returns_by_a_trial() -> None:
-    """A dead replica takes no traffic until one sub-request proves it.
+    """A failing replica gets no requests until a trial succeeds.
 
-    Symptom: a lost replica keeps receiving its share and breaks it.
-    Sequence: three broken connections, then time passes.
-    Cause: without ejection each query learns of the loss anew.
+    Guards against a lost replica that still gets its share of the requests:
+    three connections break, then time passes.
     """
     stats = {'a': make_stats(0.001), 'b': make_stats(0.1)}
     for _ in range(3):
@@ -73,11 +72,10 @@
 def test_ejections_are_bounded_and_leave_every_shard_a_replica(
     failing: list[int], duration: float
 ) -> None:
-    """A fault of the network does not empty the group.
+    """A fault of the network does not eject the whole group.
 
-    Symptom: this host alone reports that no searcher can be reached.
-    Sequence: its own link drops packets, each target seems to fail in turn.
-    Cause: ejection without a bound blames the targets for it.
+    Guards against a host that has no searcher left to use: its own link drops
+    packets, and each target in turn seems to fail and is ejected.
     """
     members = tuple(str(number) for number in range(40))
     stats = {name: make_stats(0.01) for name in members}
@@ -99,12 +97,11 @@
 
 
 def test_a_cancelled_sub_request_still_counts_as_a_sample() -> None:
-    """Hedges do not hide the target that makes them necessary.
+    """A slow target is detected although its sub-requests are cancelled.
 
-    Symptom: one slow replica draws a hedge for every query, for hours.
-    Sequence: each of its sub-requests is overtaken by a hedge and cancelled,
-    so that no latency of it is ever noted.
-    Cause: only answers counted as samples.
+    Guards against a slow replica that causes a hedge for every query, for
+    hours: a hedge answers before each of its sub-requests, which are cancelled,
+    and only answers count as samples.
     """
     slow = make_stats(0.005)
     for _ in range(10):
@@ -118,11 +115,10 @@
 
 
 def test_a_straggler_that_recovered_is_used_again() -> None:
-    """An avoided target is tried again and believed soon.
+    """A target that was avoided is tried again and its estimate corrected.
 
-    Symptom: long after a slow spell one replica carries the whole shard.
-    Sequence: the target is avoided, so nothing corrects its estimate.
-    Cause: an estimate that does not age.
+    Guards against one replica that serves the whole shard long after the other
+    was slow: that one gets no requests, so nothing corrects its estimate.
     """
     stats = {'a': make_stats(0.1), 'b': make_stats(0.005)}
     assert target_stats.select_replica(PAIR, stats, NOW, DRAWS) == 'b'
@@ -153,11 +149,11 @@
 
 
 def test_a_probe_ends_an_ejection_where_trials_are_not_allowed() -> None:
-    """An ejected target of a group of refunds comes back.
+    """A target of a group that gets only refunds is used again.
 
-    Symptom: one refund target after the other falls out of use for good.
-    Sequence: a target is ejected; refunds are no trials; nothing else comes.
-    Cause: only an answered trial ended an ejection.
+    Guards against refund targets that are ejected one after the other and never
+    used again: refunds are not sent as trials, the group gets no other
+    requests, and only an answered trial ends an ejection.
     """
     record = ejections.FailureRecord(
         failures=3.0, updated_at=NOW, ejected_until=NOW + 1
--- a/tests/core/test_dispatch_model.py
+++ b/tests/core/test_dispatch_model.py
@@ -1,4 +1,4 @@
-"""Let anything happen to one host, in any order, and check what it tells."""
+"""Send one host events in any order and check its replies."""
 
 import collections
 from typing import Final
@@ -31,10 +31,10 @@
 
 
 class DispatchModel(RuleBasedStateMachine):
-    """Drive a host and keep the truth beside it.
+    """Drive a host and track the attempts that ran.
 
-    `open` are the attempts that have not ended, `ran` counts by token those
-    that were answered or lost: each of them may have run.
+    `open_sends` are the attempts that have not ended. `ran` counts, by request
+    id, those that were answered or failed: each of them may have run.
     """
 
     @initialize()
@@ -51,19 +51,22 @@
         self.ran: collections.Counter[str] = collections.Counter()
         self.replies: dict[int, messages.Reply] = {}
 
-    @rule(kind=strategies.sampled_from(CLASSES), key=strategies.text('ab'))
+    @rule(
+        request_class=strategies.sampled_from(CLASSES),
+        key=strategies.text('ab'),
+    )
     def submit(
         self, request_class: configurations.RequestClass, key: str
     ) -> None:
-        """Ask a query."""
+        """Submit a query."""
         token = len(self.submitted) + 1
         self.submitted[token] = request_class
         self.host.submit(token, key=key or 'c', class_name=request_class.name)
 
-    @precondition(lambda model: model.open)
+    @precondition(lambda model: model.open_sends)
     @rule(pick=PICKS)
     def answer(self, pick: int) -> None:
-        """Answer an attempt with a row that tells where it is from."""
+        """Answer an attempt with a row that identifies its source."""
         send = self.pop_open_send(pick)
         self.ran[send.request.request_id] += 1
         part = send.request
@@ -71,16 +74,16 @@
             send, f'{part.request_id} {part.snapshot} {part.shard}'
         )
 
-    @precondition(lambda model: model.open)
+    @precondition(lambda model: model.open_sends)
     @rule(pick=PICKS, reason=strategies.sampled_from(messages.RefusalReason))
     def refuse(self, pick: int, reason: messages.RefusalReason) -> None:
-        """Refuse an attempt, not run."""
+        """Refuse an attempt without running it."""
         self.host.refuse(self.pop_open_send(pick), reason)
 
-    @precondition(lambda model: model.open)
+    @precondition(lambda model: model.open_sends)
     @rule(pick=PICKS, fault=strategies.sampled_from(messages.Fault))
     def fail(self, pick: int, fault: messages.Fault) -> None:
-        """Lose an attempt that may have run."""
+        """Fail an attempt that may have run."""
         send = self.pop_open_send(pick)
         self.ran[send.request.request_id] += 1
         self.host.fail(send, fault)
@@ -88,7 +91,7 @@
     @precondition(lambda model: model.claims)
     @rule(pick=PICKS, outcome=strategies.sampled_from(messages.ClaimResult))
     def settle_claim(self, pick: int, outcome: messages.ClaimResult) -> None:
-        """Settle a claim, however late."""
+        """Settle a claim, at any time."""
         claims = sorted(self.claims)
         token = claims[pick % len(claims)]
         self.claims.discard(token)
@@ -98,7 +101,7 @@
 
     @rule(numbers=strategies.sets(strategies.integers(1, 3), max_size=2))
     def change_one_replica(self, numbers: set[int]) -> None:
-        """Let one replica of each shard hold other snapshots."""
+        """Let one replica of each shard report other snapshots."""
         self.sequence += 1
         for shard in range(self.host.shards):
             self.host.report(
@@ -110,14 +113,14 @@
 
     @rule()
     def change_index(self) -> None:
-        """Let every replica drop what it holds for a newer snapshot."""
+        """Let every replica replace its snapshots by a newer one."""
         self.sequence += 1
         self.host.report_all(3 + self.sequence, sequence=self.sequence)
 
-    @precondition(lambda model: model.open)
+    @precondition(lambda model: model.open_sends)
     @rule(pick=PICKS, newer=strategies.booleans())
     def refuse_snapshot(self, pick: int, *, newer: bool) -> None:
-        """Say of all attempts at a query that their snapshot has gone."""
+        """Refuse all attempts at a query because their snapshot is gone."""
         if newer:
             self.change_index()
         request_id = self.open_sends[
@@ -136,7 +139,7 @@
 
     @invariant()
     def check_new_actions(self) -> None:
-        """Check all that the host has done since the last look."""
+        """Check all actions since the last check."""
         new_actions = self.host.actions[self.checked_actions :]
         self.checked_actions = len(self.host.actions)
         for action in new_actions:
@@ -151,7 +154,7 @@
                     self.check_reply(reply)
 
     def check_send(self, send: messages.Send) -> None:
-        """Check that what may not run twice is not sent twice."""
+        """Check that an at-most-once request is not sent twice."""
         request_id = send.request.request_id
         if send.request.at_most_once:
             assert not self.ran[request_id]
@@ -159,7 +162,7 @@
         self.open_sends.append(send)
 
     def check_reply(self, reply: messages.Reply) -> None:
-        """Check that what a caller is told is true."""
+        """Check a reply against the attempts that ran."""
         request_id = f'id-{reply.token}'
         outcome = reply.outcome
         if isinstance(outcome, errors.Failure):
@@ -180,17 +183,17 @@
             assert outcome.coverage.complete
 
     def is_open(self, request_id: str) -> bool:
-        """Tell whether an attempt at a query has not ended."""
+        """Return whether an attempt at a query is still open."""
         return any(
             send.request.request_id == request_id for send in self.open_sends
         )
 
     def pop_open_send(self, pick: int) -> messages.Send:
-        """Take one attempt out of the open ones."""
+        """Remove and return one open attempt."""
         return self.open_sends.pop(pick % len(self.open_sends))
 
     def teardown(self) -> None:
-        """Let every deadline pass: each query has had its one reply."""
+        """Let every deadline pass; check that each query got one reply."""
         if not hasattr(self, 'host'):
             return
         self.host.pass_time(5.0)
