--- a/fuchsiahaven/core/targets/__init__.py
+++ b/fuchsiahaven/core/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Know the targets: what they hold, how they do, what they may be sent."""
+"""Track the targets: their holdings, their state and their limits."""
--- a/fuchsiahaven/core/targets/allocator.py
+++ b/fuchsiahaven/core/targets/allocator.py
@@ -1,10 +1,10 @@
-"""Deal the connection seats of targets to the hosts that share them.
+"""Allocate the connections of targets to the hosts that share them.
 
-A target takes few connections and many hosts want some. Each host works out
-the same deal from the same members, so that no host has to ask another. In a
-data centre with no more hosts than a target has seats, all hosts share every
-target. With more, each host is dealt some replicas of each shard: picked at
-random, now and then a host would be left without a shard.
+A target accepts few connections, and many hosts need some. Each host computes
+the same allocation from the same members, without asking other hosts. If there
+are no more hosts than usable connections of a target, all hosts share every
+target. Otherwise each host gets connections to some replicas of each shard. A
+random choice would now and then leave a host without a shard.
 """
 
 import hashlib
@@ -12,17 +12,18 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-#: For each this many hosts, one seat of a target is kept in reserve: while
-#: members join, hosts that see different members count on different deals.
+#: One connection of each target is reserved for this many hosts: while members
+#: join, hosts that see different members compute different allocations.
 HOSTS_PER_RESERVED_CONNECTION: Final = 25
-#: The reserve takes at most one part in this many of a target's seats.
+#: At most one in this many connections of a target is reserved.
 MAX_RESERVE_DIVISOR: Final = 5
-#: With a second replica a host can go on, hedge and retry.
+#: For each host and shard: a second replica allows failover, hedges and
+#: retries.
 WANTED_REPLICAS: Final = 2
 
 _DIGEST_BYTES: Final = 8
-#: Weights are products modulo this prime: one multiplication for a pair of
-#: host and target, where a digest would take most of the deal's time.
+#: The weight of a pair of host and target is a product modulo this prime. It
+#: takes one multiplication; a digest would take most of the allocation's time.
 _PRIME_BITS: Final = 61
 _PRIME: Final = 2**_PRIME_BITS - 1
 
@@ -35,9 +36,9 @@
 
 
 class _Shard(NamedTuple):
-    """Hold a shard's replicas and their pairs with hosts, least weight first.
+    """Hold a shard's replicas and their pairs with hosts, by rising weight.
 
-    `counts` is how many of the replicas each host holds.
+    `replica_counts` is the number of replicas allocated to each host.
     """
 
     replicas: tuple[str, ...]
@@ -46,9 +47,10 @@
 
 
 class _Draft(NamedTuple):
-    """Hold a deal of single seats while it is made.
+    """Hold an allocation of single connections while it is computed.
 
-    `homes` are the shards of each target, `free` its seats that are left.
+    `shards_of` are the shards of each target, `free_connections` the
+    connections that it has left, `targets_of` the targets of each host.
     """
 
     hosts: tuple[str, ...]
@@ -59,7 +61,7 @@
 
 
 def compute_reserve(hosts: int, max_connections: int) -> int:
-    """Return how many of a target's connections nobody is dealt."""
+    """Return how many connections of a target are kept unallocated."""
     wanted = -(-hosts // HOSTS_PER_RESERVED_CONNECTION)
     return min(
         wanted,
@@ -69,9 +71,9 @@
 
 
 def is_sufficient(hosts: int, replicas: int, max_connections: int) -> bool:
-    """Tell whether each host gets two replicas of a shard, or the only one.
+    """Return whether each host gets two replicas of a shard, or the only one.
 
-    Exact where targets that have one shard in common have all in common.
+    Exact if targets that share one shard share all their shards.
     """
     wanted = min(WANTED_REPLICAS, replicas)
     return hosts * wanted <= replicas * min(max_connections, hosts)
@@ -80,11 +82,11 @@
 def allocate(
     hosts: Iterable[str], shards: Iterable[Iterable[str]], max_connections: int
 ) -> dict[str, Allocation]:
-    """Deal the seats of some shards' targets: by host, then target.
+    """Allocate the connections of some shards' targets, by host and target.
 
-    `shards` lists the replicas of each shard, `cap` is what one target takes.
-    Shards without a target in common do not touch each other's deal, so they
-    may be dealt by separate calls.
+    `shards` lists the replicas of each shard, `max_connections` is the number
+    that one target accepts. Shards without a common target don't affect each
+    other's allocation and may be allocated by separate calls.
     """
     names = tuple(sorted(set(hosts)))
     replicas = [tuple(sorted(set(shard))) for shard in shards]
@@ -109,8 +111,8 @@
     usable: int,
     weights: Mapping[str, int],
 ) -> dict[str, Allocation]:
-    # The seats that do not divide go to other hosts at each target, so that
-    # a member more or less moves no seats but its own.
+    # The remainder goes to different hosts at each target, so that a join or
+    # leave moves no connections but those of the host itself.
     allocations: dict[str, dict[str, int]] = {host: {} for host in hosts}
     base, remainder = divmod(usable, max(1, len(hosts)))
     for target in sorted(set(itertools.chain(*shards))):
@@ -166,7 +168,7 @@
 
 
 def _fill_quota(draft: _Draft, shard: _Shard, quota: int) -> None:
-    """Deal by weight until each host has its quota or no seat is left."""
+    """Allocate by weight until each host has its quota or none are left."""
     for pair in shard.pairs:
         if (
             shard.replica_counts[pair.host] < quota
@@ -184,7 +186,7 @@
 
 
 def _release_reserve(draft: _Draft, max_connections: int) -> None:
-    """Free as much of the reserve as the hosts left short need."""
+    """Release as much of the reserve as hosts below their quota need."""
     hosts = len(draft.hosts)
     usable = max_connections - compute_reserve(hosts, max_connections)
     for shard in draft.shards:
@@ -198,7 +200,7 @@
 
 
 def _allocate_rest(draft: _Draft, shard: _Shard) -> None:
-    """Deal what is left, evenly: a third replica before anyone's fourth."""
+    """Allocate the rest evenly: every host a third replica, then a fourth."""
     quota = WANTED_REPLICAS
     while any(draft.free_connections[target] for target in shard.replicas):
         quota += 1
@@ -208,10 +210,10 @@
 
 
 def _repair_quota(draft: _Draft, shard: _Shard, quota: int) -> None:
-    """Swap seats for the hosts that the deal by weight left short."""
+    """Swap connections for the hosts below their quota."""
     wanted = min(quota, len(shard.replicas))
     if not any(draft.free_connections[target] for target in shard.replicas):
-        # Every replica is dealt out whole, so nobody can move.
+        # No replica has a free connection, so none can be swapped.
         return
     for host in draft.hosts:
         for _ in range(wanted - shard.replica_counts[host]):
@@ -219,17 +221,18 @@
 
 
 def _swap_connection(draft: _Draft, shard: _Shard, host: str) -> None:
-    """Give a host a full target's seat whose holder can move to a free one.
+    """Move another host to a free replica and give its connection to `host`.
 
-    A host that is short holds every replica with a free seat. Such a replica
-    has fewer hosts than a full one, so some host of the full one lacks it.
+    A host below its quota has every replica with a free connection. Such a
+    replica has fewer hosts than a full one, so some host of the full one can
+    move to it.
     """
     available = [
         target for target in shard.replicas if draft.free_connections[target]
     ]
     for pair in reversed(shard.pairs):
-        released = pair.target not in draft.targets_of[pair.host]
-        if released or pair.target in draft.targets_of[host]:
+        unallocated = pair.target not in draft.targets_of[pair.host]
+        if unallocated or pair.target in draft.targets_of[host]:
             continue
         for target in available:
             if _may_move(draft, pair, target):
@@ -240,7 +243,7 @@
 
 
 def _may_move(draft: _Draft, pair: _Pair, target: str) -> bool:
-    # A move between targets of different shards would take one away.
+    # If the targets had different shards, a move would take a shard away.
     same_shards = draft.shards_of[target] == draft.shards_of[pair.target]
     return same_shards and target not in draft.targets_of[pair.host]
 
--- a/fuchsiahaven/core/targets/components.py
+++ b/fuchsiahaven/core/targets/components.py
@@ -1,18 +1,18 @@
-"""Find which targets have to be dealt together: those that share shards."""
+"""Find the targets to allocate together: those that share shards."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
 from fuchsiahaven.core.targets import snapshots
 
-#: The replicas of some shards, no target of which holds a shard outside.
+#: The replicas of each of some shards; their targets hold no other shard.
 Component = tuple[tuple[str, ...], ...]
 
 
 class _ShardIndex(NamedTuple):
-    """Name a shard by its place in the map, whatever the snapshot.
+    """Identify a shard by its number and the shard count, in any snapshot.
 
-    An index change that keeps the shard map then moves no seat.
+    An index change that keeps the shard map then moves no connection.
     """
 
     shards: int
@@ -24,8 +24,8 @@
 ) -> list[Component]:
     """List the components of some targets.
 
-    A target counts by its newest snapshot; one that reported none is a
-    component of its own.
+    A target is assigned by its newest snapshot. A target that has reported
+    none is a component by itself.
     """
     shards_of = {
         name: _list_newest_shards(holdings.get(name, ())) for name in names
--- a/fuchsiahaven/core/targets/drains.py
+++ b/fuchsiahaven/core/targets/drains.py
@@ -1,11 +1,11 @@
-"""Decide whether a target is live or leaving, from four signals.
+"""Decide from four signals whether a target is live or leaving.
 
 The signals are the target's own answers, its health reports, the platform's
-host list and an operator's mark. Any one takes the target out; none but
-newer evidence brings it back. Health reports and host list lag, so their
-`live` is often older than the `leaving` that another signal brought: a
-target believed too early is sent work that it must refuse, or cuts. What a
-target already runs is left to finish.
+host list and an operator's mark. Any of them takes the target out of use, and
+only newer evidence brings it back. Health reports and the host list lag, so
+their `live` is often older than the `leaving` of another signal. A target that
+is brought back too early refuses or aborts the requests that it gets. Requests
+that a leaving target already runs are not cancelled.
 """
 
 import math
@@ -13,19 +13,19 @@
 
 from fuchsiahaven.core.targets import messages
 
-# How far the host list may lag. A list read within this time after a restart
-# was learned may still mean the process before it, and a `live` read within
-# this time after a `leaving` may come from an older copy.
+# A host list read within this time after a restart was detected may still
+# describe the previous process, and a `live` read within this time after a
+# `leaving` may come from an older copy of the list.
 MAX_LIST_LAG_S: Final = 30.0
 
-# The longest time from the first sign of leaving to the last new work is
-# the sum of these and of one round trip, which stays under 3 s.
+# The maximum time from the first signal of leaving to the last new request is
+# the sum of these and of one round trip, which is less than 3 s.
 PROBE_INTERVAL_S: Final = 1.0
 PROBE_TIMEOUT_S: Final = 1.0
 
 
 class ReportKey(NamedTuple):
-    """Order a target's own reports: process first, then report."""
+    """Order a target's own reports, by process and then by report."""
 
     started_epoch: float
     sequence: int
@@ -34,11 +34,12 @@
 class DrainState(NamedTuple):
     """Hold the evidence about one target; times are monotonic seconds.
 
-    `told`: the present process said that it leaves. `confirmed`: its newest
-    report said so too, so that a later one can take it back. `listed`: the
-    host list named it as leaving; `unlisted`: when the list took that back.
-    `renewed` and `cleared` are when a new process, or an end of leaving,
-    was learned.
+    `self_reported`: the current process reported that it is leaving.
+    `report_confirmed`: its newest health report said so too, so that a later
+    report can revoke it. `listed`: the host list has it as leaving.
+    `unlisted_at`: since when the list has it as live again. `marked`: an
+    operator marked it as leaving. `restarted_at` and `cleared_at` are when a
+    new process, or the end of leaving, was detected.
     """
 
     last_report: ReportKey | None = None
@@ -52,15 +53,15 @@
 
 
 def is_leaving(drain_state: DrainState) -> bool:
-    """Tell whether the target may get no new work."""
+    """Return whether the target must get no new requests."""
     return drain_state.self_reported or drain_state.listed or drain_state.marked
 
 
 def is_newer(drain_state: DrainState, health: messages.Health) -> bool:
-    """Tell whether a report is newer than all before it.
+    """Return whether a report is newer than all recorded ones.
 
-    Reports can overtake each other; an older one would also bring back
-    holdings that the target has dropped.
+    Reports can arrive out of order. An older one would also restore holdings
+    that the target has dropped.
     """
     return (
         drain_state.last_report is None
@@ -71,10 +72,11 @@
 def record_answer(
     drain_state: DrainState, state: messages.TargetState, sent_at: float
 ) -> DrainState:
-    """Take in the state in an answer or refusal to what was sent at `asked`.
+    """Record the state in the answer to a request that was sent at `sent_at`.
 
-    An answer has no stamp. One to a request from before the target came back
-    may be of the process before, and would take the new one out for good.
+    An answer doesn't identify its process. If the request was sent before the
+    target came back, the answer may be from the previous process and would
+    take the new one out of use until its next restart.
     """
     if state is not messages.TargetState.LEAVING:
         return drain_state
@@ -88,7 +90,7 @@
 def record_health(
     drain_state: DrainState, health: messages.Health, now: float
 ) -> DrainState:
-    """Take in the target's own report, unless an older one comes late."""
+    """Record a health report, unless it is older than the last one."""
     if not is_newer(drain_state, health):
         return drain_state
     last_report = drain_state.last_report
@@ -114,7 +116,7 @@
 def record_listing(
     drain_state: DrainState, *, leaving: bool, now: float
 ) -> DrainState:
-    """Take in a newly read host list that names the target."""
+    """Record whether a newly read host list has the target as leaving."""
     if not leaving:
         return drain_state._replace(
             unlisted_at=min(drain_state.unlisted_at, now)
@@ -127,11 +129,11 @@
 def record_mark(
     drain_state: DrainState, *, marked: bool, now: float
 ) -> DrainState:
-    """Take in the operator's mark of a newly accepted configuration.
+    """Record whether a new configuration marks the target as leaving.
 
-    Taking a mark off is an operator's word that the target is live, and ends
-    all evidence from before. It also frees a target whose clock went back
-    between two processes, so that its reports look old.
+    Removing the mark is the operator's statement that the target is live, and
+    discards all earlier evidence. It also brings back a target whose clock was
+    set back between two processes, so that its reports seem old.
     """
     if drain_state.marked and not marked:
         return DrainState(restarted_at=now, cleared_at=now)
@@ -143,9 +145,10 @@
 
 
 def _clear_leaving(drain_state: DrainState, now: float) -> DrainState:
-    # `live` ends only what is known to be older than it. A report that said
-    # `leaving` is; an answer is not, for it may have overtaken a report that
-    # lags. A listing is when the list has long taken it back as well.
+    # A `live` report revokes only evidence that is surely older: an earlier
+    # `leaving` report is; an answer is not, because it may have overtaken a
+    # report that lags. A listing is older if the list itself has had the
+    # target as live for longer than it may lag.
     if drain_state.self_reported and drain_state.report_confirmed:
         drain_state = drain_state._replace(
             self_reported=False, report_confirmed=False, cleared_at=now
--- a/fuchsiahaven/core/targets/ejections.py
+++ b/fuchsiahaven/core/targets/ejections.py
@@ -1,4 +1,4 @@
-"""Judge by its record whether a target is left out for a while."""
+"""Decide by its recent failures whether a target is ejected for a while."""
 
 from typing import Final, NamedTuple
 
@@ -6,17 +6,18 @@
 EJECTION_THRESHOLD: Final = 3.0
 MIN_EJECTION_S: Final = 1.0
 MAX_EJECTION_S: Final = 30.0
-# Each answer leaves this part of the failures: a target that fails once in a
-# while, or is late under an overload, still answers most of the time.
+# Each answer multiplies the failures by this: a target that fails now and
+# then, or is late under an overload, still answers most requests.
 ANSWER_DECAY_FACTOR: Final = 0.7
 
 
 class FailureRecord(NamedTuple):
-    """Hold the decayed misdeeds of one target, and its ejection.
+    """Hold the decayed failures and refusals of one target, and its ejection.
 
-    `until` is 0 while the target is in use; once that time has passed
-    the target is on trial until it answers. It is vouched for once it has
-    answered a probe on trial.
+    `ejected_until` is 0 while the target is in use; after that time the target
+    is on trial until it answers. `probe_answered` is whether it has answered a
+    probe while on trial. `ejections` counts them since the record was last
+    clean; each lasts twice as long as the one before, up to the maximum.
     """
 
     failures: float = 0.0
@@ -37,7 +38,7 @@
     failures: int = 0,
     refusals: int = 0,
 ) -> FailureRecord:
-    """Note failures or refusals."""
+    """Record failures or refusals."""
     decay = _decay(record, now)
     return FailureRecord(
         record.failures * decay + failures,
@@ -49,10 +50,10 @@
 
 
 def record_answer(record: FailureRecord, now: float) -> FailureRecord:
-    """Take in an answer: end a trial, or forgive a part."""
+    """Record an answer: end a trial, or reduce the failures."""
     if record.ejected_until:
         if now < record.ejected_until:
-            # An answer from before the ejection proves nothing.
+            # The answer is to a request from before the ejection.
             return record
         return FailureRecord(updated_at=now, ejections=record.ejections)
     if now - record.updated_at > MAX_EJECTION_S:
@@ -64,19 +65,19 @@
 
 
 def record_probe(record: FailureRecord, now: float) -> FailureRecord:
-    """Take in the answer to a probe."""
+    """Record the answer to a probe."""
     if not record.ejected_until or now < record.ejected_until:
         return record
     return record._replace(probe_answered=True)
 
 
 def compute_penalty(record: FailureRecord, now: float) -> float:
-    """Weigh what a target has done lately; 0 for nothing."""
+    """Return the decayed sum of failures and refusals; 0 for none."""
     return (record.failures + record.refusals) * _decay(record, now)
 
 
 def is_failing(record: FailureRecord, now: float) -> bool:
-    """Tell whether a target in use has failed too often lately."""
+    """Return whether a target that isn't ejected now has failed too often."""
     if record is NO_FAILURES or now < record.ejected_until:
         return False
     if record.ejected_until:
@@ -86,7 +87,7 @@
 
 
 def eject(record: FailureRecord, now: float) -> FailureRecord:
-    """Leave a target out, each time for twice as long."""
+    """Eject a target, each time for twice as long."""
     duration_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**record.ejections)
     return record._replace(
         ejections=record.ejections + 1,
--- a/fuchsiahaven/core/targets/grants.py
+++ b/fuchsiahaven/core/targets/grants.py
@@ -1,22 +1,22 @@
-"""Hold back the growth of a host's seats until all hosts see the same deal.
+"""Delay an increase of a host's connections until all hosts allocate alike.
 
-While members change, hosts count on different deals for as long as the news
-travels. One that took its new seats at once would add them to those which
-their former holders still use, and the target closes the connections past
-its cap. So seats are given up at once and taken after the news has arrived.
+While a change of members spreads, hosts work with different allocations. A
+host that used its additional connections at once would open them while their
+former holders still use them, and the target closes those beyond its maximum.
+So connections are given up at once, and added after the change has spread.
 """
 
 import math
 from typing import Final, NamedTuple
 
-#: How long news of a member takes to reach all of a data centre at most.
+#: Maximum time for a change of members to reach all hosts of a data centre.
 SETTLE_DELAY_S: Final = 3.0
 
 
 class Grant(NamedTuple):
-    """Hold the seats a host may use at a target, and those it is dealt.
+    """Hold the connections a host may use to a target, and its allocation.
 
-    `due` is when the one becomes the other.
+    `due` is when `connections` is raised to `allocated`, in monotonic seconds.
     """
 
     connections: int
@@ -25,9 +25,10 @@
 
 
 def update_allocation(grant: Grant | None, allocated: int, now: float) -> Grant:
-    """Take in a new deal; one seat of a first one comes from the reserve.
+    """Update the allocation; lower the connections at once, raise them later.
 
-    A new host would else serve nothing until its deal has settled.
+    The first allocation grants one connection at once, from the target's
+    reserve: otherwise a new host would serve nothing until the delay is over.
     """
     if grant is None:
         grant = Grant(min(1, allocated), min(1, allocated))
@@ -39,7 +40,7 @@
 
 
 def raise_if_due(grant: Grant, now: float) -> Grant:
-    """Grow to what was dealt once it has stood long enough."""
+    """Raise the connections to the allocation if the delay is over."""
     if now < grant.due:
         return grant
     return Grant(grant.allocated, grant.allocated)
--- a/fuchsiahaven/core/targets/limits.py
+++ b/fuchsiahaven/core/targets/limits.py
@@ -1,26 +1,27 @@
-"""Limit what is in flight to each target, adaptively, within its seats."""
+"""Limit the requests in flight to each target, within its connections."""
 
 from typing import Final, NamedTuple
 
-# A cut within this time of the last belongs to the same burst.
+# Sheds within this time of the last cut belong to the same burst.
 MIN_CUT_INTERVAL_S: Final = 0.05
 SHED_CUT_FACTOR: Final = 0.7
 LATENCY_CUT_FACTOR: Final = 0.9
-# A smoothed latency beyond this many times the quiet one means queueing.
+# A smoothed latency above this multiple of the baseline means queueing.
 MAX_LATENCY_RATIO: Final = 2.5
-# The quiet latency follows a target that became slower for good, by this
-# part of itself for each answer.
+# The baseline latency rises by this fraction for each answer, to follow a
+# target that became slower permanently.
 BASELINE_DRIFT_FRACTION: Final = 0.002
-# A target that says when to come back is believed up to this.
+# Limit on the pause that a target requests with its retry-after.
 MAX_PAUSE_S: Final = 1.0
 RAMP_UP_S: Final = 10.0
 
 
 class Limit(NamedTuple):
-    """Hold the in-flight limit of one target.
+    """Hold the in-flight limit of one target; times are monotonic seconds.
 
-    `quiet` is the latency without queueing, 0 where it is not known;
-    `cold_since` starts the ramp; before `resume_at` nothing may be sent.
+    `connections` is the number that this host may open. `baseline_latency` is
+    the latency without queueing, 0 if it is not measured. The ramp starts at
+    `cold_since`. Nothing may be sent before `resume_at`.
     """
 
     value: float
@@ -32,14 +33,14 @@
 
 
 def make_limit(connections: int, cold_since: float = -RAMP_UP_S) -> Limit:
-    """Start at the seats; the ramp holds a cold target back."""
+    """Return a limit equal to the connections; a cold target is ramped up."""
     return Limit(float(max(1, connections)), connections, cold_since=cold_since)
 
 
 def update_connections(limit: Limit, connections: int) -> Limit:
-    """Take in a new deal of seats; the limit never exceeds them.
+    """Update the connections; the limit never exceeds them.
 
-    A limit that was never cut follows the seats upwards as well.
+    A limit that equals the connections is raised with them.
     """
     if connections == limit.connections:
         return limit
@@ -50,12 +51,12 @@
 
 
 def record_cold(limit: Limit, now: float) -> Limit:
-    """Start the ramp again for a target that restarted or says it is cold."""
+    """Restart the ramp for a target that restarted or reports it is cold."""
     return limit._replace(cold_since=now, baseline_latency=0.0)
 
 
 def may_send(limit: Limit, in_flight: int, now: float) -> bool:
-    """Tell whether one more sub-request may go to the target."""
+    """Return whether one more sub-request may be sent to the target."""
     if in_flight >= limit.connections or now < limit.resume_at:
         return False
     if not in_flight:
@@ -70,11 +71,12 @@
 def record_answer(
     limit: Limit, in_flight: int, latency: float, now: float
 ) -> Limit:
-    """Grow by about one per round of answers; cut where latency shows a queue.
+    """Raise the limit after an answer, or cut it if the latency shows a queue.
 
-    `latency` is the smoothed one of `routes`, in which a single slow answer
-    weighs little; `in_flight` counts the answered sub-request too. A limit
-    that was not reached is not raised: nothing was learned about it.
+    The limit grows by about one for each round of answers. `latency` is the
+    smoothed one of `target_stats`, in seconds, in which a single slow answer
+    has little weight. `in_flight` includes the answered sub-request. A limit
+    that was not reached is not raised, because it was not tested.
     """
     value, connections, baseline, cold_since, cut_at, resume_at = limit
     baseline = (
@@ -94,7 +96,7 @@
 def record_shed(
     limit: Limit, now: float, retry_after: float | None = None
 ) -> Limit:
-    """Cut the limit once per burst, and pause where it is at its least."""
+    """Cut the limit once per burst; at the minimum, pause for `retry_after`."""
     value, cut_at, resume_at = limit.value, limit.cut_at, limit.resume_at
     if value <= 1 and retry_after:
         resume_at = now + min(retry_after, MAX_PAUSE_S)
--- a/fuchsiahaven/core/targets/messages.py
+++ b/fuchsiahaven/core/targets/messages.py
@@ -1,8 +1,8 @@
-"""Define the messages between the decisions and the edge.
+"""Define the events and actions that the edge exchanges with the dispatch.
 
-The edge turns bytes into events; `dispatch.handle(state, event, now)` turns
-events into actions; the edge turns actions into bytes. Times are seconds on
-the host's monotonic clock, except where a name ends in `_epoch`.
+The edge decodes bytes into events, `dispatch.handle_event(state, event, now)`
+returns actions for them, and the edge performs the actions. Times are seconds
+on the host's monotonic clock, except where a name ends in `_epoch`.
 """
 
 import enum
@@ -17,8 +17,9 @@
 class Query(NamedTuple):
     """Hold one validated request of a caller.
 
-    Where callers need keys it was `admitted`, of a `customer` unless its class
-    is public; the customer's `priority` goes before that of the class.
+    `admitted` means that it passed the key check, if callers need keys.
+    `customer` is empty if the class is public. `priority` is the customer's and
+    overrides that of the class.
     """
 
     request_id: str
@@ -33,9 +34,9 @@
 
 
 class Answer(NamedTuple):
-    """Hold the one answer to a query: rows, snapshots, coverage.
+    """Hold the answer to a query: rows, snapshots, coverage.
 
-    `snapshots` maps each group to the one snapshot its rows come from.
+    `snapshots` maps each group to the snapshot that its rows come from.
     """
 
     request_id: str
@@ -46,7 +47,7 @@
 
 
 class PartKey(NamedTuple):
-    """Identify one sub-request: query, group, shard and attempt."""
+    """Identify one sub-request: run, group, shard and attempt."""
 
     run_number: int
     group: str
@@ -55,11 +56,11 @@
 
 
 class PartRequest(NamedTuple):
-    """Hold what one searcher is asked.
+    """Hold one sub-request to a searcher.
 
     `not_after_epoch` is the wall-clock time after which the searcher must
-    refuse to start, so that a sender that was paused can do no harm.
-    `customer` is empty where none is known.
+    refuse to start, in case the sender was paused before it sent the request.
+    `customer` is empty if there is none.
     """
 
     request_id: str
@@ -76,7 +77,7 @@
 
 
 class Load(NamedTuple):
-    """Hold a searcher's own report of its load, which may lag or mislead."""
+    """Hold a searcher's own report of its load, which may lag or be wrong."""
 
     in_flight: int
     queued: int
@@ -84,7 +85,7 @@
 
 
 class TargetState(enum.StrEnum):
-    """Say what a searcher says of itself."""
+    """List the states that a searcher reports of itself."""
 
     LIVE = 'live'
     COLD = 'cold'
@@ -92,11 +93,11 @@
 
 
 class Health(NamedTuple):
-    """Hold one health report; `sequence` grows over a target's life.
+    """Hold one health report; `sequence` increases while a process runs.
 
-    `started_epoch` tells a restarted target from its predecessor, so that
-    newer evidence can end a state that older reports cannot. `version`, where
-    a target tells one, changes whenever its state or its holdings do.
+    `started_epoch` distinguishes a restarted target from the previous process,
+    so that older reports can't override newer ones. `version`, if the target
+    reports one, changes whenever its state or its holdings do.
     """
 
     name: str
@@ -109,16 +110,16 @@
 
 
 class QuerySubmitted(NamedTuple):
-    """Bring one query in; `token` names who waits for the reply."""
+    """Deliver one query; `token` identifies the caller that gets the reply."""
 
     token: int
     query: Query
 
 
 class PartAnswered(NamedTuple):
-    """Bring a checked answer of one searcher.
+    """Deliver a validated answer of one searcher.
 
-    `health_version` is that of the health report it would give just now.
+    `health_version` is the version of the searcher's current health report.
     """
 
     part: PartKey
@@ -130,7 +131,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """List why a searcher refused without running."""
+    """List why a searcher refuses a sub-request without running it."""
 
     SHED = 'shed'
     COLD = 'cold'
@@ -142,7 +143,11 @@
 
 
 class PartRefused(NamedTuple):
-    """Bring a refusal: not run, but for one given up after its start."""
+    """Deliver a refusal.
+
+    The sub-request was not run, unless `may_have_run`: it was cancelled after
+    its start.
+    """
 
     part: PartKey
     target: str
@@ -152,7 +157,7 @@
 
 
 class Fault(enum.StrEnum):
-    """List how a sub-request can break with an unknown outcome."""
+    """List how a sub-request can fail with unknown outcome."""
 
     CONNECTION_LOST = 'connection_lost'
     MISMATCHED = 'mismatched'
@@ -162,7 +167,7 @@
 
 
 class PartFailed(NamedTuple):
-    """Bring a fault after the first byte was sent: outcome unknown."""
+    """Deliver a fault after the first byte was sent: the outcome is unknown."""
 
     part: PartKey
     target: str
@@ -170,9 +175,9 @@
 
 
 class TargetChecked(NamedTuple):
-    """Tell whether a target has ended: its port is closed.
+    """Report whether a target has exited, that is, whether its port is closed.
 
-    It follows a lost connection that carried a sub-request.
+    It follows the loss of a connection that carried a sub-request.
     """
 
     target: str
@@ -180,30 +185,30 @@
 
 
 class ConfigurationReceived(NamedTuple):
-    """Bring a configuration in force; lower revisions are ignored."""
+    """Deliver a configuration in force; lower revisions are ignored."""
 
     configuration: configurations.Configuration
 
 
 class TargetProbed(NamedTuple):
-    """Bring a health report, or None where the target did not answer."""
+    """Deliver a health report, or None if the target did not answer."""
 
     target: str
     health: Health | None
 
 
 class HostListRead(NamedTuple):
-    """Bring the platform's host list: target name to live or leaving."""
+    """Deliver the names of leaving and live targets in the host list."""
 
     leaving: frozenset[str]
     live: frozenset[str]
 
 
 class MembersChanged(NamedTuple):
-    """Bring the hosts of the own data centre, this one included.
+    """Deliver the hosts of the own data centre, including this one.
 
-    A host that leaves is one of them until it has ended. `own` is the name
-    of this one.
+    A leaving host is included until it has exited. `own_name` is the name of
+    this host.
     """
 
     hosts: tuple[str, ...]
@@ -211,7 +216,7 @@
 
 
 class ConnectionsChanged(NamedTuple):
-    """Bring how many connections to a target are open and idle."""
+    """Deliver how many connections to a target are open and idle."""
 
     target: str
     opened: int
@@ -219,7 +224,7 @@
 
 
 class ClaimResult(enum.StrEnum):
-    """List how a claim can settle."""
+    """List the results of a claim."""
 
     GRANTED = 'granted'
     HELD = 'held'
@@ -228,17 +233,19 @@
 
 
 class ClaimSettled(NamedTuple):
-    """Bring the result of a claim.
-
-    GRANTED: this attempt alone may send until `not_after_epoch`. HELD: the
-    id was claimed before, and that attempt may start until its own
-    `not_after_epoch`; `outcome` is its recorded answer as JSON text, or None
-    where none is kept; `done` says that it ran to its end nevertheless, and
-    `over` that it can no longer start.
-    UNAVAILABLE: this attempt was not run and must not be sent; where
-    `maybe_written`, the claim may stand all the same, and asking again with
-    this id may then find an unknown outcome. `detail` says why, for people.
-    EXPIRED: not run; where `over`, an earlier attempt may have run.
+    """Deliver the result of a claim.
+
+    GRANTED: only this attempt may be sent, until `not_after_epoch`.
+    HELD: the id was claimed before, and that attempt may start until its own
+    `not_after_epoch`. `outcome` is its recorded answer as JSON text, or None
+    if there is none. `completed` means that it ran to completion even without
+    a recorded answer, `start_expired` that it can't start any more.
+    UNAVAILABLE: this attempt was not run and must not be sent. If
+    `maybe_written`, the claim may have been recorded all the same, and a
+    repeated request with this id may get an unknown outcome. `detail` is a
+    human-readable reason.
+    EXPIRED: this attempt was not run. If `start_expired`, an earlier attempt
+    may have run.
     """
 
     token: int
@@ -253,15 +260,15 @@
 
 
 class Tick(NamedTuple):
-    """Bring the passing of time."""
+    """Let timers fire that are due."""
 
 
 class StopRequested(NamedTuple):
-    """Ask for a planned stop."""
+    """Request a planned stop."""
 
 
 class Send(NamedTuple):
-    """Ask the edge to send one sub-request."""
+    """Send one sub-request."""
 
     part: PartKey
     target: configurations.Target
@@ -269,27 +276,27 @@
 
 
 class Cancel(NamedTuple):
-    """Ask the edge to cancel a sub-request whose answer is not needed."""
+    """Cancel a sub-request whose answer is not needed any more."""
 
     part: PartKey
     target: str
 
 
 class Probe(NamedTuple):
-    """Ask the edge for one health report."""
+    """Request one health report."""
 
     target: configurations.Target
 
 
 class LimitConnections(NamedTuple):
-    """Tell the edge how many connections it may open to a target."""
+    """Set how many connections may be open to a target."""
 
     target: configurations.Target
     connections: int
 
 
 class Claim(NamedTuple):
-    """Ask for the right to run an at-most-once request."""
+    """Claim the right to run an at-most-once request."""
 
     token: int
     request_id: str
@@ -297,26 +304,26 @@
 
 
 class RecordOutcome(NamedTuple):
-    """Ask that the outcome be kept beside its claim, as JSON text."""
+    """Record the outcome with its claim, as JSON text."""
 
     request_id: str
     outcome: str
 
 
 class ReleaseClaim(NamedTuple):
-    """Ask that a granted claim be given back, so that the id can run.
+    """Release a granted claim, so that the id can be used again.
 
     Only for an attempt that ran on no searcher and never will: nothing was
-    sent, or every searcher that was asked refused without running.
+    sent, or every searcher refused it without running it.
     """
 
     request_id: str
 
 
 class Reply(NamedTuple):
-    """Give a caller its one answer or failure.
+    """Send a caller its one answer or failure.
 
-    `replayed` marks the recorded outcome of an earlier request of this id.
+    `replayed` marks the recorded outcome of an earlier request with this id.
     """
 
     token: int
--- a/fuchsiahaven/core/targets/target_stats.py
+++ b/fuchsiahaven/core/targets/target_stats.py
@@ -1,7 +1,7 @@
-"""Choose the replica of each sub-request by what this host itself measured.
+"""Measure each target, and select the replica of each sub-request by it.
 
-Every function here runs once or more for each of a query's sub-requests, so
-the state is a narrow tuple and a step costs about a microsecond.
+Every function here runs at least once for each sub-request of a query, so the
+state is a short tuple and a call takes about a microsecond.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,28 +10,28 @@
 from fuchsiahaven.core.targets import ejections, messages
 
 LATENCY_WEIGHT: Final = 0.2
-# One random slow answer must not condemn a target, so a sample counts at most
-# this many times the estimate; a real straggler still climbs by 60 % a sample.
+# A sample counts as at most this multiple of the estimate, so that one slow
+# answer changes it little; that of a slow target still rises by 60 % a sample.
 MAX_SAMPLE_RATIO: Final = 4.0
-# An estimate fades by half when nothing is heard for so many seconds, and the
-# next sample weighs the more: a target that was avoided is tried again, and one
-# that recovered is believed after a sample or two.
+# Without samples for this time, an estimate is halved and the next sample has
+# more weight: a target that was avoided is tried again, and one that recovered
+# has the right estimate after one or two samples.
 ESTIMATE_HALF_LIFE_S: Final = 3.0
-# What an unmeasured target is taken to need: little, so that it gets measured.
+# Low, so that an unmeasured target is selected and measured.
 UNMEASURED_LATENCY_S: Final = 0.001
 
-# More ejections at once than this point to a fault of the network or of this
-# host, and would drive the load onto too few targets.
+# More ejections at a time indicate a fault of the network or of this host, and
+# would move the load to too few targets.
 MAX_EJECTED_FRACTION: Final = 0.2
 
-# A load report may add at most half of the target's own estimate, and nothing
-# once it is this old: reports lag, and some targets report nonsense.
+# A load report adds at most half of the target's latency estimate, and nothing
+# once it is older than the fade time: reports lag, and some are wrong.
 LOAD_WEIGHT: Final = 0.5
 LOAD_FADE_S: Final = 2.0
 
 
 class LoadHint(NamedTuple):
-    """Hold a load report as a pressure from 0 to 1 and when it came."""
+    """Hold a load report as a pressure from 0 to 1, and when it arrived."""
 
     pressure: float
     reported_at: float
@@ -41,9 +41,10 @@
 
 
 class TargetStats(NamedTuple):
-    """Hold what this host measured of one target.
+    """Hold what this host has measured of one target.
 
     `latency` is smoothed, in seconds; 0 means that it was never measured.
+    `measured_at` is the time of its last sample.
     """
 
     in_flight: int = 0
@@ -66,11 +67,11 @@
     *,
     allow_trials: bool = True,
 ) -> str | None:
-    """Pick the better of two drawn replicas, or None where there is none.
+    """Select the better of two random replicas; None if there is none.
 
-    An ejected replica is picked only where no other is left, because the last
-    replica of a shard is better than none. Without `trials`, one on trial
-    has to be vouched for as well.
+    An ejected replica is selected only if there is no other, because the last
+    replica of a shard is better than none. Unless `allow_trials`, a replica on
+    trial must have answered a probe.
     """
     usable = [
         name
@@ -93,7 +94,7 @@
 
 
 def estimate_cost(stats: TargetStats, now: float, connect_s: float) -> float:
-    """Estimate the seconds until this target would answer one more request."""
+    """Estimate the seconds until the target would answer one more request."""
     latency = stats.latency or UNMEASURED_LATENCY_S
     latency /= 1 + (now - stats.measured_at) / ESTIMATE_HALF_LIFE_S
     cost = latency * (stats.in_flight + 1)
@@ -109,7 +110,7 @@
 
 
 def record_sent(stats: TargetStats) -> TargetStats:
-    """Count one more sub-request in flight on a connection of its own."""
+    """Record that a sub-request was sent, on a connection of its own."""
     (
         in_flight,
         latency,
@@ -131,7 +132,7 @@
 def record_answer(
     stats: TargetStats, now: float, elapsed: float
 ) -> TargetStats:
-    """Take in one answer; it ends a trial."""
+    """Record an answer after `elapsed` seconds; it ends a trial."""
     failure_record = stats.failure_record
     if failure_record is not ejections.NO_FAILURES:
         failure_record = ejections.record_answer(failure_record, now)
@@ -148,7 +149,7 @@
 def record_refusal(
     stats: TargetStats, now: float, reason: messages.RefusalReason
 ) -> TargetStats:
-    """Take in a refusal; only what tells of the target counts against it."""
+    """Record a refusal; only some reasons count against the target."""
     failure_record = stats.failure_record
     match reason:
         case messages.RefusalReason.SHED | messages.RefusalReason.COLD:
@@ -160,14 +161,15 @@
                 failure_record, now, failures=1
             )
         case _:
-            # Leaving, a lost snapshot or a passed deadline is no fault.
+            # Leaving, a lost snapshot or a passed deadline is not a fault of
+            # the target.
             pass
     in_flight = max(0, stats.in_flight - 1)
     return stats._replace(in_flight=in_flight, failure_record=failure_record)
 
 
 def record_fault(stats: TargetStats, now: float) -> TargetStats:
-    """Take in a fault that left the outcome unknown."""
+    """Record a fault that left the outcome unknown."""
     failure_record = ejections.record_failures(
         stats.failure_record, now, failures=1
     )
@@ -179,11 +181,12 @@
 def record_cancelled(
     stats: TargetStats, now: float, elapsed: float
 ) -> TargetStats:
-    """Take in that a sub-request was cancelled after `elapsed` seconds.
+    """Record that a sub-request was cancelled after `elapsed` seconds.
 
-    A straggler that is always hedged and cancelled would never be measured
-    and would look as fast as before; so the time it has used up counts as a
-    sample where it exceeds the estimate. It is in flight until it ends.
+    A slow target whose sub-requests are all hedged and cancelled would never
+    be measured and would keep its old estimate. So the elapsed time counts as
+    a sample if it exceeds the estimate. The sub-request is in flight until it
+    ends.
     """
     if elapsed <= stats.latency:
         return stats
@@ -195,10 +198,10 @@
 def record_overdue(
     stats: TargetStats, now: float, elapsed: float
 ) -> TargetStats:
-    """Take in that a sub-request was not answered by its deadline.
+    """Record that a sub-request was not answered by its deadline.
 
-    A frozen target accepts everything and answers nothing: nothing breaks,
-    and only the time that passes tells.
+    A frozen target accepts every sub-request and answers none: no connection
+    breaks, and only the deadline reveals the failure.
     """
     failure_record = ejections.record_failures(
         stats.failure_record, now, failures=1
@@ -209,15 +212,15 @@
 
 
 def record_cancelled_end(stats: TargetStats) -> TargetStats:
-    """Count a cancelled sub-request out."""
+    """Record the end of a cancelled sub-request."""
     return stats._replace(in_flight=max(0, stats.in_flight - 1))
 
 
 def record_probe(stats: TargetStats, now: float) -> TargetStats:
-    """Take in that the target answered a probe.
+    """Record that the target answered a probe.
 
-    A group that runs each request at most once has no others for a trial:
-    without a probe its ejected targets would never return.
+    At-most-once requests are not sent as trials. Without probes, a group that
+    gets no other requests would never use its ejected targets again.
     """
     return stats._replace(
         failure_record=ejections.record_probe(stats.failure_record, now)
@@ -227,10 +230,10 @@
 def record_connections(
     stats: TargetStats, open_connections: int
 ) -> TargetStats:
-    """Take in how many connections are open.
+    """Record how many connections are open.
 
-    One of them is idle where fewer sub-requests are in flight: a count of
-    idle ones would have to be told of each exchange.
+    A connection is idle if fewer sub-requests are in flight: a count of idle
+    connections would have to be updated for each exchange.
     """
     return stats._replace(open_connections=open_connections)
 
@@ -238,7 +241,7 @@
 def record_load(
     stats: TargetStats, load: messages.Load, now: float
 ) -> TargetStats:
-    """Keep a load report as a hint."""
+    """Record a load report as a hint."""
     work = load.in_flight + load.queued
     pressure = min(1.0, work / max(1, load.slots) / 2)
     return stats._replace(load_hint=LoadHint(pressure, now))
@@ -253,9 +256,9 @@
 ) -> TargetStats:
     """Eject a failing target unless that would leave too few.
 
-    `replicas` hold the same shard, `members` are all targets of the group. A
-    target that may not be ejected is returned as it is: its record still
-    makes it dear, so the other replicas come first.
+    `replicas` hold the same shard, `members` are all targets of the group. The
+    stats of a target that may not be ejected are returned unchanged: its
+    failures still raise its cost, so that other replicas are preferred.
     """
     target_stats = stats.get(target, NO_STATS)
     if not ejections.is_failing(target_stats.failure_record, now):
@@ -278,10 +281,10 @@
     failure_record = stats.failure_record
     if not failure_record.ejected_until:
         return True
-    # A trial is one sub-request at a time.
-    may_send = allow_trials or failure_record.probe_answered
+    # A target on trial gets one sub-request at a time.
+    allowed = allow_trials or failure_record.probe_answered
     return (
-        may_send and now >= failure_record.ejected_until and not stats.in_flight
+        allowed and now >= failure_record.ejected_until and not stats.in_flight
     )
 
 
