--- a/fuchsiahaven/core/queries/admission.py
+++ b/fuchsiahaven/core/queries/admission.py
@@ -1,8 +1,8 @@
-"""Admit queries by deadline and priority; refuse early and truthfully.
+"""Admit queries by deadline and priority; refuse early those that are late.
 
-One `Admission` stands for the groups that a class of request reaches: what
-is short is the searchers' time, and classes that reach other groups do not
-use it. Whatever is refused here was never sent to a searcher.
+There is one `Admission` for each set of groups that a class of request
+reaches. The scarce resource is the searchers' time, and classes that reach
+other groups don't use it. No query refused here was sent to a searcher.
 """
 
 from collections.abc import Mapping
@@ -13,10 +13,10 @@
 from fuchsiahaven.core.queries import queues
 
 SOURCE: Final = 'admission'
-# A query may spend this share of its time in the queue. A longer queue starts
-# queries that have too little time left to finish, and starts no more of them.
+# With a longer queue, more of the queries that start have too little time left
+# to finish, and no more queries start overall.
 MAX_QUEUE_WAIT_FRACTION: Final = 0.5
-# A query is taken to run as long as the mean and so many mean deviations.
+# The estimated run time is the mean plus this many mean deviations.
 RUN_TIME_DEVIATIONS: Final = 2.0
 RUN_TIME_WEIGHT: Final = 0.1
 FINISH_INTERVAL_WEIGHT: Final = 0.1
@@ -25,30 +25,33 @@
 MIN_WINDOW: Final = 0.1
 MAX_WINDOW: Final = 1024.0
 WINDOW_CUT_FACTOR: Final = 0.8
-# Growth for each window's worth of finishes: fixed, and as a part of it. A
-# faster growth spent most of its time over the limit, with parts shed.
+# Growth for each full window of finished queries: a fixed amount, and a
+# fraction of the window. A faster growth kept the window above the limit most
+# of the time, with parts shed.
 WINDOW_GROWTH: Final = 0.05
 WINDOW_GROWTH_FRACTION: Final = 0.02
-# Below this share of parts shed, single targets are at fault, not the load.
+# If fewer parts are shed, single targets are the cause and not the load.
 MAX_SHED_FRACTION: Final = 0.05
 MIN_RETRY_AFTER_S: Final = 0.01
-# `start` is called for each event of the host, thousands of times a second.
+# `start_queued` is called for each event of the host, thousands of times per
+# second.
 EXPIRY_INTERVAL_S: Final = 0.005
 
 
 class RunTime(NamedTuple):
-    """Hold how long queries of one class run: mean and mean deviation."""
+    """Hold the mean run time of a class and its mean deviation, in seconds."""
 
     mean: float
     deviation: float
 
 
 class Admission(NamedTuple):
-    """Hold what runs, what waits, and how fast queries finish.
+    """Hold the running and queued queries, and how fast queries finish.
 
-    `window` is how many queries may run at once; below 1, starts are spaced
-    out. `gap_s` is the smoothed time between two finishes while others wait.
-    `cut` is when the window last shrank, 0 for never.
+    `window` is how many queries may run at once; below 1, one runs at a time
+    and starts are spaced out. `finish_interval_s` is the smoothed time between
+    two finishes while queries are queued. `window_cut_at` is when the window
+    was last reduced, 0 for never.
     """
 
     queue: queues.Queue = queues.EMPTY
@@ -64,7 +67,7 @@
 
 
 class Refusal(NamedTuple):
-    """Name one query that will not run, and what to tell its caller."""
+    """Hold the token of a query that will not run, and the failure to send."""
 
     token: int
     failure: errors.Failure
@@ -82,17 +85,17 @@
 
 
 def count_queued(admission: Admission) -> int:
-    """Count the queries that wait."""
+    """Count the queued queries."""
     return queues.count_entries(admission.queue)
 
 
 def is_idle(admission: Admission) -> bool:
-    """Tell whether nothing runs or waits."""
+    """Return whether no query is running or queued."""
     return not admission.running and not count_queued(admission)
 
 
 def is_overloaded(parts: int, shed: int) -> bool:
-    """Tell whether so many shed parts of a query show an overload."""
+    """Return whether this many shed parts of a query indicate an overload."""
     return shed > parts * MAX_SHED_FRACTION
 
 
@@ -115,7 +118,7 @@
 
 
 def start_queued(admission: Admission, now: float) -> Step:
-    """Start what the window has room for; drop what is too late."""
+    """Start queued queries within the window; refuse those that are late."""
     if now - admission.last_expiry_at < EXPIRY_INTERVAL_S and not _has_room(
         admission, now
     ):
@@ -133,14 +136,17 @@
 
 
 def find_next_start(admission: Admission) -> float | None:
-    """Return when a spaced start falls due; None where a finish starts it."""
+    """Return when the next query may start.
+
+    None if no query is queued, or if the next start follows a finish.
+    """
     if admission.running or not count_queued(admission):
         return None
     return _compute_start(admission)
 
 
 def expire_queued(admission: Admission, now: float) -> Step:
-    """Drop every waiting query that can no longer be answered in time."""
+    """Refuse every queued query that can't be answered in time any more."""
     remaining, expired = queues.remove_matching(
         admission.queue,
         lambda entry: _would_miss_deadline(admission, entry, now),
@@ -164,11 +170,11 @@
     overloaded: bool,
     class_name: str = '',
 ) -> Step:
-    """Take in that a query finished after `run_s`, and start the next.
+    """Record that a query finished after `run_s` seconds; start queued ones.
 
-    `strained` tells that the load was too much for the searchers; the window
-    then shrinks, at most once in the time that a query takes, because all
-    that run together meet the same overload.
+    If the searchers were `overloaded`, the window is reduced, at most once in
+    the mean run time of a query: queries that run together meet the same
+    overload.
     """
     interval_s = admission.finish_interval_s
     if count_queued(admission):
@@ -219,7 +225,7 @@
 
 def _grow(window: float, window_cut_at: float) -> float:
     if not window_cut_at:
-        # Nothing was ever shed: look for the limit fast.
+        # Until the first overload, grow fast to find the limit.
         return window + 1
     return window + (WINDOW_GROWTH + WINDOW_GROWTH_FRACTION * window) / max(
         1.0, window
@@ -227,11 +233,10 @@
 
 
 def _estimate_run(admission: Admission, entry: queues.Entry) -> float:
-    """Estimate how long a query would run, at most half of its time.
+    """Estimate how long a query would run, at most half of its time limit.
 
-    Without that bound a class whose queries once ran longer than their
-    deadline would be refused for ever, and nothing would correct the
-    estimate.
+    Without this bound, a class whose queries once ran past their deadline
+    would be refused for ever, and no query would run to correct the estimate.
     """
     run_time = admission.run_times.get(entry.class_name)
     if run_time is None:
--- a/fuchsiahaven/core/queries/budgets.py
+++ b/fuchsiahaven/core/queries/budgets.py
@@ -1,22 +1,23 @@
-"""Bound hedges and retries by a share of first tries.
+"""Limit hedges and retries to a fraction of first attempts.
 
-With F first tries in any stretch of time, at most `BURST + hedge_share * F`
-hedges and `BURST + (hedge_share + retry_share) * F` extra sub-requests leave
-for one class and group, however many of them fail: extra tries earn nothing.
+With F first attempts in any period, one class and group sends at most
+`MAX_TOKENS + hedge_share * F` hedges and
+`MAX_TOKENS + (hedge_share + retry_share) * F` hedges and retries, however
+many sub-requests fail: hedges and retries add no tokens.
 """
 
 from typing import Final, NamedTuple
 
-# Tokens that may be saved up: what a class may add at once after a quiet time.
-# With fewer, slow answers that come close together go unhedged.
+# The burst of extra sub-requests that a class may send after a quiet period.
+# With fewer tokens, slow answers that come close together are not hedged.
 MAX_TOKENS: Final = 30.0
 
 
 class Budget(NamedTuple):
     """Hold the tokens of one class and group.
 
-    Every extra sub-request takes one of `tokens`; a hedge also takes one of
-    `hedge_tokens`, so that hedges cannot use up what retries need.
+    Every hedge or retry takes one of `tokens`; a hedge also takes one of
+    `hedge_tokens`, so that hedges can't use up the tokens of retries.
     """
 
     hedge_share: float
@@ -26,7 +27,7 @@
 
 
 def deposit(budget: Budget, first_attempts: int = 1) -> Budget:
-    """Add the shares of so many first tries; extra tries add nothing."""
+    """Add the tokens for this many first attempts."""
     hedge_share, retry_share, tokens, hedge_tokens = budget
     return Budget(
         hedge_share,
@@ -37,7 +38,7 @@
 
 
 def withdraw_retry(budget: Budget) -> Budget | None:
-    """Take the token of one retry, or None where there is none."""
+    """Take the token for one retry; None if there is none."""
     hedge_share, retry_share, tokens, hedge_tokens = budget
     if tokens < 1:
         return None
@@ -45,7 +46,7 @@
 
 
 def withdraw_hedge(budget: Budget) -> Budget | None:
-    """Take the tokens of one hedge, or None where there are none."""
+    """Take the tokens for one hedge; None if there are too few."""
     hedge_share, retry_share, tokens, hedge_tokens = budget
     if tokens < 1 or hedge_tokens < 1:
         return None
--- a/fuchsiahaven/core/queries/crashes.py
+++ b/fuchsiahaven/core/queries/crashes.py
@@ -1,4 +1,4 @@
-"""Hold back queries under which targets end."""
+"""Hold back queries that crash the targets that run them."""
 
 import json
 from typing import Final
@@ -7,13 +7,13 @@
 from fuchsiahaven.core.queries import runs, states, tables
 from fuchsiahaven.core.targets import messages
 
-#: How long a part waits for word of its target, in seconds: a connection takes
-#: a round trip and what the target needs to accept it.
+#: How long a part whose connection was lost waits for the check of its target:
+#: a round trip and the time that the target needs to accept a connection.
 TARGET_CHECK_TIMEOUT_S: Final = 0.05
 
 
 def identify_query(query: messages.Query) -> request_identities.Identity:
-    """Name what a query asks for; it is the same under each request id."""
+    """Return the identity of a query's content, whatever its request id."""
     content = json.dumps([dict(query.terms), query.key], sort_keys=True)
     return request_identities.identify(query.class_name, content.encode())
 
@@ -21,7 +21,7 @@
 def get_permission(
     state: states.State, query: messages.Query, now: float
 ) -> suspects.SendPermission:
-    """Say how the parts of a query may be sent now."""
+    """Return how the parts of a query may be sent now."""
     is_single_attempt = isinstance(
         state.policy.attempts, policies.SingleAttempt
     )
@@ -37,7 +37,7 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Take in a part that was lost with its connection."""
+    """Record a part whose connection was lost, and set its check timer."""
     loss = tables.Loss(identify_query(run.query), event.part, sent_at, now)
     state.tables.losses.setdefault(event.target, []).append(loss)
     timer = tables.TargetCheckTimer(event.target, event.part)
@@ -47,7 +47,7 @@
 def handle_target_checked(
     state: states.State, event: messages.TargetChecked, now: float
 ) -> list[messages.PartKey]:
-    """Take in whether a target has ended; return what was lost there."""
+    """Record whether a target has exited; return the parts lost there."""
     losses = state.tables.losses.pop(event.target, [])
     suspect_requests = state.tables.suspects
     for loss in losses if event.exited else ():
@@ -67,7 +67,7 @@
 
 
 def expire_loss(state: states.State, timer: tables.TargetCheckTimer) -> bool:
-    """Take out a loss of whose target nobody has told; tell if there is one."""
+    """Remove a loss whose check timed out; return whether it was there."""
     losses = state.tables.losses.get(timer.target, [])
     expired = [loss for loss in losses if loss.part == timer.part]
     for loss in expired:
@@ -84,7 +84,7 @@
     actions: list[messages.Action],
     now: float,
 ) -> None:
-    """Take in that a part is sent as the one trial of its query."""
+    """Record that a part is sent as the only trial of its query."""
     for action in actions:
         if isinstance(action, messages.Send):
             identity = identify_query(run.query)
@@ -94,7 +94,7 @@
 def record_answer(
     state: states.State, run: runs.Run, part: messages.PartKey
 ) -> None:
-    """Take in that a target has run a part to its end."""
+    """Record that a target has run a part to completion."""
     if _has_crashes(state):
         identity = identify_query(run.query)
         suspect_requests = state.tables.suspects
@@ -104,7 +104,7 @@
 def end_trial(
     state: states.State, run: runs.Run, part: messages.PartKey
 ) -> None:
-    """Take in that an attempt has ended, in whatever way."""
+    """Record that an attempt has ended, whatever its result."""
     if _has_crashes(state):
         state.tables.suspects.end_trial(identify_query(run.query), part)
 
--- a/fuchsiahaven/core/queries/extra_attempts.py
+++ b/fuchsiahaven/core/queries/extra_attempts.py
@@ -1,4 +1,4 @@
-"""Send a part once more, within what first tries have earned."""
+"""Send hedges and retries within the budget of first attempts."""
 
 from typing import Final
 
@@ -14,17 +14,17 @@
 )
 from fuchsiahaven.core.targets import messages
 
-#: More attempts than this at one part point to something that no further
-#: attempt will mend.
+#: If a part still fails after this many attempts, another one won't help.
 MAX_ATTEMPTS: Final = 6
-#: Where 5 % of answers are slow, a first try and its hedge are both slow for
-#: one part in 400, which is one query in eight at fifty shards.
+#: For each part. With 5 % slow answers, the first attempt and its hedge are
+#: both slow for one part in 400, which is one query in eight at fifty shards.
 MAX_HEDGES: Final = 2
-#: How long a part that was shed waits for the budget, and at most twice that.
+#: Minimum delay of a scheduled retry; the maximum is twice that.
 RETRY_DELAY_S: Final = 0.02
-#: A timer may go off a little before its time.
+#: Tolerance for timers that fire a little early.
 MIN_ELAPSED_FRACTION: Final = 0.9
-#: What cost its target nothing, so that asking elsewhere adds no load.
+#: A failure for these reasons cost the target nothing, so that a retry on
+#: another target adds no load and takes no token.
 UNBUDGETED_REASONS: Final = frozenset(
     (
         coverage.Reason.UNREACHABLE,
@@ -37,7 +37,7 @@
 def record_first_attempts(
     state: states.State, run: runs.Run, now: float
 ) -> None:
-    """Add the first tries of a run to the budgets, and plan its hedges."""
+    """Add a run's first attempts to the budgets; schedule its hedges."""
     counts: dict[str, int] = {}
     for part_id in run.parts:
         counts[part_id.group] = counts.get(part_id.group, 0) + 1
@@ -58,7 +58,11 @@
     *,
     unbudgeted: bool,
 ) -> list[messages.Action] | None:
-    """Ask another replica; None where none is left or the budget is spent."""
+    """Retry a part on another replica.
+
+    None if no replica is left, the budget is spent, or the part had the
+    maximum of attempts.
+    """
     if isinstance(state.policy.attempts, policies.SingleAttempt):
         return None
     if run.parts[part_id].last_attempt - run.attempt_offset >= MAX_ATTEMPTS:
@@ -81,10 +85,10 @@
     part_id: runs.PartId,
     now: float,
 ) -> bool:
-    """Plan a later retry of a part that was shed; False where none may help.
+    """Schedule a retry of a shed part; return False if it may not be retried.
 
-    The budget bounds how many retries leave, not how long a part may wait
-    for one: giving it up at once would lose coverage in each burst.
+    The budget limits how many retries are sent, not how long a part may wait
+    for one: marking it as missing at once would lose coverage in each burst.
     """
     part = run.parts[part_id]
     if isinstance(state.policy.attempts, policies.SingleAttempt):
@@ -105,7 +109,7 @@
     part_id: runs.PartId,
     now: float,
 ) -> None:
-    """Have a part looked at again a little later."""
+    """Set a timer that retries a part after a jittered delay."""
     timer = tables.RetryTimer(run.number, part_id)
     states.set_timer(state, now + RETRY_DELAY_S * (1 + state.draw()), timer)
 
@@ -113,7 +117,7 @@
 def handle_hedge_timer(
     state: states.State, timer: tables.HedgeTimer, now: float
 ) -> list[messages.Action]:
-    """Ask a second replica for each part that takes longer than most."""
+    """Hedge each part of a group that is slower than the hedge delay."""
     run = state.tables.active_runs.get(timer.run_number)
     if run is None:
         return []
@@ -165,7 +169,9 @@
 def _is_slow(part: runs.Part, timer: tables.HedgeTimer, now: float) -> bool:
     if not 1 <= len(part.in_flight) <= MAX_HEDGES:
         return False
-    return now - part.in_flight[-1].sent >= timer.delay_s * MIN_ELAPSED_FRACTION
+    return (
+        now - part.in_flight[-1].sent_at >= timer.delay_s * MIN_ELAPSED_FRACTION
+    )
 
 
 def _get_budget(
--- a/fuchsiahaven/core/queries/hedges.py
+++ b/fuchsiahaven/core/queries/hedges.py
@@ -1,8 +1,8 @@
-"""Say after which time a sub-request is worth a second try.
+"""Estimate the delay after which a sub-request is hedged.
 
-One window for each class and group. Its latencies lie in buckets that grow
-by a constant ratio, so that memory is bounded and one sample costs about a
-microsecond.
+Each class and group has a window of recent latencies. They are counted in
+buckets whose bounds grow by a constant ratio, so that memory is bounded and
+one sample takes about a microsecond.
 """
 
 import math
@@ -13,25 +13,25 @@
 BUCKETS: Final = 86
 LOG_BUCKET_RATIO: Final = math.log(BUCKET_RATIO)
 
-# All counts are halved at this total, so that old samples fade.
+# At this total all counts are halved, so that old samples lose weight.
 MAX_SAMPLES: Final = 2000
-# A class that asks three shards eight times a second has these in 2 s.
+# A class with eight queries per second to three shards has this many in 2 s.
 MIN_SAMPLES: Final = 40
-# The quantile is worked out again after so many samples.
+# New samples after which the delay is computed again.
 REFRESH_SAMPLES: Final = 20
 
-# Refusals and full queues beyond this share turn hedging off: a hedge into an
-# overloaded group makes the overload worse.
+# A larger fraction of refusals and full queues turns hedging off: a hedge to
+# an overloaded group makes the overload worse.
 MAX_OVERLOAD_FRACTION: Final = 0.1
 OVERLOAD_WEIGHT: Final = 0.02
 
 
 class Policy(NamedTuple):
-    """Hold when to hedge: past a quantile, or past so many medians.
+    """Hold when to hedge: after a quantile, or a multiple of the median.
 
-    Where slow answers make up just the share that the quantile leaves out,
-    it falls among them and hedging would come too late; the multiple of the
-    median bounds it.
+    If the fraction of slow answers exceeds what the quantile leaves out, the
+    quantile is itself a slow answer and hedges would be sent too late; the
+    multiple of the median bounds the delay.
     """
 
     quantile: float = 0.95
@@ -42,7 +42,11 @@
 
 
 class Window(NamedTuple):
-    """Hold the recent latencies of one class and group."""
+    """Hold the recent latencies of one class and group.
+
+    `counts` are the samples in each bucket. `delay_s` is the hedge delay, 0
+    while there are too few samples.
+    """
 
     counts: tuple[int, ...] = (0,) * BUCKETS
     samples: int = 0
@@ -61,11 +65,12 @@
     queued: bool = False,
     policy: Policy = STANDARD,
 ) -> Window:
-    """Take in one first try; of a cancelled one, the time it had used.
+    """Record a first attempt that took `elapsed` seconds.
 
-    Leaving cancelled ones out would lose just the slow samples, and the
-    quantile would sink from hedge to hedge. `queued` tells that the target
-    reported as much work waiting as it can run.
+    For a cancelled attempt, that is the time until its cancellation: leaving
+    these out would drop the slow samples, and the quantile would sink with
+    each hedge. `queued` means that the target reported at least as many queued
+    sub-requests as it has slots.
     """
     counts, samples, overload_fraction, samples_since_refresh, delay_s = window
     bucket = _get_bucket(elapsed)
@@ -85,7 +90,7 @@
 
 
 def record_shed(window: Window) -> Window:
-    """Take in that a target shed one sub-request."""
+    """Record that a target shed one sub-request."""
     overload_fraction = window.overload_fraction + OVERLOAD_WEIGHT * (
         1 - window.overload_fraction
     )
@@ -93,9 +98,9 @@
 
 
 def find_delay(window: Window) -> float | None:
-    """Return after how many seconds to hedge; None for not at all.
+    """Return the hedge delay in seconds; None if nothing is to be hedged.
 
-    None while too few samples are known and while the group is overloaded.
+    None while there are too few samples or while the group is overloaded.
     """
     if not window.delay_s or window.overload_fraction > MAX_OVERLOAD_FRACTION:
         return None
@@ -103,7 +108,7 @@
 
 
 def estimate_quantile(window: Window, quantile: float) -> float:
-    """Return the upper end, in seconds, of the bucket with the quantile."""
+    """Return the upper bound, in seconds, of the bucket with the quantile."""
     return _estimate_quantile(window.counts, window.samples, quantile)
 
 
--- a/fuchsiahaven/core/queries/merges.py
+++ b/fuchsiahaven/core/queries/merges.py
@@ -1,4 +1,4 @@
-"""Merge the rows of many shards into one list."""
+"""Merge the rows of several shards into one list."""
 
 import heapq
 import itertools
@@ -11,10 +11,10 @@
 def merge_rows(
     parts: Iterable[Iterable[Row]], limit: int | None = None
 ) -> tuple[Row, ...]:
-    """Order rows by rank, then id, and keep the first `limit`.
+    """Sort rows by rank, then id, and keep the first `limit`.
 
-    A part need not be in order itself: a shard that sorts wrongly must not
-    push better rows of others out of the answer.
+    The parts don't have to be sorted: a shard that sorts wrongly must not
+    displace better rows of other shards.
     """
     rows = itertools.chain.from_iterable(parts)
     if limit is None:
--- a/fuchsiahaven/core/queries/outcomes.py
+++ b/fuchsiahaven/core/queries/outcomes.py
@@ -1,4 +1,4 @@
-"""Build the one outcome of a query: an honest answer or a failure."""
+"""Build the outcome of a query: an answer with its coverage, or a failure."""
 
 from typing import Final
 
@@ -11,7 +11,8 @@
 
 Outcome = messages.Answer | errors.Failure
 
-#: How soon asking again may help, in seconds, by why a part is missing.
+#: Seconds after which a retry by the caller may succeed, by why a part is
+#: missing.
 RETRY_AFTER_S: Final = {
     coverage.Reason.NO_REPLICA: 1.0,
     coverage.Reason.OVERLOADED: 0.2,
@@ -33,18 +34,16 @@
             'no group is reached',
             retry_after=RETRY_AFTER_S[coverage.Reason.NO_REPLICA],
         )
-    run_coverage = _build_coverage(run)
-    if run_coverage.covered and (
-        run_coverage.complete or not run.needs_all_parts
-    ):
+    result = _build_coverage(run)
+    if result.covered and (result.complete or not run.needs_all_parts):
         return messages.Answer(
             run.query.request_id,
             _merge_parts(run),
             run.snapshots,
-            run_coverage,
+            result,
             run.revision,
         )
-    return _build_failure(run, run_coverage)
+    return _build_failure(run, result)
 
 
 def _build_coverage(run: runs.Run) -> coverage.Coverage:
@@ -70,11 +69,9 @@
     return merges.merge_rows(parts, limit)
 
 
-def _build_failure(
-    run: runs.Run, run_coverage: coverage.Coverage
-) -> errors.Failure:
-    reasons = [missing.reason for missing in run_coverage.missing]
-    detail = _describe_missing(run, run_coverage)
+def _build_failure(run: runs.Run, result: coverage.Coverage) -> errors.Failure:
+    reasons = [missing.reason for missing in result.missing]
+    detail = _describe_missing(run, result)
     if run.at_most_once and runs.may_have_run(run):
         return errors.make_failure(errors.Kind.OUTCOME_UNKNOWN, SOURCE, detail)
     return errors.make_failure(
@@ -100,9 +97,9 @@
     return errors.Kind.INCOMPLETE
 
 
-def _describe_missing(run: runs.Run, run_coverage: coverage.Coverage) -> str:
-    first = run_coverage.missing[0]
+def _describe_missing(run: runs.Run, result: coverage.Coverage) -> str:
+    first = result.missing[0]
     return (
-        f'{len(run_coverage.missing)} of {len(run.parts)} shards missing, first '
+        f'{len(result.missing)} of {len(run.parts)} shards missing, first '
         f'{first.group} shard {first.shard}: {first.reason}'
     )
--- a/fuchsiahaven/core/queries/queues.py
+++ b/fuchsiahaven/core/queries/queues.py
@@ -1,19 +1,19 @@
-"""Keep the queries that wait, by priority, in a bounded number of places."""
+"""Queue queries by priority, with a bounded length."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
 PRIORITIES: Final = 4
 MAX_LENGTH: Final = 64
-# Places that each priority keeps even where the others fill the queue.
+# Entries that each priority may add even if the others fill the queue.
 RESERVED_PER_PRIORITY: Final = 2
-# Every so many starts, the query that has waited longest goes first, whatever
-# its priority: the weakest class is slowed down but never starved.
+# One of this many starts goes to the query that has waited longest, whatever
+# its priority: the lowest priority is slowed down but never starved.
 OLDEST_FIRST_PERIOD: Final = 10
 
 
 class Entry(NamedTuple):
-    """Name one query that waits; times are seconds on one clock."""
+    """Describe one queued query; times are monotonic seconds."""
 
     token: int
     priority: int
@@ -23,14 +23,18 @@
 
 
 class Queue(NamedTuple):
-    """Hold what waits at each priority, and the starts since the floor's."""
+    """Hold the entries of each priority, 0 being the highest.
+
+    `starts_since_oldest` counts the starts since one went to the entry that
+    had waited longest.
+    """
 
     lanes: tuple[tuple[Entry, ...], ...] = ((),) * PRIORITIES
     starts_since_oldest: int = 0
 
 
 class Added(NamedTuple):
-    """Hold the queue with the new entry, and which one gave way to it."""
+    """Hold the queue with the new entry, and the one evicted for it."""
 
     queue: Queue
     evicted: Entry | None = None
@@ -44,7 +48,7 @@
 
 
 class Split(NamedTuple):
-    """Hold the queue without some entries, and those."""
+    """Hold the queue without some entries, and these entries."""
 
     queue: Queue
     removed: tuple[Entry, ...]
@@ -54,22 +58,22 @@
 
 
 def count_entries(queue: Queue) -> int:
-    """Count what waits."""
+    """Count the queued entries."""
     return sum(map(len, queue.lanes))
 
 
 def count_starts_until(queue: Queue, priority: int) -> int:
-    """Count the starts until one more entry of this priority has its turn."""
+    """Count the starts until a new entry of this priority would start."""
     ahead = sum(map(len, queue.lanes[: priority + 1]))
     own = len(queue.lanes[priority])
     return min(ahead + 1, (own + 1) * OLDEST_FIRST_PERIOD)
 
 
 def add(queue: Queue, entry: Entry) -> Added | None:
-    """Let an entry wait; None where no place is left for it.
+    """Add an entry; None if the queue is full for it.
 
-    In a full queue the newest of a weaker priority gives way, but for those
-    that hold places reserved for theirs.
+    In a full queue the newest entry of the lowest priority below is evicted,
+    but none of those that a priority has reserved.
     """
     own = queue.lanes[entry.priority]
     if count_entries(queue) < MAX_LENGTH or len(own) < RESERVED_PER_PRIORITY:
@@ -84,7 +88,7 @@
 
 
 def pop(queue: Queue) -> Popped:
-    """Take the next entry out of a queue that is not empty."""
+    """Remove the next entry from a queue that is not empty."""
     lanes = [lane for lane in queue.lanes if lane]
     starts = queue.starts_since_oldest + 1
     lane = lanes[0]
@@ -97,7 +101,7 @@
 
 
 def remove_matching(queue: Queue, matches: Callable[[Entry], bool]) -> Split:
-    """Take out every entry that meets a condition."""
+    """Remove every entry that matches a condition."""
     removed = tuple(
         entry for lane in queue.lanes for entry in lane if matches(entry)
     )
--- a/fuchsiahaven/core/queries/records.py
+++ b/fuchsiahaven/core/queries/records.py
@@ -1,4 +1,4 @@
-"""Write answers for the record and read them again."""
+"""Encode the answers that are recorded with their claims."""
 
 import json
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 from fuchsiahaven.core.targets import messages
 
 _COUNT_SCHEMA: Final = {'type': 'integer', 'minimum': 0}
-#: A group, a shard and a range.
+#: Schemas of a group, a shard and the two bounds of a range.
 _RANGE_SCHEMAS: Final = [
     {'type': 'string'},
     _COUNT_SCHEMA,
@@ -36,7 +36,7 @@
     ),
     'revision': _COUNT_SCHEMA,
 }
-#: Whose the answer is; left out where that is nobody.
+#: The customer that the answer belongs to; left out if there is none.
 _CUSTOMER_PROPERTY: Final = {'customer': {'type': 'string'}}
 _VALIDATE: Final = fastjsonschema.compile(
     {
@@ -48,7 +48,7 @@
 
 
 def encode_answer(answer: messages.Answer, customer: str = '') -> str:
-    """Write an answer of a customer as JSON text."""
+    """Encode an answer to a customer as JSON text."""
     customer_field = {'customer': customer} if customer else {}
     return json.dumps(
         {
@@ -66,27 +66,30 @@
 
 
 def decode_answer(text: str, customer: str = '') -> messages.Answer | None:
-    """Read a recorded answer; None where the text is not one of a customer."""
+    """Decode a recorded answer.
+
+    None if the text is malformed or the answer belongs to another customer.
+    """
     try:
-        row = _VALIDATE(json_texts.load(text))
+        fields = _VALIDATE(json_texts.load(text))
     except (ValueError, fastjsonschema.JsonSchemaException):
         return None
-    if row.get('customer', '') != customer:
+    if fields.get('customer', '') != customer:
         return None
     return messages.Answer(
-        row['request_id'],
-        tuple(row['rows']),
-        row['snapshots'],
-        _decode_coverage(row),
-        row['revision'],
+        fields['request_id'],
+        tuple(fields['rows']),
+        fields['snapshots'],
+        _decode_coverage(fields),
+        fields['revision'],
     )
 
 
-def _decode_coverage(row: Mapping[str, Any]) -> coverage.Coverage:
-    missing = (coverage.MissingRange._make(part) for part in row['missing'])
+def _decode_coverage(fields: Mapping[str, Any]) -> coverage.Coverage:
+    missing = (coverage.MissingRange._make(part) for part in fields['missing'])
     return coverage.Coverage(
-        row['shards'],
-        tuple(coverage.CoveredRange._make(part) for part in row['covered']),
+        fields['shards'],
+        tuple(coverage.CoveredRange._make(part) for part in fields['covered']),
         tuple(
             part._replace(reason=coverage.Reason(part.reason))
             for part in missing
--- a/fuchsiahaven/core/queries/replies.py
+++ b/fuchsiahaven/core/queries/replies.py
@@ -1,4 +1,4 @@
-"""Give each admitted query its one reply, and keep what must be kept."""
+"""Reply once to each admitted query, and record or release its claim."""
 
 from typing import Final
 
@@ -24,7 +24,7 @@
     overloaded: bool = False,
     replayed: bool = False,
 ) -> list[messages.Action]:
-    """Reply to an admitted query; nothing where it has had its reply."""
+    """Reply to an admitted query, unless it has been replied to before."""
     admitted = state.tables.admitted_queries.pop(token, None)
     if admitted is None:
         return []
@@ -36,18 +36,18 @@
             overloaded,
         )
     )
-    answer = messages.Reply(token, outcome, replayed)
+    action = messages.Reply(token, outcome, replayed)
     claim_update = None if replayed else build_claim_update(admitted, outcome)
-    return [answer] if claim_update is None else [answer, claim_update]
+    return [action] if claim_update is None else [action, claim_update]
 
 
 def build_claim_update(
     admitted: tables.AdmittedQuery, outcome: outcomes.Outcome
 ) -> messages.RecordOutcome | messages.ReleaseClaim | None:
-    """Say what is to be kept of a claimed query.
+    """Return the action that records the outcome of a claim or releases it.
 
-    An unknown outcome is not recorded: the claim alone stands, and says to
-    whoever asks again that the outcome is unknown.
+    An unknown outcome is not recorded: the claim alone is kept, and a caller
+    that repeats the request gets an unknown outcome.
     """
     if not admitted.claimed:
         return None
@@ -65,7 +65,7 @@
 def reply_without_claim(
     state: states.State, event: messages.ClaimSettled, now: float
 ) -> list[messages.Action]:
-    """Tell a caller why its request was not run, or what it had brought."""
+    """Reply with the recorded answer, or with why the request was not run."""
     recorded = _find_recorded(state, event)
     if recorded is not None:
         return reply(state, event.token, recorded, now, replayed=True)
@@ -88,7 +88,7 @@
 def _find_recorded(
     state: states.State, event: messages.ClaimSettled
 ) -> messages.Answer | None:
-    """Find the recorded answer; nothing where it is another customer's."""
+    """Find the recorded answer; None if it is another customer's."""
     admitted = state.tables.admitted_queries.get(event.token)
     if event.outcome is None or admitted is None:
         return None
@@ -98,11 +98,12 @@
 
 
 def _find_ran(event: messages.ClaimSettled) -> errors.Ran | None:
-    """Say what the table of failures does not: None where it does."""
+    """Return whether the request ran; None for the default of the kind."""
     if event.completed:
         return errors.Ran.YES
     if event.result is messages.ClaimResult.EXPIRED and event.start_expired:
-        # Its claim may be gone by now. Told as not run, it would be sent with
-        # a new id, although it may have run under this one.
+        # Its claim may have expired. If the reply said that it did not run,
+        # the caller would send it with a new id, although it may have run
+        # under this one.
         return errors.Ran.UNKNOWN
     return None
--- a/fuchsiahaven/core/queries/runs.py
+++ b/fuchsiahaven/core/queries/runs.py
@@ -1,9 +1,9 @@
-"""Follow one query from its pinned snapshots to its one outcome.
+"""Keep the state of one query from its pinned snapshots to its outcome.
 
 A `Run` is one pass over the shards of the pinned snapshots. A restart on a
-newer snapshot is a new run with a new number, so that what still arrives for
-the old one finds nobody and two snapshots cannot meet in one answer. The
-tables of a run belong to it and are updated in place.
+newer snapshot is a new run with a new number: answers to the old run are then
+dropped, and two snapshots can't mix in one answer. The dictionaries and sets
+of a run are updated in place.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class Purpose(enum.StrEnum):
-    """Say why a sub-request was sent."""
+    """List why a sub-request is sent."""
 
     FIRST = 'first'
     HEDGE = 'hedge'
@@ -28,20 +28,24 @@
 
 
 class Attempt(NamedTuple):
-    """Describe one attempt that has not ended."""
+    """Describe one attempt in flight at a part.
+
+    `sent_at` is in monotonic seconds.
+    """
 
     number: int
     target: str
-    sent: float
+    sent_at: float
     purpose: Purpose
 
 
 class Part(NamedTuple):
-    """Hold what is known of one shard.
+    """Hold the state of one shard of a run.
 
-    `tried` are the targets not to be asked again, `attempt` is the last
-    number used. `may_have_run` stays true once an attempt ended with unknown
-    outcome. `reason` says why the part is missing, or would be by now.
+    `excluded` are the targets not to be tried again, `last_attempt` is the
+    last attempt number used. `may_have_run` stays true once an attempt ended
+    with unknown outcome. `reason` is why the part is missing, or why it would
+    be if the run ended now.
     """
 
     low: int
@@ -58,9 +62,9 @@
 class Run(NamedTuple):
     """Hold one pass of a query over its shards.
 
-    `open_parts` have neither rows nor a reason to be missing, `lost_parts`
-    have a reason. `ran_before` says whether an earlier run of the same query
-    ran on any searcher.
+    `open_parts` may still get rows, `missing_parts` will not. Attempt numbers
+    of this run start after `attempt_offset`. `ran_before` says whether an
+    earlier run of the same query ran on any searcher.
     """
 
     number: int
@@ -80,19 +84,19 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether no searcher may run this twice."""
+        """Return whether the query must not run twice."""
         return self.request_class.repeat is configurations.Repeat.AT_MOST_ONCE
 
     @property
     def needs_all_parts(self) -> bool:
-        """Tell whether a short answer is no answer."""
+        """Return whether the query fails if a part is missing."""
         return self.request_class.needs is configurations.Needs.COMPLETE
 
 
 def add_attempt(
     run: Run, part_id: PartId, target: str, now: float, purpose: Purpose
 ) -> messages.PartKey:
-    """Enter a new attempt and return its key."""
+    """Add an attempt in flight to a part; return its key."""
     part = run.parts[part_id]
     number = part.last_attempt + 1
     attempt = Attempt(number, target, now, purpose)
@@ -107,10 +111,10 @@
 def accept_answer(
     run: Run, key: messages.PartKey, rows: Rows
 ) -> tuple[Attempt, ...] | None:
-    """Take the first answer to a part; return the attempts it beat.
+    """Accept the first answer to a part; return the other attempts in flight.
 
-    None where the part is settled already or never had that attempt: a late
-    answer must not replace one that may have been counted on.
+    None if the part is not open or the attempt is not in flight: a late answer
+    must not replace one that may have been used already.
     """
     part_id = PartId(key.group, key.shard)
     part = run.parts.get(part_id)
@@ -133,10 +137,10 @@
     *,
     may_have_run: bool,
 ) -> Part | None:
-    """Take out an attempt that brought no rows; return the open part.
+    """Remove an attempt that ended without rows; return its open part.
 
-    None where the part is settled already. A target that was merely too
-    busy may be asked again.
+    None if the part is not open. A target that was only overloaded may be
+    tried again.
     """
     part_id = PartId(key.group, key.shard)
     part = run.parts.get(part_id)
@@ -164,17 +168,17 @@
 
 
 def mark_missing(run: Run, part_id: PartId, reason: coverage.Reason) -> None:
-    """Settle a part as missing."""
+    """Mark an open part as missing."""
     run.parts[part_id] = run.parts[part_id]._replace(reason=reason)
     run.open_parts.discard(part_id)
     run.missing_parts.add(part_id)
 
 
 def is_over(run: Run) -> bool:
-    """Tell whether nothing that may still come can change the outcome.
+    """Return whether no further answer can change the outcome.
 
-    A class that needs all is over with its first missing part: waiting for
-    the others would only hold the error back.
+    A run that needs all parts is over with its first missing part: waiting for
+    the others would only delay the error.
     """
     if not run.open_parts:
         return True
@@ -184,7 +188,7 @@
 def list_attempts(
     run: Run, part_ids: Iterable[PartId]
 ) -> list[tuple[PartId, Attempt]]:
-    """List the attempts that have not ended."""
+    """List the attempts in flight at some parts."""
     return [
         (part_id, attempt)
         for part_id in part_ids
@@ -193,7 +197,7 @@
 
 
 def may_have_run(run: Run) -> bool:
-    """Tell whether any searcher may have run any part of this."""
+    """Return whether any searcher may have run any part of this run."""
     return any(
         part.rows is not None or part.may_have_run or part.in_flight
         for part in run.parts.values()
@@ -201,7 +205,7 @@
 
 
 def get_ran(run: Run) -> errors.Ran:
-    """Say whether any searcher ran any part of this or an earlier run."""
+    """Return whether a searcher ran any part of this or an earlier run."""
     if any(part.rows is not None for part in run.parts.values()):
         return errors.Ran.YES
     if may_have_run(run) and run.ran_before is errors.Ran.NO:
