--- a/fuchsiahaven/core/queries/__init__.py
+++ b/fuchsiahaven/core/queries/__init__.py
@@ -1,1 +1,1 @@
-"""Decide what becomes of each query, from its arrival to its one answer."""
+"""Handle each query from its arrival to its one reply."""
--- a/fuchsiahaven/core/queries/allocations.py
+++ b/fuchsiahaven/core/queries/allocations.py
@@ -1,7 +1,7 @@
-"""Keep this host's seats in step with members, targets and holdings.
+"""Update this host's connection allocation for members, targets and holdings.
 
-A whole deal of a large data centre takes tenths of a second, in which no
-answer would be read, so it is made in slices.
+Allocating the connections of a large data centre takes tenths of a second, in
+which no answer would be read, so the work is done in slices.
 """
 
 import itertools
@@ -19,32 +19,35 @@
     messages,
 )
 
-#: Pairs of host and target that are dealt at once; some milliseconds' work.
+#: Pairs of host and target for each slice; they take a few milliseconds.
 MAX_SLICE_PAIRS: Final = 4000
 SLICE_DELAY_S: Final = 0.01
-#: Changes of holdings come in bursts, as when an index changes everywhere.
+#: Changes of holdings come in bursts, for example during an index change.
 CHANGE_DELAY_S: Final = 0.5
 
 
 class AllocationInputs(NamedTuple):
-    """Hold what a deal of a group depends on in the configuration."""
+    """Hold the part of the configuration that a group's allocation depends on.
+
+    `max_connections` is the maximum for each target.
+    """
 
     max_connections: int
     targets: tuple[configurations.Target, ...]
 
 
 def schedule_all(state: states.State) -> None:
-    """Deal the targets of every group again."""
+    """Schedule a new allocation of every group."""
     state.tables.allocation_batches.clear()
     state.tables.unallocated_groups.update(_map_groups(state))
 
 
 def list_inputs(state: states.State) -> Mapping[str, AllocationInputs]:
-    """List by group what its deal depends on in the configuration."""
+    """List the allocation inputs of each group in the configuration."""
     targets: dict[str, list[configurations.Target]] = {}
-    for name, group in state.tables.group_of.items():
+    for name, target_group in state.tables.group_of.items():
         target = state.tables.targets[name]
-        targets.setdefault(group.name, []).append(target)
+        targets.setdefault(target_group.name, []).append(target)
     return {
         group.name: AllocationInputs(
             group.connections, tuple(targets[group.name])
@@ -56,11 +59,11 @@
 def schedule_changed(
     state: states.State, previous: Mapping[str, AllocationInputs]
 ) -> None:
-    """Deal the groups again whose shares a configuration has changed.
+    """Schedule the groups whose allocation inputs a configuration changed.
 
-    Most changes move no seat. At hundreds of targets a deal of all groups
-    for each would take more processor time than control may, and hold up
-    the answers that come meanwhile.
+    Most configuration changes move no connection. With hundreds of targets, a
+    new allocation of all groups for each change would exceed the processor
+    time for control work and delay the answers that arrive meanwhile.
     """
     groups = _map_groups(state)
     for name, inputs in list_inputs(state).items():
@@ -71,7 +74,7 @@
 def schedule(
     state: states.State, group: configurations.Group, now: float
 ) -> None:
-    """Deal a group again shortly, if it matters what its targets hold."""
+    """Schedule a group if its allocation depends on its targets' holdings."""
     if (
         _uses_all_targets(state, group)
         or group.name in state.tables.unallocated_groups
@@ -86,7 +89,7 @@
 
 
 def run_slice(state: states.State, now: float) -> list[messages.Action]:
-    """Make the next slice of what is to be dealt."""
+    """Allocate the next slice; set a timer if more is left."""
     host_tables = state.tables
     while host_tables.unallocated_groups:
         host_tables.allocation_batches.extend(
@@ -106,7 +109,7 @@
 def raise_connections(
     state: states.State, name: str, now: float
 ) -> list[messages.Action]:
-    """Let a target's seats grow if their time has come."""
+    """Raise the connections to a target once the settle delay is over."""
     grant = state.tables.grants.get(name)
     if grant is None:
         return []
@@ -141,8 +144,8 @@
     for data_centre, names in by_data_centre.items():
         max_connections = group.connections
         if data_centre != state.data_centre:
-            # The hosts over there do not count on the ones here: what the
-            # targets keep in reserve is all there is.
+            # Hosts of the target's data centre don't count the hosts here in
+            # their allocation, so only its reserve is available.
             max_connections = max(
                 1, max_connections // allocator.MAX_RESERVE_DIVISOR
             )
@@ -158,8 +161,8 @@
     reported = state.tables.group_snapshots.get(group.name)
     if reported is None:
         return []
-    # What a target holds decides which seats are dealt together, so one that
-    # has not told it yet is left out; it could not be asked anything either.
+    # Holdings decide which targets are allocated together. A target that has
+    # not reported any is left out; no query could be sent to it anyway.
     reporting = [name for name in names if reported.holdings.get(name)]
     return components.list_components(reported.holdings, reporting)
 
@@ -197,7 +200,7 @@
         limit, grant.connections
     )
     if previous is not None and not limit.connections:
-        # Without a seat a target is asked only now and then what it holds.
+        # Without connections, the target was probed at a longer interval.
         states.set_timer(state, now, tables.ProbeTimer(name))
         state.tables.next_probes[name] = now
     if not grant.connections or not limit.connections:
--- a/fuchsiahaven/core/queries/attempts.py
+++ b/fuchsiahaven/core/queries/attempts.py
@@ -1,4 +1,4 @@
-"""Keep account of each attempt from its sending to its one last event."""
+"""Record each attempt from its sending to its one final event."""
 
 from fuchsiahaven.core.queries import hedges, runs, states, tables
 from fuchsiahaven.core.targets import ejections, limits, messages, target_stats
@@ -7,7 +7,7 @@
 def record_sent(
     state: states.State, key: messages.PartKey, record: tables.AttemptRecord
 ) -> None:
-    """Count an attempt in."""
+    """Record that an attempt was sent."""
     host_tables = state.tables
     host_tables.attempts[key] = record
     host_tables.counts[tables.Count(record.purpose.value)] += 1
@@ -22,9 +22,9 @@
     *,
     overdue: bool = False,
 ) -> None:
-    """Note that the rows of an attempt are not wanted any more.
+    """Record that an attempt was cancelled.
 
-    `overdue` tells that the deadline has passed without them.
+    `overdue` means that it was not answered by the deadline.
     """
     host_tables = state.tables
     record = host_tables.attempts.get(key)
@@ -50,9 +50,9 @@
 def record_answer(
     state: states.State, event: messages.PartAnswered, now: float
 ) -> tables.AttemptRecord | None:
-    """Count an answered attempt out; None if it has ended before."""
+    """Record the answer to an attempt; None if it had ended before."""
     host_tables = state.tables
-    # Each attempt ends once: a second end would free a slot that is in use.
+    # Each attempt ends once: a second end would release a slot in use.
     record = host_tables.attempts.pop(event.part, None)
     if record is None:
         return None
@@ -77,7 +77,7 @@
 def record_refusal(
     state: states.State, event: messages.PartRefused, now: float
 ) -> tables.AttemptRecord | None:
-    """Count a refused attempt out; None if it has ended before."""
+    """Record the refusal of an attempt; None if it had ended before."""
     record = state.tables.attempts.pop(event.part, None)
     if record is None:
         return None
@@ -98,7 +98,7 @@
 def record_fault(
     state: states.State, event: messages.PartFailed, now: float
 ) -> tables.AttemptRecord | None:
-    """Count a broken attempt out; None if it has ended before."""
+    """Record the failure of an attempt; None if it had ended before."""
     record = state.tables.attempts.pop(event.part, None)
     if record is None:
         return None
@@ -117,7 +117,7 @@
 def _eject_failing(
     state: states.State, key: messages.PartKey, name: str, now: float
 ) -> None:
-    """Eject a target that fails, unless too few would be left."""
+    """Eject a target that keeps failing, unless too few would be left."""
     host_tables = state.tables
     run = host_tables.active_runs.get(key.run_number)
     if run is None or not ejections.is_failing(
@@ -134,7 +134,7 @@
 def _record_cancelled_end(
     state: states.State, record: tables.AttemptRecord
 ) -> None:
-    # How an attempt ends after its cancellation says nothing of the target.
+    # How an attempt ends after its cancellation says nothing about the target.
     stats = state.tables.stats.get(record.target)
     if stats is not None:
         state.tables.stats[record.target] = target_stats.record_cancelled_end(
@@ -149,8 +149,8 @@
     *,
     queued: bool = False,
 ) -> None:
-    # Hedges and retries are left out: they go where answers come fast, and
-    # would pull the delay after which to hedge down to themselves.
+    # Hedges and retries are left out: they go to fast targets, and their
+    # latencies would lower the hedge delay.
     if record.purpose is runs.Purpose.FIRST:
         windows = state.tables.latency_windows
         window = windows.get(record.class_group, hedges.EMPTY)
--- a/fuchsiahaven/core/queries/completions.py
+++ b/fuchsiahaven/core/queries/completions.py
@@ -1,4 +1,4 @@
-"""End a run: answer it, cancel what is left, or start it again."""
+"""Complete runs: answer them, cancel open attempts, or restart them."""
 
 from typing import Final
 
@@ -16,7 +16,7 @@
 from fuchsiahaven.core.targets import messages
 
 MAX_RESTARTS: Final = 3
-#: Why a part was refused or lost where there was too much to do.
+#: Why parts are missing under an overload.
 OVERLOAD_REASONS: Final = frozenset(
     (coverage.Reason.OVERLOADED, coverage.Reason.TIMED_OUT)
 )
@@ -25,7 +25,7 @@
 def handle_deadline(
     state: states.State, run_number: int, now: float
 ) -> list[messages.Action]:
-    """Answer with what is there once the time to wait is over."""
+    """Answer a run at its deadline with the parts that have arrived."""
     run = state.tables.active_runs.get(run_number)
     if run is None:
         return []
@@ -41,7 +41,7 @@
 def complete_if_over(
     state: states.State, run: runs.Run, now: float
 ) -> list[messages.Action]:
-    """Answer a run that is over, and cancel what it still waits for."""
+    """Answer a run that is over, and cancel its open attempts."""
     if not runs.is_over(run):
         return []
     actions = cancel_run(state, run, now)
@@ -57,7 +57,7 @@
 def cancel_run(
     state: states.State, run: runs.Run, now: float
 ) -> list[messages.Action]:
-    """Cancel every attempt of a run that has not ended."""
+    """Cancel every open attempt of a run."""
     actions: list[messages.Action] = []
     for part_id in run.open_parts | run.missing_parts:
         part = run.parts[part_id]
@@ -79,7 +79,7 @@
     *,
     overdue: bool = False,
 ) -> list[messages.Action]:
-    """Cancel attempts whose rows are not needed."""
+    """Cancel attempts whose rows are not needed any more."""
     actions: list[messages.Action] = []
     for attempt in superseded:
         key = messages.PartKey(run.number, *part_id, attempt.number)
@@ -89,7 +89,7 @@
 
 
 def _met_overload(run: runs.Run) -> bool:
-    """Tell whether the run met an overload, even where retries hid it."""
+    """Return whether the run met an overload, even if retries succeeded."""
     overloaded = sum(
         1 for part in run.parts.values() if part.reason in OVERLOAD_REASONS
     )
@@ -99,10 +99,10 @@
 def restart_run(
     state: states.State, run: runs.Run, now: float
 ) -> list[messages.Action]:
-    """Run the whole query on newer snapshots, where it may run again.
+    """Restart the whole query on newer snapshots, if it may run again.
 
-    The answer then comes from one snapshot of each group, as if the older
-    ones had never been asked.
+    No row of the earlier run is kept, so that the answer comes from one
+    snapshot of each group. A query that may not run again is completed.
     """
     may_restart = not run.at_most_once or not runs.may_have_run(run)
     if not may_restart or run.restarts >= MAX_RESTARTS:
@@ -118,7 +118,7 @@
 def start_run(
     state: states.State, run: runs.Run, now: float
 ) -> list[messages.Action]:
-    """Send the first try of every part."""
+    """Start a run: send the first attempt at every part."""
     state.tables.active_runs[run.number] = run
     actions = run_plans.send_first_attempts(state, run, now)
     extra_attempts.record_first_attempts(state, run, now)
--- a/fuchsiahaven/core/queries/dispatch.py
+++ b/fuchsiahaven/core/queries/dispatch.py
@@ -1,7 +1,8 @@
-"""Decide for one host what each event asks for.
+"""Handle the events of one host.
 
-`handle` and `next_wake` are all that the edge calls. The state's tables are
-updated in place, so a state that was handed in must not be used again.
+The edge calls `handle_event`, `find_wake_time` and `find_unready_reason`. The
+tables of the state are updated in place, so a state must not be used again
+after it was passed to `handle_event`.
 """
 
 from fuchsiahaven.core.queries import (
@@ -23,7 +24,7 @@
 def handle_event(
     state: states.State, event: messages.Event, now: float
 ) -> Result:
-    """Take one event; return the next state and what the edge must do."""
+    """Handle one event; return the next state and the actions for the edge."""
     state, actions = _dispatch_event(state, event, now)
     if state.tables.finished_queries:
         actions.extend(submissions.handle_finished(state, now))
@@ -52,13 +53,13 @@
 
 
 def find_wake_time(state: states.State) -> float | None:
-    """Return when `Ticked` is due next."""
+    """Return when the next `Tick` is due; None if no timer is set."""
     timers = state.tables.timers
     return timers[0][0] if timers else None
 
 
 def find_unready_reason(state: states.State) -> str:
-    """Say why no new work should come to this host; empty if it may."""
+    """Return why this host should get no new requests; empty if it may."""
     if state.stopping:
         return 'stopping'
     if not state.configuration.revision:
@@ -120,7 +121,7 @@
         case tables.CapacityTimer(name):
             return scatter.send_queued(state, name, now)
         case tables.StartTimer():
-            # Each tick starts what is due.
+            # Each tick starts the queries that are due.
             return []
         case tables.GrantTimer(name):
             return allocations.raise_connections(state, name, now)
--- a/fuchsiahaven/core/queries/gather.py
+++ b/fuchsiahaven/core/queries/gather.py
@@ -1,4 +1,4 @@
-"""Take what searchers bring: rows, refusals and faults."""
+"""Handle the searchers' answers, refusals and faults."""
 
 from typing import Final
 
@@ -37,7 +37,7 @@
 def handle_answer(
     state: states.State, event: messages.PartAnswered, now: float
 ) -> list[messages.Action]:
-    """Count an answer in, cancel the attempts that it beat."""
+    """Record an answer; cancel the other attempts at its part."""
     record = attempts.record_answer(state, event, now)
     if record is None:
         return []
@@ -71,7 +71,10 @@
 def handle_refusal(
     state: states.State, event: messages.PartRefused, now: float
 ) -> list[messages.Action]:
-    """Ask another replica, which any class may unless it may have run."""
+    """Retry a refused part on another replica.
+
+    An at-most-once part is retried only if it can't have run.
+    """
     record = attempts.record_refusal(state, event, now)
     if record is None:
         return []
@@ -93,7 +96,7 @@
 def handle_fault(
     state: states.State, event: messages.PartFailed, now: float
 ) -> list[messages.Action]:
-    """Ask another replica where the class may run twice."""
+    """Retry a failed part on another replica, if its class may run twice."""
     record = attempts.record_fault(state, event, now)
     if record is None:
         return []
@@ -108,7 +111,7 @@
 def handle_target_checked(
     state: states.State, event: messages.TargetChecked, now: float
 ) -> list[messages.Action]:
-    """Go on with the parts that waited for word of their target."""
+    """Resume the parts that waited for the check of their target."""
     actions: list[messages.Action] = []
     for part in crashes.handle_target_checked(state, event, now):
         actions.extend(_resume_part(state, part, now))
@@ -118,7 +121,7 @@
 def handle_check_timeout(
     state: states.State, timer: tables.TargetCheckTimer, now: float
 ) -> list[messages.Action]:
-    """Go on with a part of whose target nobody has told in time."""
+    """Resume a part whose target check timed out."""
     if crashes.expire_loss(state, timer):
         return _resume_part(state, timer.part, now)
     return []
@@ -137,7 +140,7 @@
 def handle_retry_timer(
     state: states.State, timer: tables.RetryTimer, now: float
 ) -> list[messages.Action]:
-    """Ask again for a part that was shed while the budget was spent."""
+    """Retry a part that was put off, if it is still open."""
     run = state.tables.active_runs.get(timer.run_number)
     if run is None or timer.part_id not in run.open_parts:
         return []
@@ -176,7 +179,7 @@
 def _awaits_target_check(
     state: states.State, event: messages.PartRefused | messages.PartFailed
 ) -> bool:
-    """Tell whether nobody knows yet whether the target has ended."""
+    """Return whether the check of the target is still pending."""
     losses = state.tables.losses.get(event.target, ())
     return any(loss.part == event.part for loss in losses)
 
@@ -191,7 +194,7 @@
 ) -> list[messages.Action]:
     part = run.parts[part_id]
     if part.in_flight:
-        # Another attempt at it is under way.
+        # Another attempt at this part is in flight.
         return []
     actions = None
     if not (run.at_most_once and part.may_have_run):
@@ -215,9 +218,9 @@
     *,
     unbudgeted: bool,
 ) -> list[messages.Action] | None:
-    """Send a part as what is known against its query allows.
+    """Send a part again as the crashes of its query allow.
 
-    None where it is not to be sent any more.
+    None if it must not be sent any more.
     """
     match crashes.get_permission(state, run.query, now):
         case suspects.SendPermission.BLOCKED:
@@ -230,7 +233,7 @@
             return []
         case suspects.SendPermission.TRIAL:
             if scatter.lacks_room(state, run, part_id, now):
-                # What waits at a target would leave after the trial too.
+                # A queued part could also be sent after the trial ended.
                 extra_attempts.set_retry_timer(state, run, part_id, now)
                 return []
             actions = extra_attempts.send_retry(
--- a/fuchsiahaven/core/queries/run_plans.py
+++ b/fuchsiahaven/core/queries/run_plans.py
@@ -1,4 +1,4 @@
-"""Start queries: select groups, pin snapshots, lay out the parts."""
+"""Plan runs: list the groups, pin their snapshots, build the parts."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class Plan(NamedTuple):
-    """Hold the pinned snapshot of each group and the parts to ask for."""
+    """Hold the pinned snapshot of each group, 0 for none, and the parts."""
 
     snapshots: dict[str, int]
     parts: dict[runs.PartId, runs.Part]
@@ -28,7 +28,7 @@
     request_class: configurations.RequestClass,
     now: float,
 ) -> runs.Run:
-    """Pin snapshots for a query and lay out its run, unsent."""
+    """Pin snapshots for a query and build its run without sending it."""
     plan = _plan_parts(state, submitted.query, request_class, {})
     return runs.Run(
         next(state.tables.numbers),
@@ -47,9 +47,9 @@
 def plan_restart(
     state: states.State, previous: runs.Run, now: float
 ) -> runs.Run | None:
-    """Lay a run out again on newer snapshots of the groups that lost theirs.
+    """Plan a run again on newer snapshots of the groups that lost theirs.
 
-    None where no newer one is known.
+    None if one of them has no newer snapshot.
     """
     lost_groups = {
         part_id.group
@@ -62,9 +62,9 @@
     )
     if not all(plan.snapshots.get(group) for group in lost_groups):
         return None
-    # A searcher tells attempts apart by request id, shard and number alone:
-    # numbers of the earlier run must not be used again, or a late cancel of
-    # the old attempt would end the new one.
+    # Searchers identify an attempt by request id, shard and number. Numbers of
+    # the earlier run must not be used again, or a late cancellation of an old
+    # attempt would cancel a new one.
     last_attempt = max(part.last_attempt for part in previous.parts.values())
     parts = {
         part_id: part._replace(last_attempt=last_attempt)
@@ -86,7 +86,10 @@
 def send_first_attempts(
     state: states.State, run: runs.Run, now: float
 ) -> list[messages.Action]:
-    """Send the first try of every part; give up those without a replica."""
+    """Send the first attempt at every part.
+
+    Parts without a replica are marked as missing.
+    """
     deadline_timer = tables.DeadlineTimer(run.number)
     states.set_timer(state, scatter.compute_answer_time(run), deadline_timer)
     actions: list[messages.Action] = []
@@ -94,7 +97,7 @@
         crashes.get_permission(state, run.query, now)
         is not suspects.SendPermission.UNRESTRICTED
     ):
-        # One part is tried first, the others wait for what comes of it.
+        # One part is sent as a trial, the others wait for its result.
         for pending in run.parts:
             retry_timer = tables.RetryTimer(run.number, pending)
             states.set_timer(state, now, retry_timer)
@@ -134,8 +137,8 @@
     group: str, pin: snapshots.Pin | None, position: int | None
 ) -> dict[runs.PartId, runs.Part]:
     if pin is None:
-        # Nothing is known of the group: it still counts as one missing
-        # part, or an answer without it would be told as complete.
+        # Without a snapshot the group counts as one missing part; otherwise an
+        # answer without it would be reported as complete.
         group_range = coverage.make_group_range(group)
         part_id = runs.PartId(group, group_range.shard)
         return {part_id: runs.Part(group_range.low, group_range.high, ())}
--- a/fuchsiahaven/core/queries/scatter.py
+++ b/fuchsiahaven/core/queries/scatter.py
@@ -1,4 +1,4 @@
-"""Send each part of a query to a replica, or let it wait for room."""
+"""Send each part of a query to a replica, or queue it for the replicas."""
 
 import collections
 from collections.abc import Sequence
@@ -14,15 +14,15 @@
 )
 from fuchsiahaven.core.targets import limits, messages, target_stats
 
-#: Time kept back from the deadline to merge and send the answer, in seconds
-#: and as a part of the deadline, whichever is less.
+#: The time before the deadline for merging and sending the answer is the
+#: lesser of these: seconds, and a fraction of the time limit.
 MAX_ANSWER_MARGIN_S: Final = 0.02
 ANSWER_MARGIN_FRACTION: Final = 0.1
 MS_PER_S: Final = 1000
 
 
 def compute_answer_time(run: runs.Run) -> float:
-    """Return when the answer has to leave to be in time."""
+    """Return when the answer must be sent, in monotonic seconds."""
     deadline = run.query.deadline
     allowed_s = max(0.0, deadline - run.query.arrived)
     return deadline - min(
@@ -33,7 +33,7 @@
 def list_candidates(
     state: states.State, run: runs.Run, part_id: runs.PartId
 ) -> list[str]:
-    """List the replicas that may still be asked for a part."""
+    """List the replicas that may still be tried for a part."""
     part = run.parts[part_id]
     leaving = state.tables.leaving_targets
     return [
@@ -50,10 +50,10 @@
     now: float,
     purpose: runs.Purpose,
 ) -> list[messages.Action] | None:
-    """Send a part to its best replica, or let it wait for room.
+    """Send a part to its best replica, or queue it if none has room.
 
-    None where no replica is left to ask. A hedge never waits: it would add
-    to the load of a group that has no room as it is.
+    None if no replica is left to try. A hedge is never queued: it would add
+    load to a group that has no room.
     """
     candidates = list_candidates(state, run, part_id)
     if not candidates and purpose is runs.Purpose.HEDGE:
@@ -74,10 +74,10 @@
 
 
 def _list_earlier_targets(run: runs.Run, part_id: runs.PartId) -> list[str]:
-    """List the replicas that already run a part, but for the last asked.
+    """List the targets of a part's attempts in flight, without the last one.
 
-    A second attempt at the same replica helps where it is the answer that
-    is slow, and not the replica.
+    A second attempt on the same replica helps if the answer is slow and not
+    the replica.
     """
     return [attempt.target for attempt in run.parts[part_id].in_flight[:-1]]
 
@@ -88,21 +88,21 @@
     part_id: runs.PartId,
     now: float,
 ) -> bool:
-    """Tell whether there are replicas to ask, none of which has room."""
+    """Return whether a part has candidates but none of them has room."""
     candidates = list_candidates(state, run, part_id)
-    available = any(has_room(state, name, now) for name in candidates)
-    return bool(candidates) and not available
+    any_available = any(has_room(state, name, now) for name in candidates)
+    return bool(candidates) and not any_available
 
 
 def has_room(state: states.State, name: str, now: float) -> bool:
-    """Tell whether a target may be sent one more sub-request now."""
+    """Return whether a target may be sent one more sub-request now."""
     stats = state.tables.stats.get(name, target_stats.NO_STATS)
     limit = state.tables.limits.get(name)
     if limit is None:
         return False
     match state.policy.limit:
-        case policies.FixedLimit(in_flight):
-            return stats.in_flight < in_flight
+        case policies.FixedLimit(max_in_flight):
+            return stats.in_flight < max_in_flight
         case policies.AdaptiveLimit():
             return limits.may_send(limit, stats.in_flight, now)
 
@@ -115,7 +115,7 @@
     now: float,
     purpose: runs.Purpose,
 ) -> messages.Send:
-    """Enter an attempt and build its request."""
+    """Record an attempt and return the action that sends it."""
     key = runs.add_attempt(run, part_id, name, now, purpose)
     class_group = tables.ClassGroup(run.request_class.name, part_id.group)
     attempts.record_sent(
@@ -140,7 +140,7 @@
 def send_queued(
     state: states.State, name: str, now: float
 ) -> list[messages.Action]:
-    """Send what waits for a target for as long as it has room."""
+    """Send the parts queued for a target while it has room."""
     queue = state.tables.part_queues.get(name)
     actions: list[messages.Action] = []
     while queue and has_room(state, name, now):
@@ -178,7 +178,8 @@
         case policies.MeasuredRouting():
             draws = (state.draw(), state.draw())
             connect_ms = host_tables.group_of[available[0]].connect_ms
-            # What must not run twice is no trial for a target that failed.
+            # A trial may fail with unknown outcome, so an at-most-once query
+            # is not sent as one.
             chosen = target_stats.select_replica(
                 available,
                 host_tables.stats,
@@ -199,7 +200,7 @@
 
 
 def _set_capacity_timer(state: states.State, name: str, now: float) -> None:
-    """Set a timer where no answer is under way that would make room."""
+    """Set a timer if parts are queued and no attempt in flight frees room."""
     limit = state.tables.limits.get(name)
     if limit is None or not state.tables.part_queues.get(name):
         return
@@ -211,7 +212,7 @@
 def _is_still_queued(
     run: runs.Run, queued: tables.QueuedPart, name: str
 ) -> bool:
-    # A part waits at each of its replicas: the first with room takes it.
+    # A part is queued for each of its replicas; the first with room gets it.
     part = run.parts[queued.part_id]
     return (
         queued.part_id in run.open_parts
--- a/fuchsiahaven/core/queries/states.py
+++ b/fuchsiahaven/core/queries/states.py
@@ -1,7 +1,7 @@
 """Hold the state of one host's dispatch.
 
-The scalars are replaced, the tables are updated in place, so a state that was
-handed to `dispatch.handle` must not be used again.
+Scalars are replaced and tables are updated in place, so a state must not be
+used again after it was passed to `dispatch.handle_event`.
 """
 
 import heapq
@@ -14,10 +14,11 @@
 
 
 class State(NamedTuple):
-    """Hold all that one host's dispatch knows.
+    """Hold the whole state of one host's dispatch.
 
-    `hosts` are the members of the data centre that share its targets, `own`
-    is this one's name among them.
+    `hosts` are the members of the data centre that share its targets,
+    `own_name` is this host's name among them. `draw` returns random numbers
+    from 0 to below 1.
     """
 
     data_centre: str
@@ -35,18 +36,18 @@
     draw: Callable[[], float],
     policy: policies.Policy = policies.STANDARD,
 ) -> State:
-    """Return the state of a host that knows nothing yet."""
+    """Return the state of a host without a configuration."""
     return State(data_centre, draw, policy, tables.make_tables())
 
 
 def set_timer(state: State, fires_at: float, timer: tables.Timer) -> None:
-    """Remember to act at a time."""
+    """Set a timer that fires at `fires_at`, in monotonic seconds."""
     number = next(state.tables.numbers)
     heapq.heappush(state.tables.timers, (fires_at, number, timer))
 
 
 def pop_timer(state: State, now: float) -> tables.Timer | None:
-    """Take the next timer whose time has come."""
+    """Remove and return the next timer that has fired; None if none has."""
     timers = state.tables.timers
     if timers and timers[0][0] <= now:
         return heapq.heappop(timers)[2]
@@ -54,7 +55,7 @@
 
 
 def find_class(state: State, name: str) -> configurations.RequestClass | None:
-    """Find a class of request by name."""
+    """Find a class of request by name; None if it is not configured."""
     for request_class in state.configuration.classes:
         if request_class.name == name:
             return request_class
--- a/fuchsiahaven/core/queries/submissions.py
+++ b/fuchsiahaven/core/queries/submissions.py
@@ -1,4 +1,4 @@
-"""Take queries in, claim what runs at most once, and start them."""
+"""Admit queries, claim those that run at most once, and start them."""
 
 from typing import Final
 
@@ -22,7 +22,7 @@
 SOURCE: Final = 'submissions'
 MS_PER_S: Final = 1000
 NOT_READY_RETRY_AFTER_S: Final = 1.0
-#: The balancer sends the next request to another host.
+#: Short, because the load balancer sends the retry to another host.
 STOPPING_RETRY_AFTER_S: Final = 0.1
 OVERLOADED_RETRY_AFTER_S: Final = 0.1
 
@@ -30,7 +30,7 @@
 def handle_submission(
     state: states.State, event: messages.QuerySubmitted, now: float
 ) -> list[messages.Action]:
-    """Take one query in: start it, queue it or refuse it."""
+    """Start, queue or refuse a submitted query."""
     request_class = states.find_class(state, event.query.class_name)
     failure = _find_failure(state, event.query, request_class)
     failure = failure or _find_quarantine_failure(state, event.query, now)
@@ -59,7 +59,7 @@
 
 
 def handle_finished(state: states.State, now: float) -> list[messages.Action]:
-    """Start what waits in the place of what has finished."""
+    """Record the finished queries and start queued ones."""
     actions: list[messages.Action] = []
     while state.tables.finished_queries:
         key, class_name, run_s, overloaded = state.tables.finished_queries.pop()
@@ -75,7 +75,7 @@
 
 
 def start_queued(state: states.State, now: float) -> list[messages.Action]:
-    """Refuse what can no longer be in time; start what was spaced out."""
+    """Start the queued queries that are due; refuse those that are late."""
     actions: list[messages.Action] = []
     if state.tables.queued_queries:
         for key, current in tuple(state.tables.admissions.items()):
@@ -87,9 +87,9 @@
 
 
 def remove_idle_admissions(state: states.State) -> None:
-    """Drop the admissions that nothing uses, as a change may have ended."""
+    """Remove idle admissions, as their class may have been removed."""
     admissions = state.tables.admissions
-    idle = [key for key, one in admissions.items() if admission.is_idle(one)]
+    idle = [key for key, it in admissions.items() if admission.is_idle(it)]
     for key in idle:
         admissions.pop(key)
 
@@ -97,11 +97,11 @@
 def handle_claim_settled(
     state: states.State, event: messages.ClaimSettled, now: float
 ) -> list[messages.Action]:
-    """Run what was claimed for this attempt; tell the others why not."""
+    """Run a query whose claim was granted; reply to one whose claim was not."""
     admitted = state.tables.admitted_queries.get(event.token)
     if admitted is None:
-        # The caller was told that it was not run, so it must never be; a
-        # claim that stays would answer "unknown" to whoever asks again.
+        # The reply said that the query was not run, so it must not run now. If
+        # its claim were kept, a repeated request would get an unknown outcome.
         if event.result is messages.ClaimResult.GRANTED:
             return [messages.ReleaseClaim(event.request_id)]
         return []
@@ -119,7 +119,7 @@
 def handle_claim_timeout(
     state: states.State, token: int, now: float
 ) -> list[messages.Action]:
-    """Tell a caller in time that the platform did not record its claim."""
+    """Reply in time if the platform has not recorded the claim."""
     admitted = state.tables.admitted_queries.get(token)
     if admitted is None or admitted.claimed:
         return []
@@ -143,8 +143,8 @@
         )
     lacks_customer = state.configuration.customers and not query.admitted
     if not state.configuration.revision or lacks_customer:
-        # A query that was taken in before its caller needed a key must not run
-        # by what is in force now.
+        # A query that arrived before callers needed keys must not run under a
+        # configuration that requires them.
         return errors.make_failure(
             errors.Kind.NOT_READY,
             SOURCE,
@@ -168,7 +168,7 @@
 def _find_quarantine_failure(
     state: states.State, query: messages.Query, now: float
 ) -> errors.Failure | None:
-    """Refuse a query that is not to be sent now."""
+    """Return the failure for a quarantined query; None if it may be sent."""
     if (
         crashes.get_permission(state, query, now)
         is not suspects.SendPermission.BLOCKED
@@ -240,7 +240,7 @@
     query = submitted.query
     request_class = states.find_class(state, query.class_name)
     if request_class is None:
-        # A change of the configuration has removed it meanwhile.
+        # A configuration change has removed the class meanwhile.
         failure = errors.make_failure(
             errors.Kind.UNKNOWN_CLASS, SOURCE, query.class_name
         )
--- a/fuchsiahaven/core/queries/tables.py
+++ b/fuchsiahaven/core/queries/tables.py
@@ -1,7 +1,7 @@
-"""Hold what one host's dispatch knows of queries and targets.
+"""Hold the tables of one host's dispatch: queries, attempts and targets.
 
-The tables are updated in place: one loop owns them, and copying a table of
-every target for each sub-request would cost more than the sub-request.
+The tables are updated in place: one event loop owns them, and copying a table
+of all targets for each sub-request would cost more than the sub-request.
 """
 
 import collections
@@ -24,7 +24,7 @@
 
 
 class Count(enum.StrEnum):
-    """List what is counted for the metrics."""
+    """List the events that are counted for the metrics."""
 
     FIRST = 'first'
     HEDGE = 'hedge'
@@ -40,19 +40,19 @@
 
 
 class DeadlineTimer(NamedTuple):
-    """Say that a run must be answered now."""
+    """Fire when a run must be answered."""
 
     run_number: int
 
 
 class ClaimTimer(NamedTuple):
-    """Say that a claim took longer than its caller waits."""
+    """Fire when a claim took too long to answer its caller in time."""
 
     token: int
 
 
 class HedgeTimer(NamedTuple):
-    """Say that a run's slow parts in a group may be hedged."""
+    """Fire when the slow parts of a run in a group may be hedged."""
 
     run_number: int
     group: str
@@ -60,43 +60,43 @@
 
 
 class ProbeTimer(NamedTuple):
-    """Say that a target's health is to be asked."""
+    """Fire when a target is to be probed."""
 
     target: str
 
 
 class RetryTimer(NamedTuple):
-    """Say that a part which was shed may be asked for again."""
+    """Fire when a part whose sending was put off may be sent."""
 
     run_number: int
     part_id: runs.PartId
 
 
 class TargetCheckTimer(NamedTuple):
-    """Say that nobody has told in time whether a target has ended."""
+    """Fire when the check of a target has timed out."""
 
     target: str
     part: messages.PartKey
 
 
 class CapacityTimer(NamedTuple):
-    """Say that a target may have room again."""
+    """Fire when a target may have room again."""
 
     target: str
 
 
 class StartTimer(NamedTuple):
-    """Say that a query may start that was spaced out from the last."""
+    """Fire when a query may start whose start was spaced out."""
 
 
 class GrantTimer(NamedTuple):
-    """Say that the seats at a target may grow to what was dealt."""
+    """Fire when the connections to a target may be raised."""
 
     target: str
 
 
 class AllocationTimer(NamedTuple):
-    """Say that it is time for the next slice of a deal of seats."""
+    """Fire when the next slice of connection allocation is due."""
 
 
 Timer = (
@@ -114,7 +114,7 @@
 
 
 class QueuedPart(NamedTuple):
-    """Name a part that waits until one of its replicas has room."""
+    """Identify a part that is queued until a replica has room."""
 
     run_number: int
     part_id: runs.PartId
@@ -122,16 +122,16 @@
 
 
 class ClassGroup(NamedTuple):
-    """Identify what hedges and retries are counted by."""
+    """Identify a class and group, for which hedges and retries are counted."""
 
     class_name: str
     group: str
 
 
 class AttemptRecord(NamedTuple):
-    """Hold an attempt until its one last event.
+    """Hold an attempt until its one final event.
 
-    `cancelled` is when it was given up, 0 while its rows are wanted.
+    `cancelled_at` is when it was cancelled, 0 if it was not.
     """
 
     target: str
@@ -142,7 +142,7 @@
 
 
 class Loss(NamedTuple):
-    """Hold a sub-request that was lost with its connection."""
+    """Hold a sub-request whose connection was lost."""
 
     identity: request_identities.Identity
     part: messages.PartKey
@@ -151,10 +151,10 @@
 
 
 class AdmissionKey(NamedTuple):
-    """Identify the queries that are admitted together.
+    """Identify the queries that share an admission.
 
-    Those that need a claim are apart: they wait for the platform, and while
-    it is slow they would take the places of queries that do not need it.
+    Those that need a claim are separate: they wait for the platform, and while
+    it is slow they would use up the window of queries that don't need it.
     """
 
     groups: tuple[str, ...]
@@ -162,7 +162,7 @@
 
 
 class AdmittedQuery(NamedTuple):
-    """Hold a query that was admitted and is not yet answered."""
+    """Hold a query that was admitted and not yet answered."""
 
     submitted: messages.QuerySubmitted
     request_class: configurations.RequestClass
@@ -172,7 +172,7 @@
 
 
 class FinishedQuery(NamedTuple):
-    """Say that an admitted query was answered and how long it ran."""
+    """Record that an admitted query was answered, and how long it ran."""
 
     admission_key: AdmissionKey
     class_name: str
@@ -181,17 +181,17 @@
 
 
 class AllocationBatch(NamedTuple):
-    """Name targets whose seats are to be dealt together, and their cap."""
+    """Hold targets to allocate together, and the connections of each."""
 
     max_connections: int
     shards: components.Component
 
 
 class View(NamedTuple):
-    """Hold the snapshots of a group over the targets usable just now.
+    """Hold the snapshots of a group on the targets that are usable now.
 
-    `near` counts the own data centre's targets alone, `wide` those of the
-    data centres that a selector adds as well.
+    `local` counts only targets of the own data centre, `extended` also those
+    of the data centres that a selector adds.
     """
 
     local: tuple[snapshots.Pin, ...]
@@ -199,15 +199,16 @@
 
 
 class Tables(NamedTuple):
-    """Hold everything that grows and shrinks.
-
-    `waiting` and `claimed` queries are by token, runs by number; targets and
-    groups by name. `unheard` targets have yet to answer their first probe;
-    `probes` is when each is asked next, `reported` when it last told its
-    health, and `versions` what version of it; `confirmed` is when an answer
-    last said that this version still stands. `in_use` is each group's snapshot
-    that was pinned last. `losses` are by target until it is known whether
-    that has ended; `suspects` are the queries under which targets end.
+    """Hold the tables of the dispatch.
+
+    Queries are keyed by token, runs by number, targets and groups by name.
+    The first probe of `unreported_targets` has not ended. `next_probes` is
+    when each target is probed next, `report_times` when it last reported its
+    health, `health_versions` the version of that report, and `confirm_times`
+    when an answer last confirmed this version. `pinned_snapshots` is the
+    snapshot of each group that was pinned last. `losses` are keyed by target
+    until its check has ended. `suspects` are the queries under which targets
+    have exited.
     """
 
     numbers: 'itertools.count[int]'
--- a/fuchsiahaven/core/queries/target_events.py
+++ b/fuchsiahaven/core/queries/target_events.py
@@ -1,4 +1,4 @@
-"""Follow the targets: which there are, how they are and what they hold."""
+"""Track the targets: their configuration, their state and their holdings."""
 
 import math
 from typing import Final
@@ -15,11 +15,12 @@
 
 PROBE_JITTER_FRACTION: Final = 0.2
 PROBE_BATCH_S: Final = 0.05
-#: A report can be late because this host is: one lost is no evidence.
+#: Probes missed in a row after which a target's holdings are discarded. A
+#: single one may be late because this host is slow.
 MAX_MISSED_PROBES: Final = 3
-#: How often a target without a seat for this host is asked what it holds.
+#: For targets to which this host has no connection.
 UNUSED_PROBE_INTERVAL_S: Final = 60.0
-#: How often a target is asked whose answers say that nothing has changed.
+#: Age at which a report is replaced even if answers confirm its version.
 MAX_REPORT_AGE_S: Final = 30.0
 
 
@@ -28,7 +29,7 @@
     configuration: configurations.Configuration,
     now: float,
 ) -> tuple[states.State, list[messages.Action]]:
-    """Take a configuration in force; a lower revision changes nothing."""
+    """Apply a configuration; the same or a lower revision is ignored."""
     if configuration.revision <= state.configuration.revision:
         return state, []
     state = state._replace(configuration=configuration)
@@ -44,7 +45,7 @@
         host_tables.group_of[target.name] = group
     actions: list[messages.Action] = []
     for removed, target in previous.items():
-        # With another address the name stands for another process.
+        # A target with a new address is another process.
         if host_tables.targets.get(removed) != target:
             _remove_target(state, removed)
             actions.append(messages.LimitConnections(target, 0))
@@ -59,10 +60,10 @@
 def handle_probe_timer(
     state: states.State, name: str, now: float
 ) -> list[messages.Action]:
-    """Ask for a health report and set the time of the next."""
+    """Request a health report unless answers confirm it; set the next timer."""
     target = state.tables.targets.get(name)
     if target is None or now < state.tables.next_probes[name]:
-        # The probe was moved; another timer runs for it.
+        # The probe was rescheduled and has another timer.
         return []
     jitter = 1 - PROBE_JITTER_FRACTION * state.draw()
     interval_s = drains.PROBE_INTERVAL_S
@@ -79,11 +80,11 @@
 def record_health_version(
     state: states.State, name: str, version: int | None, now: float
 ) -> None:
-    """Note that an answer confirms the last health report, or does not.
+    """Record whether an answer confirms the last health report.
 
-    A host asks each target every second, and at hundreds of targets that
-    alone would cost more than all other control traffic. An answer that
-    names the version of the report already known says the same for nothing.
+    A host probes each target every second. With hundreds of targets, this
+    would cost more than all other control traffic. An answer with the version
+    of the last report saves the probe.
     """
     host_tables = state.tables
     if version is not None and host_tables.health_versions.get(name) == version:
@@ -95,7 +96,7 @@
 def handle_probed(
     state: states.State, event: messages.TargetProbed, now: float
 ) -> None:
-    """Learn what a target holds and how it is."""
+    """Update the state and holdings of a target from its health report."""
     name, health = event
     if name not in state.tables.targets:
         return
@@ -126,7 +127,7 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Take in what a target said of itself in an answer."""
+    """Record the state that a target gave in its answer."""
     drain_state = state.tables.drain_states.get(name)
     if drain_state is not None and target_state is messages.TargetState.LEAVING:
         _update_drain_state(
@@ -140,7 +141,7 @@
 def handle_host_list(
     state: states.State, event: messages.HostListRead, now: float
 ) -> None:
-    """Take the platform's word for which targets are leaving."""
+    """Record which targets are leaving in the platform's host list."""
     for leaving, names in ((True, event.leaving), (False, event.live)):
         for name in names:
             drain_state = state.tables.drain_states.get(name)
@@ -154,7 +155,7 @@
 def handle_connections(
     state: states.State, event: messages.ConnectionsChanged
 ) -> None:
-    """Learn how many connections to a target are open and idle."""
+    """Record how many connections to a target are open."""
     if event.target in state.tables.limits:
         stats = state.tables.stats.get(event.target, target_stats.NO_STATS)
         state.tables.stats[event.target] = target_stats.record_connections(
@@ -163,7 +164,7 @@
 
 
 def discard_snapshot(state: states.State, name: str, snapshot: int) -> None:
-    """Believe a target which says that it no longer has a snapshot."""
+    """Discard a snapshot that a target has reported as gone."""
     group = state.tables.group_of.get(name)
     if group is None:
         return
@@ -179,14 +180,14 @@
     state.tables.unreported_targets.add(name)
     state.tables.drain_states[name] = drains.DrainState()
     state.tables.limits[name] = limits.make_limit(0)
-    # The first probes are spread, or every host would ask every target at
-    # the moment at which a configuration arrives.
+    # The first probes are spread out; otherwise every host would probe every
+    # target at the moment a configuration arrives.
     _schedule_probe(state, name, now + PROBE_JITTER_FRACTION * state.draw())
 
 
 def _schedule_probe(state: states.State, name: str, due_at: float) -> None:
-    # Probes go out in batches: to wake up for each alone costs more than the
-    # probe itself.
+    # Probes are sent in batches: a separate wake-up for each would cost more
+    # than the probe itself.
     due_at = math.ceil(due_at / PROBE_BATCH_S) * PROBE_BATCH_S
     state.tables.next_probes[name] = due_at
     states.set_timer(state, due_at, tables.ProbeTimer(name))
@@ -279,10 +280,10 @@
 
 def _get_confirm_time(state: states.State, name: str, now: float) -> float:
     host_tables = state.tables
-    # What an answer says wrongly would be believed for ever if nothing else
-    # were asked; a target that cannot be heard has nothing confirmed either.
-    reported = host_tables.report_times.get(name, -math.inf)
-    if now - reported >= MAX_REPORT_AGE_S or host_tables.missed_probes[name]:
+    # Without probes, a wrong version in answers would be trusted for ever.
+    # Answers don't confirm the report of a target that misses probes.
+    reported_at = host_tables.report_times.get(name, -math.inf)
+    if now - reported_at >= MAX_REPORT_AGE_S or host_tables.missed_probes[name]:
         return -math.inf
     return host_tables.confirm_times.get(name, -math.inf)
 
@@ -290,7 +291,7 @@
 def _became_cold(
     state: states.State, health: messages.Health, now: float
 ) -> bool:
-    # A target says for seconds that it is cold; its ramp starts once.
+    # A target reports for seconds that it is cold; its ramp starts only once.
     if health.state is not messages.TargetState.COLD:
         return False
     return now - state.tables.limits[health.name].cold_since > limits.RAMP_UP_S
--- a/fuchsiahaven/core/queries/views.py
+++ b/fuchsiahaven/core/queries/views.py
@@ -1,4 +1,4 @@
-"""Say which snapshots of which groups a class may use just now."""
+"""List the groups and snapshots that a class can use now."""
 
 from collections.abc import Iterable, Iterator
 
@@ -10,7 +10,7 @@
 def list_reachable(
     state: states.State, class_name: str
 ) -> tuple[selectors.ReachableGroup, ...]:
-    """List the groups that a class reaches under the configuration."""
+    """List the groups that a class reaches in the configuration."""
     reachable = state.tables.reachable_groups.get(class_name)
     if reachable is None:
         reachable = selectors.list_reachable(state.configuration, class_name)
@@ -21,7 +21,7 @@
 def get_admission_key(
     state: states.State, request_class: configurations.RequestClass
 ) -> tables.AdmissionKey:
-    """Say with which other queries those of a class are admitted."""
+    """Return the key of the admission that a class belongs to."""
     groups = (it.group.name for it in list_reachable(state, request_class.name))
     needs_claim = request_class.repeat is configurations.Repeat.AT_MOST_ONCE
     return tables.AdmissionKey(tuple(sorted(groups)), needs_claim)
@@ -30,7 +30,10 @@
 def list_targets(
     state: states.State,
 ) -> Iterator[tuple[configurations.Group, configurations.Target]]:
-    """List the targets that any class may reach from this data centre."""
+    """List the targets that any class can reach from this data centre.
+
+    A target is listed once for each class that reaches it.
+    """
     for request_class in state.configuration.classes:
         for reachable in list_reachable(state, request_class.name):
             data_centres = (state.data_centre, *reachable.data_centres)
@@ -45,7 +48,7 @@
     position: int | None,
     newer_than: int,
 ) -> snapshots.Pin | None:
-    """Pin a snapshot of a group, in the own data centre if it is whole."""
+    """Pin a snapshot of a group, on local targets if these have every shard."""
     chosen = _choose_pin(state, reachable, position, newer_than)
     if chosen is not None and chosen.complete:
         state.tables.pinned_snapshots[reachable.group.name] = chosen.snapshot
@@ -53,7 +56,7 @@
 
 
 def discard_views(state: states.State, group: str) -> None:
-    """Make the next query look at a group's targets again."""
+    """Discard the views of a group, so that the next query rebuilds them."""
     views = state.tables.views
     stale = [key for key in views if key[0] == group]
     for key in stale:
