--- a/fuchsiahaven/core/queries/gather.py
+++ b/fuchsiahaven/core/queries/gather.py
@@ -140,7 +140,7 @@
 def handle_retry_timer(
     state: states.State, timer: tables.RetryTimer, now: float
 ) -> list[messages.Action]:
-    """Retry a part that was put off, if it is still open."""
+    """Send or retry a part if it is still open."""
     run = state.tables.active_runs.get(timer.run_number)
     if run is None or timer.part_id not in run.open_parts:
         return []
--- a/fuchsiahaven/core/queries/tables.py
+++ b/fuchsiahaven/core/queries/tables.py
@@ -66,7 +66,7 @@
 
 
 class RetryTimer(NamedTuple):
-    """Fire when a part whose sending was put off may be sent."""
+    """Fire when a part is to be sent or retried."""
 
     run_number: int
     part_id: runs.PartId
--- a/tests/core/targets/test_limits.py
+++ b/tests/core/targets/test_limits.py
@@ -8,7 +8,7 @@
 NOW = 100.0
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(('answered', 'shed', 'seats', 'cold')),
+        st.sampled_from(('answered', 'shed', 'connections', 'cold')),
         st.integers(0, 30),
         st.floats(0.0001, 2.0),
     )
@@ -23,7 +23,7 @@
         return limits.record_answer(limit, count, elapsed, now)
     if kind == 'shed':
         return limits.record_shed(limit, now, elapsed)
-    if kind == 'seats':
+    if kind == 'connections':
         return limits.update_connections(limit, count)
     return limits.record_cold(limit, now)
 
