--- a/fuchsiahaven/core/queries/admission.py
+++ b/fuchsiahaven/core/queries/admission.py
@@ -13,8 +13,9 @@
 from fuchsiahaven.core.queries import queues
 
 SOURCE: Final = 'admission'
-# With a longer queue, more of the queries that start have too little time left
-# to finish, and no more queries start overall.
+# Fraction of its time limit that a query may be queued. With a longer queue,
+# more of the queries that start have too little time left to finish, and no
+# more queries start overall.
 MAX_QUEUE_WAIT_FRACTION: Final = 0.5
 # The estimated run time is the mean plus this many mean deviations.
 RUN_TIME_DEVIATIONS: Final = 2.0
--- a/fuchsiahaven/core/queries/allocations.py
+++ b/fuchsiahaven/core/queries/allocations.py
@@ -22,7 +22,8 @@
 #: Pairs of host and target for each slice; they take a few milliseconds.
 MAX_SLICE_PAIRS: Final = 4000
 SLICE_DELAY_S: Final = 0.01
-#: Changes of holdings come in bursts, for example during an index change.
+#: Changes of holdings come in bursts, for example during an index change, and
+#: are handled together after this delay.
 CHANGE_DELAY_S: Final = 0.5
 
 
--- a/fuchsiahaven/core/targets/drains.py
+++ b/fuchsiahaven/core/targets/drains.py
@@ -18,8 +18,8 @@
 # `leaving` may come from an older copy of the list.
 MAX_LIST_LAG_S: Final = 30.0
 
-# The maximum time from the first signal of leaving to the last new request is
-# the sum of these and of one round trip, which is less than 3 s.
+# After the first signal of leaving, a target gets new requests for at most the
+# sum of these and of one round trip. The sum is less than 3 s.
 PROBE_INTERVAL_S: Final = 1.0
 PROBE_TIMEOUT_S: Final = 1.0
 
--- a/tests/core/queries/test_admission.py
+++ b/tests/core/queries/test_admission.py
@@ -80,21 +80,19 @@
     current = admission.offer(
         make_busy(), make_entry(0, LOWEST_PRIORITY, 60.0), NOW
     ).admission
-    weak_starts: list[int] = []
+    low_starts: list[int] = []
     for turn in range(3 * queues.OLDEST_FIRST_PERIOD):
-        strong = make_entry(
-            1000 + turn, HIGHEST_PRIORITY, 60.0, NOW + turn + 0.5
-        )
-        step = admission.offer(current, strong, NOW + turn + 0.5)
+        high = make_entry(1000 + turn, HIGHEST_PRIORITY, 60.0, NOW + turn + 0.5)
+        step = admission.offer(current, high, NOW + turn + 0.5)
         step = admission.record_finish(
             step.admission, NOW + turn + 1.0, 0.1, overloaded=False
         )
         current = step.admission._replace(window=8.0)
-        weak_starts.extend(
+        low_starts.extend(
             turn for entry in step.started if entry.priority == LOWEST_PRIORITY
         )
-    assert weak_starts
-    assert weak_starts[0] < queues.OLDEST_FIRST_PERIOD
+    assert low_starts
+    assert low_starts[0] < queues.OLDEST_FIRST_PERIOD
 
 
 def test_a_full_queue_reserves_entries_for_every_priority() -> None:
@@ -103,13 +101,13 @@
         current = admission.offer(
             current, make_entry(token, HIGHEST_PRIORITY), NOW
         ).admission
-    weak = admission.offer(current, make_entry(900, LOWEST_PRIORITY), NOW)
-    assert not weak.refused
-    strong = admission.offer(
-        weak.admission, make_entry(901, HIGHEST_PRIORITY), NOW
+    low = admission.offer(current, make_entry(900, LOWEST_PRIORITY), NOW)
+    assert not low.refused
+    high = admission.offer(
+        low.admission, make_entry(901, HIGHEST_PRIORITY), NOW
     )
-    assert strong.refused[0].token == 901
-    assert strong.refused[0].failure.kind is errors.Kind.OVERLOADED
+    assert high.refused[0].token == 901
+    assert high.refused[0].failure.kind is errors.Kind.OVERLOADED
 
 
 def test_the_newest_of_a_lower_priority_is_evicted() -> None:
