--- a/fuchsiahaven/core/configuration/audit_log.py
+++ b/fuchsiahaven/core/configuration/audit_log.py
@@ -1,4 +1,4 @@
-"""Hold audit entries: who changed which fields, when, from what to what."""
+"""Define audit entries: who changed which fields, when, from what to what."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
@@ -7,12 +7,13 @@
 
 
 class Entry(NamedTuple):
-    """Record one accepted change; it made `revision` out of `follows`.
+    """Describe one accepted change.
 
-    Revisions leave a gap only where the platform had come back with an older
-    copy and its configuration was recovered from the hosts. `epoch` is the
-    operator's wall clock, for people alone: order comes from the revision.
-    `undoes` names the change that this one takes back.
+    The change turned `previous_revision` into `revision`. The two differ by
+    more than 1 only where the platform was restored from an older copy and
+    the configuration was then recovered from the hosts. `epoch_s` is the
+    operator's wall clock and is only displayed: entries are ordered by
+    revision. `undone_change_id` names the change that this one undoes.
     """
 
     change_id: str
@@ -26,7 +27,7 @@
 
 
 def encode_entry(entry: Entry) -> dict[str, Any]:
-    """Write an entry as it stands in the manifest and the archive."""
+    """Encode an entry for the manifest and the archive."""
     row: dict[str, Any] = {
         'id': entry.change_id,
         'revision': entry.revision,
@@ -44,7 +45,7 @@
 
 
 def decode_entry(row: Mapping[str, Any]) -> Entry:
-    """Read an entry out of a row of valid shape."""
+    """Decode an entry from a row that the schema has accepted."""
     return Entry(
         change_id=row['id'],
         revision=row['revision'],
@@ -72,7 +73,7 @@
     entries: Iterable[Entry],
     fields: Iterable[trees.FieldPath],
 ) -> Entry | None:
-    """Return the newest entry that touched any of the fields, or None."""
+    """Return the newest entry whose edits overlap any of the fields."""
     paths = tuple(fields)
     overlapping = (entry for entry in entries if _overlaps_any(entry, paths))
     return max(overlapping, key=_get_revision, default=None)
--- a/fuchsiahaven/core/configuration/change_writes.py
+++ b/fuchsiahaven/core/configuration/change_writes.py
@@ -1,7 +1,7 @@
-"""Apply a change: work out which fields it writes, write and check them.
+"""Apply a change: list the fields that it writes, set and validate them.
 
-A change is applied by the fields that it names alone, so that it can be
-applied again to a configuration that another operator has changed meanwhile.
+A change writes only the fields that it names, so it can be applied again to
+a configuration that another operator has changed meanwhile.
 """
 
 import collections
@@ -18,10 +18,10 @@
 from fuchsiahaven.core.customers import customers
 
 SOURCE: Final = 'changes'
-#: The source of failures that no other change can be the reason for.
+#: The source of failures that another change cannot have caused.
 VALIDATION_SOURCE: Final = 'shapes'
 
-#: A field and the value to write there; None takes the field away.
+#: A field and the value to write there; None removes the field.
 FieldWrite = tuple[trees.FieldPath, object]
 FieldWrites = tuple[FieldWrite, ...]
 
@@ -32,8 +32,8 @@
 ) -> configurations.Configuration | errors.Failure:
     """Return the changed configuration, at the same revision.
 
-    INVALID_CHANGE where the change does not fit, CONFLICT where a field that
-    it would restore has another value by now.
+    Return INVALID_CHANGE if the change cannot be applied, CONFLICT if a field
+    that it would undo has been changed since.
     """
     before = trees.build_tree(configuration)
     writes = _plan_writes(before, change)
@@ -54,7 +54,7 @@
 def _plan_writes(
     tree: trees.Tree, change: changes.Change
 ) -> FieldWrites | errors.Failure:
-    """List what a change writes to which fields of a tree."""
+    """List the fields of a tree that a change writes, with their values."""
     match change:
         case changes.ReplaceConfiguration(new_configuration):
             return _plan_replace(tree, _keep_leaving(tree, new_configuration))
@@ -112,8 +112,8 @@
     fields: changes.FieldValues,
     defaults: Mapping[str, Any],
 ) -> FieldWrites:
-    # A row that exists is written field by field, so that two operators may
-    # set different fields of one row. A new one needs the row as a whole.
+    # An existing row is written field by field, so that two operators can set
+    # different fields of it. A new row is written as a whole.
     subject = changes.get_subject(change)
     if trees.find_field(tree, subject) is None:
         row = {**defaults, **dict(fields)}
@@ -225,8 +225,8 @@
 ) -> FieldWrites | errors.Failure:
     for edit in edits:
         parent = trees.find_field(tree, edit.field[:-1])
-        # Writing an old value over a newer one would take back, unseen,
-        # a change that somebody else was told is accepted.
+        # Overwriting a newer value would silently revert a change that
+        # another operator was told is accepted.
         if parent is None or trees.find_field(tree, edit.field) != edit.after:
             return errors.make_failure(
                 errors.Kind.CONFLICT,
--- a/fuchsiahaven/core/configuration/changes.py
+++ b/fuchsiahaven/core/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Define the changes that operators ask for, and put them into words."""
+"""Define the changes that operators request, and describe them as text."""
 
 from typing import Any, NamedTuple
 
@@ -8,13 +8,13 @@
 
 
 class CreateGroup(NamedTuple):
-    """Create a group; it must not exist."""
+    """Create a group, which must not exist yet."""
 
     group: configurations.Group
 
 
 class LabelGroup(NamedTuple):
-    """Set some labels of a group and take others away."""
+    """Set some labels of a group and remove others."""
 
     group: str
     labels: tuple[tuple[str, str], ...] = ()
@@ -35,7 +35,7 @@
 
 
 class AddTargets(NamedTuple):
-    """Add targets to a group; none of them may be in it."""
+    """Add targets to a group that has no targets of these names yet."""
 
     group: str
     targets: tuple[configurations.Target, ...]
@@ -44,7 +44,7 @@
 class RemoveTargets(NamedTuple):
     """Remove targets from a group.
 
-    `data_centre`, where it is known, saves reading the others' targets.
+    Where `data_centre` is given, only its targets have to be read.
     """
 
     group: str
@@ -53,7 +53,7 @@
 
 
 class MarkLeaving(NamedTuple):
-    """Mark targets of a group as leaving, or as not leaving any more."""
+    """Mark targets of a group as leaving, or remove that mark."""
 
     group: str
     targets: tuple[str, ...]
@@ -93,8 +93,8 @@
 class SetCustomer(NamedTuple):
     """Create a customer, or set some of its fields.
 
-    The fields are `rate`, `burst` and `priority`; a priority of None is that
-    of the class.
+    The fields are `rate`, `burst` and `priority`. With a priority of None the
+    customer's requests have the priority of their class.
     """
 
     customer: str
@@ -102,14 +102,14 @@
 
 
 class AddKeys(NamedTuple):
-    """Give keys to a customer, by their digests."""
+    """Add keys, given as digests, to a customer."""
 
     customer: str
     digests: tuple[str, ...]
 
 
 class RemoveKeys(NamedTuple):
-    """Take keys away from a customer, by their digests."""
+    """Remove keys, given as digests, from a customer."""
 
     customer: str
     digests: tuple[str, ...]
@@ -122,23 +122,23 @@
 
 
 class ReplaceConfiguration(NamedTuple):
-    """Put a whole description in place of everything.
+    """Replace the whole configuration by a description of it.
 
-    Targets that stay keep their mark of leaving: a description says what
-    there is, not what is being taken out of service just now.
+    Targets that are in both keep their `leaving` mark: a description lists
+    what exists and cannot express what is being taken out of service.
     """
 
     configuration: configurations.Configuration
 
 
 class RecoverConfiguration(NamedTuple):
-    """Put what hosts have in force in place of an older copy."""
+    """Replace an older copy by the configuration in force on the hosts."""
 
     configuration: configurations.Configuration
 
 
 class UndoChange(NamedTuple):
-    """Take back the edits of an accepted change, as a new change."""
+    """Reverse the edits of an accepted change by a new change."""
 
     change_id: str
     edits: tuple[trees.Edit, ...]
@@ -167,7 +167,7 @@
 
 
 def get_subject(change: Change) -> trees.FieldPath:
-    """Return the field that contains all that a change may touch."""
+    """Return the path under which all fields lie that a change may edit."""
     match change:
         case CreateGroup(group):
             return ('groups', group.name)
@@ -183,7 +183,7 @@
 
 
 def describe_change(change: Change) -> str:
-    """Say in a few words what a change does, for the audit trail."""
+    """Summarise a change in a line for the audit log."""
     match change:
         case CreateGroup(group):
             return f'create group {group.name}'
@@ -206,7 +206,7 @@
 
 
 def name_subject(subject: trees.FieldPath) -> str:
-    """Name a group, selector, class or customer as an operator knows it."""
+    """Format a path as a kind and a name, such as `group catalogo`."""
     kind_names = {
         'groups': 'group',
         'selectors': 'selector',
--- a/fuchsiahaven/core/configuration/checks.py
+++ b/fuchsiahaven/core/configuration/checks.py
@@ -1,8 +1,9 @@
-"""Check what a configuration means: who is reached, and by what policy.
+"""Check a configuration as a whole: reachability and request policies.
 
-The shape of names and values is checked in `shapes`; here the parts are
-looked at together. A change is held to what it makes worse, never to what
-was so before, or one old problem would block every repair.
+`tree_validation` checks the form of single names and values; this module
+checks how they fit together. A change is refused only for problems that it
+introduces: were existing ones held against it, one old problem would block
+every repair.
 """
 
 import collections
@@ -12,16 +13,17 @@
 from fuchsiahaven.core.configuration import configurations, parts, selectors
 from fuchsiahaven.core.customers import customers
 
-#: An at-most-once request may reach one group: each one it reaches runs it.
+#: A class that runs at most once may reach one group only, since each group
+#: that a request reaches runs it.
 MAX_AT_MOST_ONCE_GROUPS: Final = 1
 
 
-#: How many live targets each group has in each data centre.
+#: The number of live targets, by group and data centre.
 LiveCounts = Mapping[str, Mapping[str, int]]
 
 
 class Problem(NamedTuple):
-    """Tell one problem; `forceable` where an operator may mean it."""
+    """Describe one problem; an operator may override a `forceable` one."""
 
     text: str
     forceable: bool = False
@@ -32,9 +34,9 @@
     after: configurations.Configuration,
     stored_parts: parts.Parts,
 ) -> tuple[Problem, ...]:
-    """List the problems that a change brings in, in a steady order.
+    """List the problems that a change introduces, in a deterministic order.
 
-    Targets that were not read count by what `kept` says of their parts.
+    Targets that were not read are counted from `stored_parts`.
     """
     old = frozenset(find_problems(before, stored_parts))
     new = [
@@ -42,7 +44,8 @@
         for problem in find_problems(after, stored_parts)
         if problem not in old
     ]
-    # A new class has no selector yet; only losing the last one is news.
+    # A new class has no selector yet, so only the loss of the last selector
+    # of a class is a problem.
     unselected = _list_selected_classes(before) - _list_selected_classes(after)
     for request_class in after.classes:
         if request_class.name in unselected:
@@ -58,7 +61,7 @@
     configuration: configurations.Configuration,
     stored_parts: parts.Parts,
 ) -> Iterator[Problem]:
-    """Find what is wrong with a configuration of valid shape."""
+    """Yield the problems of a configuration that passed validation."""
     yield from _check_targets(configuration.groups)
     for one, other in customers.find_shared_keys(configuration.customers):
         yield Problem(f'customers {one} and {other} hold one key')
@@ -118,7 +121,7 @@
     live: Mapping[str, int],
     all_centres: set[str],
 ) -> Iterator[Problem]:
-    """Find data centres whose callers could get nothing from a group."""
+    """Find data centres whose callers could reach no target of a group."""
     if any(fallback in live for fallback in selector.data_centres):
         return
     for centre in sorted(all_centres - live.keys()):
@@ -134,8 +137,8 @@
 ) -> Iterator[Problem]:
     """Find targets that share a name or an address.
 
-    Caps are counted by target, so one behind two names would be given twice
-    the connections that it takes.
+    Limits are enforced by target name, so a target with two names would get
+    twice the connections that it accepts.
     """
     targets = [target for group in groups for target in group.targets]
     for name in _find_duplicates(target.name for target in targets):
@@ -147,7 +150,7 @@
 def _check_at_most_once(
     request_class: configurations.RequestClass,
 ) -> Iterator[Problem]:
-    """Find policies that would run a request twice, or a part of it."""
+    """Find policies that could run a request twice or only in part."""
     prefix = f'class {request_class.name} runs at most once, so'
     if request_class.fan_out is not configurations.FanOut.KEYED:
         yield Problem(f'{prefix} fan_out must be keyed')
--- a/fuchsiahaven/core/configuration/configurations.py
+++ b/fuchsiahaven/core/configuration/configurations.py
@@ -1,4 +1,4 @@
-"""Hold the accepted configuration: groups, selectors, request classes."""
+"""Define the configuration: groups, selectors, request classes, customers."""
 
 import enum
 from typing import NamedTuple
@@ -9,28 +9,28 @@
 
 
 class Needs(enum.StrEnum):
-    """Say what a class accepts as an answer."""
+    """List which answers a class accepts."""
 
     COMPLETE = 'complete'
     PARTIAL = 'partial'
 
 
 class Repeat(enum.StrEnum):
-    """Say whether a request may run again on another searcher."""
+    """List whether a request may run again on another searcher."""
 
     IDEMPOTENT = 'idempotent'
     AT_MOST_ONCE = 'at_most_once'
 
 
 class FanOut(enum.StrEnum):
-    """Say which shards a request visits."""
+    """List which shards a request is sent to."""
 
     ALL = 'all'
     KEYED = 'keyed'
 
 
 class Target(NamedTuple):
-    """Name one searcher, its address (`ip:port`) and its data centre."""
+    """Describe one searcher: name, address (`ip:port`) and data centre."""
 
     name: str
     address: str
@@ -38,11 +38,11 @@
 
 
 class Group(NamedTuple):
-    """Hold labelled targets that share one service.
+    """Describe a labelled group of targets that run the same service.
 
-    `slots` and `connections` are each target's caps over all hosts;
-    `connect_ms` is the usual cost of a new connection. `leaving` names the
-    targets that an operator has marked as leaving.
+    `slots` and `connections` are limits of each target, summed over all
+    hosts; `connect_ms` is how long a new connection usually takes. `leaving`
+    names the targets that an operator has marked as leaving.
     """
 
     name: str
@@ -55,10 +55,10 @@
 
 
 class Selector(NamedTuple):
-    """Say which groups a class of request may reach, by label expression.
+    """Select the groups that a class of request may reach, by their labels.
 
-    `data_centres` lists other data centres that may serve when the own one
-    cannot; the own one always comes first.
+    `data_centres` are the fallbacks: other data centres that may serve a
+    request when the host's own one cannot. The own one always comes first.
     """
 
     name: str
@@ -70,9 +70,10 @@
 class RequestClass(NamedTuple):
     """Hold the policy of one class of request.
 
-    `priority` runs from 0 (served first) to 3. The shares are extra
-    sub-requests as a part of first tries. Where there are customers, only a
-    `public` class takes requests without a key.
+    `priority` ranges from 0 (served first) to 3. `hedge_share` and
+    `retry_share` bound the hedges and retries, as fractions of the first
+    attempts. Once customers are configured, only a `public` class accepts
+    requests without a key.
     """
 
     name: str
@@ -89,7 +90,7 @@
 class Configuration(NamedTuple):
     """Hold one accepted revision, immutable and complete.
 
-    Without customers callers need no key.
+    If no customers are configured, callers need no key.
     """
 
     revision: int
--- a/fuchsiahaven/core/configuration/manifest_filters.py
+++ b/fuchsiahaven/core/configuration/manifest_filters.py
@@ -1,7 +1,7 @@
-"""Narrow a manifest to what one data centre can reach.
+"""Reduce a manifest to the parts that one data centre can reach.
 
-At the largest size the targets of all data centres would take more memory
-than control may have on a host, and most of them it could never send to.
+In the largest system the targets of all data centres would exceed the memory
+of a host's control process, which could not send to most of them anyway.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 def filter_by_data_centre(
     head: manifests.Head, data_centre: str
 ) -> manifests.Head:
-    """Leave out the parts of data centres that no selector falls back to."""
+    """Keep the parts of a data centre and of all fallbacks of selectors."""
     wanted_centres = {data_centre}
     for selector in head.row['selectors'].values():
         wanted_centres.update(selector['data_centres'])
--- a/fuchsiahaven/core/configuration/manifest_schemas.py
+++ b/fuchsiahaven/core/configuration/manifest_schemas.py
@@ -1,4 +1,4 @@
-"""Define and check the shape of the manifest, its parts and audit entries."""
+"""Define the JSON schemas of the manifest, its parts and audit entries."""
 
 import functools
 import json
@@ -9,24 +9,24 @@
 
 from fuchsiahaven.core.customers import customers
 
-#: Names of groups, selectors and classes.
+#: Names of groups, selectors, classes and customers.
 NAME_PATTERN: Final = r'^[a-z0-9]([-a-z0-9.]{0,61}[a-z0-9])?\Z'
-#: Names of targets carry their instance and number: `socios-web-03/1`.
+#: Names of targets contain their instance and a number: `socios-web-03/1`.
 TARGET_PATTERN: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,125}[A-Za-z0-9])?\Z'
-#: Data centres carry their place's own name, in its own letters.
+#: Data centres are named after places, in any script.
 DATA_CENTRE_PATTERN: Final = r'^\w([\w.-]{0,61}\w)?\Z'
-#: Labels follow the usual form: an optional prefix, then a short name.
+#: Label keys are an optional DNS prefix and a slash, then a short name.
 LABEL_KEY_PATTERN: Final = (
     r'^([a-z0-9]([-a-z0-9.]{0,251}[a-z0-9])?/)?'
     r'[A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?\Z'
 )
-#: Keys stand in the manifest as their digests.
+#: The manifest holds digests of keys, never the keys.
 KEY_DIGEST_PATTERN: Final = r'^[0-9a-f]{32}\Z'
 LABEL_VALUE_PATTERN: Final = (
     r'^([A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?)?\Z'
 )
 
-#: A longer expression would cost every host on every new revision.
+#: Every host parses every expression on every new revision.
 MAX_EXPRESSION_LENGTH: Final = 1024
 MAX_TEXT_LENGTH: Final = 256
 MAX_MS: Final = 600_000
@@ -48,7 +48,7 @@
 
 
 def _mapping_of(pattern: str, row: Schema) -> Schema:
-    """Describe a mapping from names of one form to rows."""
+    """Return the schema of an object whose keys have one form."""
     return {
         'type': 'object',
         'propertyNames': {'pattern': pattern},
@@ -57,11 +57,12 @@
 
 
 def _object_of(required: Schema, optional: Schema | None = None) -> Schema:
-    """Describe an object of exactly these fields.
+    """Return the schema of an object that has no other fields.
 
-    A field that this program does not know would be lost when the manifest is
-    next written, and with it something an operator had been told is accepted.
-    So another field needs a higher format, which is refused by name.
+    A field that this release does not know would be lost when the manifest is
+    next written, and with it a change that an operator was told is accepted.
+    A new field therefore needs a higher format, which older releases refuse
+    with an error of its own.
     """
     return {
         'type': 'object',
@@ -135,7 +136,7 @@
     },
     {'priority': _PRIORITY},
 )
-#: Names of customers, which targets are shown, are those of other things.
+#: Customers are named by the same rules as groups. Targets receive the names.
 _CUSTOMERS: Final = _mapping_of(NAME_PATTERN, _CUSTOMER)
 _AUDIT_ENTRY: Final = _object_of(
     {
@@ -174,7 +175,7 @@
         **_SELECTORS_AND_CLASSES,
         'changes': {'type': 'array', 'items': _AUDIT_ENTRY},
     },
-    # None at all could be taken for "no keys needed" or "no key is valid".
+    # An empty object could mean "no keys needed" or "no key is valid".
     {'customers': {**_CUSTOMERS, 'minProperties': 1}},
 )
 PART: Final = _object_of(
@@ -187,7 +188,7 @@
     }
 )
 ARCHIVED_ENTRY: Final = _object_of({**_FORMAT, 'entry': _AUDIT_ENTRY})
-#: The tree of fields that changes edit; see `trees`.
+#: The tree of fields that changes edit; see module `trees`.
 FIELD_TREE: Final = _object_of(
     {
         'groups': _mapping_of(
@@ -216,7 +217,7 @@
 
 
 def find_fault(schema: Schema, value: object) -> str | None:
-    """Say what is wrong with a value, or None."""
+    """Return what is wrong with a value, or None if it fits the schema."""
     try:
         _compile(json.dumps(schema))(value)
     except fastjsonschema.JsonSchemaValueException as error:
@@ -226,6 +227,6 @@
 
 @functools.cache
 def _compile(schema: str) -> Validator:
-    # Compiling takes milliseconds, so it waits until a check is needed.
+    # Compiling takes milliseconds, so schemas are compiled on first use.
     validator: Validator = fastjsonschema.compile(json.loads(schema))
     return validator
--- a/fuchsiahaven/core/configuration/manifests.py
+++ b/fuchsiahaven/core/configuration/manifests.py
@@ -1,8 +1,9 @@
 """Encode and decode the manifest of the configuration.
 
-The manifest is one value in the platform's service: revision, groups,
-selectors, classes and the last changes. The targets of the groups are in
-`parts`, most of which a reader can leave unread.
+The manifest is one value in the platform's store: revision, groups,
+selectors, classes, customers and the last audit entries. The targets of the
+groups are stored in parts (see module `parts`), most of which a reader need
+not read.
 """
 
 from collections.abc import Collection, Iterator, Mapping
@@ -20,7 +21,7 @@
 from fuchsiahaven.core.customers import customers
 
 MANIFEST_KEY: Final = 'configuration/manifest'
-#: What one value of the platform's service holds, in bytes of UTF-8.
+#: The most bytes of UTF-8 that one value of the platform's store may have.
 MAX_VALUE_BYTES: Final = 1_000_000
 SOURCE: Final = 'manifests'
 
@@ -28,7 +29,7 @@
 
 
 class Manifest(NamedTuple):
-    """Hold a configuration, its last changes and where its parts stand.
+    """Hold a configuration, its last audit entries and its stored parts.
 
     The configuration lacks the targets of parts that were not read.
     """
@@ -39,7 +40,7 @@
 
 
 class Encoded(NamedTuple):
-    """Hold the texts to store: the parts by key, then the manifest's."""
+    """Hold the texts to store: the manifest's, and new parts by key."""
 
     text: str
     part_texts: Mapping[str, str]
@@ -47,7 +48,7 @@
 
 
 class Head(NamedTuple):
-    """Hold a manifest whose parts under `keys` are still to be read."""
+    """Hold a manifest whose parts under `part_keys` were not read yet."""
 
     revision: int
     entries: tuple[audit_log.Entry, ...]
@@ -63,11 +64,11 @@
     entries: tuple[audit_log.Entry, ...] = (),
     stored_parts: parts.Parts | None = None,
 ) -> Encoded | errors.Failure:
-    """Write the texts that store a configuration.
+    """Encode a configuration into the texts to store.
 
-    Parts of `kept` whose targets are the same, or were not read, stay where
-    they stand and are not among the texts. TOO_LARGE where a value would not
-    fit.
+    Parts in `stored_parts` whose targets are unchanged, or were not read,
+    keep their key and are not encoded again. Return TOO_LARGE if a value
+    would exceed `MAX_VALUE_BYTES`.
     """
     known_parts = stored_parts or {}
     group_names = {group.name for group in configuration.groups}
@@ -78,8 +79,8 @@
     }
     part_texts: dict[str, str] = {}
     for part_id, part in parts.split_configuration(configuration):
-        # Writing the targets that were read in place of those that were not
-        # would drop the latter without a trace.
+        # Overwriting an unread part with the targets at hand would silently
+        # drop the targets that were not read.
         assert part_id not in all_parts, part_id
         stored_part, text = _choose_storage(
             part_id, part, known_parts, configuration.revision
@@ -93,10 +94,10 @@
 
 
 def decode_head(text: str) -> Head | errors.Failure:
-    """Read a manifest up to its large parts.
+    """Decode a manifest without the parts that have keys of their own.
 
-    UNKNOWN_FORMAT where a newer program wrote it, INVALID_CONFIGURATION where
-    it is not a manifest.
+    Return UNKNOWN_FORMAT if a newer release wrote it, INVALID_CONFIGURATION
+    if it is not a valid manifest.
     """
     row = stored_json.decode(text, manifest_schemas.MANIFEST)
     if isinstance(row, errors.Failure):
@@ -112,7 +113,7 @@
 
 
 def list_part_keys(head: Head, wanted_ids: PartIds | None) -> tuple[str, ...]:
-    """List the keys of the parts of some places; None means all."""
+    """List the store keys of the wanted parts; None means all parts."""
     if wanted_ids is None:
         return head.part_keys
     return tuple(
@@ -127,10 +128,10 @@
     part_texts: Mapping[str, str],
     wanted_ids: PartIds | None = None,
 ) -> Manifest | errors.Failure:
-    """Join a manifest with the texts of its large parts, by key.
+    """Combine a manifest with the texts of its parts, given by key.
 
-    Parts of places that are not wanted stay unread; None means that all are
-    wanted. INVALID_CONFIGURATION where one is missing or not the one named.
+    Parts that are not wanted stay unread; None means that all are wanted.
+    Return INVALID_CONFIGURATION if a part is missing or has another digest.
     """
     known_parts: dict[parts.PartId, parts.Part] = {}
     for part_id, part in iterate_parts(head.row):
@@ -157,7 +158,7 @@
     text: str,
     part_texts: Mapping[str, str] | None = None,
 ) -> Manifest | errors.Failure:
-    """Read a manifest whose parts are at hand."""
+    """Decode a manifest and all its parts, given by key."""
     head = decode_head(text)
     if isinstance(head, errors.Failure):
         return head
@@ -165,7 +166,7 @@
 
 
 def encode_archived_entry(entry: audit_log.Entry) -> str:
-    """Write an audit entry as it is kept under a key of its own."""
+    """Encode an audit entry for its own key in the archive."""
     row = {
         'format': stored_json.BASE_FORMAT,
         'entry': audit_log.encode_entry(entry),
@@ -174,7 +175,7 @@
 
 
 def decode_archived_entry(text: str) -> audit_log.Entry | errors.Failure:
-    """Read an archived audit entry."""
+    """Decode an archived audit entry."""
     row = stored_json.decode(text, manifest_schemas.ARCHIVED_ENTRY)
     if isinstance(row, errors.Failure):
         return row
@@ -182,14 +183,14 @@
 
 
 def make_archive_key(revision: int) -> str:
-    """Name the key that keeps the audit entry of a revision."""
+    """Return the store key of a revision's archived audit entry."""
     return f'audit/{revision}'
 
 
 def iterate_parts(
     row: Mapping[str, Any],
 ) -> Iterator[tuple[parts.PartId, parts.Part]]:
-    """Yield each place of a manifest's row with its part, in order."""
+    """Yield the parts of a manifest's row with their ids, in sorted order."""
     for group, group_row in sorted(row['groups'].items()):
         for centre, part_row in sorted(group_row['parts'].items()):
             part_id = group, centre
@@ -236,9 +237,10 @@
 
 
 def _choose_format(configuration: configurations.Configuration) -> int:
-    """Choose the lowest format that can say what a configuration holds.
+    """Return the lowest format that can express a configuration.
 
-    A program that knows no customers would take in everybody.
+    A release that does not know customers would accept every request, so it
+    has to refuse a manifest that has some.
     """
     public = any(
         request_class.public for request_class in configuration.classes
@@ -251,7 +253,7 @@
 
 
 def _find_shared_key(row: Mapping[str, Any]) -> str | None:
-    """Say which customers hold one key, or None."""
+    """Describe two customers that hold the same key, or return None."""
     rows = row.get('customers', {})
     return customers.find_fault(
         trees.decode_customer(name, customer_row)
--- a/fuchsiahaven/core/configuration/parts.py
+++ b/fuchsiahaven/core/configuration/parts.py
@@ -1,13 +1,13 @@
-"""Write and read the targets of one group in one data centre.
+"""Encode and decode parts: the targets of one group in one data centre.
 
-A small part stands in the manifest; a large one has a key of its own,
+A small part is stored inside the manifest. A large one has its own key,
 `configuration/groups/<group>/<digest>`, so that the manifest stays small and
-a change to one data centre reads and rewrites that part alone.
+a change in one data centre reads and rewrites only that part.
 
-A part's text names the revision that wrote it (`since`), which makes each key
-unique to one attempt. So a key that the manifest does not name, and whose
-`since` is not above the manifest's revision, can never be named again, and
-whoever finds it may delete it without asking anybody.
+A part's text contains the revision that wrote it (`since`), so no key is
+ever used by two revisions. A key that the manifest does not name can
+therefore never be named again once its `since` is at most the manifest's
+revision, and any writer may delete it without coordination.
 """
 
 import hashlib
@@ -23,23 +23,24 @@
 )
 
 KEY_PREFIX: Final = 'configuration/groups/'
-#: A part whose text takes more than this gets a key of its own.
+#: A part whose text is longer gets a key of its own.
 MAX_INLINE_BYTES: Final = 2048
-#: 80 bits of SHA-256: no two parts share a digest. The manifest, which every
-#: watcher reads with every change, has one for each part, so it is short.
+#: Hexadecimal digits: 80 bits of SHA-256 rule out collisions. The digest is
+#: short because the manifest holds one for each part, and every watcher reads
+#: the manifest after every change.
 DIGEST_DIGITS: Final = 20
 
-#: A group's name and a data centre.
+#: Identifies a part: the group's name and the data centre.
 PartId = tuple[str, str]
 Targets = tuple[configurations.Target, ...]
 
 
 class Part(NamedTuple):
-    """Hold the targets of a place and where they stand.
+    """Hold the targets of one part and where they are stored.
 
-    `since` is the revision that wrote them; `key` is their own key, or None
-    where they stand in the manifest. `unread` counts the targets of a part
-    that was not read; its `targets` are empty then, and say nothing.
+    `revision` is the one that wrote them; `key` is the part's store key, or
+    None if it is stored inside the manifest. `unread_count` is the number of
+    targets of a part that was not read, whose `targets` are then empty.
     """
 
     targets: Targets
@@ -55,7 +56,7 @@
 def split_configuration(
     configuration: configurations.Configuration,
 ) -> Iterator[tuple[PartId, Part]]:
-    """Split a configuration into parts that have no place to stand yet."""
+    """Split a configuration into parts that are not stored yet."""
     for group in configuration.groups:
         by_centre: dict[str, list[configurations.Target]] = {}
         for target in group.targets:
@@ -71,7 +72,11 @@
 def choose_storage(
     part_id: PartId, part: Part, revision: int
 ) -> tuple[Part, str | None]:
-    """Decide where a part stands; return it with its text if that is apart."""
+    """Choose where to store a part by the size of its text.
+
+    Return the part and its text, or None as the text if the part is stored
+    inside the manifest.
+    """
     text = stored_json.encode(
         {
             'format': stored_json.BASE_FORMAT,
@@ -88,7 +93,7 @@
 
 
 def encode_part(part: Part) -> Mapping[str, object]:
-    """Write what the manifest holds of a part."""
+    """Encode a part as it is stored in the manifest."""
     leaving_field = {'leaving': sorted(part.leaving)} if part.leaving else {}
     if part.key is None:
         return {'targets': _encode_targets(part.targets), **leaving_field}
@@ -101,7 +106,7 @@
 
 
 def decode_part(part_id: PartId, row: Mapping[str, Any]) -> Part:
-    """Read what the manifest holds of a part; one apart stays unread."""
+    """Decode a part from the manifest; one with its own key stays unread."""
     leaving = frozenset(row.get('leaving', ()))
     if 'digest' not in row:
         return Part(_decode_targets(row['targets'], part_id[1]), leaving)
@@ -112,17 +117,18 @@
 def decode_part_text(
     part_id: PartId, part: Part, text: str | None
 ) -> Part | errors.Failure:
-    """Read the targets of a part that stands apart.
+    """Decode the targets of a part that has its own key.
 
-    INVALID_CONFIGURATION where the text is not the one that is named. A part
-    can be gone because a later change replaced it, or be another one after a
-    careless restore; routing by it would reach targets nobody accepted.
+    Return INVALID_CONFIGURATION if the text does not have the digest that the
+    manifest names. The part can be missing because a later change replaced
+    it, or differ after a careless restore; routing by it would reach targets
+    that no operator accepted.
     """
     if part.key is None:
         return part
     if text is None or part.key != make_key(part_id[0], _compute_digest(text)):
         return stored_json.make_failure(
-            f'{part.key} is missing or is not the part it was'
+            f'{part.key} is missing or has another digest'
         )
     row = stored_json.decode(text, manifest_schemas.PART)
     if isinstance(row, errors.Failure):
@@ -136,7 +142,7 @@
 
 
 def decode_revision(text: str) -> int | errors.Failure:
-    """Return the revision that wrote a part's text."""
+    """Decode the revision that wrote a part's text."""
     row = stored_json.decode(text, manifest_schemas.PART)
     if isinstance(row, errors.Failure):
         return row
@@ -144,12 +150,12 @@
 
 
 def count_live(part: Part) -> int:
-    """Count the targets that may get new work."""
+    """Count the targets that may receive new requests."""
     return (part.unread_count or len(part.targets)) - len(part.leaving)
 
 
 def make_key(group: str, digest: str) -> str:
-    """Name the key of a part."""
+    """Return the store key of a part."""
     return f'{KEY_PREFIX}{group}/{digest}'
 
 
--- a/fuchsiahaven/core/configuration/patches.py
+++ b/fuchsiahaven/core/configuration/patches.py
@@ -1,8 +1,8 @@
-"""Tell one configuration from another, and carry only what differs.
+"""Compute and apply the differences between two configurations.
 
-A whole configuration of the largest size is megabytes, and changes come
-every second or two; members hand each other patches instead. A patch with no
-base is a whole configuration.
+A configuration of the largest size takes megabytes, and changes arrive every
+second or two, so members send each other patches. A patch whose base is
+`NO_STAMP` holds a whole configuration.
 """
 
 import hashlib
@@ -19,8 +19,8 @@
 class Stamp(NamedTuple):
     """Identify one revision: its number and the digest of its content.
 
-    The digest shows two different configurations under one number, which a
-    platform restored from an old copy brings about.
+    After the platform is restored from an old copy, two different
+    configurations can have the same number; the digest tells them apart.
     """
 
     revision: int
@@ -39,7 +39,7 @@
 
 
 class Removed(NamedTuple):
-    """Name what a patch takes away; `targets` by group."""
+    """List the names that a patch removes; `targets` are listed by group."""
 
     groups: tuple[str, ...] = ()
     selectors: tuple[str, ...] = ()
@@ -49,11 +49,11 @@
 
 
 class Patch(NamedTuple):
-    """Lead from one exact configuration to another.
+    """Hold the difference between two configurations.
 
-    `changed` holds what is new or different. A group in it has its new
-    labels and caps, and of its targets only those that changed. `change_id`
-    names the operator's change that made the revision.
+    `changed` holds what is new or different. A group in it has all its
+    labels and limits but only those targets that are new or different.
+    `change_id` names the operator's change that made the revision.
     """
 
     base: Stamp
@@ -79,7 +79,7 @@
     configuration: configurations.Configuration,
     previous: StampedConfiguration = EMPTY,
 ) -> StampedConfiguration:
-    """Work out the stamp; groups that `known` holds too are not hashed."""
+    """Compute the stamp; reuse the digests of groups shared with `previous`."""
     previous_groups = _index_by_name(previous.configuration.groups)
     group_digests = {
         group.name: previous.group_digests[group.name]
@@ -104,7 +104,7 @@
 def diff(
     old: StampedConfiguration, new: StampedConfiguration, change_id: str = ''
 ) -> Patch:
-    """Build the patch that leads from `old` to `new`."""
+    """Compute the patch that turns `old` into `new`."""
     before, after = old.configuration, new.configuration
     old_groups = _index_by_name(before.groups)
     changed_groups = tuple(
@@ -146,10 +146,11 @@
 def apply_patch(
     patch: Patch, base: StampedConfiguration
 ) -> StampedConfiguration | None:
-    """Apply a patch; None unless it fits and gives what it promises.
+    """Apply a patch to its base; return None if the stamps do not match.
 
-    A forged or damaged patch would otherwise put into force what nobody
-    accepted; its digest gives it away.
+    The digest of the result is compared with the patch's stamp, since a
+    forged or damaged patch would put a configuration into force that no
+    operator accepted.
     """
     if patch.base != base.stamp:
         return None
@@ -215,7 +216,8 @@
 def _drop_named(
     items: Mapping[str, _Item], removed_names: tuple[str, ...]
 ) -> tuple[_Item, ...]:
-    # Every host holds the same order, whichever way a revision came to it.
+    # Sorting makes the order the same on every host, regardless of the
+    # patches by which a revision reached it.
     removed_set = frozenset(removed_names)
     return tuple(
         items[name] for name in sorted(items) if name not in removed_set
@@ -230,7 +232,8 @@
 
 
 def _serialize_class(request_class: configurations.RequestClass) -> str:
-    # The stamp of what programs without customers know must be theirs.
+    # Releases without customers have no field `public`. What they know has
+    # to give the same digest here as there.
     return _serialize(
         request_class if request_class.public else request_class[:-1]
     )
--- a/fuchsiahaven/core/configuration/proposals.py
+++ b/fuchsiahaven/core/configuration/proposals.py
@@ -1,4 +1,4 @@
-"""Work out what one change makes of a manifest, before anything is stored."""
+"""Compute the manifest that results from a change, before it is stored."""
 
 import json
 from typing import Final, NamedTuple
@@ -15,25 +15,27 @@
     trees,
 )
 
-#: The manifest carries at most this many of the last changes.
+#: The manifest holds at most this many of the last audit entries.
 MAX_KEPT_ENTRIES: Final = 16
-#: The last changes take at most this many bytes of the manifest, but the
-#: newest is always in it.
+#: The entries in the manifest take at most this many bytes, except that the
+#: newest one is always kept.
 MAX_KEPT_ENTRIES_BYTES: Final = 16_384
-#: One change takes at most this much, so that the manifest holds it.
+#: The audit entry of one change may be at most this long, so that it fits
+#: into the manifest.
 MAX_ENTRY_BYTES: Final = 600_000
-#: Messages show at most this many edits, and this much of each value.
+#: Messages show at most this many edits, and so many characters of a value.
 MAX_SHOWN_EDITS: Final = 5
 MAX_SHOWN_LENGTH: Final = 60
 SOURCE: Final = 'changes'
 
 
 class ChangeRequest(NamedTuple):
-    """Ask for one change.
+    """Request one change.
 
-    `base` is the revision that the operator has seen; None means the one
-    that is found first. `force` accepts problems that may be meant. `floor`
-    is the highest revision known to be in force; the change gets a higher one.
+    `base_revision` is the revision that the operator has seen; None means the
+    one that is read first. `force` overrides the problems that an operator
+    may override. `min_revision` is the highest revision known to be in force;
+    the change gets a higher one.
     """
 
     change_id: str
@@ -45,21 +47,22 @@
 
 
 class ChangeAccepted(NamedTuple):
-    """Say that a change is accepted; its entry names the revision."""
+    """Report an accepted change; its entry holds the new revision."""
 
     entry: audit_log.Entry
 
 
 class NothingChanged(NamedTuple):
-    """Say that everything is as asked for already; nothing was written."""
+    """Report that the change alters nothing, so nothing was written."""
 
     revision: int
 
 
 class PreparedChange(NamedTuple):
-    """Hold what is to be stored: old entries first, then parts, manifest.
+    """Hold what has to be stored to accept a change.
 
-    `archived` are the entries that the new manifest no longer carries.
+    `archived_entries` are those that the new manifest no longer holds. They
+    are stored first, then the parts, and the manifest last.
     """
 
     entry: audit_log.Entry
@@ -73,10 +76,11 @@
     epoch_s: float,
     archived_entries: tuple[audit_log.Entry, ...] = (),
 ) -> PreparedChange | NothingChanged | errors.Failure:
-    """Work out the manifest that accepts a change.
+    """Compute the manifest that results from a change.
 
-    `older` are archived entries above the request's base. CONFLICT names the
-    change that took hold first, INVALID_CHANGE lists every problem at once.
+    `archived_entries` are those above the request's base revision. Return
+    CONFLICT, with a description of the change that was accepted first, or
+    INVALID_CHANGE, with all problems.
     """
     before = manifest.configuration
     base_revision = (
@@ -101,7 +105,8 @@
         trees.build_tree(before), trees.build_tree(after)
     )
     edits = tuple(found_edits)
-    # A recovery is about the revision too, which has to pass that of hosts.
+    # A recovery also has to raise the revision above that of the hosts, so
+    # it is written even if it edits nothing.
     if not edits and not isinstance(
         request.change, changes.RecoverConfiguration
     ):
@@ -128,10 +133,10 @@
     before: configurations.Configuration,
     after: configurations.Configuration,
 ) -> list[str]:
-    """Say which classes of request reach more or fewer groups than before.
+    """Describe which classes of request reach other groups than before.
 
-    A label taken away can cut a group out of every search, and nothing else
-    would show it: answers stay complete over what is still reached.
+    Removing a label can exclude a group from every search. Nothing else would
+    show this, since answers are complete over the groups still reached.
     """
     lines: list[str] = []
     old_names = {request_class.name for request_class in before.classes}
@@ -163,7 +168,7 @@
 
 
 def describe_entry(entry: audit_log.Entry) -> str:
-    """Show the change that took hold first, with what it changed."""
+    """Describe an accepted change, with its first edits."""
     edit_texts = '; '.join(
         '{0}: {1} -> {2}'.format(
             ' '.join(edit.field),
@@ -184,7 +189,7 @@
     entries: tuple[audit_log.Entry, ...],
     base_revision: int,
 ) -> errors.Failure:
-    """Name the other operator's change where that is why this one fails."""
+    """Turn a failure into CONFLICT if another accepted change caused it."""
     if failure.source == change_writes.VALIDATION_SOURCE:
         return failure
     change = request.change
@@ -267,7 +272,7 @@
     problems = checks.find_new_problems(
         manifest.configuration, after, manifest.stored_parts
     )
-    # What hosts have in force was accepted, by force or not, once before.
+    # A recovered configuration was accepted before, with force or without.
     force = request.force or isinstance(
         request.change, changes.RecoverConfiguration
     )
--- a/fuchsiahaven/core/configuration/read_sets.py
+++ b/fuchsiahaven/core/configuration/read_sets.py
@@ -1,8 +1,8 @@
-"""Say which targets a change has to see.
+"""Choose the parts whose targets a change has to read.
 
-Most changes touch labels, selectors or classes and need no targets at all;
-reading them all the same would make each change as slow as the system is
-large, and the slower one is, the more often another comes first.
+Most changes edit labels, selectors or classes and need no targets. Were all
+parts read for every change, its duration would grow with the system, and a
+slow change is more often overtaken by another one and has to start again.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -13,7 +13,7 @@
 def list_needed_parts(
     change: changes.Change, head: manifests.Head
 ) -> manifests.PartIds | None:
-    """List the places whose targets a change has to see; None means all."""
+    """List the parts that a change has to read; None means all."""
     match change:
         case changes.ReplaceConfiguration() | changes.RecoverConfiguration():
             return None
@@ -36,8 +36,9 @@
                 return group_parts & {(change.group, change.data_centre)}
             return group_parts
         case changes.SetSelector(_, fields):
-            # Data centres that lend to each other come to see each other's
-            # targets, so that names and addresses have to be compared.
+            # A host sees the targets of its own data centre and of the
+            # fallbacks. New fallbacks bring targets together whose names and
+            # addresses were not compared before.
             return None if dict(fields).get('data_centres') else frozenset()
     return frozenset()
 
@@ -45,7 +46,7 @@
 def _list_needed_for_undo(
     edit: trees.Edit, head: manifests.Head
 ) -> manifests.PartIds | None:
-    """List what has to be seen to take one edit back."""
+    """List the parts that undoing one edit has to read."""
     row = edit.before
     match edit.field:
         case ('selectors', _, 'data_centres'):
@@ -60,7 +61,7 @@
 
 
 def _list_centres(row: object) -> set[str]:
-    """List the data centres of what a group or a target was."""
+    """List the data centres in the former value of a group or a target."""
     if isinstance(row, Mapping):
         return {pair[0] for pair in row['targets'].values()}
     return {str(row[0])} if isinstance(row, list) else set()
@@ -69,7 +70,7 @@
 def _list_group_parts(
     group: str, head: manifests.Head
 ) -> frozenset[parts.PartId]:
-    # Names are unique in a group, over all its data centres.
+    # Target names are unique within a group, across its data centres.
     part_ids = (part_id for part_id, _ in manifests.iterate_parts(head.row))
     return frozenset(part_id for part_id in part_ids if part_id[0] == group)
 
@@ -77,10 +78,11 @@
 def _list_visible_parts(
     centres: Collection[str], head: manifests.Head
 ) -> frozenset[parts.PartId]:
-    """List the places that some host sees together with these data centres.
+    """List the parts that some host loads together with these data centres.
 
-    A host knows the targets of its own data centre and of those that a
-    selector names; two of one name or address there would be taken for one.
+    A host loads the targets of its own data centre and of the fallbacks that
+    selectors name. It would take two targets of the same name or address for
+    one.
     """
     fallbacks: set[str] = set()
     for row in head.row['selectors'].values():
--- a/fuchsiahaven/core/configuration/revision_messages.py
+++ b/fuchsiahaven/core/configuration/revision_messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between the choice of a revision and the edge."""
+"""Define the events and actions of the state machine in `revisions`."""
 
 import enum
 import math
@@ -8,7 +8,7 @@
 
 
 class Fault(enum.StrEnum):
-    """List what an operator has to be told about the configuration."""
+    """List the faults of the configuration that are reported to operators."""
 
     PLATFORM_DOWN = 'platform_down'
     PLATFORM_OLDER = 'platform_older'
@@ -20,23 +20,24 @@
 
 
 class RevisionChange(NamedTuple):
-    """Name the change that made a revision out of the one it follows."""
+    """Identify the change that turned one revision into the next."""
 
     revision: int
     change_id: str
     previous_revision: int
 
 
-#: When a call left whose age is not asked for.
+#: The send time of a call whose age is not needed.
 UNKNOWN_TIME: Final = -math.inf
 
 
 class ManifestRead(NamedTuple):
-    """Bring what the platform holds; `left` is when it was asked.
+    """Report the manifest that was read from the platform.
 
-    `store_revision` is the platform's number of the manifest, `changes` are
-    the last ones of its history. The configuration is None where there is no
-    manifest.
+    `store_revision` is the store's revision of the manifest's key, `changes`
+    are the last ones of its history. The configuration is None if there is no
+    manifest. `by_watch` tells that a watch returned it, `sent_at` is when the
+    call was sent.
     """
 
     store_revision: int
@@ -47,9 +48,9 @@
 
 
 class StoreRevisionRead(NamedTuple):
-    """Bring the platform's number of the manifest; 0 where there is none.
+    """Report the store's revision of the manifest; 0 if there is none.
 
-    `left` is when it was asked.
+    `sent_at` is when the call was sent.
     """
 
     store_revision: int
@@ -57,13 +58,14 @@
 
 
 class WatchEnded(NamedTuple):
-    """Bring the end of a watch that saw no change."""
+    """Report that a watch ended without a change."""
 
 
 class PlatformCallFailed(NamedTuple):
-    """Bring a failed call of the platform.
+    """Report a failed call to the platform.
 
-    `reached` tells a manifest that cannot be used from no answer at all.
+    `answered` tells that the platform returned an unusable manifest rather
+    than no answer.
     """
 
     by_watch: bool
@@ -72,96 +74,100 @@
 
 
 class StampReceived(NamedTuple):
-    """Bring the stamp that a member has in force."""
+    """Report the stamp that another member has in force."""
 
     member: str
     stamp: patches.Stamp
 
 
 class PatchReceived(NamedTuple):
-    """Bring a patch that a member sent."""
+    """Report a patch that another member pushed."""
 
     member: str
     patch: patches.Patch
 
 
 class PullAnswered(NamedTuple):
-    """Bring what a member answered to a pull; empty: nothing newer."""
+    """Report a member's answer to a pull; no patches mean nothing newer."""
 
     member: str
     patches: tuple[patches.Patch, ...]
 
 
 class MemberUnreachable(NamedTuple):
-    """Bring a member that could not be reached; `push` is what it missed."""
+    """Report a member that could not be reached, by a push or a pull.
+
+    `missed_patch` is the patch that could not be pushed.
+    """
 
     member: str
     missed_patch: patches.Patch | None = None
 
 
 class MembersListed(NamedTuple):
-    """Bring the live members of the data centre, this host included."""
+    """Report the live members of the data centre, this host included."""
 
     members: tuple[str, ...]
 
 
 class CheckRequested(NamedTuple):
-    """Ask that the platform be asked at once.
+    """Request an immediate check of the platform.
 
-    `whole` asks that its number alone be not believed this time.
+    With `read_manifest` the manifest is read even if the store's revision is
+    unchanged.
     """
 
     read_manifest: bool = False
 
 
 class Ticked(NamedTuple):
-    """Bring the passing of time."""
+    """Report that time has passed."""
 
 
 class ReadManifest(NamedTuple):
-    """Ask the edge to read the manifest and its parts."""
+    """Read the manifest and its parts."""
 
 
 class ReadStoreRevision(NamedTuple):
-    """Ask the edge for the platform's number of the manifest."""
+    """Read the store's revision of the manifest."""
 
 
 class WatchManifest(NamedTuple):
-    """Ask the edge to wait for a number above one; both end within bounds."""
+    """Wait up to `wait_s` seconds for a store revision above a given one."""
 
     above_revision: int
     wait_s: float
 
 
 class PushPatch(NamedTuple):
-    """Ask the edge to send a patch to members."""
+    """Send a patch to members."""
 
     members: tuple[str, ...]
     patch: patches.Patch
 
 
 class PullPatches(NamedTuple):
-    """Ask the edge to fetch what a member has above a stamp."""
+    """Fetch a member's patches above a stamp."""
 
     member: str
     above_stamp: patches.Stamp
 
 
 class PutInForce(NamedTuple):
-    """Tell this host's other tasks what is in force from now on."""
+    """Put a configuration into force on this host."""
 
     stamped: patches.StampedConfiguration
 
 
 class ConfirmInForce(NamedTuple):
-    """Tell that the platform held just what is in force after a time."""
+    """Confirm that the platform held what is in force at `sent_at` or later."""
 
     stamp: patches.Stamp
     sent_at: float
 
 
 class ReportFault(NamedTuple):
-    """Tell the operator of a fault; `text` is empty once it has ended."""
+    """Report a fault to the operator; `text` is empty once it has ended."""
 
     fault: Fault
     text: str
--- a/fuchsiahaven/core/configuration/revisions.py
+++ b/fuchsiahaven/core/configuration/revisions.py
@@ -1,10 +1,11 @@
 """Decide which revision of the configuration is in force on this host.
 
-Only a higher revision is ever taken. Two hosts of a data centre, picked by
-rendezvous hash, watch the platform; what they find goes down a tree over the
-members. Three nets catch what that misses: gossip carries each host's stamp,
-every host asks the platform about once a minute, and a host whose parent in
-the tree cannot be reached is served by its grandparent.
+A host only ever moves to a higher revision. Two hosts of a data centre,
+chosen by rendezvous hashing, watch the platform and push what they read down
+a tree of the members. Three mechanisms make up for lost pushes: gossip
+carries each host's stamp, every host checks the platform about once a minute,
+and a host whose parent in the tree is unreachable is served by its
+grandparent.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -14,31 +15,33 @@
 from fuchsiahaven.core.configuration import patches
 from fuchsiahaven.core.configuration import revision_messages as messages
 
-#: The key under which hosts are ranked; the first two watch.
+#: The rendezvous key by which hosts are ranked; the first two are watchers.
 RANK_KEY: Final = 'configuration'
 WATCHER_COUNT: Final = 2
-#: A revision that the parent did not send needs the word of two members: one
-#: that runs wild cannot then bring a revision into force that nobody wrote.
+#: Members that have to claim a revision before it is pulled, unless the parent
+#: in the tree sent it. A single faulty member thus cannot put a revision into
+#: force that no operator wrote.
 CLAIM_QUORUM: Final = 2
-#: Patches kept for members that fell a little behind.
+#: Patches kept for members that are a few revisions behind.
 MAX_KEPT_PATCHES: Final = 32
 MAX_KEPT_CLAIMS: Final = 16
-#: Both watchers can be cut off from the platform while others reach it; a
-#: change then waits for the next check of any of them. In a data centre of so
-#: many hosts somebody checks twice a second; where there are fewer, each
-#: checks more often, at most so many times as often.
+#: If both watchers are cut off from the platform, a change is found by the
+#: next check of any other host. With 110 hosts one of them checks about twice
+#: a second. In a smaller data centre each host checks more often, at most by
+#: the factor below.
 FULL_RATE_HOSTS: Final = 110
 MAX_CHECK_SPEEDUP: Final = 12
 
 
 class Timings(NamedTuple):
-    """Hold the times of this decision, in seconds.
-
-    `check_s` lies between a host's checks of the platform, on average, where
-    its data centre is full; fewer hosts check more often. A host that
-    found a revision before the tree brought it waits `hold_s` for the tree,
-    so that one change is not sent twice. `retry_s` and `retry_limit_s` bound
-    the growing pause after calls of the platform that failed.
+    """Hold the intervals and timeouts of the state machine, in seconds.
+
+    `check_interval_s` is the mean time between a host's checks of the
+    platform in a data centre of `FULL_RATE_HOSTS`; with fewer hosts each
+    checks more often. A host that reads a revision before the tree delivers
+    it waits at least `hold_s` for the tree, so that one change is not sent
+    twice. `min_retry_delay_s` and `max_retry_delay_s` bound the exponential
+    delay after failed calls to the platform.
     """
 
     watch_timeout_s: float = 10.0
@@ -50,11 +53,11 @@
 
 
 class HeldPatch(NamedTuple):
-    """Hold a patch that was found before the tree brought it.
+    """Hold a patch that this host read before the tree delivered it.
 
-    The tree has until a time; then the first of the order is handed the
-    patch, if it was not before. Until the tree has brought it, those below
-    this host do not have it.
+    At the deadline the patch is sent to the first host of the ranking, the
+    root of the tree, unless that was done. This host's children get the patch
+    once the tree delivers it here.
     """
 
     patch: patches.Patch
@@ -63,25 +66,30 @@
 
 
 class PendingPull(NamedTuple):
-    """Hold whom a pull asks; what comes must be `wanted` unless None."""
+    """Hold the member that a pull asks and the stamp that it has to return.
+
+    Any stamp is accepted where `expected_stamp` is None.
+    """
 
     member: str
     expected_stamp: patches.Stamp | None
 
 
 class StoredStamp(NamedTuple):
-    """Name what the platform held under a number of its own."""
+    """Hold the stamp of what the platform stored at one of its revisions."""
 
     store_revision: int
     stamp: patches.Stamp
 
 
 class State(NamedTuple):
-    """Hold what the decision knows.
+    """Hold the state of this host.
 
-    `store_revision` is the platform's number of the manifest that was judged
-    last, taken or not. `asking` and `watching` tell which calls are open;
-    `ask_at` and `watch_at` are when the next may start.
+    `store_revision` is the store's revision of the manifest that was last
+    read, whether it was put into force or not. `is_checking` and
+    `is_watching` tell which calls are in flight; `next_check_at` and
+    `next_watch_at` are when the next ones may start. `claims` are the higher
+    stamps that members reported, `last_read` is what the last read returned.
     """
 
     name: str
@@ -110,27 +118,28 @@
 def start(
     name: str, now: float, timings: Timings, alone: bool = False
 ) -> State:
-    """Begin with nothing in force.
+    """Start with nothing in force.
 
-    A host with other members to ask gives them a moment: reading everything
-    from the platform costs it a call for each large part.
+    Unless the host is alone, it waits a moment for other members before its
+    first check: reading everything from the platform takes a call for each
+    part with a key of its own.
     """
     first_check_at = now if alone else now + timings.start_delay_s
     return State(name, timings, first_check_at, first_check_at, ranking=(name,))
 
 
 def is_watcher(state: State) -> bool:
-    """Tell whether this host is one of the two that watch."""
+    """Return whether this host is one of the two watchers."""
     return state.name in state.ranking[:WATCHER_COUNT]
 
 
 def list_patches(
     state: State, above_stamp: patches.Stamp
 ) -> tuple[patches.Patch, ...]:
-    """List the patches that lead a member from a stamp to what is in force.
+    """List the patches from a member's stamp to what is in force here.
 
-    Empty where it is not behind; one whole configuration where the chain
-    does not reach back to it.
+    The list is empty if the member is not behind. It holds one whole
+    configuration if the kept patches do not reach back to the stamp.
     """
     if above_stamp.revision >= state.in_force.stamp.revision:
         return ()
@@ -143,7 +152,7 @@
 def handle_event(
     state: State, event: messages.Event, now: float, draw_fraction: DrawFraction
 ) -> Transition:
-    """Take one event in and say what is to be done."""
+    """Return the next state and the actions that an event causes."""
     match event:
         case messages.ManifestRead():
             return _handle_manifest(state, event, now, draw_fraction)
@@ -175,8 +184,8 @@
 def _schedule_check_now(
     state: State, requested: messages.CheckRequested, now: float
 ) -> State:
-    # Since this host was last in touch the platform may have come back older
-    # and reached the same number again with other changes.
+    # While this host was out of contact, the platform may have been restored
+    # from an older copy and have reached the same revision with other changes.
     last_read = None if requested.read_manifest else state.last_read
     return state._replace(
         next_check_at=min(state.next_check_at, now), last_read=last_read
@@ -198,8 +207,9 @@
             held_patch=held_patch._replace(sent_to_first=True)
         )
     if now >= state.next_check_at and not state.is_checking:
-        # The number alone is asked for where it can tell: the manifest of a
-        # large system would otherwise be read by every host each minute.
+        # Once the manifest has been read, its store revision shows whether it
+        # changed. Otherwise every host of a large system would read the whole
+        # manifest each minute.
         actions.append(
             messages.ReadStoreRevision()
             if state.store_revision
@@ -269,10 +279,10 @@
 def _record_last_read(
     transition: Transition, read: messages.ManifestRead
 ) -> Transition:
-    """Note what the platform holds, to tell whether that is in force here.
+    """Record what the platform holds and confirm it if it is in force.
 
-    One that came back older, or forked, says nothing of what it had accepted
-    before.
+    A platform that was restored from an older copy, or has forked, confirms
+    nothing of what it had accepted before.
     """
     state, actions = transition
     if read.sent_at == messages.UNKNOWN_TIME or read.configuration is None:
@@ -291,7 +301,7 @@
     if sent_at == messages.UNKNOWN_TIME:
         return transition
     if state.last_read is None:
-        # It was not read since proofs are asked for.
+        # The manifest was not read since read times are recorded.
         return state._replace(is_checking=True), (
             *actions,
             messages.ReadManifest(),
@@ -309,12 +319,12 @@
 def _is_forked(
     state: State, changes: Mapping[int, messages.RevisionChange]
 ) -> bool:
-    """Tell whether the platform's history leaves out what is in force.
+    """Return whether the platform's history lacks the revision in force.
 
-    A platform restored from an old copy takes new changes under numbers that
-    were used before. Once it has passed our number, following it would undo
-    accepted changes without a word. A gap in the numbers above ours shows
-    that operators have since recovered what was in force.
+    A platform restored from an old copy reuses revision numbers for new
+    changes. Once it has passed the revision in force, following it would
+    silently revert accepted changes. A gap in the numbers above that revision
+    shows that operators have recovered the configuration in force.
     """
     own_revision = state.in_force.stamp.revision
     stored_change = changes.get(own_revision)
@@ -341,7 +351,7 @@
             fault_reports, _record_unvouched((state, ()))
         )
         return _confirm_if_current(transition, read.sent_at)
-    # Another number, higher or lower, may stand for another configuration.
+    # Any other store revision, higher or lower, may hold another manifest.
     return state._replace(is_checking=True), (
         *fault_reports,
         messages.ReadManifest(),
@@ -364,8 +374,8 @@
     if failed.by_watch:
         state = state._replace(is_watching=False, next_watch_at=retry_at)
     else:
-        # With something in force there is no haste: a platform that comes
-        # back would be met by every host at once.
+        # A host with a configuration in force can wait for its next check.
+        # Otherwise all hosts would call a platform at once when it recovers.
         next_check_at = (
             retry_at
             if state.in_force is patches.EMPTY
@@ -391,7 +401,8 @@
     if is_watcher(state) and not _has_fault(
         state, messages.Fault.PLATFORM_DOWN
     ):
-        # A watcher believes the platform, and asks it now, not in a minute.
+        # A watcher trusts the platform, so it checks that now instead of at
+        # the next interval.
         state = state._replace(next_check_at=min(state.next_check_at, now))
     return _start_pull(state, claim)
 
@@ -413,7 +424,8 @@
     state: State, received: messages.PatchReceived, now: float
 ) -> Transition:
     patch, own_stamp = received.patch, state.in_force.stamp
-    # A watcher goes around the other one while that is dead unnoticed.
+    # The second watcher may push in place of the first one, which may have
+    # died without this being known yet.
     ancestors = {
         *state.ranking[:WATCHER_COUNT],
         *rendezvous.list_ancestors(state.ranking, state.name),
@@ -448,7 +460,7 @@
         return state, ()
     chain = answer.patches
     if pending_pull.expected_stamp and state.in_force is not patches.EMPTY:
-        # Vouched for is one stamp; what the member has above it is not.
+        # The quorum claimed this one stamp; later patches are not confirmed.
         stamps = tuple(patch.stamp for patch in chain)
         if pending_pull.expected_stamp not in stamps:
             return state, ()
@@ -466,7 +478,9 @@
     base = patches.EMPTY if is_whole else state.in_force
     patched = patches.apply_patch(patch, base)
     if patched is None:
-        text = f'{member} sent revision {patch.stamp.revision} damaged'
+        text = (
+            f'{member} sent a damaged patch for revision {patch.stamp.revision}'
+        )
         return _record_fault(state, messages.Fault.DAMAGED, text)
     state, fault_reports = _clear_disputes(state)
     state, configure_actions = _put_in_force(state, patch, patched)
@@ -478,8 +492,8 @@
 def _put_in_force(
     state: State, patch: patches.Patch, stamped: patches.StampedConfiguration
 ) -> Transition:
-    # Every way in has compared the numbers; this is the last line of defence
-    # of the promise that an accepted configuration never reverts.
+    # All callers have compared the revisions. This assertion guards the
+    # guarantee that an accepted configuration is never reverted.
     assert stamped.stamp.revision > state.in_force.stamp.revision
     kept_patches = (*state.kept_patches, patch)[-MAX_KEPT_PATCHES:]
     if patch.base == patches.NO_STAMP:
@@ -522,7 +536,8 @@
 ) -> Transition:
     if unreachable.missed_patch is None:
         return state._replace(pending_pull=None), ()
-    # Whoever stands below the lost member would wait for gossip otherwise.
+    # Push to the children of the unreachable member, which would otherwise
+    # have to wait for gossip.
     children = rendezvous.list_children(state.ranking, unreachable.member)
     others = tuple(name for name in children if name != state.name)
     pushes = (
@@ -534,7 +549,8 @@
         state.held_patch
         and state.held_patch.patch.stamp == unreachable.missed_patch.stamp
     ):
-        # No push will come from above, so those below are ours to serve.
+        # The root is unreachable, so no push will come from above and this
+        # host has to serve its children.
         return _prepend_actions(
             pushes, _push_to_children(state, state.held_patch.patch)
         )
@@ -554,7 +570,7 @@
 def _choose_next_check(
     state: State, now: float, draw_fraction: DrawFraction
 ) -> float:
-    """Spread checks, so that hosts started together do not check together."""
+    """Choose a random check time, so that hosts do not check in step."""
     interval_fraction = max(
         1 / MAX_CHECK_SPEEDUP, min(1.0, len(state.ranking) / FULL_RATE_HOSTS)
     )
@@ -568,7 +584,7 @@
 ) -> Transition:
     if stamp == state.in_force.stamp:
         return state, ()
-    text = f'{source} has another content for revision {stamp.revision}'
+    text = f'{source} has other content for revision {stamp.revision}'
     return _record_fault(state, messages.Fault.CONTENT_DIFFERS, text)
 
 
@@ -584,7 +600,7 @@
     was_recorded = _has_fault(state, fault)
     others = (it for it in state.faults if it[0] is not fault)
     updated = state._replace(faults=(*others, (fault, text)))
-    # A fault that goes on is told once; its status shows the latest text.
+    # A continuing fault is reported once; the status shows its latest text.
     return updated, () if was_recorded else (messages.ReportFault(fault, text),)
 
 
@@ -593,7 +609,7 @@
 
 
 def _record_unvouched(transition: Transition) -> Transition:
-    """Report members that claim a revision which the platform lacks."""
+    """Record a fault if members claim a revision that the platform lacks."""
     state, actions = transition
     own_revision = state.in_force.stamp.revision
     unvouched = tuple(
@@ -610,10 +626,10 @@
 
 
 def _record_answer(state: State, now: float) -> Transition:
-    """Note that the platform answers.
+    """Record that the platform answers.
 
-    After an outage a watcher asks at once: a platform that came back with an
-    old copy has a lower number, for which a watch would wait in silence.
+    After an outage a watcher checks at once: a platform restored from an old
+    copy has a lower store revision, which a watch does not report.
     """
     if is_watcher(state) and _has_fault(state, messages.Fault.PLATFORM_DOWN):
         state = state._replace(next_check_at=now)
@@ -621,7 +637,7 @@
 
 
 def _clear_disputes(state: State) -> Transition:
-    """Note that a higher revision leaves the disputes of the last behind."""
+    """Clear the faults that concerned the previous revision."""
     return _clear_faults(
         state, set(messages.Fault) - {messages.Fault.PLATFORM_DOWN}
     )
--- a/fuchsiahaven/core/configuration/selectors.py
+++ b/fuchsiahaven/core/configuration/selectors.py
@@ -1,8 +1,8 @@
-"""Read label expressions and say which groups a class may reach.
+"""Parse label expressions and list the groups that a class may reach.
 
-The syntax is the one that operators know from orchestration tools:
-`tier=gold,region in (a,b),!cold`. All requirements must hold. `!=` and
-`notin` also hold where the key is absent; an empty expression matches all.
+The syntax is that of label selectors in orchestration tools:
+`tier=gold,region in (a,b),!cold`. All requirements must be met. `!=` and
+`notin` are also met if the key is absent; an empty expression matches all.
 """
 
 import re
@@ -19,7 +19,7 @@
 _PREFIX: Final = re.compile(
     r'[a-z0-9]([-a-z0-9]*[a-z0-9])?(\.[a-z0-9]([-a-z0-9]*[a-z0-9])?)*'
 )
-# A word runs up to the next character that the syntax uses.
+# A key or value extends to the next symbol or white space.
 _TOKEN: Final = re.compile(r'\s*(==|!=|[=!,()]|[^\s=!,()]+|\Z)')
 _EQUAL_OPERATORS: Final = frozenset(('=', '=='))
 _VALUE_SEPARATORS: Final = frozenset((',', ')'))
@@ -57,23 +57,23 @@
 
 
 class Expression(NamedTuple):
-    """Hold the requirements of one expression; all must hold."""
+    """Hold the requirements of one expression, all of which must be met."""
 
     requirements: tuple[Requirement, ...]
 
 
 class SyntaxFault(NamedTuple):
-    """Say what is wrong with a text and at which offset."""
+    """Describe a syntax error and its offset in the text."""
 
     offset: int
     text: str
 
 
 class ReachableGroup(NamedTuple):
-    """Hold a group that a class may reach, and from where else.
+    """Hold a group that a class may reach, and its fallbacks.
 
-    `data_centres` are the other data centres that may serve when the own
-    one cannot, in the order in which the selectors name them.
+    `data_centres` are the other data centres that may serve if the own one
+    cannot, in the order in which the selectors name them.
     """
 
     group: configurations.Group
@@ -91,7 +91,7 @@
 
 
 def parse(text: str) -> Expression | SyntaxFault:
-    """Parse an expression; a fault names the offset of the first error."""
+    """Parse an expression; return the first error as a fault."""
     if len(text) > MAX_EXPRESSION_LENGTH:
         return SyntaxFault(MAX_EXPRESSION_LENGTH, 'the expression is too long')
     tokens = _tokenize(text)
@@ -113,7 +113,7 @@
 
 
 def matches(expression: Expression, labels: Mapping[str, str]) -> bool:
-    """Tell whether the labels meet every requirement."""
+    """Return whether the labels meet every requirement."""
     return all(
         _is_met(requirement, labels) for requirement in expression.requirements
     )
@@ -124,8 +124,8 @@
 ) -> tuple[ReachableGroup, ...]:
     """List the groups that any selector of the class matches, by name.
 
-    The result depends on the configuration alone, so a caller keeps it for
-    as long as the revision is in force.
+    The result depends only on the configuration, so callers may cache it
+    while the revision is in force.
     """
     reachable: dict[str, ReachableGroup] = {}
     for selector in configuration.selectors:
@@ -133,10 +133,10 @@
             continue
         expression = parse(selector.expression)
         if isinstance(expression, SyntaxFault):
-            # Skipping this one selector would leave its groups out of the
-            # answer, which would still be told as complete. Changes with
-            # such an expression are refused; one can still arrive from a
-            # newer release. The class then answers that it has no route.
+            # Skipping this selector would omit its groups from answers that
+            # are still reported as complete. Changes with such an expression
+            # are refused, but a newer release may have accepted it. The
+            # class then has no route, and requests fail.
             return ()
         for group in configuration.groups:
             if matches(expression, dict(group.labels)):
@@ -147,7 +147,7 @@
 def list_reachable_groups(
     configuration: configurations.Configuration, class_name: str
 ) -> tuple[configurations.Group, ...]:
-    """List only the groups of `reach`."""
+    """List the groups of `list_reachable` without their fallbacks."""
     return tuple(
         reachable.group
         for reachable in list_reachable(configuration, class_name)
@@ -204,7 +204,7 @@
 
 
 def _tokenize(text: str) -> list[_Token]:
-    # The pattern matches at every offset, and the end is an empty token.
+    # The pattern matches at every offset; an empty token marks the end.
     tokens: list[_Token] = []
     offset = 0
     while True:
@@ -281,7 +281,7 @@
 
 
 def _parse_value(token: _Token) -> str | SyntaxFault:
-    # A missing value is the empty one, as in `tier=` and `tier in ()`.
+    # A missing value stands for the empty one, as in `tier=`, `tier in ()`.
     if token.text in _SYMBOLS:
         return ''
     fault = find_value_fault(token.text)
--- a/fuchsiahaven/core/configuration/store_calls.py
+++ b/fuchsiahaven/core/configuration/store_calls.py
@@ -1,8 +1,8 @@
-"""Define the calls of the platform's service and the ways they end.
+"""Define the calls to the platform's store and their results.
 
-A decision that takes several calls is a generator: it yields calls and gets
-results, so that a test can run several operators side by side, lose any
-answer, and replay what it found.
+An operation that takes several calls is a generator that yields calls and
+receives results. Tests can thus interleave several operators, lose any
+answer, and replay a failure.
 """
 
 from collections.abc import Generator
@@ -10,15 +10,15 @@
 
 
 class ReadKey(NamedTuple):
-    """Ask for the value of a key; answered by `Found` or `Missing`."""
+    """Read the value of a key; returns `KeyFound` or `KeyMissing`."""
 
     key: str
 
 
 class CompareAndSwap(NamedTuple):
-    """Ask to write a key that is at `revision` (0: that does not exist).
+    """Write a key if it is at `revision` (0: if it does not exist).
 
-    Answered by `Written` or `Conflict`.
+    Returns `KeyWritten` or `WriteConflict`.
     """
 
     key: str
@@ -27,61 +27,64 @@
 
 
 class ListKeys(NamedTuple):
-    """Ask for the keys that begin with a prefix; answered by `Listed`."""
+    """List the keys that begin with a prefix; returns `KeysListed`."""
 
     prefix: str
 
 
 class DeleteKey(NamedTuple):
-    """Ask to delete a key that is at `revision`; any answer will do."""
+    """Delete a key if it is at `revision`; the result is ignored."""
 
     key: str
     revision: int
 
 
 class Backoff(NamedTuple):
-    """Ask to wait a random while before try `turn`; answered by `Rested`."""
+    """Wait a random delay before an attempt; returns `BackoffEnded`.
+
+    `attempt` counts from 1 and makes the delay grow.
+    """
 
     attempt: int
 
 
 class BackoffEnded(NamedTuple):
-    """Answer a rest: it is over."""
+    """Report that the delay has passed."""
 
 
 class KeyFound(NamedTuple):
-    """Answer a read: the value and the key's revision in the store."""
+    """Return the value and the store's revision of a key that was read."""
 
     value: str
     revision: int
 
 
 class KeyMissing(NamedTuple):
-    """Answer a read: there is no such key."""
+    """Report that the key does not exist."""
 
 
 class KeysListed(NamedTuple):
-    """Answer a list: keys with their revisions in the store."""
+    """Return the keys that were listed, with their store revisions."""
 
     keys: tuple[tuple[str, int], ...]
 
 
 class KeyWritten(NamedTuple):
-    """Answer a write: it took effect."""
+    """Report that a write took effect."""
 
 
 class WriteConflict(NamedTuple):
-    """Answer a write: the key is at another revision; nothing was written."""
+    """Report that the key is at another revision; nothing was written."""
 
 
 class CallFailed(NamedTuple):
-    """Answer any call: it gave nothing, and nothing was written."""
+    """Report that a call failed; nothing was read or written."""
 
     text: str
 
 
 class WriteUnclear(NamedTuple):
-    """Answer a write: it may have taken effect, or may do so later."""
+    """Report a write that may have taken effect, or may do so later."""
 
     text: str
 
--- a/fuchsiahaven/core/configuration/store_reads.py
+++ b/fuchsiahaven/core/configuration/store_reads.py
@@ -1,4 +1,4 @@
-"""Read the stored configuration and its audit trail."""
+"""Read the stored configuration and its audit log."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -6,40 +6,40 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import audit_log, manifests, store_calls
 
-#: How often a manifest is read again whose parts are being replaced.
+#: Attempts to read a manifest whose parts are being replaced meanwhile.
 MAX_READ_ATTEMPTS: Final = 5
-#: At most this many archived entries are read to look for a conflict.
+#: At most this many archived entries are searched for a conflict.
 MAX_ARCHIVED_ENTRIES: Final = 256
 SOURCE: Final = 'readings'
 
 
 class LoadedManifest(NamedTuple):
-    """Hold the manifest and its key's revision in the store."""
+    """Hold the manifest and the store's revision of its key."""
 
     manifest: manifests.Manifest
     store_revision: int
 
 
-#: Says which places' targets have to be read; None means all.
+#: Selects the parts whose targets have to be read; None means all.
 PartSelector = Callable[[manifests.Head], manifests.PartIds | None]
 
 
 def select_all_parts(head: manifests.Head) -> None:
-    """Choose to read the targets of all places."""
+    """Select all parts."""
 
 
 def select_no_parts(head: manifests.Head) -> manifests.PartIds:
-    """Choose to read no targets but those in the manifest itself."""
+    """Select no parts, so that only targets in the manifest are read."""
     return ()
 
 
 def load_manifest(
     select_parts: PartSelector = select_all_parts,
 ) -> store_calls.Steps[LoadedManifest | errors.Failure]:
-    """Read the configuration, with the targets of the chosen places.
+    """Read the manifest, with the targets of the selected parts.
 
-    PLATFORM_UNAVAILABLE where the service gives nothing; UNKNOWN_FORMAT and
-    INVALID_CONFIGURATION where what it gives cannot be used.
+    Return PLATFORM_UNAVAILABLE if the store gives no answer, UNKNOWN_FORMAT
+    or INVALID_CONFIGURATION if its answer cannot be used.
     """
     for _ in range(MAX_READ_ATTEMPTS):
         loaded = yield from _load_attempt(select_parts)
@@ -56,7 +56,10 @@
     kept_entries: tuple[audit_log.Entry, ...],
     base: int,
 ) -> store_calls.Steps[tuple[audit_log.Entry, ...] | errors.Failure]:
-    """Read the entries above a revision that came before those kept."""
+    """Read the archived entries above a revision, oldest first.
+
+    `kept_entries` are those in the manifest, which follow the archived ones.
+    """
     entries: list[audit_log.Entry] = []
     revision = kept_entries[0].previous_revision if kept_entries else 0
     while revision > base:
@@ -64,7 +67,8 @@
             return errors.make_failure(
                 errors.Kind.CONFLICT,
                 SOURCE,
-                f'too much has changed since revision {base}: look again',
+                f'too many changes since revision {base}: '
+                'read the configuration again',
             )
         entry = yield from read_archived_entry(revision)
         if isinstance(entry, errors.Failure):
@@ -79,7 +83,7 @@
 ) -> store_calls.Steps[audit_log.Entry | errors.Failure]:
     """Read the archived audit entry of a revision.
 
-    NOT_FOUND where there is none.
+    Return NOT_FOUND if there is none.
     """
     key = manifests.make_archive_key(revision)
     answer = yield store_calls.ReadKey(key)
@@ -97,10 +101,10 @@
 def _load_attempt(
     select_parts: PartSelector,
 ) -> store_calls.Steps[LoadedManifest | errors.Failure | None]:
-    """Read manifest and parts; None where they do not belong together.
+    """Read the manifest and its parts; return None if a part is missing.
 
-    A part that is gone was replaced, with the manifest, while we read. Going
-    by the manifest in hand would drop all targets of that part.
+    A missing part was replaced, together with the manifest, between the two
+    reads. Using the manifest already read would drop the part's targets.
     """
     answer = yield store_calls.ReadKey(manifests.MANIFEST_KEY)
     if isinstance(answer, store_calls.KeyMissing):
@@ -138,7 +142,7 @@
 
 
 def make_platform_failure(result: store_calls.Result) -> errors.Failure:
-    """Turn a call that gave nothing into a failure."""
+    """Build a failure from the result of a call that gave no answer."""
     text = (
         result.text
         if isinstance(result, store_calls.CallFailed | store_calls.WriteUnclear)
--- a/fuchsiahaven/core/configuration/transactions.py
+++ b/fuchsiahaven/core/configuration/transactions.py
@@ -1,4 +1,8 @@
-"""Change the stored configuration: read, apply, write, settle what is lost."""
+"""Change the stored configuration by optimistic transactions.
+
+An attempt reads the manifest, applies the change and writes the manifest if
+nobody else has written it since.
+"""
 
 import functools
 from typing import Final, NamedTuple
@@ -15,36 +19,36 @@
     store_reads,
 )
 
-#: How often a change is made again after another one came first.
+#: Attempts to make a change that others keep overtaking.
 MAX_ATTEMPTS: Final = 24
-#: How often a write is repeated whose answer was lost.
+#: Attempts to create a key while the answers are lost.
 MAX_WRITE_ATTEMPTS: Final = 4
-#: At most this many parts that nobody names are removed with one change.
+#: At most this many unreferenced parts of a group are deleted by one change.
 MAX_COLLECTED_PARTS: Final = 8
 SOURCE: Final = 'transactions'
 
 
 class _Overtaken(NamedTuple):
-    """Say that another change came first."""
+    """Report that another change was accepted first."""
 
 
 class _PendingWrite(NamedTuple):
-    """Say that the manifest's write, at a store revision, is unclear."""
+    """Hold a manifest write, at a store revision, whose outcome is unclear."""
 
     store_revision: int
     text: str
 
 
 class _Progress(NamedTuple):
-    """Hold what is known from one try to the next."""
+    """Hold what one attempt passes on to the next."""
 
     request: proposals.ChangeRequest
     highest_revision: int = 0
     pending_write: _PendingWrite | None = None
 
 
-class _ReadState(NamedTuple):
-    """Hold what a try found."""
+class _LoadedState(NamedTuple):
+    """Hold what an attempt has read."""
 
     progress: _Progress
     loaded: store_reads.LoadedManifest
@@ -57,24 +61,26 @@
 def commit(
     request: proposals.ChangeRequest, epoch_s: float
 ) -> store_calls.Steps[Outcome]:
-    """Make one change, until it is accepted, refused or cannot be told.
+    """Make one change; retry until it is accepted, refused or undecidable.
 
-    An accepted change is found again by its id, so that it is never made
-    twice, whatever answers are lost. OUTCOME_UNKNOWN where a write may have
-    taken effect and the service no longer tells.
+    An accepted change is recognised by its id, so it is never made twice,
+    whichever answers are lost. Return OUTCOME_UNKNOWN if a write may have
+    taken effect and the store can no longer tell.
     """
     progress = _Progress(request)
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
-            # Operators that all try again at once keep each other from it,
-            # and the one with most to read would never come first.
+            # Without a random delay operators would keep conflicting, and the
+            # one that has to read most would never be first.
             yield store_calls.Backoff(attempt)
         result = yield from _attempt(progress, epoch_s)
         if not isinstance(result, _Progress):
             return result
         progress = result
     failure = errors.make_failure(
-        errors.Kind.CONFLICT, SOURCE, f'others came first {MAX_ATTEMPTS} times'
+        errors.Kind.CONFLICT,
+        SOURCE,
+        f'other changes were accepted first {MAX_ATTEMPTS} times',
     )
     return _mark_outcome_unknown(failure, progress)
 
@@ -82,15 +88,15 @@
 def _attempt(
     progress: _Progress, epoch_s: float
 ) -> store_calls.Steps[_Progress | Outcome]:
-    read_state = yield from _read_state(progress)
-    if isinstance(read_state, errors.Failure):
-        return _mark_outcome_unknown(read_state, progress)
-    if isinstance(read_state, proposals.ChangeAccepted):
-        return read_state
+    loaded_state = yield from _load_state(progress)
+    if isinstance(loaded_state, errors.Failure):
+        return _mark_outcome_unknown(loaded_state, progress)
+    if isinstance(loaded_state, proposals.ChangeAccepted):
+        return loaded_state
     progress, manifest, archived_entries = (
-        read_state.progress,
-        read_state.loaded.manifest,
-        read_state.archived_entries,
+        loaded_state.progress,
+        loaded_state.loaded.manifest,
+        loaded_state.archived_entries,
     )
     prepared = proposals.prepare_change(
         manifest, progress.request, epoch_s, archived_entries
@@ -100,7 +106,7 @@
     if isinstance(prepared, proposals.NothingChanged):
         return prepared
     stored = yield from _write_change(
-        prepared, read_state.loaded.store_revision
+        prepared, loaded_state.loaded.store_revision
     )
     match stored:
         case proposals.ChangeAccepted():
@@ -114,10 +120,12 @@
     return stored
 
 
-def _read_state(
+def _load_state(
     progress: _Progress,
-) -> store_calls.Steps[_ReadState | proposals.ChangeAccepted | errors.Failure]:
-    """Read what there is, and whether this change is in it already."""
+) -> store_calls.Steps[
+    _LoadedState | proposals.ChangeAccepted | errors.Failure
+]:
+    """Read the stored configuration; detect a change already accepted."""
     select_parts = functools.partial(
         read_sets.list_needed_parts, progress.request.change
     )
@@ -149,10 +157,10 @@
         pending_write is not None
         and pending_write.store_revision != loaded.store_revision
     ):
-        # The manifest has been written since, without our change in it, so
-        # the write on its old revision can never take effect.
+        # The manifest has been written since, without this change. The
+        # pending write names an old store revision and cannot take effect.
         pending_write = None
-    return _ReadState(
+    return _LoadedState(
         _Progress(request, stored_revision, pending_write),
         loaded,
         archived_entries,
@@ -164,11 +172,11 @@
     request: proposals.ChangeRequest,
     highest_revision: int,
 ) -> errors.Failure | None:
-    """Refuse to build on a copy older than what has been seen.
+    """Return a failure if the stored copy is older than a revision seen.
 
-    A service restored from a backup answers with an old manifest. Every
-    change since would be taken back by the next one, and hosts would follow
-    that one as soon as its revision passed theirs.
+    A store restored from a backup returns an old manifest. A change based on
+    it would revert all changes made since the backup, and hosts would follow
+    as soon as its revision exceeded theirs.
     """
     known = max(request.base_revision or 0, highest_revision)
     if not isinstance(request.change, changes.RecoverConfiguration):
@@ -188,16 +196,16 @@
 ) -> store_calls.Steps[
     proposals.ChangeAccepted | _Overtaken | _PendingWrite | errors.Failure
 ]:
-    """Store a prepared change: what it needs first, the manifest last.
+    """Store a prepared change; write the manifest last.
 
-    Until the manifest names it, nothing of the rest is seen by anybody.
+    Readers see nothing of a change until the manifest names its parts.
     """
     for entry in prepared.archived_entries:
         fault = yield from _archive_entry(entry)
         if fault is not None:
             return fault
     for key, text in prepared.encoded.part_texts.items():
-        # The key is made from its text, so that it exists is as good.
+        # The key is derived from the text, so an existing key holds the same.
         created = yield from _create_key(key, text)
         if isinstance(created, errors.Failure):
             return created
@@ -217,15 +225,15 @@
 def _archive_entry(
     entry: audit_log.Entry,
 ) -> store_calls.Steps[errors.Failure | None]:
-    """Keep an entry under a key of its own, before the manifest drops it."""
+    """Archive an entry under its own key before the manifest drops it."""
     text = manifests.encode_archived_entry(entry)
     written = yield from _create_key(
         manifests.make_archive_key(entry.revision), text
     )
     if not isinstance(written, store_calls.WriteConflict):
         return written
-    # Another operator archived it first; or the service holds keys of two
-    # histories, and going on would lose one of two accepted changes for good.
+    # Either another operator archived the same entry, or the store holds keys
+    # of two histories, and continuing would lose one of two accepted changes.
     archived = yield from store_reads.read_archived_entry(entry.revision)
     if archived == entry:
         return None
@@ -242,7 +250,7 @@
 def _create_key(
     key: str, text: str
 ) -> store_calls.Steps[store_calls.WriteConflict | errors.Failure | None]:
-    """Create a key, once more where the answer is lost."""
+    """Create a key; repeat the write while its answer is lost."""
     written: store_calls.Result = store_calls.WriteUnclear(key)
     for _ in range(MAX_WRITE_ATTEMPTS):
         written = yield store_calls.CompareAndSwap(key, text, 0)
@@ -260,9 +268,9 @@
     before: manifests.Manifest,
     after: manifests.Manifest,
 ) -> store_calls.Steps[None]:
-    """Delete parts that the accepted change replaced, and forgotten ones.
+    """Delete the parts that a change replaced and parts nobody references.
 
-    Whatever fails here is left for the next change to the same group.
+    What fails here is left to the next change of the same group.
     """
     named_keys = {part.key for part in after.stored_parts.values()}
     replaced_keys = {
@@ -290,10 +298,11 @@
 
 
 def _is_unreachable(key: str, revision: int) -> store_calls.Steps[bool]:
-    """Tell whether a part that `revision` does not name never will be.
+    """Return whether a part that `revision` does not name is unreachable.
 
-    A part waits for the one revision that wrote it. Deleting it while that
-    one can still be accepted would leave a manifest without its targets.
+    Only the revision that wrote a part can name it. Deleting the part while
+    that revision can still be accepted would leave a manifest without its
+    targets.
     """
     answer = yield store_calls.ReadKey(key)
     if not isinstance(answer, store_calls.KeyFound):
@@ -305,13 +314,15 @@
 def _mark_outcome_unknown(
     failure: errors.Failure, progress: _Progress
 ) -> errors.Failure:
-    """Own up that a change may still take effect after an unclear write."""
+    """Report OUTCOME_UNKNOWN instead of a failure while a write is unclear."""
     if progress.pending_write is None:
         return failure
     request = progress.request
     return errors.make_failure(
         errors.Kind.OUTCOME_UNKNOWN,
         SOURCE,
-        f'{progress.pending_write.text}; then {failure.kind}: {failure.detail}; '
-        f'settle it by --change-id {request.change_id} --from {request.base_revision}',
+        f'{progress.pending_write.text}; '
+        f'then {failure.kind}: {failure.detail}; '
+        f'repeat it with --change-id {request.change_id} '
+        f'--from {request.base_revision} to learn its outcome',
     )
--- a/fuchsiahaven/core/configuration/tree_validation.py
+++ b/fuchsiahaven/core/configuration/tree_validation.py
@@ -1,4 +1,4 @@
-"""Check names, labels, addresses and bounds of what a change wrote."""
+"""Validate the names, labels, addresses and numbers that a change sets."""
 
 import re
 from collections.abc import Collection, Iterator, Mapping
@@ -11,8 +11,8 @@
 _NAME_PATTERN: Final = re.compile(manifest_schemas.NAME_PATTERN)
 _TARGET_PATTERN: Final = re.compile(manifest_schemas.TARGET_PATTERN)
 _DATA_CENTRE_PATTERN: Final = re.compile(manifest_schemas.DATA_CENTRE_PATTERN)
-_NAME_HELP: Final = 'small letters, digits, "-" and "."; 63 at most'
-_TARGET_HELP: Final = 'letters, digits, "-", "_", "." and "/"; 127 at most'
+_NAME_HELP: Final = 'lower-case letters, digits, "-" and "."; at most 63'
+_TARGET_HELP: Final = 'letters, digits, "-", "_", "." and "/"; at most 127'
 
 
 def find_fault(
@@ -20,11 +20,11 @@
     changed_fields: Collection[trees.FieldPath],
     before: trees.Tree | None = None,
 ) -> str | None:
-    """Say what is wrong with the rows at the touched fields, or None.
+    """Return the first fault in the changed rows, or None.
 
-    A field names a group, selector, class or customer. What a change did
-    not touch was checked when it was accepted; so were targets as they were
-    `before`.
+    A changed field is the path of a group, selector, class or customer. All
+    other rows, and targets that are the same in `before`, were checked when
+    they were accepted.
     """
     rows: dict[str, dict[str, Any]] = {
         'groups': {},
@@ -38,8 +38,8 @@
             old_row = before[kind].get(name) if before else None
             rows[kind][name] = _drop_unchanged_targets(row, old_row)
     fault = next(_check_rows(tree, rows), None)
-    # The schema is what every reader holds a manifest to, so nothing that it
-    # refuses may be written, whatever the checks above let through.
+    # Every reader validates manifests by the schema, so nothing may be
+    # written that it refuses, even if the checks above accept it.
     return fault or manifest_schemas.find_fault(
         manifest_schemas.FIELD_TREE, rows
     )
@@ -78,7 +78,7 @@
 
 def _check_quantities(customer: str, row: trees.Tree) -> Iterator[str]:
     for field in ('rate', 'burst'):
-        # A schema lets through what is no number at all.
+        # The schema accepts NaN.
         if not customers.is_valid_quantity(row.get(field)):
             yield f'customer {customer}: {field} is no number of 0 or more'
 
--- a/fuchsiahaven/core/configuration/trees.py
+++ b/fuchsiahaven/core/configuration/trees.py
@@ -1,8 +1,8 @@
-"""Turn a configuration into a tree of fields, compare trees and edit them.
+"""Convert a configuration into a tree of fields; compare and edit trees.
 
-A field is a path such as `('groups', 'catalogo', 'labels', 'tier')`. Audit
-entries, rebases, conflicts and undo all speak of fields, so that one rule
-serves every kind of change.
+A field is addressed by a path such as `('groups', 'catalogo', 'labels',
+'tier')`. Audit entries, repeated attempts, conflicts and undo all refer to
+fields, so one rule covers every kind of change.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -11,7 +11,7 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.customers import customers
 
-#: The fields of a group that bound what its targets take.
+#: The fields of a group that limit the load of its targets.
 CAPS: Final = ('slots', 'connections', 'connect_ms')
 
 FieldPath = tuple[str, ...]
@@ -19,7 +19,7 @@
 
 
 class Edit(NamedTuple):
-    """Hold what one change did to one field; None stands for absent."""
+    """Hold the old and new value of one field; None stands for absent."""
 
     field: FieldPath
     before: object
@@ -27,7 +27,7 @@
 
 
 def build_tree(configuration: configurations.Configuration) -> Tree:
-    """Write a configuration as nested mappings down to lists and scalars."""
+    """Convert a configuration to nested mappings of lists and scalars."""
     return {
         'groups': {
             group.name: encode_group(group) for group in configuration.groups
@@ -46,9 +46,10 @@
 
 
 def build_stored_tree(configuration: configurations.Configuration) -> Tree:
-    """Write a configuration as it is stored and sent.
+    """Convert a configuration to the tree that is stored and sent.
 
-    What programs without customers do not know is there only with customers.
+    Releases without customers do not know the key `customers`, so it is left
+    out if there are none.
     """
     tree = build_tree(configuration)
     if tree['customers']:
@@ -60,7 +61,7 @@
     tree: Tree,
     revision: int,
 ) -> configurations.Configuration:
-    """Read a configuration out of a tree of valid shape, in sorted order."""
+    """Convert a valid tree to a configuration, sorted by name."""
     return configurations.Configuration(
         revision=revision,
         groups=tuple(
@@ -86,7 +87,7 @@
 
 
 def decode_group(name: str, row: Tree) -> configurations.Group:
-    """Read one group out of its tree."""
+    """Convert a tree to a group."""
     return configurations.Group(
         name=name,
         labels=tuple(_sort_rows(row['labels'])),
@@ -102,7 +103,7 @@
 
 
 def decode_class(name: str, row: Tree) -> configurations.RequestClass:
-    """Read one class of request out of its tree."""
+    """Convert a tree to a class of request."""
     enum_fields = {
         'needs': configurations.Needs(row['needs']),
         'repeat': configurations.Repeat(row['repeat']),
@@ -112,12 +113,12 @@
 
 
 def decode_customer(name: str, row: Tree) -> customers.Customer:
-    """Read one customer out of its tree."""
+    """Convert a tree to a customer."""
     priority = row.get('priority')
     return customers.Customer(
         name,
         tuple(sorted(row['keys'])),
-        # JSON schema takes 3.0 for an integer.
+        # JSON Schema accepts 3.0 as an integer.
         None if priority is None else int(priority),
         float(row['rate']),
         float(row['burst']),
@@ -127,14 +128,14 @@
 def sort_targets(
     targets: Iterable[configurations.Target],
 ) -> tuple[configurations.Target, ...]:
-    """Put targets in the order in which every host holds them."""
+    """Sort targets into the order that is the same on every host."""
     return tuple(sorted(targets, key=_get_sort_key))
 
 
 def find_edits(
     before: Tree, after: Tree, path: FieldPath = ()
 ) -> Iterator[Edit]:
-    """Yield the fewest edits that lead from one tree to another."""
+    """Yield the smallest set of edits that turns one tree into another."""
     for key in sorted(before.keys() | after.keys()):
         old, new = before.get(key), after.get(key)
         if old == new:
@@ -146,13 +147,13 @@
 
 
 def overlaps(one: FieldPath, other: FieldPath) -> bool:
-    """Tell whether two fields are the same or one contains the other."""
+    """Return whether two paths are equal or one contains the other."""
     shorter = min(len(one), len(other))
     return one[:shorter] == other[:shorter]
 
 
 def find_field(tree: Tree, field: FieldPath) -> object:
-    """Return the value of a field, or None where there is none."""
+    """Return the value of a field, or None if it does not exist."""
     value: object = tree
     for key in field:
         if not isinstance(value, Mapping):
@@ -162,9 +163,9 @@
 
 
 def set_field(tree: Tree, field: FieldPath, value: object) -> Tree:
-    """Return a tree in which one field has another value, or is gone.
+    """Return a copy of a tree with one field set, or removed if None.
 
-    Raise KeyError where the field's parent does not exist.
+    Raises KeyError if the field's parent does not exist.
     """
     key, rest = field[0], field[1:]
     if rest:
@@ -174,7 +175,7 @@
 
 
 def encode_group(group: configurations.Group) -> Tree:
-    """Write one group as its tree."""
+    """Convert a group to a tree."""
     return {
         'labels': dict(group.labels),
         'targets': {
@@ -195,12 +196,12 @@
 
 
 def encode_class(request_class: configurations.RequestClass) -> Tree:
-    """Write the policy of a class of request as its tree."""
+    """Convert the policy of a class of request to a tree."""
     row = request_class._asdict()
     row.pop('name')
     if not request_class.public:
         row.pop('public')
-    # Plain texts in place of enumeration members: a tree is what JSON holds.
+    # Trees hold plain strings, as JSON does, instead of enumeration members.
     return {
         key: str(value) if isinstance(value, str) else value
         for key, value in row.items()
@@ -208,7 +209,7 @@
 
 
 def encode_customer(customer: customers.Customer) -> Tree:
-    """Write one customer as its tree."""
+    """Convert a customer to a tree."""
     row: dict[str, object] = {
         'keys': dict.fromkeys(customer.keys, True),
         'rate': customer.rate,
--- a/tests/core/configuration/test_checks.py
+++ b/tests/core/configuration/test_checks.py
@@ -1,4 +1,4 @@
-"""Test which changes are refused, and which only without force."""
+"""Test which changes are refused, and which of them force overrides."""
 
 import pytest
 
@@ -124,12 +124,11 @@
 
 
 def test_an_at_most_once_class_reaches_one_group() -> None:
-    """Refuse to send a refund to two groups.
+    """Guard against requests that run in two groups.
 
-    Symptom: a pass is refunded twice. Sequence: a label added for another
-    purpose makes the selector of the class match a second group, and each
-    group runs the request once. Cause: the policy is checked without what
-    its selectors reach.
+    If a class's policy is checked without the groups that its selectors
+    match, a label added for another purpose can make them match a second
+    group. Each group then runs the request once, and a pass is refunded twice.
     """
     assert (
         find_refusal(changes.SetClass('c', AT_MOST_ONCE_FIELDS), force=True)
@@ -149,11 +148,11 @@
 
 
 def test_an_old_problem_does_not_block_its_repair() -> None:
-    """Let a repair through that does not mend everything at once.
+    """Guard against old problems that block every later change.
 
-    Symptom: during an outage no change is accepted without force. Sequence:
-    a data centre loses its last live target by force; then every other change
-    is refused for it. Cause: all problems are held against every change.
+    A data centre loses its last live target by force. If a change is refused
+    for all problems instead of new ones, no later change is accepted without
+    force during the outage, not even a partial repair.
     """
     drained = changes.MarkLeaving('far', ('t/0', 't/1'))
     request = proposals.ChangeRequest('a', 'ana', drained, force=True)
@@ -167,11 +166,11 @@
 
 
 def test_replacing_the_configuration_keeps_leaving_marks() -> None:
-    """Apply a file without putting a drained target back to work.
+    """Guard against requests to a target that is being repaired.
 
-    Symptom: a target that is being repaired gets requests. Sequence: an
-    operator drains it, another applies a description that lists it. Cause:
-    the description replaces the mark, which it cannot express.
+    One operator drains the target, another applies a description that lists
+    it. Descriptions cannot express the `leaving` mark, so applying one must
+    not remove it.
     """
     drained = changes.MarkLeaving('far', ('t/0',))
     request = proposals.ChangeRequest('a', 'ana', drained, force=True)
--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -1,4 +1,4 @@
-"""Check customers in the manifest, in patches and in changes."""
+"""Test customers in the manifest, in patches and in changes."""
 
 import json
 from typing import Any, Final
@@ -31,7 +31,7 @@
 
 @st.composite
 def draw_customers(draw: st.DrawFn) -> tuple[customers.Customer, ...]:
-    """Draw customers that share no key, in the order in which hosts hold."""
+    """Draw customers that share no key, in the order that hosts use."""
     owners = draw(
         st.lists(st.sampled_from(('a', 'b', 'c', '')), min_size=6, max_size=6)
     )
@@ -89,7 +89,7 @@
 def test_a_patch_gives_the_same_customers(
     one: configurations.Configuration, other: configurations.Configuration
 ) -> None:
-    """Guard against a key that goes on on hosts which got a patch."""
+    """Guard against keys that stay valid on hosts that applied a patch."""
     old, new = (
         patches.stamp_configuration(one),
         patches.stamp_configuration(other),
@@ -103,14 +103,14 @@
 
 
 def test_without_customers_the_encoding_is_unchanged() -> None:
-    """Guard against hosts of the release before that refuse a manifest."""
+    """Guard against a manifest that hosts of the previous release refuse."""
     plain = configurations.Configuration(3, classes=(REQUEST_CLASS,))
     row = encode(plain)
     assert row['format'] == 1
     assert 'customers' not in row
     assert 'public' not in row['classes']['c']
     stamped = patches.stamp_configuration(plain)
-    # As the release before worked it out.
+    # The digest that the previous release computed.
     assert stamped.stamp.digest == '4c1494c25b04f8798d7a'
     emptied = patches.stamp_configuration(plain._replace(classes=()))
     patch = patches.diff(stamped, emptied)
@@ -151,7 +151,7 @@
 def test_an_invalid_customer_refuses_the_whole_manifest(
     field: str, told: object
 ) -> None:
-    """Guard against half of a version in force."""
+    """Guard against a configuration that is put into force in part."""
     decoded = manifests.decode(
         json.dumps({**encode(WITH_CUSTOMERS), field: told})
     )
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize('figure', ['NaN', 'Infinity', '-Infinity', '1e999'])
 def test_a_rate_that_is_not_finite_is_refused(figure: str) -> None:
-    """Guard against a quota that no comparison finds exceeded."""
+    """Guard against a quota that no comparison with NaN finds exceeded."""
     text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', figure)
     assert isinstance(manifests.decode(text), errors.Failure)
 
@@ -231,7 +231,7 @@
 def test_an_invalid_customer_change_is_refused(
     wanted: changes.Change,
 ) -> None:
-    """Guard against a change that is told as done and refused by hosts."""
+    """Guard against a change that is reported accepted but hosts refuse."""
     manifest = apply_changes(
         changes.SetCustomer('shop'),
         changes.AddKeys('shop', DIGESTS[:1]),
@@ -244,7 +244,7 @@
 
 
 def test_deleting_the_last_customer_needs_force() -> None:
-    """Guard against classes that are open to all by a slip."""
+    """Guard against opening all classes to everyone by mistake."""
     manifest = apply_changes(changes.SetCustomer('shop'))
     deletion = changes.DeleteCustomer('shop')
     refused = prepare(manifest, deletion)
--- a/tests/core/configuration/test_manifests.py
+++ b/tests/core/configuration/test_manifests.py
@@ -21,7 +21,7 @@
 def draw_group(
     draw: st.DrawFn, name: str, max_targets: int = 90
 ) -> configurations.Group:
-    """Draw a group whose parts stand inside and outside the manifest."""
+    """Draw a group with parts inside and outside the manifest."""
     counts = draw(
         st.dictionaries(
             st.sampled_from(['Quilicura', 'Maipú', 'Pudahuel']),
@@ -47,7 +47,7 @@
 
 @st.composite
 def draw_configuration(draw: st.DrawFn) -> configurations.Configuration:
-    """Draw a configuration in the order in which hosts hold it."""
+    """Draw a configuration in the order that hosts use."""
     names = sorted(draw(st.sets(NAMES, max_size=3)))
     return configurations.Configuration(
         revision=draw(st.integers(0, 1 << 40)),
@@ -93,12 +93,11 @@
 def test_only_changed_parts_are_written_again(
     configuration: configurations.Configuration,
 ) -> None:
-    """Rewrite what changed alone, under keys never used before.
+    """Guard against a manifest that names a deleted part.
 
-    Symptom: a manifest names a part that has been deleted. Sequence: one
-    operator replaces a part, another brings the same targets back, and the
-    first deletes the old key, which the second now names again. Cause: a key
-    made from the targets alone.
+    If keys are derived from the targets alone, one operator replaces a part,
+    another restores the same targets and names the old key again, and then
+    the first deletes that key.
     """
     first = manifests.encode(configuration)
     assert isinstance(first, manifests.Encoded)
@@ -120,11 +119,10 @@
 
 
 def test_a_newer_format_is_reported_as_such() -> None:
-    """Refuse what a newer program wrote, instead of guessing at it.
+    """Guard against fields that an older release drops.
 
-    Symptom: an older program drops fields it does not know when it writes
-    the manifest. Sequence: a newer program writes a field, an older one makes
-    a change. Cause: the format was not compared first.
+    If the format is not compared first, a newer release writes a field, and
+    an older one that makes a change drops the field it does not know.
     """
     newer = json.dumps({'format': stored_json.MAX_FORMAT + 1, 'surprise': True})
     assert get_refusal(newer) is errors.Kind.UNKNOWN_FORMAT
@@ -136,11 +134,11 @@
 
 
 def test_a_part_with_another_digest_is_refused() -> None:
-    """Refuse to route by targets that no operator accepted.
+    """Guard against routing to targets that no operator accepted.
 
-    Symptom: requests reach targets of an old list. Sequence: the platform's
-    keys come back from copies of different ages. Cause: parts are taken by
-    their key without comparing the digest.
+    The platform's keys are restored from copies of different ages. If parts
+    are read without comparing the digest, requests reach targets of an old
+    list.
     """
     targets = tuple(
         configurations.Target(f't{k:03}', f'10.0.0.1:{k + 1}', 'Odori')
--- a/tests/core/configuration/test_patches.py
+++ b/tests/core/configuration/test_patches.py
@@ -1,4 +1,4 @@
-"""Check that patches lead exactly from one configuration to another."""
+"""Test that a patch turns one configuration exactly into another."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 
 
 def unique(items: st.SearchStrategy[object]) -> st.SearchStrategy[object]:
-    """Draw items of which no two have one name."""
+    """Draw items with distinct names."""
     return st.lists(
         items,
         unique_by=lambda item: item.name,  # type: ignore[attr-defined]
@@ -41,7 +41,7 @@
 def test_a_patch_turns_one_configuration_into_another(
     one: configurations.Configuration, other: configurations.Configuration
 ) -> None:
-    """Give the other's stamp, and nothing for any other base."""
+    """A patch gives the other's stamp, and applies to no other base."""
     old, new = (
         patches.stamp_configuration(one),
         patches.stamp_configuration(other),
@@ -62,7 +62,7 @@
 def test_a_patch_whose_content_is_forged_is_refused(
     one: configurations.Configuration,
 ) -> None:
-    """Refuse a patch that does not give the content of its digest."""
+    """A patch is refused if its result does not have the stated digest."""
     patch = patches.diff(patches.EMPTY, patches.stamp_configuration(one))
     extra = configurations.Group('forged', (), ())
     changed = patch.changed._replace(groups=(*patch.changed.groups, extra))
--- a/tests/core/configuration/test_read_sets.py
+++ b/tests/core/configuration/test_read_sets.py
@@ -1,4 +1,4 @@
-"""Test that changes read few targets, and all that they have to see."""
+"""Test that changes read all targets that they need, and no others."""
 
 from collections.abc import Iterator
 from unittest import mock
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def store() -> Iterator[model_store.ModelStore]:
-    with mock.patch.object(parts, 'INLINE_BYTES', 0):
+    with mock.patch.object(parts, 'MAX_INLINE_BYTES', 0):
         filled = model_store.ModelStore()
         classes = (configurations.RequestClass('c'),)
         selector = configurations.Selector('s', 'c', 'name=g', ('Otaru',))
@@ -47,7 +47,7 @@
 def run(
     store: model_store.ModelStore, change: changes.Change
 ) -> tuple[transactions.Outcome, list[str]]:
-    """Make a change; return what came of it and the parts that it read."""
+    """Make a change; return its outcome and the groups of the parts read."""
     request = proposals.ChangeRequest(f'id-{store.revision}', 'ana', change)
     steps, read_groups = transactions.commit(request, 0), []
     call = next(steps)
@@ -83,16 +83,15 @@
 def test_a_change_reads_only_the_targets_it_needs(
     store: model_store.ModelStore, change: changes.Change, read: str
 ) -> None:
-    """Keep a change as quick in a large system as in a small one.
+    """Guard against changes that never succeed in a large system.
 
-    Symptom: changes are refused because others always come first. Sequence:
-    each try reads all targets, which takes longer than the time between two
-    changes. Cause: the whole configuration is read for a label.
+    If setting a label reads the whole configuration, an attempt takes longer
+    than the time between two changes, and others are always accepted first.
     """
     before = store.finish(store_reads.load_manifest()).manifest.configuration
     outcome, reads = run(store, change)
     assert isinstance(outcome, proposals.ChangeAccepted)
-    # Reads of the same part are for the sweep of what was replaced.
+    # Parts are read more than once to delete those that were replaced.
     assert sorted(reads) == list(read)
     stored = store.finish(store_reads.load_manifest()).manifest.configuration
     expected = proposals.prepare_change(
@@ -107,12 +106,12 @@
 def test_targets_that_one_host_sees_together_are_compared(
     store: model_store.ModelStore,
 ) -> None:
-    """Find a doubled address in a part that the change does not write.
+    """Guard against an address that is used in two data centres.
 
-    Symptom: a target gets twice the connections that it takes. Sequence: one
-    address is given to a target in each of two data centres, and a host that
-    falls back from one to the other sees both. Cause: only the part that is
-    written is read.
+    If a change reads only the part that it writes, a target in each of two
+    data centres can get the same address. A host that falls back from one to
+    the other sees both, and opens twice the connections that the target
+    accepts.
     """
     duplicate = Target('twin', '10.0.1.2:1', 'Odori')
     fault, _ = run(store, changes.AddTargets('g', (duplicate,)))
@@ -121,11 +120,10 @@
 
 
 def test_unread_targets_still_count(store: model_store.ModelStore) -> None:
-    """Judge a data centre by its targets, read or not.
+    """Guard against unrelated changes that need force.
 
-    Symptom: an unrelated change needs force. Sequence: a label is set, whose
-    change reads no targets, and every data centre looks empty. Cause: only
-    targets that were read are counted.
+    Setting a label reads no targets. If only targets that were read are
+    counted, every data centre then looks empty.
     """
     selector = changes.SetSelector(
         't', (('class', 'c'), ('expression', 'name=h'))
--- a/tests/core/configuration/test_revisions.py
+++ b/tests/core/configuration/test_revisions.py
@@ -1,4 +1,4 @@
-"""Check which revision of the configuration comes into force."""
+"""Test which revision of the configuration is put into force."""
 
 import random
 
@@ -17,7 +17,7 @@
 def run(
     state: revisions.State, *events: messages.Event, now: float = 10
 ) -> tuple[revisions.State, list[messages.Action]]:
-    """Feed events in and gather the actions."""
+    """Handle events and collect the actions."""
     draw_fraction = random.Random(1).random
     gathered: list[messages.Action] = []
     for event in events:
@@ -29,21 +29,21 @@
 
 
 def start_alone(*events: messages.Event) -> revisions.State:
-    """Start a host that is alone and feed it events."""
+    """Start a host without other members and handle events."""
     return run(revisions.start('h1', 0, TIMINGS, alone=True), *events)[0]
 
 
 def list_faults(state: revisions.State) -> set[messages.Fault]:
-    """Name the faults that are told to the operator."""
+    """List the faults that are reported to the operator."""
     return {fault for fault, _ in state.faults}
 
 
 def test_platform_restored_from_an_old_copy_is_not_followed() -> None:
-    """Keep what is in force when the platform comes back older.
+    """Guard against reverting to an older copy.
 
-    Symptom: labels set an hour ago are gone after a platform outage.
-    Sequence: revision 31 in force; the platform is restored at 20.
-    Cause: a host that took whatever the platform holds would revert.
+    Revision 31 is in force, and the platform is restored at revision 20. A
+    host that follows whatever the platform holds loses the labels that were
+    set since.
     """
     state = start_alone(messages.ManifestRead(40, build(31)))
     state, actions = run(state, messages.ManifestRead(12, build(20)))
@@ -53,11 +53,11 @@
 
 
 def test_platform_with_a_forked_history_is_not_followed() -> None:
-    """Refuse a higher revision whose history leaves ours out.
+    """Guard against a higher revision with another history.
 
-    Symptom: accepted changes vanish some minutes after a restore.
-    Sequence: 31 made by change a is in force; restored at 30, the platform
-    takes new changes as 31 and 32. Cause: numbers alone cannot tell.
+    Revision 31, made by change a, is in force. The platform is restored at 30
+    and accepts new changes as 31 and 32. A host that compares only the
+    numbers loses change a some minutes after the restore.
     """
     ours = messages.RevisionChange(31, 'a', 30)
     other = messages.RevisionChange(31, 'b', 30)
@@ -74,7 +74,7 @@
 
 
 def test_other_content_under_the_same_revision_is_reported() -> None:
-    """Keep ours where a member has another content under our number."""
+    """A member's other content for the revision in force is not taken."""
     state = start_alone(messages.ManifestRead(40, build(31)))
     other = patches.stamp_configuration(build(31, slots=9)).stamp
     state, _ = run(state, messages.StampReceived('h2', other))
@@ -83,10 +83,10 @@
 
 
 def test_a_lower_store_revision_is_read() -> None:
-    """Read the manifest when the platform's number of it changed at all.
+    """Guard against a restored platform that goes unnoticed.
 
-    Symptom: a restored platform goes unnoticed. Sequence: the number falls
-    from 40 to 12. Cause: a watch above 40 waits in silence.
+    The store's revision falls from 40 to 12. A watch for a revision above 40
+    does not report this, so a check has to read the manifest.
     """
     state = start_alone(messages.ManifestRead(40, build(31)))
     _, actions = run(state, messages.StoreRevisionRead(12))
@@ -94,10 +94,10 @@
 
 
 def test_the_end_of_an_outage_is_followed_by_a_check() -> None:
-    """Check the platform at once when it answers again.
+    """Guard against an older copy that is noticed a minute after an outage.
 
-    Symptom: an older copy is noticed only a minute after an outage. Cause:
-    the watch that ends quietly says nothing of a number that fell.
+    A watch that ends without a change does not report a lower store revision,
+    so the platform has to be checked as soon as it answers again.
     """
     state = start_alone(messages.ManifestRead(40, build(31)))
     state, _ = run(
--- a/tests/core/configuration/test_selectors.py
+++ b/tests/core/configuration/test_selectors.py
@@ -94,7 +94,7 @@
     if isinstance(parsed, selectors.SyntaxFault):
         assert 0 <= parsed.offset <= len(text)
     else:
-        # Matching never fails, and space round a symbol changes nothing.
+        # Matching never fails, and spaces around symbols have no effect.
         selectors.matches(parsed, LABELS)
         spaced = re.sub('([,()]|[!=]+)', r' \1 ', text)
         assert selectors.parse(spaced) == parsed
@@ -144,12 +144,11 @@
 
 
 def test_an_unparsable_selector_reaches_nothing() -> None:
-    """Tell no short list as complete.
+    """Guard against incomplete answers that are reported as complete.
 
-    Symptom: a complete class answers without the groups of one selector.
-    Sequence: a newer release accepts an expression that this one cannot
-    read; this host skips that selector and reaches the groups of the others.
-    Cause: a fault taken for "matches no group".
+    A newer release accepts an expression that this one cannot parse. If the
+    syntax fault is taken for "matches no group", this host skips the selector,
+    and a class that needs complete answers omits its groups.
     """
     configuration = make_configuration('tier=gold', 'tier > 3')
     assert not selectors.list_reachable_groups(configuration, 'gate-lookup')
--- a/tests/core/configuration/test_transactions.py
+++ b/tests/core/configuration/test_transactions.py
@@ -1,4 +1,4 @@
-"""Test changes under races, lost answers and older copies."""
+"""Test concurrent changes with lost, delayed and failed calls."""
 
 import contextlib
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 def draw_change() -> st.SearchStrategy[changes.Change]:
-    """Draw changes that touch few fields, so that they meet."""
+    """Draw changes of a few fields, so that they often conflict."""
     group = st.sampled_from(GROUPS)
     key, value = st.sampled_from(KEYS), st.sampled_from('xyz')
     name = st.sampled_from(TARGETS)
@@ -64,12 +64,12 @@
 
 
 class Operators(stateful.RuleBasedStateMachine):
-    """Let three operators change one configuration over a bad network.
+    """Let three operators change one configuration over a faulty network.
 
-    Claimed: no accepted change is lost, none is applied twice, revisions only
+    Checked: no accepted change is lost, none is applied twice, revisions only
     grow, each accepted change has exactly one audit entry, a refused change
     has none, no change overwrites a field that its operator had not seen
-    changed, and a manifest never names a part that is gone.
+    changed, and a manifest never names a missing part.
     """
 
     def __init__(self) -> None:
@@ -80,16 +80,17 @@
         self.base_revisions: dict[str, int] = {}
         self.revision = 0
         self.patches = contextlib.ExitStack()
-        # Small bounds, so that a few changes archive entries and move parts.
+        # With small bounds a few changes suffice to archive entries and to
+        # store parts under keys of their own.
         for module, bound in (
-            (proposals, 'KEPT_CHANGES'),
-            (parts, 'INLINE_BYTES'),
+            (proposals, 'MAX_KEPT_ENTRIES'),
+            (parts, 'MAX_INLINE_BYTES'),
         ):
             self.patches.enter_context(mock.patch.object(module, bound, 2))
 
     @stateful.initialize()
     def create_groups(self) -> None:
-        """Begin with groups that have targets, so that changes apply."""
+        """Create groups with targets, so that most changes can be applied."""
         for group in GROUPS:
             targets = tuple(make_target(group, name) for name in TARGETS)
             created = configurations.Group(group, (), targets)
--- a/tests/core/revision_network.py
+++ b/tests/core/revision_network.py
@@ -1,4 +1,4 @@
-"""Join hosts, a platform and a lossy network round the choice of revisions."""
+"""Simulate hosts, a platform and a lossy network to test `revisions`."""
 
 import heapq
 import itertools
@@ -14,7 +14,10 @@
 
 
 class Platform:
-    """Hold the manifest, its history and the faults of the platform."""
+    """Hold the manifest, its history and the faults of the platform.
+
+    With `drops_watches` a watch in flight never gets an answer.
+    """
 
     def __init__(self) -> None:
         """Start with a first revision."""
@@ -35,7 +38,7 @@
         self.changes = (*self.changes, change)
 
     def read_manifest(self, *, by_watch: bool) -> messages.ManifestRead:
-        """Give the configuration that the history leads to."""
+        """Return the configuration that results from the history."""
         labels = tuple((f'l{it.revision}', it.change_id) for it in self.changes)
         group = configurations.Group('catalogo', labels, ())
         configuration = configurations.Configuration(self.revision, (group,))
@@ -45,7 +48,10 @@
 
 
 class RevisionNetwork:
-    """Run hosts of one data centre in simulated time."""
+    """Run hosts of one data centre in simulated time.
+
+    Hosts in `partitioned` are cut off from the platform and all others.
+    """
 
     def __init__(
         self, count: int, timings: revisions.Timings | None = None
@@ -85,15 +91,15 @@
         self.now = end
 
     def list_revisions(self) -> set[int]:
-        """List what is in force anywhere."""
+        """List the revisions that are in force on any host."""
         return {it.in_force.stamp.revision for it in self.hosts.values()}
 
     def list_faults(self) -> set[messages.Fault]:
-        """List what operators are told by any host."""
+        """List the faults that any host reports."""
         return {fault for it in self.hosts.values() for fault, _ in it.faults}
 
     def send(self, name: str, event: messages.Event) -> None:
-        """Hand an event to a host and carry its actions out."""
+        """Let a host handle an event and execute its actions."""
         if name not in self.hosts:
             return
         before = self.hosts[name].in_force.stamp.revision
@@ -153,7 +159,7 @@
         lost: bool = False,
     ) -> None:
         platform = self.platform
-        # A watch that is dropped without a word never hears anything again.
+        # A watch whose connection was silently dropped gets no answer.
         lost = lost or platform.drops_watches
         if platform.down or name in self.partitioned:
             failure = messages.PlatformCallFailed(by_watch=True, detail='down')
--- a/tests/core/test_change_races.py
+++ b/tests/core/test_change_races.py
@@ -1,4 +1,4 @@
-"""Test single sequences of events that would lose or double a change."""
+"""Test sequences of events that could lose or repeat a change."""
 
 from collections.abc import Iterator
 from unittest import mock
@@ -28,7 +28,7 @@
 
 @pytest.fixture(autouse=True)
 def store_every_part_apart() -> Iterator[None]:
-    with mock.patch.object(parts, 'INLINE_BYTES', 0):
+    with mock.patch.object(parts, 'MAX_INLINE_BYTES', 0):
         yield
 
 
@@ -73,7 +73,7 @@
     ],
     key: str,
 ) -> store_calls.Call:
-    """Run steps up to the call of a kind whose key begins so."""
+    """Run steps up to a call of this kind whose key has this prefix."""
     call = next(steps)
     while not (isinstance(call, kind) and call[0].startswith(key)):
         call = steps.send(store.call(call))
@@ -96,12 +96,11 @@
 def test_the_second_of_two_operators_is_shown_the_first(
     store: model_store.ModelStore,
 ) -> None:
-    """Refuse to overwrite what the operator has not seen.
+    """Guard against overwriting a value that the operator has not seen.
 
-    Symptom: a label that an operator set, and saw accepted, is another a
-    second later. Sequence: two operators read one revision, both set the
-    label, the later write wins. Cause: the change is applied again to the
-    newer revision without comparing fields.
+    Two operators read the same revision and set the same label. If the second
+    change is applied again to the newer revision without comparing fields,
+    the first operator's label, which was reported accepted, is lost.
     """
     ana, ben = (
         commit_label('a', 'tier', 'cold'),
@@ -122,11 +121,10 @@
 def test_a_lost_answer_is_resolved_by_the_change_id(
     store: model_store.ModelStore,
 ) -> None:
-    """Find an accepted change again instead of making it twice.
+    """Guard against a change that is made twice or reported as failed.
 
-    Symptom: one command leaves two audit entries, or is told as failed and is
-    in force. Sequence: the write takes effect, its answer is lost, the
-    operator's command tries again. Cause: the answer alone decides.
+    The write takes effect, its answer is lost, and the command repeats it. The
+    accepted change has to be recognised by its id.
     """
     steps = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, steps)
@@ -142,12 +140,11 @@
 def test_an_unclear_change_is_reported_as_unknown_until_resolved(
     store: model_store.ModelStore, kind: type[store_calls.Call]
 ) -> None:
-    """Never tell as failed what may yet take effect.
+    """Guard against a change that takes effect after it was reported failed.
 
-    Symptom: a command says that nothing was changed; a minute later the
-    change is in force. Sequence: the write is delayed on its way, the service
-    goes down, the command gives up, the write arrives. Cause: the fault seen
-    last is reported in place of the first.
+    The write is delayed in the network, the store goes down, the command gives
+    up, and the write arrives. If the last fault is reported instead of the
+    unclear write, the command says that nothing was changed.
     """
     steps = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, steps)
@@ -169,12 +166,11 @@
 def test_a_late_write_does_not_revert_a_newer_one(
     store: model_store.ModelStore,
 ) -> None:
-    """Let a delayed write meet a newer revision.
+    """Guard against an accepted change that vanishes without an audit entry.
 
-    Symptom: an accepted change is gone without an audit entry that says so.
-    Sequence: a write is delayed, its operator tries again and is told it is
-    accepted, another change follows, the first write arrives. Cause: the
-    manifest is written without its revision.
+    A write is delayed, the operator's second attempt is accepted, another
+    change follows, and then the first write arrives. It must fail because it
+    names an older store revision.
     """
     ana = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, ana)
@@ -191,12 +187,11 @@
 def test_an_older_copy_is_not_built_upon_and_can_be_recovered(
     store: model_store.ModelStore,
 ) -> None:
-    """Refuse to change a manifest older than what has been in force.
+    """Guard against changes based on an older copy.
 
-    Symptom: hours after a restore, accepted changes of that day are gone
-    everywhere. Sequence: the service comes back with an old copy, operators
-    go on, the revision passes the one that hosts hold, hosts follow it.
-    Cause: the next change is built on whatever the service holds.
+    The store is restored from an old copy. If operators can change that copy,
+    its revision comes to exceed the one in force, and hours later hosts follow
+    it and lose the accepted changes of that day.
     """
     saved = dict(store.values)
     store.finish(commit_label('a', 'tier', 'cold'))
@@ -219,7 +214,7 @@
     recovered = load_manifest(store).configuration
     assert recovered == in_force._replace(revision=3)
     assert load_manifest(store).entries[-1].previous_revision == 1
-    # The same content has to pass a higher revision all the same.
+    # A recovery of unchanged content still has to raise the revision.
     outcome = store.finish(
         commit_change(
             'd', changes.RecoverConfiguration(recovered), min_revision=7
@@ -232,19 +227,18 @@
 def test_a_conflicting_archive_entry_stops_a_change(
     store: model_store.ModelStore,
 ) -> None:
-    """Keep the audit entry of each of two changes with one revision.
+    """Guard against an audit log with a change that never was in force.
 
-    Symptom: the trail says that a change was made that never was in force.
-    Sequence: the manifest comes back from an older copy than the archive; new
-    changes reach a revision that is archived already. Cause: that the key
-    exists is taken to mean that the same entry is in it.
+    The manifest is restored from an older copy than the archive, and new
+    changes reach a revision that is already archived. An existing key must
+    not be taken to hold the same entry.
     """
     entry = load_manifest(store).entries[0]._replace(change_id='other')
     text = manifests.encode_archived_entry(entry)
     store.call(
         store_calls.CompareAndSwap(manifests.make_archive_key(1), text, 0)
     )
-    with mock.patch.object(proposals, 'KEPT_CHANGES', 1):
+    with mock.patch.object(proposals, 'MAX_KEPT_ENTRIES', 1):
         fault = get_failure(store.finish(commit_label('a', 'tier', 'cold')))
     assert fault.kind is errors.Kind.OLDER_COPY
 
@@ -252,11 +246,11 @@
 def test_a_part_awaiting_its_manifest_is_not_collected(
     store: model_store.ModelStore,
 ) -> None:
-    """Leave alone the parts of a change that is still under way.
+    """Guard against a manifest that names a missing part.
 
-    Symptom: a manifest names targets that are nowhere. Sequence: Ana's change
-    is accepted and she sweeps old parts; Ben has stored his part and not yet
-    his manifest. Cause: what the manifest does not name counts as garbage.
+    Ana's change is accepted and deletes unreferenced parts. Ben has stored his
+    part but not yet the manifest that names it, so his part must not count as
+    unreferenced.
     """
     ana = commit_change('a', changes.RemoveTargets('g', ('g/0',)))
     sweep = stop_before(store, ana, store_calls.ListKeys, parts.KEY_PREFIX)
@@ -270,12 +264,11 @@
 def test_restored_targets_do_not_reuse_a_key_under_deletion(
     store: model_store.ModelStore,
 ) -> None:
-    """Never name a part again that somebody may be deleting.
+    """Guard against a manifest that names a deleted part.
 
-    Symptom: a manifest names targets that are nowhere. Sequence: Ana's change
-    replaces a part and she is about to delete it; Ben's undo brings the same
-    targets back and names the key that still exists; Ana deletes it. Cause: a
-    key made from the targets alone.
+    Ana's change replaces a part and is about to delete it. Ben's change
+    restores the same targets. If keys are derived from the targets alone, it
+    names the key that still exists, and then Ana's change deletes it.
     """
     ana = commit_change('a', changes.RemoveTargets('g', ('g/0',)))
     key = parts.KEY_PREFIX
@@ -289,17 +282,17 @@
 def test_undo_restores_one_change_and_not_what_came_after(
     store: model_store.ModelStore,
 ) -> None:
-    """Take back a change without taking back the revision.
+    """Guard against an undo that reverts later changes as well.
 
-    Symptom: undoing a label also drops a target added since. Sequence: one
-    operator labels, another adds, the first undoes. Cause: undo goes back to
-    the revision before, or writes over a field that is no longer its own.
+    One operator sets a label, another adds a target, and the first undoes the
+    label. Undo must neither restore the previous revision nor overwrite a
+    field that was changed since.
     """
     outcome = store.finish(commit_label('a', 'tier', 'cold'))
     undo = changes.UndoChange('a', outcome.entry.edits)
     store.finish(commit_label('b', 'zone', 'x'))
     undone = store.finish(commit_change('c', undo)).entry
-    assert (undone.revision, undone.undoes) == (4, 'a')
+    assert (undone.revision, undone.undone_change_id) == (4, 'a')
     labels = load_manifest(store).configuration.groups[0].labels
     assert labels == (('tier', 'gold'), ('zone', 'x'))
     store.finish(commit_label('d', 'tier', 'warm'))
@@ -318,12 +311,12 @@
 def test_entries_that_leave_the_manifest_are_in_the_archive(
     store: model_store.ModelStore,
 ) -> None:
-    """Keep the whole trail, also across a lost answer of the archive.
+    """Guard against a gap in the output of `history`.
 
-    Symptom: `history` has a hole. Sequence: the write of an old entry fails
-    and the manifest is trimmed all the same. Cause: trimmed before archived.
+    The write that archives an old entry fails. The manifest must not drop the
+    entry before it is archived.
     """
-    with mock.patch.object(proposals, 'KEPT_CHANGES', 2):
+    with mock.patch.object(proposals, 'MAX_KEPT_ENTRIES', 2):
         store.finish(commit_label('a', 'tier', 'x'))
         steps = commit_label('b', 'tier', 'y')
         key = manifests.make_archive_key(1)
--- a/tests/core/test_revision_spread.py
+++ b/tests/core/test_revision_spread.py
@@ -1,4 +1,4 @@
-"""Check that changes reach all hosts and never go back, whatever fails."""
+"""Test that changes reach all hosts and are never reverted, with faults."""
 
 import pytest
 from hypothesis import settings, stateful
@@ -8,14 +8,14 @@
 from fuchsiahaven.core.configuration import revision_messages as messages
 from tests.core import revision_network
 
-#: A check falls due within this time on every host.
+#: Every host checks the platform within this time.
 MAX_CHECK_DELAY_S = 100.0
-#: A watch ends within this time, whatever becomes of it.
+#: Every watch ends within this time, even without an answer.
 MAX_WATCH_S = 11.0
 
 
 def start(count: int = 9) -> revision_network.RevisionNetwork:
-    """Start hosts and let them find the first revision."""
+    """Start hosts and wait until they have the first revision."""
     network = revision_network.RevisionNetwork(count)
     network.run(5)
     assert network.list_revisions() == {1}
@@ -23,12 +23,12 @@
 
 
 def find_watchers(network: revision_network.RevisionNetwork) -> tuple[str, ...]:
-    """Name the hosts that watch."""
+    """Return the hosts that watch the platform."""
     return next(iter(network.hosts.values())).ranking[:2]
 
 
 def test_a_change_costs_each_host_one_message() -> None:
-    """Bring a change everywhere at once, by one push to each other host."""
+    """A change reaches every host at once, by one push to each of them."""
     network = start(30)
     network.pushes = 0
     network.platform.change('second')
@@ -40,11 +40,11 @@
 
 @pytest.mark.parametrize('dead', [1, 2, 5])
 def test_dead_hosts_in_the_tree_are_bypassed(dead: int) -> None:
-    """Serve those below a host that died unnoticed.
+    """Guard against changes that reach part of a data centre late.
 
-    Symptom: a part of the data centre gets a change late. Sequence: hosts
-    die, the first watcher among them; a change is accepted before gossip
-    has noticed. Cause: whoever stands below them in the tree hears nothing.
+    Hosts die, the first watcher among them, and a change is accepted before
+    gossip has detected it. Their descendants in the tree must get the push
+    from others.
     """
     network = start(20)
     order = next(iter(network.hosts.values())).ranking
@@ -56,13 +56,12 @@
 
 
 def test_silent_watch_is_ended_and_the_change_found() -> None:
-    """Find a change although all watches have gone silent.
+    """Guard against changes that take effect minutes late.
 
-    Symptom: operators' changes take hold minutes late. Sequence: the
-    connections of the watches are dropped by something in between without
-    a word; a change is accepted. Cause: a wait without a bound.
+    A middlebox silently drops the connections of the watches, and a change is
+    accepted. Without a timeout the watches would wait for ever.
     """
-    # The checks of other hosts would find it too, in their time.
+    # A long check interval, so that no check of another host finds the change.
     timings = revisions.Timings(check_interval_s=10_000)
     network = revision_network.RevisionNetwork(9, timings)
     network.run(5)
@@ -77,10 +76,10 @@
 
 
 def test_checks_make_up_for_silent_watches() -> None:
-    """Find a change by the checks of other hosts while watches stay silent.
+    """Guard against changes that take effect minutes late.
 
-    Symptom and sequence as above, but the platform's watches never answer
-    again. Cause: only one way for a change to come in.
+    As above, but the platform's watches never answer again, so the checks of
+    other hosts have to find the change.
     """
     network = start()
     network.platform.drops_watches = True
@@ -90,12 +89,11 @@
 
 
 def test_older_copy_is_reported_everywhere_and_followed_nowhere() -> None:
-    """Keep the revision in force when the platform returns with an old one.
+    """Guard against accepted changes that vanish after an outage.
 
-    Symptom: accepted changes vanish after an outage. Sequence: down for an
-    hour, restored from a copy, then changed by operators until its numbers
-    pass ours. Cause: "take what the platform holds", or "take the higher
-    number".
+    The platform is down for an hour, is restored from an old copy, and then
+    accepts changes until its revision exceeds the one in force. Hosts must
+    follow neither the old copy nor the higher revision.
     """
     network = start()
     for number in range(5):
@@ -118,10 +116,10 @@
 
 
 def test_fresh_host_starts_from_members_while_the_platform_is_down() -> None:
-    """Give a new host what the others have, without the platform.
+    """Guard against new hosts that refuse all searches during an outage.
 
-    Symptom: hosts replaced during an outage refuse all searches. Cause:
-    only the platform is asked for the configuration.
+    A host that is replaced while the platform is down has to get the
+    configuration from other members.
     """
     network = start()
     network.platform.down = True
@@ -134,7 +132,7 @@
 
 
 def test_all_hosts_replaced_at_once_while_the_platform_is_down() -> None:
-    """Wait, honest about it, and serve when the platform is back."""
+    """Hosts report the outage and start to serve once the platform is back."""
     network = start()
     network.platform.down = True
     for name in tuple(network.hosts):
@@ -151,10 +149,10 @@
 
 
 def test_a_partitioned_host_catches_up() -> None:
-    """Bring a host up to date that missed more than members keep.
+    """Guard against an old configuration after a network partition.
 
-    Symptom: a host serves an old configuration after a cut. Sequence: cut
-    off from members and platform, forty changes, healed.
+    A host is cut off from members and platform during forty changes, which
+    are more than members keep as patches, and then reconnected.
     """
     network = start()
     network.partitioned = {'h4'}
@@ -168,12 +166,11 @@
 
 
 def test_forged_revision_is_not_taken_from_one_member() -> None:
-    """Refuse a revision that one member alone vouches for.
+    """Guard against a forged configuration from one faulty host.
 
-    Symptom: one host that runs wild puts a configuration into force that no
-    operator made, and as its number is high nothing accepted ever replaces
-    it. Sequence: it pushes revision 1000 to all and tells of it in gossip.
-    Cause: any higher number is taken from anybody.
+    The host pushes revision 1000 to all others and claims it in gossip. If
+    any higher revision is accepted from any member, a configuration that no
+    operator made is put into force, and no accepted change ever replaces it.
     """
     network = start()
     base = network.hosts['h0'].in_force
@@ -197,7 +194,7 @@
 
 
 class Spread(stateful.RuleBasedStateMachine):
-    """Change, cut, kill and restore; in the end all hold the highest."""
+    """Make changes and faults; in the end all hosts have the last revision."""
 
     def __init__(self) -> None:
         """Start seven hosts."""
@@ -214,7 +211,7 @@
         down=st.booleans(), silent=st.booleans(), seconds=st.integers(0, 30)
     )
     def disturb(self, down: bool, silent: bool, seconds: int) -> None:
-        """Change what is wrong with the platform."""
+        """Change the faults of the platform."""
         self.network.platform.down = down
         self.network.platform.drops_watches = silent
         self.network.run(seconds)
@@ -225,20 +222,20 @@
         seconds=st.integers(0, 30),
     )
     def cut(self, names: set[int], loss: float, seconds: int) -> None:
-        """Cut hosts off from all others and the platform."""
+        """Cut hosts off from the platform and all other hosts."""
         self.network.partitioned = {f'h{number}' for number in names}
         self.network.loss_fraction = loss
         self.network.run(seconds)
 
     @stateful.rule(name=st.integers(0, 6), seconds=st.integers(0, 5))
     def replace(self, name: int, seconds: int) -> None:
-        """Replace a host by a fresh one; the others keep what they have."""
+        """Replace a host by a new one, which has nothing in force."""
         self.network.hosts.pop(f'h{name}', None)
         self.network.run(seconds)
         self.network.add(f'h{name}')
 
     def teardown(self) -> None:
-        """Heal everything and demand that all hold what was accepted."""
+        """End all faults and check that all hosts hold what was accepted."""
         network = self.network
         network.platform.down = False
         network.platform.drops_watches = False
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -401,7 +401,7 @@
     Cause: only the last changes in the manifest are printed.
     """
     monkeypatch.setattr(
-        'fuchsiahaven.core.configuration.proposals.KEPT_CHANGES', 2
+        'fuchsiahaven.core.configuration.proposals.MAX_KEPT_ENTRIES', 2
     )
     for word in ('w', 'x', 'y', 'z'):
         filled.change('group', 'label', 'g', f'a={word}')
