--- a/fuchsiahaven/core/__init__.py
+++ b/fuchsiahaven/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decide: no sockets, files, clocks, threads or randomness in here."""
+"""Pure decision logic, without sockets, files, clocks, threads, randomness."""
--- a/fuchsiahaven/core/addresses.py
+++ b/fuchsiahaven/core/addresses.py
@@ -1,4 +1,4 @@
-"""Read and write addresses: an IP number and a port."""
+"""Parse and format addresses: an IP address and a port."""
 
 import ipaddress
 from typing import Final, NamedTuple
@@ -7,17 +7,17 @@
 
 
 class Address(NamedTuple):
-    """Hold an IP number and a port."""
+    """Hold an IP address and a port."""
 
     host: str
     port: int
 
 
 def parse(text: str) -> Address | None:
-    """Read `ip:port` or `[ipv6]:port`; None for anything else.
+    """Parse `ip:port` or `[ipv6]:port`; return None for anything else.
 
-    Host names are refused: looking one up takes a service that may be down
-    just when a host is started.
+    Host names are refused, since the name service may be down when a host is
+    started.
     """
     host, _, port = text.rpartition(':')
     bracketed = host.startswith('[') and host.endswith(']')
@@ -30,7 +30,7 @@
 
 
 def format_address(address: Address) -> str:
-    """Write an address as `parse` reads it."""
+    """Format an address so that `parse` accepts it."""
     host = f'[{address.host}]' if ':' in address.host else address.host
     return f'{host}:{address.port}'
 
--- a/fuchsiahaven/core/boot_clock.py
+++ b/fuchsiahaven/core/boot_clock.py
@@ -1,12 +1,12 @@
-"""Read a clock that also goes on while the machine is suspended."""
+"""Read a clock that includes the time for which the machine was suspended."""
 
 import time
 
 
 def read_clock() -> float:
-    """Read the seconds that have passed since some moment before the start.
+    """Return the seconds since the machine was booted.
 
-    The steady clock stands still while a machine is suspended, so what is
-    counted on it may be older than it seems.
+    The monotonic clock stops while the machine is suspended, so ages computed
+    from it can be too low.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/fuchsiahaven/core/coverage.py
+++ b/fuchsiahaven/core/coverage.py
@@ -1,10 +1,10 @@
-"""State which ranges an answer covers and why others are missing."""
+"""Compute which key ranges an answer covers and why others are missing."""
 
 import enum
 from collections.abc import Container, Iterable, Mapping
 from typing import Final, NamedTuple
 
-# Keys hash into 0..65535, so a range ends at most here.
+# Keys hash into 0..65535, so this is the largest end of a range.
 KEY_SPACE_SIZE: Final = 65536
 
 
@@ -31,7 +31,7 @@
 
 
 class CoveredRange(NamedTuple):
-    """Name one covered range of one group."""
+    """Describe a covered range of one group."""
 
     group: str
     shard: int
@@ -40,7 +40,7 @@
 
 
 class MissingRange(NamedTuple):
-    """Name one missing range of one group and why it is missing."""
+    """Describe a missing range of one group and why it is missing."""
 
     group: str
     shard: int
@@ -50,7 +50,7 @@
 
 
 class WantedRange(NamedTuple):
-    """Name one range that a query has to reach."""
+    """Describe a range that a query has to reach."""
 
     group: str
     shard: int
@@ -59,9 +59,9 @@
 
 
 class Span(NamedTuple):
-    """Hold what is covered of one group, adjacent shards joined.
+    """Hold what is covered of one group, with adjacent shards joined.
 
-    `shards` are inclusive pairs, `ranges` are half-open pairs.
+    `shards` are inclusive intervals, `ranges` are half-open ones.
     """
 
     group: str
@@ -70,7 +70,7 @@
 
 
 class Coverage(NamedTuple):
-    """State coverage over all groups that a query had to reach."""
+    """Hold the coverage of all groups that a query had to reach."""
 
     shards: int
     covered: tuple[CoveredRange, ...]
@@ -78,12 +78,12 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether no range is missing."""
+        """Return whether no range is missing."""
         return not self.missing and len(self.covered) == self.shards
 
 
 def make_group_range(group: str) -> WantedRange:
-    """Name a whole group of which no shard map is known, as one shard."""
+    """Return the range of a group without a shard map, as a single shard."""
     return WantedRange(group, 0, 0, KEY_SPACE_SIZE)
 
 
@@ -92,10 +92,10 @@
     answered: Container[ShardKey],
     reasons: Mapping[ShardKey, Reason],
 ) -> Coverage:
-    """Sort every wanted range into covered or missing.
+    """Classify every wanted range as covered or missing.
 
-    A shard that neither answered nor failed is missing because its time ran
-    out: what nobody accounted for must never be told as covered.
+    A shard that neither answered nor failed is missing because it timed out:
+    an unaccounted shard must never be reported as covered.
     """
     covered: list[CoveredRange] = []
     missing: list[MissingRange] = []
--- a/fuchsiahaven/core/customers/__init__.py
+++ b/fuchsiahaven/core/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Know whose request it is, how old that knowledge is, and how many go on."""
+"""Identify customers by their keys, and track how recent the keys are."""
--- a/fuchsiahaven/core/customers/authentication.py
+++ b/fuchsiahaven/core/customers/authentication.py
@@ -1,4 +1,4 @@
-"""Decide whose request it is, by the key that its caller shows."""
+"""Identify the customer of a request by the key that its caller presents."""
 
 import enum
 from collections.abc import Mapping
@@ -8,12 +8,12 @@
 from fuchsiahaven.core.customers import customers
 
 SOURCE: Final = 'customers'
-#: Digits after the point of the seconds that a caller is told to wait.
+#: Decimal places of the seconds after which a caller may retry.
 RETRY_AFTER_DECIMALS: Final = 2
 
 
 class RefusalReason(enum.StrEnum):
-    """Say why a request is of no customer."""
+    """List the reasons why a request belongs to no customer."""
 
     NONE = 'no key was shown'
     UNUSABLE = 'what was shown is no key'
@@ -21,7 +21,7 @@
 
 
 class Credentials(NamedTuple):
-    """Hold the digest of the key shown, and whether anything was shown."""
+    """Hold the digest of the presented key, and whether one was presented."""
 
     key_digest: str = ''
     present: bool = False
@@ -37,10 +37,11 @@
     *,
     public: bool,
 ) -> Authenticated:
-    """Find whose request it is, or say why it is refused.
+    """Return the customer of a request, or why the request is refused.
 
-    `wait` is for how many seconds no key can be trusted. What is public asks
-    for none, and does not turn away whoever shows one that is unknown.
+    `wait_s` is for how many seconds no key can be trusted. A public request
+    needs no key and is not refused for an unknown one; None means that it
+    has no known customer.
     """
     if wait_s:
         return None if public else make_stale_failure(wait_s)
@@ -53,7 +54,7 @@
 
 
 def make_stale_failure(wait_s: float) -> errors.Failure:
-    """Refuse a request because no recent word of its key is at hand."""
+    """Build the failure of a request whose key cannot be checked now."""
     return errors.make_failure(
         errors.Kind.STALE_KEYS,
         SOURCE,
@@ -63,14 +64,14 @@
 
 
 def get_priority(customer: customers.Customer | None, default: int) -> int:
-    """Return how urgent a request is, 0 for the most urgent."""
+    """Return the priority of a request; 0 is served first."""
     if customer is None or customer.priority is None:
         return default
     return customer.priority
 
 
 def _choose_reason(credentials: Credentials) -> str:
-    """Say why a request is of no customer, without what it shows."""
+    """Return why a request has no customer, without revealing its key."""
     if credentials.key_digest:
         return RefusalReason.UNKNOWN
     return RefusalReason.UNUSABLE if credentials.present else RefusalReason.NONE
--- a/fuchsiahaven/core/customers/customers.py
+++ b/fuchsiahaven/core/customers/customers.py
@@ -1,21 +1,21 @@
-"""Hold the customers of a configuration, and say what makes one spoilt."""
+"""Define the customers of a configuration and validate them."""
 
 import collections
 from collections.abc import Iterable, Mapping
 from typing import Final, NamedTuple, TypeGuard
 
-#: JSON readers agree on whole numbers up to here.
+#: The largest integer up to which all JSON parsers agree: 2**53 - 1.
 MAX_EXACT_INTEGER: Final = 9_007_199_254_740_991
-#: Characters of a name, which goes on with each request.
+#: In characters; the name is forwarded to targets with each request.
 MAX_NAME_LENGTH: Final = 128
 
 
 class Customer(NamedTuple):
-    """Hold whose requests are counted together, and how many there may be.
+    """Describe a customer, whose requests share a quota.
 
-    `keys` are digests of what callers show; a customer's `priority` goes before
-    that of what is asked for where it is told. `rate` is in requests a second,
-    0 for no limit, `burst` in requests.
+    `keys` are digests of the keys that its callers present. `priority`
+    overrides that of the class of request unless it is None. `rate` is in
+    requests per second, 0 for no limit, `burst` in requests.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 def find_fault(customers: Iterable[Customer]) -> str | None:
-    """Say why customers cannot be told apart, or None."""
+    """Describe a duplicate name or a shared key, or return None."""
     checked = tuple(customers)
     counts = collections.Counter(customer.name for customer in checked)
     for name, count in counts.items():
@@ -39,7 +39,7 @@
 
 
 def find_shared_keys(customers: Iterable[Customer]) -> list[tuple[str, str]]:
-    """List the pairs of customers that hold one key."""
+    """List the pairs of customers that hold the same key."""
     holders: dict[str, str] = {}
     pairs = []
     for customer in customers:
@@ -51,30 +51,30 @@
 
 
 def index_by_key(customers: Iterable[Customer]) -> Mapping[str, Customer]:
-    """Sort customers by the digests of their keys."""
+    """Map the digest of each key to its customer."""
     return {key: customer for customer in customers for key in customer.keys}
 
 
 def is_valid_name(value: object) -> TypeGuard[str]:
-    """Tell whether targets can be shown a name in a header field."""
+    """Return whether a value is a name that fits into a header field."""
     if not isinstance(value, str) or not value or len(value) > MAX_NAME_LENGTH:
         return False
     return value.isprintable() and value == value.strip()
 
 
 def is_valid_priority(value: object) -> TypeGuard[int]:
-    """Tell whether this is a priority: a whole number of 0 or more."""
-    # A truth value is a number in this language, but not in an entry.
+    """Return whether a value is a priority: an integer of 0 or more."""
+    # Python's bool is a subclass of int, but a priority is no boolean.
     if not isinstance(value, int) or isinstance(value, bool):
         return False
     return 0 <= value <= MAX_EXACT_INTEGER
 
 
 def is_valid_quantity(value: object) -> TypeGuard[float]:
-    """Tell whether this is a rate or a burst: a number of 0 or more."""
+    """Return whether a value is a rate or a burst: a number of 0 or more."""
     if not isinstance(value, (int, float)) or isinstance(value, bool):
         return False
-    # Neither infinity nor what is no number at all is in this range.
+    # Infinity and NaN are outside this range.
     return 0 <= value <= MAX_EXACT_INTEGER
 
 
--- a/fuchsiahaven/core/customers/freshness.py
+++ b/fuchsiahaven/core/customers/freshness.py
@@ -1,9 +1,10 @@
-"""Tell how old what a host knows of customers' keys may be.
+"""Bound the age of what a host knows about customers' keys.
 
-A host knows every configuration that the store had acknowledged by `confirmed`.
-A read of the store proves the moment at which it left, and what another host
-tells is counted from when the question left, so that no time on the way makes
-knowledge seem younger than it is. Times are of a clock that counts suspension.
+A host knows every configuration that the store had acknowledged by
+`confirmed_at`. A read of the store proves the time at which it was sent, and
+a proof by another host counts from the time at which it was requested, so
+network delays never make the knowledge look more recent than it is. Times are
+read from a clock that includes suspension.
 """
 
 import math
@@ -12,32 +13,32 @@
 
 from fuchsiahaven.core import boot_clock
 
-#: The era of a store that has not come back from a copy, as far as is known.
+#: The era of a store that is not known to have been restored from a copy.
 NO_ERA: Final = -1
 
-#: Shares of the time within which a key that was taken away is dead. Kept back
-#: for clocks that do not go at the same rate:
+#: Fractions of the time within which a removed key has to be refused. Reserved
+#: for clocks that run at different rates:
 CLOCK_MARGIN_FRACTION: Final = 0.02
-#: how long the reader waits for changes, and pauses between two reads;
+#: the timeout of a watch for changes, and the pause between two reads;
 WATCH_FRACTION: Final = 0.05
 PAUSE_FRACTION: Final = 0.08
-#: by how much what another host knows has to be newer to be told at once;
+#: by how much a proof has to be newer than the asker's to be sent at once;
 MIN_GAIN_FRACTION: Final = 0.09
-#: and the age from which on a second way is tried beside the first.
+#: the age from which on a second source is asked beside the first.
 URGENT_AGE_FRACTION: Final = 0.45
-#: How long after it came back from a copy the store may lack what operators
-#: had written, in seconds.
+#: How long a store that was restored from a copy may lack what operators had
+#: written.
 RESTORE_SETTLING_S: Final = 4.6
-#: What a caller is told to wait at least and at most, in seconds.
+#: Bounds of the wait that a caller is told before it retries.
 MIN_WAIT_S: Final = 0.25
 MAX_WAIT_S: Final = 2.0
 
 
 class Proof(NamedTuple):
-    """Tell another host up to when everything acknowledged is known.
+    """Prove to another host up to when all acknowledged changes are known.
 
-    `lead` is by how many seconds that is after the arrival of its question;
-    mostly it is before. `era` is the store's whose reads count as proofs.
+    `lead_s` is that time, in seconds after the arrival of the request; it is
+    mostly negative. `era` is that of the store whose reads are accepted.
     """
 
     lead_s: float
@@ -45,10 +46,11 @@
 
 
 class Freshness:
-    """Own what proves how old the knowledge of keys is.
+    """Track how old the host's knowledge of keys may be.
 
-    `revoke` is within how many seconds a key that was taken away is dead; None
-    where that is not asked for.
+    `revoke_s` is within how many seconds a removed key has to be refused; None
+    if there is no such bound. `confirmed_at` is the time by which every
+    acknowledged configuration is known.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         revoke_s: float | None = None,
         clock: Callable[[], float] = boot_clock.read_clock,
     ) -> None:
-        """Start with nothing proved."""
+        """Start without any proof."""
         self.revoke_s = revoke_s
         self.confirmed_at = -math.inf
         self._clock = clock
@@ -67,22 +69,22 @@
 
     @property
     def is_enforced(self) -> bool:
-        """Tell whether keys are in use that have to die in time."""
+        """Return whether there are keys whose removal has a time bound."""
         return self._has_customers and self.revoke_s is not None
 
     def read_clock(self) -> float:
-        """Return the time by which ages are counted."""
+        """Return the time of the clock from which ages are computed."""
         return self._clock()
 
     def record_customers(self, *, has_customers: bool) -> None:
-        """Note whether the configuration in force has customers."""
+        """Record whether the configuration in force has customers."""
         self._has_customers = has_customers
 
     def record_read(self, sent_at: float, era: int) -> bool:
-        """Take in a read of the store that left then; tell whether it counts.
+        """Record a read of the store; return whether it is a proof.
 
-        A store that came back from a copy may lack what it had acknowledged,
-        until operators have written it again.
+        A store that was restored from a copy may lack changes that it had
+        acknowledged, until operators have written them again.
         """
         self._record_era(era)
         if era != self._settled_era and not self._is_settled(sent_at, era):
@@ -94,35 +96,38 @@
     def record_proof(
         self, sent_at: float, proof: Proof | None, era: int
     ) -> None:
-        """Take in what another host told to a question that left then."""
+        """Record another host's answer to a request sent at `sent_at`."""
         self._record_era(era)
         if proof is not None and math.isfinite(proof.lead_s):
             self._settled_era = max(self._settled_era, proof.era)
             self.confirmed_at = max(self.confirmed_at, sent_at + proof.lead_s)
 
     def make_proof(self, received_at: float) -> Proof | None:
-        """Say what is proved to who asked then; None if there is nothing."""
+        """Build a proof for a request received then; None without one."""
         if not self.is_enforced or math.isinf(self.confirmed_at):
             return None
         return Proof(self.confirmed_at - received_at, self._settled_era)
 
     def is_proof_useful(self, received_at: float, age_s: float | None) -> bool:
-        """Tell whether who asked then with knowledge so old gains enough."""
+        """Return whether a proof is newer enough than an asker's knowledge.
+
+        `age_s` is the age of that knowledge at `received_at`.
+        """
         proof = self.make_proof(received_at)
         if age_s is None or proof is None or self.revoke_s is None:
             return False
         return proof.lead_s + age_s >= MIN_GAIN_FRACTION * self.revoke_s
 
     def compute_age(self) -> float:
-        """Count how many seconds old the knowledge is at most."""
+        """Return the greatest possible age of the knowledge, in seconds."""
         return self._clock() - self.confirmed_at
 
     def compute_wait(self) -> float:
-        """Say in how many seconds to come back; 0 where keys are known.
+        """Return the seconds after which to retry; 0 if keys can be trusted.
 
-        A host that cannot prove how old its knowledge is must not take
-        requests with keys. What has lasted for some time mostly lasts as long
-        again.
+        A host that cannot prove that its knowledge is recent must refuse
+        requests with keys. The wait equals the time since the bound passed,
+        as an outage is expected to last as long again as it has lasted.
         """
         if self.revoke_s is None:
             return 0.0
@@ -134,13 +139,13 @@
         return min(MAX_WAIT_S, max(MIN_WAIT_S, excess_s))
 
     def compute_urgent_delay(self) -> float:
-        """Count the seconds until a second way is worth trying."""
+        """Return the seconds until a second source should be asked."""
         if not self.is_enforced or self.revoke_s is None:
             return math.inf
         return URGENT_AGE_FRACTION * self.revoke_s - self.compute_age()
 
     def limit_time(self, default_s: float, fraction: float) -> float:
-        """Limit a time to a share of that within which keys have to die."""
+        """Limit a time to a fraction of `revoke_s` while that is enforced."""
         if not self.is_enforced or self.revoke_s is None:
             return default_s
         return min(default_s, fraction * self.revoke_s)
--- a/fuchsiahaven/core/customers/keys.py
+++ b/fuchsiahaven/core/customers/keys.py
@@ -1,4 +1,4 @@
-"""Turn customers' keys, which are secrets, into digests."""
+"""Compute the digests of customers' keys, which are secrets."""
 
 import re
 from collections.abc import Sequence
@@ -6,25 +6,26 @@
 
 from fuchsiahaven.core import request_identities
 
-#: Bytes of a key; whoever shows a longer one shows none.
+#: A longer key counts as malformed.
 MAX_KEY_BYTES: Final = 4096
-#: What parts a scheme from a key, and what a field may end in.
+#: White space between scheme and key, and at both ends of a header field.
 BLANKS: Final = ' \t'
 
 
 def compute_digest(key: str) -> str:
-    """Digest a customer's key, which is kept nowhere.
+    """Compute the digest of a customer's key; the key is not stored.
 
-    Raises UnicodeEncodeError, which tells the key, where it is no text.
+    Raises UnicodeEncodeError, whose message contains the key, if the key
+    cannot be encoded in UTF-8.
     """
     return _compute_digest(key.encode('utf-8'))
 
 
 def parse_credentials(fields: Sequence[str], scheme: str) -> str:
-    """Read the digest of the one key that a caller shows, empty without.
+    """Return the digest of the key in a caller's credentials, or ''.
 
-    `fields` hold a character for each byte that came; the case of the scheme
-    does not matter.
+    `fields` are the values of the header field, decoded as Latin-1. Exactly
+    one is accepted. The scheme is compared without regard to case.
     """
     if len(fields) != 1:
         return ''
--- a/fuchsiahaven/core/customers/proof_exchange.py
+++ b/fuchsiahaven/core/customers/proof_exchange.py
@@ -1,4 +1,4 @@
-"""Say which other host to ask for proof of how old knowledge of keys is."""
+"""Request and answer proofs of how recent the knowledge of keys is."""
 
 import json
 import math
@@ -7,14 +7,15 @@
 from fuchsiahaven.core import json_texts, rendezvous
 from fuchsiahaven.core.customers import freshness
 
-#: A number may be too large for what it is read as.
+#: Raised by malformed answers; OverflowError by numbers that are too large.
 _DECODE_ERRORS: Final = (ValueError, TypeError, KeyError, OverflowError)
 
 
 class ProofAnswer(NamedTuple):
-    """Hold what a host proves, and of which configuration.
+    """Hold a host's proof and the stamp of its configuration.
 
-    `revision` and `digest` are of what it has in force, read after the proof.
+    `revision` and `digest` are those of the configuration in force, read
+    after the proof was made.
     """
 
     proof: freshness.Proof
@@ -28,16 +29,17 @@
     watcher_count: int,
     failed_attempts: int,
 ) -> str | None:
-    """Find whom a host asks that was not told anything so many times.
+    """Return the member to ask after some failed attempts, or None.
 
-    It is the parent in the tree over an order, then those above it, then the
-    first of the order, who ask the platform. They ask nobody.
+    The candidates are the ancestors in the tree, the parent first, and then
+    the watchers, who read the platform themselves and ask nobody.
     """
     watchers = ranking[:watcher_count]
     if name in watchers or name not in ranking:
         return None
     ancestors = rendezvous.list_ancestors(ranking, name)
-    # From the first that asks the platform on the tree brings nothing more.
+    # A watcher reads the platform itself, so its own ancestors add nothing:
+    # only the nearest watcher above is asked before the other watchers.
     non_watchers = [it for it in ancestors if it not in watchers]
     candidates = [
         *non_watchers,
@@ -48,7 +50,7 @@
 
 
 def encode_answer(answer: ProofAnswer) -> bytes:
-    """Write what a host proves."""
+    """Encode a host's proof and stamp."""
     row = {
         'lead': answer.proof.lead_s,
         'stamp': [answer.revision, answer.digest],
@@ -57,9 +59,9 @@
 
 
 def decode_answer(body: bytes, elapsed_s: float) -> ProofAnswer | None:
-    """Read what came after so many seconds; None for what is no proof.
+    """Decode an answer that took `elapsed_s`; None if it is malformed.
 
-    A lead beyond the time of the exchange is of a clock that is wrong.
+    A lead longer than the exchange can only come from a wrong clock.
     """
     try:
         row: Any = json_texts.load(body)
--- a/fuchsiahaven/core/errors.py
+++ b/fuchsiahaven/core/errors.py
@@ -1,11 +1,11 @@
-"""Name every kind of failure a caller can be told, and its answer."""
+"""Define every kind of failure that is reported to callers."""
 
 import enum
 from typing import Final, NamedTuple
 
 
 class Ran(enum.StrEnum):
-    """Say whether the request ran on any searcher."""
+    """List whether a request ran on any searcher."""
 
     NO = 'no'
     YES = 'yes'
@@ -45,7 +45,10 @@
 
 
 class KindProperties(NamedTuple):
-    """Hold how one kind is answered: HTTP status, text, default `ran`."""
+    """Hold how one kind is answered: HTTP status, text, default `ran`.
+
+    `retryable` tells that the same request may succeed later.
+    """
 
     status: int
     text: str
@@ -54,9 +57,9 @@
 
 
 class Failure(NamedTuple):
-    """Carry one failure as a value, with where it arose.
+    """Hold one failure and the module that it comes from.
 
-    `retry_after` is in seconds; None means asking again will not help.
+    `retry_after` is in seconds; None means that a retry will not help.
     """
 
     kind: Kind
@@ -156,6 +159,6 @@
     retry_after: float | None = None,
     ran: Ran | None = None,
 ) -> Failure:
-    """Build a failure whose `ran` is the table's unless given."""
+    """Build a failure; `ran` defaults to that of its kind."""
     properties = KIND_PROPERTIES[kind]
     return Failure(kind, source, detail, ran or properties.ran, retry_after)
--- a/fuchsiahaven/core/json_texts.py
+++ b/fuchsiahaven/core/json_texts.py
@@ -1,16 +1,16 @@
-"""Read JSON that comes from outside this process."""
+"""Parse JSON that comes from outside this process."""
 
 import json
 from typing import Any, Final, NoReturn
 
 
 def load(text: str | bytes) -> Any:
-    """Read one JSON text. Raises ValueError for anything else.
+    """Parse one JSON text. Raises ValueError for anything else.
 
-    Nesting beyond what the interpreter recurses raises an error that is no
-    ValueError, and ended the thread whose reader let it through. NaN and the
-    infinities, which Python reads too, pass every check of bounds, since no
-    comparison with NaN is true.
+    Nesting beyond the interpreter's recursion limit raises RecursionError,
+    which is no ValueError and would end a thread that does not expect it. NaN
+    and infinities, which Python's parser accepts, are refused: no comparison
+    with NaN is true, so NaN passes every check of bounds.
     """
     decoded = text if isinstance(text, str) else text.decode()
     try:
--- a/fuchsiahaven/core/policies.py
+++ b/fuchsiahaven/core/policies.py
@@ -1,46 +1,46 @@
-"""Name the bundles of decisions that a host can run with."""
+"""Define the sets of routing and load policies that a host can run with."""
 
 from typing import Final, NamedTuple
 
 
 class MeasuredRouting(NamedTuple):
-    """Choose the replica that this host's own figures favour."""
+    """Choose the replica that this host's own measurements favour."""
 
 
 class RoundRobinRouting(NamedTuple):
-    """Choose the replicas of a shard one after another."""
+    """Choose the replicas of a shard in turn."""
 
 
 class AdaptiveLimit(NamedTuple):
-    """Adapt what is in flight to each target, up to its seats."""
+    """Adapt the sub-requests in flight to each target, up to its seats."""
 
 
 class FixedLimit(NamedTuple):
-    """Keep up to `in_flight` sub-requests in flight to each target."""
+    """Keep up to `max_in_flight` sub-requests in flight to each target."""
 
     max_in_flight: int = 8
 
 
 class BudgetedAttempts(NamedTuple):
-    """Hedge and retry within a share of first tries."""
+    """Hedge and retry within a fraction of the first attempts."""
 
 
 class SingleAttempt(NamedTuple):
-    """Ask for each part once, and wait for it until the deadline."""
+    """Request each part once, and wait for it until the deadline."""
 
 
 class DeadlineAdmission(NamedTuple):
-    """Queue by priority and refuse what cannot be answered in time."""
+    """Queue by priority and refuse requests that would miss the deadline."""
 
 
 class BoundedAdmission(NamedTuple):
-    """Run up to `queries` at once and refuse the others."""
+    """Run up to `max_queries` at once and refuse the others."""
 
     max_queries: int = 64
 
 
 class Policy(NamedTuple):
-    """Hold one bundle."""
+    """Hold one set of policies."""
 
     name: str
     routing: MeasuredRouting | RoundRobinRouting = MeasuredRouting()
@@ -50,7 +50,7 @@
 
 
 STANDARD: Final = Policy('standard')
-#: What the measurements compare with.
+#: The reference that the benchmarks compare the standard policy with.
 BASELINE: Final = Policy(
     'baseline',
     RoundRobinRouting(),
--- a/fuchsiahaven/core/rates.py
+++ b/fuchsiahaven/core/rates.py
@@ -1,4 +1,4 @@
-"""Bound how often something may be done, as a token bucket."""
+"""Limit the rate of an operation by a token bucket."""
 
 from typing import NamedTuple
 
@@ -19,12 +19,15 @@
 
 
 def make_full_bucket(rate: Rate, now: float) -> Bucket:
-    """Start with a full bucket."""
+    """Return a full bucket."""
     return Bucket(rate, rate.burst, now)
 
 
 def take_token(bucket: Bucket, now: float) -> tuple[Bucket, float]:
-    """Take one token; give 0 where taken, else the seconds to wait."""
+    """Take one token; return the bucket and the seconds to wait.
+
+    The wait is 0 if a token was taken.
+    """
     gained = max(0.0, now - bucket.updated_at) * bucket.rate.per_second
     tokens = min(bucket.rate.burst, bucket.tokens + gained)
     if tokens >= 1:
--- a/fuchsiahaven/core/rendezvous.py
+++ b/fuchsiahaven/core/rendezvous.py
@@ -1,22 +1,24 @@
-"""Rank hosts by rendezvous hash, so that all pick alike without talking."""
+"""Rank hosts by rendezvous hashing, so that all choose alike uncoordinated."""
 
 import hashlib
 import math
 from collections.abc import Iterable
 from typing import Final
 
-#: Four children a host reach 110 hosts in four hops.
+#: The children of a host in the tree; with four, 110 hosts are reached in four
+#: hops.
 TREE_FAN_OUT: Final = 4
 _HASH_BYTES: Final = 8
-#: Bits of a hash that a float holds exactly, so that no chance is rounded to 1.
+#: The bits of a hash that a float holds exactly, so that no fraction is rounded
+#: to 1, and the bits that are dropped for it.
 _FLOAT_BITS: Final = 53
 _DROPPED_BITS: Final = 11
 
 
 def rank(key: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Order names for a key, the first choice first.
+    """Rank names for a key, the first choice first.
 
-    One name more or less moves no other name relative to the rest.
+    Adding or removing a name does not change the order of the others.
     """
     return tuple(
         sorted(set(names), key=lambda name: (_hash_name(key, name), name)),
@@ -26,17 +28,17 @@
 def rank_weighted(
     key: str, weighted: Iterable[tuple[str, float]]
 ) -> tuple[str, ...]:
-    """Order names so that each comes first as often as its weight says.
+    """Rank names so that each is first in proportion to its weight.
 
-    One name more or less, or of another weight, moves no other name relative to
-    the rest. Where all weights are the same, the order is as without them.
+    Adding, removing or reweighting a name does not change the order of the
+    others. With equal weights the order is that of `rank`.
     """
     costs = {name: _compute_cost(key, name, it) for name, it in weighted}
     return tuple(sorted(costs, key=costs.__getitem__))
 
 
 def list_children(ranking: tuple[str, ...], name: str) -> tuple[str, ...]:
-    """List whom a host hands a message on to, in the tree over an order."""
+    """List the hosts to which a host forwards messages in the tree."""
     if name not in ranking:
         return ()
     first = ranking.index(name) * TREE_FAN_OUT + 1
@@ -44,7 +46,7 @@
 
 
 def list_ancestors(ranking: tuple[str, ...], name: str) -> tuple[str, ...]:
-    """List the parent of a host, its parent, and so on up to the first."""
+    """List the ancestors of a host in the tree, its parent first."""
     ancestors = []
     index = ranking.index(name) if name in ranking else 0
     while index:
@@ -56,9 +58,10 @@
 def _compute_cost(
     key: str, name: str, weight: float
 ) -> tuple[float, bytes, str]:
-    """Count what to order by: a sample of an exponential distribution.
+    """Compute a sort key: a sample of an exponential distribution.
 
-    The least of several is one's own with the chance of one's weight.
+    The probability that a name has the smallest sample is proportional to its
+    weight.
     """
     hashed = _hash_name(key, name)
     uniform = (int.from_bytes(hashed) >> _DROPPED_BITS) / (1 << _FLOAT_BITS)
@@ -66,6 +69,6 @@
 
 
 def _hash_name(key: str, name: str) -> bytes:
-    # A length before the key keeps ('ab', 'c') and ('a', 'bc') apart.
+    # The length prefix makes ('ab', 'c') and ('a', 'bc') differ.
     text = f'{len(key)} {key} {name}'
     return hashlib.blake2b(text.encode(), digest_size=_HASH_BYTES).digest()
--- a/fuchsiahaven/core/request_ids.py
+++ b/fuchsiahaven/core/request_ids.py
@@ -1,9 +1,9 @@
-"""Make and read request ids: UUIDs of version 7, with their time inside."""
+"""Make and parse request ids: UUIDs of version 7, which contain a time."""
 
 import uuid
 from typing import Final
 
-#: How many random bits `mint` takes.
+#: The number of random bits that `make_request_id` takes.
 RANDOM_BITS: Final = 74
 VERSION: Final = 7
 VARIANT: Final = 2
@@ -19,7 +19,7 @@
 def make_request_id(epoch_s: float, bits: int) -> str:
     """Make a request id from the wall-clock time and `RANDOM_BITS` bits.
 
-    RFC 9562, section 5.7.
+    The layout is that of RFC 9562, section 5.7.
     """
     middle = (bits >> _LOW_BITS) & ((1 << _MIDDLE_BITS) - 1)
     low = bits & ((1 << _LOW_BITS) - 1)
@@ -31,10 +31,10 @@
 
 
 def parse_epoch(request_id: str) -> float | None:
-    """Read the wall-clock time inside an id; None if it is no version 7.
+    """Return the wall-clock time in an id, or None if it is no version 7.
 
-    Only the usual form is read: were braces or capitals let through, one id
-    would have several spellings and could be claimed once under each.
+    Only the canonical form is accepted. With braces or capitals one id would
+    have several spellings and could be claimed once under each.
     """
     try:
         parsed = uuid.UUID(request_id)
--- a/fuchsiahaven/core/suspects.py
+++ b/fuchsiahaven/core/suspects.py
@@ -1,10 +1,11 @@
-"""Tell a request that ends its targets from those that were there by chance.
-
-When a rack dies, everything that is under way there looks guilty, and what many
-callers ask for looks guilty several times. So all targets that ended under a
-request by one moment count once, and from then on it is sent to one target at a
-time, as a trial: its success clears the request, and the end of that target too
-is another moment. After enough of them the request is quarantined.
+"""Detect requests that crash their targets, and quarantine them.
+
+When a rack fails, every request in flight there looks guilty, and one that
+many callers send looks guilty several times. All targets that crash at about
+the same time under a request therefore count as one crash. From then on the
+request is sent to one target at a time, as a trial: success clears it, a crash
+of that target counts as another crash. After enough crashes the request is
+quarantined.
 """
 
 import collections
@@ -14,45 +15,47 @@
 
 from fuchsiahaven.core import rates, request_identities, trial_offers
 
-#: Moments at which targets ended that make a quarantine.
+#: A request with this many crashes is quarantined.
 MIN_QUARANTINE_CRASHES: Final = 3
-#: Moments after which a trial may quarantine, and no host sends beside it.
+#: From this many crashes on a trial excludes sending by other hosts, as its
+#: failure quarantines the request.
 MIN_EXCLUSIVE_CRASHES: Final = 2
-#: How long a request is left alone before the trial that may quarantine it.
-#: What ends many targets by chance is mostly over by then.
+#: The delay before the trial that may quarantine a request. An unrelated cause
+#: that ends many targets is mostly over by then.
 TRIAL_DELAY_S: Final = 1.0
-#: How long a quarantine lasts, doubled with each trial that failed since.
+#: The duration of a first quarantine, which doubles with each failed trial, and
+#: its upper bound.
 MIN_QUARANTINE_S: Final = 120.0
 MAX_QUARANTINE_S: Final = 600.0
-#: How long other hosts leave a request alone that one of them tries.
+#: How long other hosts wait for the result of a trial.
 TRIAL_TIMEOUT_S: Final = 1.0
-#: A request that ends its target is lost later than this: it takes a round trip
-#: to the farthest data centre, and time to run.
+#: A request that crashes its target is lost later than this after it was sent:
+#: it takes a round trip to the farthest data centre, and time to run.
 MIN_RUN_S: Final = 0.005
-#: Waits that differ by less than this come of the way between hosts.
+#: Smaller differences between waits are due to the delay between hosts.
 WAIT_TOLERANCE_S: Final = 0.2
-#: How long a suspicion outlives the time in which nothing is sent. What ends
-#: its targets ends one of each shard where it is not known.
+#: How long a suspicion is kept after the request may be sent again. Once it is
+#: forgotten, the request can crash a target of each shard again.
 SUSPICION_LIFETIME_S: Final = 600.0
-#: Requests that are remembered at most, of one customer and in all.
+#: Suspect requests kept at most, of one customer and in all.
 MAX_CUSTOMER_SUSPECTS: Final = 32
 MAX_SUSPECTS: Final = 512
-#: Targets and services named of each request: enough to look them up.
+#: Targets and services recorded for each request, for operators to look up.
 MAX_NAMES: Final = 4
-#: First suspicions that are passed on. A rack that dies brings up many, nearly
-#: all of them of innocent requests.
+#: The rate of reports of first crashes to other hosts. A rack that fails causes
+#: many, nearly all of innocent requests.
 REPORTS_PER_S: Final = 4
 REPORT_BURST: Final = 16
 REPORT_RATE: Final = rates.Rate(REPORTS_PER_S, REPORT_BURST)
-#: Doublings of a quarantine after which it has long been the longest.
+#: Bounds the exponent; the upper bound of a quarantine is reached long before.
 MAX_DOUBLINGS: Final = 8
 
 
 class SendPermission(enum.Enum):
-    """Say how a request may be sent.
+    """List how a request may be sent.
 
-    OPEN as any other, TRIAL to one target now, HELD once the trial that is
-    under way has ended, CLOSED not for a while.
+    UNRESTRICTED: like any other. TRIAL: now, to one target. AFTER_TRIAL: once
+    the trial in progress has ended. BLOCKED: not before a time.
     """
 
     UNRESTRICTED = enum.auto()
@@ -62,9 +65,10 @@
 
 
 class Crash(NamedTuple):
-    """Describe the end of a target under one sending of a request.
+    """Describe the crash of a target during one attempt of a request.
 
-    It was `sent` and `lost` at these times; `sending` names it.
+    `attempt` identifies the attempt. It was sent at `sent_at`, and its
+    connection was lost at `lost_at`.
     """
 
     service: str
@@ -75,12 +79,12 @@
 
 
 class SuspectReport(NamedTuple):
-    """Tell what is known against a request.
+    """Report a suspect request to other hosts or to operators.
 
-    `crashes` counts the moments at which targets ended under it since it was
-    cleared for the last time, `clears` how often it was. `wait` is for how many
-    seconds it is not to be sent. `targets` and `services` name a few of those
-    where it ended. `host` tries it now or is about to; it may be empty.
+    `crashes` counts its crashes since it was last cleared, `clears` how often
+    it was cleared. It must not be sent for `wait_s` seconds. `targets` and
+    `services` name some of those that crashed. `host` runs its trial or is
+    about to; it may be empty.
     """
 
     identity: request_identities.Identity
@@ -93,16 +97,20 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Rank what is known, so that the order of news does not matter."""
+        """Return a rank; the report of the highest rank replaces the others.
+
+        The order in which reports arrive thus does not matter.
+        """
         return (self.clears, self.crashes)
 
 
 class Suspect(NamedTuple):
-    """Hold what this host knows against a request.
+    """Hold what this host knows about a suspect request.
 
-    `seen` is when the last moment was learned of, `until` for how long nothing
-    is sent, `trial` the sending that is under way and `trial_ends` until when
-    it is waited for, `told` whether other hosts know.
+    `last_crash_at` is when the last crash was seen or reported. The request
+    is not sent until `blocked_until`. `trial_attempt` is the trial in
+    progress, awaited until `trial_deadline`. `announced` tells whether other
+    hosts know of the suspicion.
     """
 
     clears: int = 0
@@ -117,16 +125,16 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Rank what is known as its news are ranked."""
+        """Return the rank that a report of this suspect has."""
         return (self.clears, self.crashes)
 
 
 class Suspects:
-    """Own what is known against requests."""
+    """Hold all suspect requests that this host knows of."""
 
     def __init__(self) -> None:
-        """Suspect nothing."""
-        #: Numbers of what waits for the trial of a request.
+        """Start without suspects."""
+        #: The ids of what waits for the trial of a request.
         self.waiting_ids: dict[request_identities.Identity, set[int]] = {}
         self.offers = trial_offers.Offers(REPORT_RATE)
         self._suspects: dict[request_identities.Identity, Suspect] = {}
@@ -135,7 +143,7 @@
     def get_permission(
         self, identity: request_identities.Identity, now: float
     ) -> SendPermission:
-        """Say how a request may be sent now."""
+        """Return how a request may be sent now."""
         suspect = self._suspects.get(identity)
         if suspect is None or not suspect.crashes:
             return SendPermission.UNRESTRICTED
@@ -149,7 +157,7 @@
     def compute_wait(
         self, identity: request_identities.Identity, now: float
     ) -> float:
-        """Count the seconds for which a request is not to be sent."""
+        """Return the seconds for which a request must not be sent."""
         suspect = self._suspects.get(identity)
         if suspect is None or not suspect.crashes:
             return 0.0
@@ -161,9 +169,9 @@
         crash: Crash,
         now: float,
     ) -> bool:
-        """Take in that a target ended under a request.
+        """Record that a target crashed under a request.
 
-        Returns whether this makes another moment.
+        Return whether this counts as a new crash.
         """
         if identity == request_identities.UNKNOWN:
             return False
@@ -189,10 +197,10 @@
         service: str,
         attempt: Hashable,
     ) -> bool:
-        """Take in that a target has run a request; tell if that clears it.
+        """Record that a target ran a request; return whether that clears it.
 
-        The answer of a service where no target ended says nothing of those
-        where some did, unless it was the trial.
+        Only success in a service where targets crashed, or of the trial, shows
+        that the request is harmless.
         """
         suspect = self._suspects.get(identity)
         if suspect is None or not suspect.crashes:
@@ -209,7 +217,7 @@
     def offer_trial(
         self, identity: request_identities.Identity, now: float
     ) -> bool:
-        """Offer to try a request; tell whether other hosts are to know."""
+        """Offer to try a request; return whether to announce the offer."""
         suspect = self._suspects[identity]
         first_crash = suspect.crashes < MIN_EXCLUSIVE_CRASHES
         announces = self.offers.make_offer(
@@ -226,10 +234,10 @@
         attempt: Hashable,
         now: float,
     ) -> bool:
-        """Take in that a request is sent to one target.
+        """Record that a trial of a request was sent to one target.
 
-        Tells whether other hosts are to know, so that none tries it beside
-        this one.
+        Return whether to announce it, so that no other host runs a trial at
+        the same time.
         """
         suspect = self._suspects[identity]
         offered = self.offers.has_own_offer(identity, now)
@@ -242,7 +250,7 @@
     def end_trial(
         self, identity: request_identities.Identity, attempt: Hashable
     ) -> bool:
-        """Take in that a sending has ended; tell whether it was the trial."""
+        """Record that an attempt has ended; return whether it was the trial."""
         suspect = self._suspects.get(identity)
         if (
             suspect is None
@@ -254,7 +262,7 @@
         return True
 
     def is_new_report(self, report: SuspectReport, now: float) -> bool:
-        """Tell whether what another host tells is not known here."""
+        """Return whether another host's report says anything new."""
         suspect = self._suspects.get(report.identity, Suspect())
         if report.rank != suspect.rank:
             return report.rank > suspect.rank
@@ -270,9 +278,9 @@
     def merge_report(
         self, report: SuspectReport, now: float, own_host: str
     ) -> bool:
-        """Take in what another host tells; return whether it is new here.
+        """Merge another host's report; return whether to forward it.
 
-        `own` is this host's name.
+        `own_host` is this host's name.
         """
         if not self.is_new_report(report, now):
             return False
@@ -280,7 +288,7 @@
         if is_first_trial(report):
             self.offers.record_offer(report.identity, report.host, now)
             if report.host == own_host:
-                # What it told has come round to it.
+                # This host's own report has come back to it.
                 return False
         in_trial = suspect.trial_attempt is not None
         in_trial = in_trial or self.offers.has_own_offer(report.identity, now)
@@ -313,7 +321,10 @@
     def admit_report(
         self, identity: request_identities.Identity, now: float
     ) -> bool:
-        """Tell whether other hosts are to be told what is known now."""
+        """Return whether to report a request to other hosts now.
+
+        Reports of first crashes are limited to `REPORT_RATE`.
+        """
         suspect = self._suspects[identity]
         if suspect.crashes == 1:
             taken = rates.take_token(self._report_bucket, now)
@@ -328,7 +339,7 @@
     def make_report(
         self, identity: request_identities.Identity, now: float
     ) -> SuspectReport | None:
-        """Tell what is known against a request, if anything."""
+        """Build the report of a request; None if it is no suspect."""
         suspect = self._suspects.get(identity)
         if suspect is None:
             return None
@@ -342,7 +353,7 @@
         )
 
     def list_reports(self, now: float) -> list[SuspectReport]:
-        """List the requests that something speaks against, the worst first."""
+        """List reports of requests with crashes, most crashes first."""
         reports = [
             self.make_report(identity, now) for identity in self._suspects
         ]
@@ -354,7 +365,7 @@
         return sorted(suspected, key=lambda it: -it.crashes)
 
     def expire_suspects(self, now: float) -> None:
-        """Forget suspicions that have expired."""
+        """Remove suspects and offers that have expired."""
         self.offers.expire_offers(now)
         self._suspects = {
             identity: suspect
@@ -373,10 +384,10 @@
 
 
 def _wins_trial(suspect: Suspect, report: SuspectReport, own_host: str) -> bool:
-    """Tell whether this host's own trial stands beside another host's.
+    """Return whether this host continues its trial despite another's.
 
-    Hosts that are asked at the same moment begin at the same moment. Were
-    each of them to give way, they would do so again at each next try.
+    Hosts that receive a request at the same time start trials at the same
+    time. If each gave way to the other, they would do so at every attempt.
     """
     if report.rank != suspect.rank:
         return False
@@ -386,7 +397,7 @@
 def _evict_one(
     suspects: dict[request_identities.Identity, Suspect], customer: str
 ) -> None:
-    """Forget one request of whoever has most, or has too many."""
+    """Evict a suspect of a customer that has too many, or has the most."""
     counts = collections.Counter(it.customer for it in suspects)
     if counts[customer] < MAX_CUSTOMER_SUSPECTS:
         if len(suspects) < MAX_SUSPECTS:
@@ -401,11 +412,12 @@
 
 
 def _is_new_crash(suspect: Suspect, crash: Crash) -> bool:
-    """Tell whether a target ended at another moment than those before it.
+    """Return whether a target's crash counts as a new one.
 
-    What was sent before the last moment belongs to it, and so does what was
-    lost at once: its target had ended before the request arrived there. A trial
-    goes over a connection that was open since.
+    An attempt sent before the last crash belongs to that crash. So does one
+    that was lost at once, whose target had crashed before the request arrived.
+    A trial always counts, as it uses a connection that was open after the last
+    crash.
     """
     if not suspect.crashes or crash.attempt == suspect.trial_attempt:
         return True
@@ -416,7 +428,7 @@
 
 
 def select_quarantined(reports: Iterable[SuspectReport]) -> list[SuspectReport]:
-    """Pick the requests that are in quarantine."""
+    """Select the reports of requests that are in quarantine."""
     return [
         it
         for it in reports
@@ -425,34 +437,34 @@
 
 
 def get_state_name(report: SuspectReport) -> str:
-    """Name what is held against a request."""
+    """Return the state of a request as shown to operators."""
     if report.crashes >= MIN_QUARANTINE_CRASHES:
         return 'quarantined'
     return 'suspect' if report.crashes else 'cleared'
 
 
 def is_first_trial(report: SuspectReport) -> bool:
-    """Tell whether a host tries a request after the first moment.
+    """Return whether a report announces a trial after a first crash.
 
-    Most of these are innocent, and none is refused for it.
+    Most of these requests are innocent, and none is refused for it.
     """
     return bool(report.host) and 0 < report.crashes < MIN_EXCLUSIVE_CRASHES
 
 
 def compute_announced_wait(crashes: int) -> float:
-    """Count the seconds for which a trial keeps other hosts from sending."""
+    """Return the seconds for which a trial stops other hosts from sending."""
     return TRIAL_TIMEOUT_S if crashes >= MIN_EXCLUSIVE_CRASHES else 0.0
 
 
 def compute_quarantine(crashes: int) -> float:
-    """Count the seconds of a quarantine after so many crashes."""
+    """Return the seconds of a quarantine after so many crashes."""
     doublings = max(0, crashes - MIN_QUARANTINE_CRASHES)
     doublings = min(MAX_DOUBLINGS, doublings)
     return float(min(MAX_QUARANTINE_S, MIN_QUARANTINE_S * 2**doublings))
 
 
 def _compute_block(crashes: int) -> float:
-    """Count the seconds in which nothing is sent after so many crashes."""
+    """Return the seconds for which nothing is sent after so many crashes."""
     if crashes >= MIN_QUARANTINE_CRASHES:
         return compute_quarantine(crashes)
     return TRIAL_DELAY_S if crashes == MIN_QUARANTINE_CRASHES - 1 else 0.0
--- a/fuchsiahaven/core/trial_offers.py
+++ b/fuchsiahaven/core/trial_offers.py
@@ -1,10 +1,10 @@
-"""Have one of the hosts that are asked for a suspect request try it.
+"""Elect one host to run the trial of a suspect request.
 
-A host that is about to try a request tells the others, and waits for a moment
-for any that are about to do so as well; the first by rank goes on. The others
-leave new requests to it until they hear what became of it, or for a while.
-What was under way when targets ended is tried without an offer: it would be
-late, and nearly all of it is innocent.
+A host that is about to send a suspect request announces an offer and waits a
+moment for offers of other hosts; the first host by rank runs the trial. The
+others hold new requests of that kind back until the result arrives or a
+timeout passes. Requests that were in flight when targets crashed are retried
+without an offer: an offer would delay them, and nearly all are innocent.
 """
 
 import math
@@ -12,22 +12,22 @@
 
 from fuchsiahaven.core import rates, rendezvous, request_identities
 
-#: How long a host that is about to try a request waits for others: twice the
-#: way of a notice to another data centre.
+#: How long a host waits for other offers before its trial: twice the time that
+#: a notice takes to another data centre.
 OFFER_WAIT_S: Final = 0.01
 #: How long this host's own offer is valid.
 OFFER_VALIDITY_S: Final = 1.0
-#: How long the notice of an offer may go round among hosts.
+#: How long the notice of an offer may be forwarded among hosts.
 NOTICE_LIFETIME_S: Final = 0.2
-#: Offers known at most; each is of one suspect request.
+#: Offers kept at most; each concerns one suspect request.
 MAX_OFFERS: Final = 512
 
 
 class Offer(NamedTuple):
-    """Hold which hosts are about to try a request, or do.
+    """Hold the offers of this host and another to try a request.
 
-    The offer of another host, `rival`, was `heard`. This host begins its own
-    trial at `begins`.
+    The offer of the other, `host`, came in at `received_at`. This host starts
+    its own trial at `trial_at`. Both are -inf if there is no such offer.
     """
 
     host: str = ''
@@ -36,10 +36,10 @@
 
 
 class Offers:
-    """Own what hosts have offered to try."""
+    """Hold the offers of all hosts by request."""
 
     def __init__(self, notice_rate: rates.Rate) -> None:
-        """Start without offers; tell of so many first trials."""
+        """Start without offers; limit the notices of first trials."""
         self._offers: dict[request_identities.Identity, Offer] = {}
         self._received: dict[
             tuple[request_identities.Identity, str], float
@@ -52,9 +52,9 @@
         max_wait_s: float,
         now: float,
     ) -> float:
-        """Count the seconds for which a trial is left alone.
+        """Return the seconds for which this host must not start a trial.
 
-        Another host's is waited for no longer than `patience`, in seconds.
+        Another host's trial is awaited for `max_wait_s` at most.
         """
         offer = self._offers.get(identity, Offer())
         until = max(offer.received_at + max_wait_s, offer.trial_at)
@@ -63,7 +63,7 @@
     def has_own_offer(
         self, identity: request_identities.Identity, now: float
     ) -> bool:
-        """Tell whether other hosts know that this one is about to try."""
+        """Return whether this host's own offer is still valid."""
         offer = self._offers.get(identity, Offer())
         return now < offer.trial_at + OFFER_VALIDITY_S
 
@@ -74,10 +74,10 @@
         *,
         first_crash: bool,
     ) -> bool:
-        """Offer to try a request; tell whether that is to be told.
+        """Offer to try a request; return whether to announce the offer.
 
-        Trials after the `first` moment at which targets ended are told of up
-        to a rate, as most are of innocent requests.
+        Offers after a request's `first_crash` are announced up to a rate, as
+        most of them concern innocent requests.
         """
         if self.has_own_offer(identity, now) or not self._may_announce(
             now, first_crash=first_crash
@@ -88,7 +88,7 @@
         return True
 
     def withdraw_own_offer(self, identity: request_identities.Identity) -> None:
-        """Take back this host's own offer, if there is one."""
+        """Withdraw this host's own offer, if there is one."""
         offer = self._offers.get(identity)
         if offer is not None:
             self._offers[identity] = offer._replace(trial_at=-math.inf)
@@ -96,14 +96,14 @@
     def is_new(
         self, identity: request_identities.Identity, host: str, now: float
     ) -> bool:
-        """Tell whether the offer of another host is not known."""
+        """Return whether another host's offer was not received before."""
         received_at = self._received.get((identity, host), -math.inf)
         return now >= received_at + NOTICE_LIFETIME_S
 
     def record_offer(
         self, identity: request_identities.Identity, host: str, now: float
     ) -> None:
-        """Take in the offer of another host, so that it is handed on once."""
+        """Record another host's offer, so that it is forwarded only once."""
         offer_key = identity, host
         self._received.pop(offer_key, None)
         if len(self._received) >= MAX_OFFERS:
@@ -113,11 +113,11 @@
     def defer_to(
         self, identity: request_identities.Identity, host: str, now: float
     ) -> None:
-        """Leave a request to another host."""
+        """Leave the trial of a request to another host."""
         self._store(identity, Offer(host, now))
 
     def expire_offers(self, now: float) -> None:
-        """Forget offers that have expired."""
+        """Remove offers that have expired."""
         self._offers = {
             identity: offer
             for identity, offer in self._offers.items()
@@ -148,5 +148,8 @@
 def wins_trial(
     identity: request_identities.Identity, own: str, other: str
 ) -> bool:
-    """Tell which of two hosts that try a request goes on; all find alike."""
+    """Return whether `own` tries a request rather than `other`.
+
+    The result is the same on every host.
+    """
     return rendezvous.rank(identity.digest, (own, other))[0] == own
--- a/tests/core/customers/test_authentication.py
+++ b/tests/core/customers/test_authentication.py
@@ -1,4 +1,4 @@
-"""Check whose request it is, by any key that a caller may show."""
+"""Test which customer a request belongs to, by the credentials it presents."""
 
 from typing import Final
 
@@ -46,7 +46,7 @@
 def test_invalid_credentials_are_refused_and_not_echoed(
     fields: list[str],
 ) -> None:
-    """Guard against a key that is taken for another, or told to anybody."""
+    """Guard against a key taken for another, or revealed in a message."""
     result = authenticate(*fields)
     assert isinstance(result, errors.Failure)
     assert (result.kind, result.ran) == (errors.Kind.UNKNOWN_KEY, errors.Ran.NO)
@@ -59,7 +59,7 @@
 
 
 def test_no_key_is_trusted_while_keys_are_stale() -> None:
-    """Guard against a withdrawn key on a host that has not heard of it."""
+    """Guard against a removed key on a host that does not know of it yet."""
     result = authenticate('Bearer k-shop', wait_s=0.5)
     assert isinstance(result, errors.Failure)
     assert result.kind is errors.Kind.STALE_KEYS
--- a/tests/core/customers/test_customers.py
+++ b/tests/core/customers/test_customers.py
@@ -1,4 +1,4 @@
-"""Check what makes customers spoilt."""
+"""Test the validation of customers."""
 
 from fuchsiahaven.core.customers import customers
 
@@ -13,7 +13,7 @@
 
 
 def test_duplicate_names_and_shared_keys_are_faults() -> None:
-    """Guard against a key that is of whoever comes last."""
+    """Guard against a key whose customer depends on their order."""
     twice = customers.find_fault((SHOP, SHOP._replace(keys=())))
     assert twice == "customer 'shop' is there twice"
     bank = customers.Customer('bank', ('b',))
--- a/tests/core/networks.py
+++ b/tests/core/networks.py
@@ -1,7 +1,7 @@
-"""Join hosts of one data centre by a network of which tests cut lines.
+"""Simulate the network of one data centre, with partitions and loss.
 
-Times are simulated; messages take `DELAY_S`, and one that finds no way is
-reported lost after its timeout, as the edge does.
+Times are simulated. A message takes `MESSAGE_DELAY_S`; one that cannot be
+delivered is reported lost after its timeout, as the edge does.
 """
 
 import heapq
@@ -22,12 +22,16 @@
 
 
 class Network:
-    """Hold hosts by name, what is cut and who stands still."""
+    """Run hosts that exchange gossip.
+
+    Hosts in `frozen` handle no events, `is_cut` tells which connections fail,
+    `dropped_relays` is how many relayed probes to drop without a report.
+    """
 
     def __init__(
         self, count: int, seed: int = 0, rules: states.Rules | None = None
     ) -> None:
-        """Start hosts that know the first two as seeds."""
+        """Start hosts that have the first two as seeds."""
         self.now = 1000.0
         self.hosts: dict[str, states.State] = {}
         self.frozen: set[str] = set()
@@ -51,7 +55,7 @@
         data_centre: str = DATA_CENTRE,
         seeds: tuple[str, ...] = ('h0', 'h1'),
     ) -> None:
-        """Start a host, or one anew under the name of another."""
+        """Start a host, or restart one under the same name."""
         own = members.Member(name, name, 1, members.Standing.ALIVE)
         self.hosts[name] = membership.start(
             own, data_centre, self._rules, seeds, self.now
@@ -61,7 +65,7 @@
         )
 
     def kill(self, name: str) -> None:
-        """End a host without a word."""
+        """Remove a host without notice."""
         self.hosts.pop(name)
 
     def run(self, seconds: float) -> None:
@@ -74,7 +78,7 @@
         self.now = end
 
     def send(self, name: str, event: messages.Event) -> None:
-        """Hand an event to a host and carry its actions out."""
+        """Let a host handle an event and execute its actions."""
         if name not in self.hosts:
             return
         if name in self.frozen:
@@ -88,7 +92,7 @@
             self._run_action(name, action)
 
     def has_converged(self) -> bool:
-        """Tell whether every host takes exactly the running ones for live."""
+        """Return whether every host considers exactly the running ones live."""
         running = tuple(sorted(self.hosts))
         return all(state.live == running for state in self.hosts.values())
 
@@ -112,7 +116,7 @@
     def _send_request(self, name: str, request: messages.Ask) -> None:
         self.exchanges += 1
         if request.gossip.relay is not None and self.dropped_relays > 0:
-            # Neither an answer nor a loss will ever be reported.
+            # Neither an answer nor a loss is ever reported.
             self.dropped_relays -= 1
             return
         token = next(self._sequence)
@@ -130,7 +134,7 @@
             )
 
     def _is_lost(self, one: str, other: str, *, answer: bool = False) -> bool:
-        # A connection is cut in the direction in which it was opened.
+        # Connections are cut by the direction in which they were opened.
         is_cut = self.is_cut(other, one) if answer else self.is_cut(one, other)
         return is_cut or self._random.random() < self.loss_fraction
 
@@ -141,7 +145,7 @@
             self.call_later(TICK_INTERVAL_S, lambda: self._tick(name))
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Let something happen after some seconds."""
+        """Run a callback after some seconds."""
         heapq.heappush(
             self._queue, (self.now + seconds, next(self._sequence), callback)
         )
--- a/tests/core/test_coverage.py
+++ b/tests/core/test_coverage.py
@@ -1,4 +1,4 @@
-"""Test what an answer states of its coverage."""
+"""Test the coverage that an answer states."""
 
 from fuchsiahaven.core import coverage
 
@@ -6,11 +6,11 @@
 
 
 def test_unaccounted_shards_are_missing() -> None:
-    """Never tell a shard as covered that did not answer.
+    """Guard against a shard that is reported covered without an answer.
 
-    Symptom: a price check is told as complete and lacks a shard.
-    Sequence: a shard neither answers nor fails before the deadline.
-    Cause: coverage worked out as "wanted, less the failures".
+    A shard neither answers nor fails before the deadline. If coverage is
+    computed as the wanted shards less the failed ones, a price check that
+    lacks the shard is reported as complete.
     """
     wanted = [
         coverage.WantedRange('b', shard, shard * 100, shard * 100 + 100)
--- a/tests/core/test_rendezvous.py
+++ b/tests/core/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Test how names are ordered so that all hosts order them alike."""
+"""Test that all hosts rank names alike, also by weight."""
 
 import collections
 
@@ -14,7 +14,7 @@
 def test_orders_like_weights_as_without_them(
     key: str, names: list[str], weight: float
 ) -> None:
-    """Hosts of the version before agree where all hosts are alike."""
+    """Hosts of the release before weights agree if all weights are equal."""
     weighted = [(name, weight) for name in names]
     ranked = rendezvous.rank_weighted(key, weighted)
     assert ranked == rendezvous.rank(key, names)
@@ -24,7 +24,7 @@
 def test_another_weight_moves_no_other_name(
     weights: dict[str, float], changed: float
 ) -> None:
-    """A host that starts again with more cores moves its own work alone."""
+    """A host that restarts with more cores moves only its own work."""
     before = rendezvous.rank_weighted('key', weights.items())
     for name in weights:
         after = rendezvous.rank_weighted(
--- a/tests/core/test_request_identities.py
+++ b/tests/core/test_request_identities.py
@@ -1,17 +1,17 @@
-"""Test which requests count as the same."""
+"""Test which requests have the same identity."""
 
 from fuchsiahaven.core import request_identities
 
 
 def test_is_the_same_for_the_same_customer_and_pieces() -> None:
-    """A repeat under a new id shares the name."""
+    """A repeat under a new request id has the same identity."""
     one = request_identities.identify('shop', b'GET', b'/a', b'')
     assert one == request_identities.identify('shop', b'GET', b'/a', b'')
     assert one.customer == 'shop'
 
 
 def test_differs_with_customer_pieces_and_their_bounds() -> None:
-    """What is asked by another, or cut up otherwise, is another request."""
+    """Another customer or other piece boundaries give another identity."""
     names = {
         request_identities.identify('shop', b'GET', b'/a', b'b'),
         request_identities.identify('other', b'GET', b'/a', b'b'),
--- a/tests/core/test_request_ids.py
+++ b/tests/core/test_request_ids.py
@@ -1,4 +1,4 @@
-"""Test the request ids."""
+"""Test the encoding of time in request ids and their canonical form."""
 
 import uuid
 
@@ -16,7 +16,7 @@
     st.integers(0, 2**request_ids.RANDOM_BITS - 1),
 )
 def test_request_id_holds_its_time(milliseconds: int, bits: int) -> None:
-    """Read back the time, to a millisecond, whatever the random bits."""
+    """The time is preserved to a millisecond, whatever the random bits."""
     request_id = request_ids.make_request_id(milliseconds / 1000, bits)
     parsed = request_ids.parse_epoch(request_id)
     assert parsed is not None
@@ -25,7 +25,7 @@
 
 
 def test_example_of_the_standard() -> None:
-    """Read the example of RFC 9562, appendix A.6."""
+    """The example is that of RFC 9562, appendix A.6."""
     assert request_ids.parse_epoch(RFC_EXAMPLE) == 1645557742.0
 
 
@@ -41,10 +41,9 @@
     ],
 )
 def test_noncanonical_spelling_is_refused(text: str) -> None:
-    """Refuse all but the usual form of version 7.
+    """Guard against a refund that runs twice under one id.
 
-    Symptom: a refund runs twice under what looks like one id.
-    Sequence: a caller asks again and writes the id in capitals.
-    Cause: the claim is keyed by the text, and the texts differ.
+    Claims are keyed by the text of the id. A caller that repeats a request
+    with the id in capitals would get a second claim.
     """
     assert request_ids.parse_epoch(text) is None
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""Test what speaks against a request, and what clears it."""
+"""Test which requests become suspect, and what clears them."""
 
 from hypothesis import given, strategies
 
@@ -11,12 +11,12 @@
 def make_crash(
     sent_at: float, lost_at: float, target: str = 'a-0', attempt: str = ATTEMPT
 ) -> suspects.Crash:
-    """Make the end of a target under a sending."""
+    """Make the crash of a target during an attempt."""
     return suspects.Crash('a', target, attempt, sent_at, lost_at)
 
 
 def make_suspects(crash_count: int) -> suspects.Suspects:
-    """Make a table in which so many moments speak against ONE, 10 s apart."""
+    """Make a table in which ONE has so many crashes, 10 s apart."""
     suspects_table = suspects.Suspects()
     for number in range(crash_count):
         sent = 10.0 * number
@@ -27,19 +27,19 @@
 
 
 def test_counts_simultaneous_crashes_once() -> None:
-    """Symptom: a rack dies, and what many ask for is refused for minutes."""
+    """Guard against a failed rack that quarantines a popular request."""
     table = suspects.Suspects()
     assert table.record_crash(ONE, make_crash(1.0, 2.0), 2.0)
     for number in range(20):
         late = make_crash(1.5, 2.0 + number / 100, f'a-{number}')
         assert not table.record_crash(ONE, late, 3.0)
-    # What arrives where a target has ended is lost at once.
+    # A request to a target that has already crashed is lost at once.
     assert not table.record_crash(ONE, make_crash(2.001, 2.003), 3.0)
     assert table.get_permission(ONE, 3.0) is suspects.SendPermission.TRIAL
 
 
 def test_quarantines_after_three_crashes_and_longer_each_time() -> None:
-    """Each failed trial costs a target."""
+    """Each failed trial costs a target, so the next one is delayed longer."""
     table = make_suspects(2)
     assert table.get_permission(ONE, 11.5) is suspects.SendPermission.BLOCKED
     assert table.get_permission(ONE, 12.1) is suspects.SendPermission.TRIAL
@@ -53,7 +53,7 @@
 
 
 def test_allows_one_trial_at_a_time_until_its_timeout() -> None:
-    """A trial at a target that is paused is not waited for."""
+    """The timeout bounds the wait for a trial at a suspended target."""
     table = make_suspects(1)
     table.start_trial(ONE, ATTEMPT, 5.0)
     assert table.get_permission(ONE, 5.5) is suspects.SendPermission.AFTER_TRIAL
@@ -63,28 +63,28 @@
 
 
 def test_counts_a_short_trial_over_an_open_connection() -> None:
-    """A request may end its target as soon as it arrives."""
+    """A request may crash its target as soon as it arrives."""
     table = make_suspects(1)
     table.start_trial(ONE, ATTEMPT, 1.0)
     assert table.record_crash(ONE, make_crash(1.0, 1.001), 1.002)
 
 
 def test_success_clears_only_services_with_crashes() -> None:
-    """What ends the targets of one shard may well run at those of others."""
+    """A request that crashes the targets of one shard may run on others."""
     table = make_suspects(2)
     assert not table.record_success(ONE, 'other', 'another')
     assert table.record_success(ONE, 'a', 'another')
     assert (
         table.get_permission(ONE, 11.1) is suspects.SendPermission.UNRESTRICTED
     )
-    # Older news does not raise the suspicion again.
+    # An older report does not restore the suspicion.
     old = suspects.SuspectReport(ONE, 0, 2, 1.0)
     assert not table.merge_report(old, 11.2, 'host')
     assert table.record_crash(ONE, make_crash(12, 13), 13.0)
 
 
 def test_exactly_one_of_two_trials_gives_way() -> None:
-    """Symptom: hosts asked at one moment never try, and refuse for ever."""
+    """Guard against hosts that all give way, and refuse a request for ever."""
     gave_way = 0
     for own, other in (('north', 'south'), ('south', 'north')):
         table = make_suspects(2)
@@ -97,7 +97,7 @@
 
 
 def test_one_customer_evicts_nobody_else() -> None:
-    """One that sends many such requests loses its own oldest ones."""
+    """A customer with too many suspects loses its own oldest ones."""
     table = suspects.Suspects()
     table.record_crash(ONE, make_crash(1, 2), 2.0)
     for number in range(3 * suspects.MAX_SUSPECTS):
@@ -111,7 +111,7 @@
 
 
 def test_holds_no_more_than_the_bound_of_all_customers() -> None:
-    """The least suspected request of whoever has most makes room."""
+    """The customer with the most suspects loses its least suspected one."""
     table = suspects.Suspects()
     for number in range(2 * suspects.MAX_SUSPECTS):
         identity = request_identities.identify(
@@ -124,7 +124,7 @@
 
 
 def test_limits_reports_of_first_crashes() -> None:
-    """A rack that dies brings up hundreds, nearly all of innocent requests."""
+    """A rack that fails causes hundreds, nearly all of innocent requests."""
     table = suspects.Suspects()
     admitted = 0
     for number in range(200):
@@ -135,7 +135,7 @@
 
 
 def test_forgets_expired_suspicions() -> None:
-    """Suspicion expires."""
+    """Suspects expire after `SUSPICION_LIFETIME_S`."""
     table = make_suspects(1)
     table.expire_suspects(suspects.SUSPICION_LIFETIME_S)
     assert table.list_reports(0)
@@ -156,7 +156,7 @@
 def test_reports_merge_alike_in_any_order(
     reports: list[suspects.SuspectReport],
 ) -> None:
-    """Symptom: hosts that heard the same hold different things against it."""
+    """Guard against hosts that differ after receiving the same reports."""
     ranks = []
     for order in (reports, list(reversed(reports))):
         table = suspects.Suspects()
@@ -171,7 +171,7 @@
 def test_no_report_blocks_a_request_beyond_the_bound(
     reports: list[suspects.SuspectReport],
 ) -> None:
-    """Spoilt news does not bar a request for good."""
+    """A faulty report does not block a request for ever."""
     table = suspects.Suspects()
     for report in reports:
         table.merge_report(report, 1.0, 'host')
--- a/tests/core/test_trial_offers.py
+++ b/tests/core/test_trial_offers.py
@@ -1,4 +1,4 @@
-"""Test which of the hosts that are asked for a suspect request goes on."""
+"""Test which host runs the trial of a suspect request."""
 
 from hypothesis import given, strategies
 
@@ -10,7 +10,7 @@
 
 
 def test_exactly_one_of_two_hosts_wins() -> None:
-    """Symptom: both give way to each other, or neither does."""
+    """Guard against two hosts that both give way, or both run the trial."""
     for number in range(50):
         identity = request_identities.identify('shop', b'%d' % number)
         north = trial_offers.wins_trial(identity, 'north', 'south')
@@ -21,7 +21,7 @@
 def test_no_host_is_waited_for_beyond_the_limit(
     pauses: list[float],
 ) -> None:
-    """What is heard later than it was said, or twice, bars nothing."""
+    """Late or repeated notices do not extend the wait."""
     table = trial_offers.Offers(LOW_RATE)
     now = 50.0
     for pause in pauses:
@@ -34,7 +34,7 @@
 
 
 def test_offers_once_and_waits_for_others() -> None:
-    """Its own offer stands until the trial begins."""
+    """The host's own offer stays valid until its trial starts."""
     table = trial_offers.Offers(LOW_RATE)
     assert table.make_offer(ONE, 50.0, first_crash=True)
     assert not table.make_offer(ONE, 50.001, first_crash=True)
@@ -47,7 +47,7 @@
 
 
 def test_holds_no_more_than_its_bound() -> None:
-    """Hosts may tell of any number of requests."""
+    """Other hosts may announce any number of requests."""
     table = trial_offers.Offers(LOW_RATE)
     fingerprints = [
         request_identities.identify('shop', b'%d' % number)
