--- a/fuchsiahaven/core/configuration/change_writes.py
+++ b/fuchsiahaven/core/configuration/change_writes.py
@@ -225,8 +225,8 @@
 ) -> FieldWrites | errors.Failure:
     for edit in edits:
         parent = trees.find_field(tree, edit.field[:-1])
-        # Overwriting a newer value would silently revert a change that
-        # another operator was told is accepted.
+        # Overwriting a newer value would silently revert a change that was
+        # reported to another operator as accepted.
         if parent is None or trees.find_field(tree, edit.field) != edit.after:
             return errors.make_failure(
                 errors.Kind.CONFLICT,
--- a/fuchsiahaven/core/configuration/checks.py
+++ b/fuchsiahaven/core/configuration/checks.py
@@ -2,8 +2,7 @@
 
 `tree_validation` checks the form of single names and values; this module
 checks how they fit together. A change is refused only for problems that it
-introduces: were existing ones held against it, one old problem would block
-every repair.
+introduces; otherwise one old problem would block every repair.
 """
 
 import collections
--- a/fuchsiahaven/core/configuration/manifest_schemas.py
+++ b/fuchsiahaven/core/configuration/manifest_schemas.py
@@ -26,7 +26,7 @@
     r'^([A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?)?\Z'
 )
 
-#: Every host parses every expression on every new revision.
+#: Bounded because every host parses all expressions on every new revision.
 MAX_EXPRESSION_LENGTH: Final = 1024
 MAX_TEXT_LENGTH: Final = 256
 MAX_MS: Final = 600_000
@@ -60,9 +60,9 @@
     """Return the schema of an object that has no other fields.
 
     A field that this release does not know would be lost when the manifest is
-    next written, and with it a change that an operator was told is accepted.
-    A new field therefore needs a higher format, which older releases refuse
-    with an error of its own.
+    next written, and with it a change that was reported as accepted. A new
+    field therefore needs a higher format, which older releases refuse with an
+    error of its own.
     """
     return {
         'type': 'object',
--- a/fuchsiahaven/core/configuration/revision_messages.py
+++ b/fuchsiahaven/core/configuration/revision_messages.py
@@ -36,7 +36,7 @@
 
     `store_revision` is the store's revision of the manifest's key, `changes`
     are the last ones of its history. The configuration is None if there is no
-    manifest. `by_watch` tells that a watch returned it, `sent_at` is when the
+    manifest. `by_watch` is true if a watch returned it, `sent_at` is when the
     call was sent.
     """
 
@@ -64,8 +64,8 @@
 class PlatformCallFailed(NamedTuple):
     """Report a failed call to the platform.
 
-    `answered` tells that the platform returned an unusable manifest rather
-    than no answer.
+    `answered` is true if the platform returned an unusable manifest, false if
+    it gave no answer.
     """
 
     by_watch: bool
--- a/fuchsiahaven/core/configuration/revisions.py
+++ b/fuchsiahaven/core/configuration/revisions.py
@@ -258,7 +258,9 @@
         return _record_older(state, read.configuration.revision)
     changes = {it.revision: it for it in read.changes}
     if _is_forked(state, changes):
-        text = f'revision {in_force.stamp.revision} is another change there'
+        text = (
+            f'platform has another change as revision {in_force.stamp.revision}'
+        )
         return _record_fault(state, messages.Fault.PLATFORM_FORKED, text)
     stamped = patches.stamp_configuration(read.configuration, in_force)
     if stamped.stamp.revision == in_force.stamp.revision:
--- a/fuchsiahaven/core/customers/authentication.py
+++ b/fuchsiahaven/core/customers/authentication.py
@@ -27,7 +27,7 @@
     present: bool = False
 
 
-Authenticated = customers.Customer | errors.Failure | None
+AuthenticationResult = customers.Customer | errors.Failure | None
 
 
 def authenticate(
@@ -36,7 +36,7 @@
     wait_s: float,
     *,
     public: bool,
-) -> Authenticated:
+) -> AuthenticationResult:
     """Return the customer of a request, or why the request is refused.
 
     `wait_s` is for how many seconds no key can be trusted. A public request
--- a/fuchsiahaven/core/customers/freshness.py
+++ b/fuchsiahaven/core/customers/freshness.py
@@ -16,17 +16,17 @@
 #: The era of a store that is not known to have been restored from a copy.
 NO_ERA: Final = -1
 
-#: Fractions of the time within which a removed key has to be refused. Reserved
-#: for clocks that run at different rates:
+# These fractions are of the time within which a removed key has to be refused.
+#: Reserved for clocks that run at different rates.
 CLOCK_MARGIN_FRACTION: Final = 0.02
-#: the timeout of a watch for changes, and the pause between two reads;
+#: The timeout of a watch for changes, and the pause between two reads.
 WATCH_FRACTION: Final = 0.05
 PAUSE_FRACTION: Final = 0.08
-#: by how much a proof has to be newer than the asker's to be sent at once;
+#: By how much a proof has to be newer than the asker's to be sent at once.
 MIN_GAIN_FRACTION: Final = 0.09
-#: the age from which on a second source is asked beside the first.
+#: The age from which on a second source is asked beside the first.
 URGENT_AGE_FRACTION: Final = 0.45
-#: How long a store that was restored from a copy may lack what operators had
+#: How long after its restore from a copy the store may lack what operators had
 #: written.
 RESTORE_SETTLING_S: Final = 4.6
 #: Bounds of the wait that a caller is told before it retries.
--- a/fuchsiahaven/core/customers/keys.py
+++ b/fuchsiahaven/core/customers/keys.py
@@ -18,7 +18,7 @@
     Raises UnicodeEncodeError, whose message contains the key, if the key
     cannot be encoded in UTF-8.
     """
-    return _compute_digest(key.encode('utf-8'))
+    return _hash_key(key.encode('utf-8'))
 
 
 def parse_credentials(fields: Sequence[str], scheme: str) -> str:
@@ -36,8 +36,8 @@
     (key,) = keys
     if len(key) > MAX_KEY_BYTES:
         return ''
-    return _compute_digest(key.encode('latin-1'))
+    return _hash_key(key.encode('latin-1'))
 
 
-def _compute_digest(key: bytes) -> str:
+def _hash_key(key: bytes) -> str:
     return request_identities.identify('', key).digest
--- a/fuchsiahaven/core/errors.py
+++ b/fuchsiahaven/core/errors.py
@@ -47,7 +47,7 @@
 class KindProperties(NamedTuple):
     """Hold how one kind is answered: HTTP status, text, default `ran`.
 
-    `retryable` tells that the same request may succeed later.
+    A `retryable` failure may not recur if the request is repeated later.
     """
 
     status: int
--- a/fuchsiahaven/core/suspects.py
+++ b/fuchsiahaven/core/suspects.py
@@ -109,7 +109,7 @@
 
     `last_crash_at` is when the last crash was seen or reported. The request
     is not sent until `blocked_until`. `trial_attempt` is the trial in
-    progress, awaited until `trial_deadline`. `announced` tells whether other
+    progress, awaited until `trial_deadline`. `announced` is true once other
     hosts know of the suspicion.
     """
 
@@ -387,7 +387,7 @@
     """Return whether this host continues its trial despite another's.
 
     Hosts that receive a request at the same time start trials at the same
-    time. If each gave way to the other, they would do so at every attempt.
+    time. If each deferred to the other, they would do so at every attempt.
     """
     if report.rank != suspect.rank:
         return False
--- a/tests/core/configuration/test_checks.py
+++ b/tests/core/configuration/test_checks.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ('change', 'word'),
+    ('change', 'message'),
     [
         (make_selector('at=nowhere'), 'reaches no group'),
         (make_selector('at=far'), 'no live target in Odori'),
@@ -63,17 +63,17 @@
         (changes.MarkLeaving('far', ('t/0', 't/1')), 'no target is in Kotoni'),
     ],
 )
-def test_risky_changes_need_force(change: changes.Change, word: str) -> None:
+def test_risky_changes_need_force(change: changes.Change, message: str) -> None:
     fault = find_refusal(change)
     assert fault is not None
     assert fault.kind is errors.Kind.INVALID_CHANGE
-    assert word in fault.detail
+    assert message in fault.detail
     assert '--force' in fault.detail
     assert find_refusal(change, force=True) is None
 
 
 @pytest.mark.parametrize(
-    ('change', 'word'),
+    ('change', 'message'),
     [
         (make_selector('at in (far'), "at offset 10 of 'at in (far'"),
         (changes.SetSelector('s', (('class', 'x'),)), 'there is no class x'),
@@ -114,13 +114,13 @@
     ],
 )
 def test_invalid_changes_are_refused_even_with_force(
-    change: changes.Change, word: str
+    change: changes.Change, message: str
 ) -> None:
     fault = find_refusal(change, force=True)
-    assert (fault is None) == (not word)
+    assert (fault is None) == (not message)
     if fault is not None:
         assert fault.kind is errors.Kind.INVALID_CHANGE
-        assert word in fault.detail
+        assert message in fault.detail
 
 
 def test_an_at_most_once_class_reaches_one_group() -> None:
--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -147,22 +147,22 @@
 )
 
 
-@pytest.mark.parametrize(('field', 'told'), INVALID_CUSTOMERS)
+@pytest.mark.parametrize(('field', 'value'), INVALID_CUSTOMERS)
 def test_an_invalid_customer_refuses_the_whole_manifest(
-    field: str, told: object
+    field: str, value: object
 ) -> None:
     """Guard against a configuration that is put into force in part."""
     decoded = manifests.decode(
-        json.dumps({**encode(WITH_CUSTOMERS), field: told})
+        json.dumps({**encode(WITH_CUSTOMERS), field: value})
     )
     assert isinstance(decoded, errors.Failure)
     assert decoded.kind is errors.Kind.INVALID_CONFIGURATION
 
 
-@pytest.mark.parametrize('figure', ['NaN', 'Infinity', '-Infinity', '1e999'])
-def test_a_rate_that_is_not_finite_is_refused(figure: str) -> None:
+@pytest.mark.parametrize('number', ['NaN', 'Infinity', '-Infinity', '1e999'])
+def test_a_rate_that_is_not_finite_is_refused(number: str) -> None:
     """Guard against a quota that no comparison with NaN finds exceeded."""
-    text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', figure)
+    text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', number)
     assert isinstance(manifests.decode(text), errors.Failure)
 
 
@@ -175,15 +175,15 @@
 
 
 def prepare(
-    manifest: manifests.Manifest, wanted: changes.Change, *, force: bool = False
+    manifest: manifests.Manifest, change: changes.Change, *, force: bool = False
 ) -> proposals.PreparedChange | proposals.NothingChanged | errors.Failure:
-    request = proposals.ChangeRequest('id', 'ana', wanted, force=force)
+    request = proposals.ChangeRequest('id', 'ana', change, force=force)
     return proposals.prepare_change(manifest, request, 1.0)
 
 
-def apply_changes(*wanted: changes.Change) -> manifests.Manifest:
+def apply_changes(*wanted_changes: changes.Change) -> manifests.Manifest:
     manifest = manifests.EMPTY
-    for change in wanted:
+    for change in wanted_changes:
         prepared = prepare(manifest, change)
         assert isinstance(prepared, proposals.PreparedChange), prepared
         manifest = prepared.encoded.manifest
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    'wanted',
+    'change',
     [
         changes.AddKeys('bank', DIGESTS[:1]),
         changes.AddKeys('shop', ('k-secret',)),
@@ -229,7 +229,7 @@
     ],
 )
 def test_an_invalid_customer_change_is_refused(
-    wanted: changes.Change,
+    change: changes.Change,
 ) -> None:
     """Guard against a change that is reported accepted but hosts refuse."""
     manifest = apply_changes(
@@ -237,7 +237,7 @@
         changes.AddKeys('shop', DIGESTS[:1]),
         changes.SetCustomer('bank'),
     )
-    refused = prepare(manifest, wanted, force=True)
+    refused = prepare(manifest, change, force=True)
     assert isinstance(refused, errors.Failure)
     assert refused.kind is errors.Kind.INVALID_CHANGE
     assert 'k-secret' not in refused.detail
--- a/tests/core/configuration/test_read_sets.py
+++ b/tests/core/configuration/test_read_sets.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ('change', 'read'),
+    ('change', 'expected_reads'),
     [
         (changes.LabelGroup('g', (('a', 'b'),)), []),
         (changes.SetClass('c', (('priority', 0),)), []),
@@ -81,7 +81,7 @@
     ],
 )
 def test_a_change_reads_only_the_targets_it_needs(
-    store: model_store.ModelStore, change: changes.Change, read: str
+    store: model_store.ModelStore, change: changes.Change, expected_reads: str
 ) -> None:
     """Guard against changes that never succeed in a large system.
 
@@ -92,7 +92,7 @@
     outcome, reads = run(store, change)
     assert isinstance(outcome, proposals.ChangeAccepted)
     # Parts are read more than once to delete those that were replaced.
-    assert sorted(reads) == list(read)
+    assert sorted(reads) == list(expected_reads)
     stored = store.finish(store_reads.load_manifest()).manifest.configuration
     expected = proposals.prepare_change(
         manifests.Manifest(before),
--- a/tests/core/configuration/test_selectors.py
+++ b/tests/core/configuration/test_selectors.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'position'),
+    ('text', 'offset'),
     [
         ('tier=gold,', 10),
         (',', 0),
@@ -57,10 +57,10 @@
         ('a,' * 3000, selectors.MAX_EXPRESSION_LENGTH),
     ],
 )
-def test_fault_names_the_first_error(text: str, position: int) -> None:
+def test_fault_names_the_first_error(text: str, offset: int) -> None:
     fault = selectors.parse(text)
     assert isinstance(fault, selectors.SyntaxFault)
-    assert fault.offset == position
+    assert fault.offset == offset
 
 
 @given(
--- a/tests/core/configuration/test_transactions.py
+++ b/tests/core/configuration/test_transactions.py
@@ -97,41 +97,43 @@
             self.start(0, changes.CreateGroup(created))
             self.finish(0)
 
-    @stateful.rule(who=OPERATOR, change=draw_change())
-    def begin(self, who: int, change: changes.Change) -> None:
-        self.start(who, change)
+    @stateful.rule(operator=OPERATOR, change=draw_change())
+    def begin(self, operator: int, change: changes.Change) -> None:
+        self.start(operator, change)
 
-    @stateful.rule(who=OPERATOR, back=st.integers(0, 9))
-    def undo(self, who: int, back: int) -> None:
+    @stateful.rule(operator=OPERATOR, steps_back=st.integers(0, 9))
+    def undo(self, operator: int, steps_back: int) -> None:
         entries = self.read_entries()
         if entries:
-            entry = entries[-1 - back % len(entries)]
-            self.start(who, changes.UndoChange(entry.change_id, entry.edits))
+            entry = entries[-1 - steps_back % len(entries)]
+            self.start(
+                operator, changes.UndoChange(entry.change_id, entry.edits)
+            )
 
-    @stateful.rule(who=OPERATOR, calls=st.integers(1, 12))
-    def step(self, who: int, calls: int) -> None:
+    @stateful.rule(operator=OPERATOR, calls=st.integers(1, 12))
+    def step(self, operator: int, calls: int) -> None:
         for _ in range(calls):
-            self.advance(who, model_store.Fate.DONE)
+            self.advance(operator, model_store.Fate.DONE)
 
     @stateful.rule(
-        who=OPERATOR,
+        operator=OPERATOR,
         fate=st.sampled_from(model_store.Fate),
         key=st.sampled_from(('audit/', parts.KEY_PREFIX, MANIFEST)),
     )
-    def disturb(self, who: int, fate: model_store.Fate, key: str) -> None:
-        while who in self.running and not self.is_writing(who, key):
-            self.advance(who, model_store.Fate.DONE)
-        self.advance(who, fate)
+    def disturb(self, operator: int, fate: model_store.Fate, key: str) -> None:
+        while operator in self.running and not self.is_writing(operator, key):
+            self.advance(operator, model_store.Fate.DONE)
+        self.advance(operator, fate)
 
-    @stateful.rule(who=OPERATOR)
-    def finish(self, who: int) -> None:
-        while who in self.running:
-            self.advance(who, model_store.Fate.DONE)
+    @stateful.rule(operator=OPERATOR)
+    def finish(self, operator: int) -> None:
+        while operator in self.running:
+            self.advance(operator, model_store.Fate.DONE)
 
     @stateful.precondition(has_delayed)
-    @stateful.rule(who=OPERATOR)
-    def fail_call(self, who: int) -> None:
-        self.advance(who, model_store.Fate.FAILED)
+    @stateful.rule(operator=OPERATOR)
+    def fail_call(self, operator: int) -> None:
+        self.advance(operator, model_store.Fate.FAILED)
 
     @stateful.rule(index=st.integers(0, 5))
     def deliver_delayed(self, index: int) -> None:
--- a/tests/core/customers/test_authentication.py
+++ b/tests/core/customers/test_authentication.py
@@ -15,7 +15,7 @@
 
 def authenticate(
     *fields: str, wait_s: float = 0.0, public: bool = False
-) -> authentication.Authenticated:
+) -> authentication.AuthenticationResult:
     credentials = authentication.Credentials(
         keys.parse_credentials(fields, 'bearer'), bool(fields)
     )
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -84,7 +84,7 @@
 
 
 def test_exactly_one_of_two_trials_gives_way() -> None:
-    """Guard against hosts that all give way, and refuse a request for ever."""
+    """Guard against hosts that defer to each other and refuse for ever."""
     gave_way = 0
     for own, other in (('north', 'south'), ('south', 'north')):
         table = make_suspects(2)
--- a/tests/core/test_trial_offers.py
+++ b/tests/core/test_trial_offers.py
@@ -10,7 +10,7 @@
 
 
 def test_exactly_one_of_two_hosts_wins() -> None:
-    """Guard against two hosts that both give way, or both run the trial."""
+    """Guard against two hosts that both defer, or both run the trial."""
     for number in range(50):
         identity = request_identities.identify('shop', b'%d' % number)
         north = trial_offers.wins_trial(identity, 'north', 'south')
