--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -14,7 +14,7 @@
 #: Readings of a clock that is named by a number. Only the one that counts the
 #: time for which the machine was suspended is read so, in one place.
 NAMED: Final = frozenset(('clock_gettime', 'clock_gettime_ns'))
-UPTIME: Final = 'core/uptimes.py'
+UPTIME: Final = 'core/boot_clock.py'
 CLOCK: Final = 'time.CLOCK_BOOTTIME'
 #: Each line of the log carries the time of day, for people.
 ALLOWED: Final = {'relay/journal.py'}
