--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -207,7 +207,7 @@
         digested += 1
         return digest(key)
 
-    monkeypatch.setattr(keys, 'digest', count)
+    monkeypatch.setattr(keys, 'compute_digest', count)
     rows = [
         {'name': f'c-{at}', 'api_keys': [f'k-{at}-{it}' for it in range(10)]}
         for at in range(MANY // 10)
