--- a/fuchsiahaven/core/policies.py
+++ b/fuchsiahaven/core/policies.py
@@ -12,7 +12,7 @@
 
 
 class AdaptiveLimit(NamedTuple):
-    """Adapt the sub-requests in flight to each target, up to its seats."""
+    """Adapt the sub-requests in flight to each target, within its allocation."""
 
 
 class FixedLimit(NamedTuple):
--- a/fuchsiahaven/core/suspects.py
+++ b/fuchsiahaven/core/suspects.py
@@ -327,9 +327,9 @@
         """
         suspect = self._suspects[identity]
         if suspect.crashes == 1:
-            taken = rates.take_token(self._report_bucket, now)
-            self._report_bucket = taken[0]
-            if taken[1]:
+            result = rates.take_token(self._report_bucket, now)
+            self._report_bucket = result[0]
+            if result[1]:
                 return False
         elif not suspect.crashes and not suspect.announced:
             return False
--- a/fuchsiahaven/core/trial_offers.py
+++ b/fuchsiahaven/core/trial_offers.py
@@ -140,9 +140,9 @@
     def _may_announce(self, now: float, *, first_crash: bool) -> bool:
         if not first_crash:
             return True
-        taken = rates.take_token(self._notice_bucket, now)
-        self._notice_bucket = taken[0]
-        return not taken[1]
+        result = rates.take_token(self._notice_bucket, now)
+        self._notice_bucket = result[0]
+        return not result[1]
 
 
 def wins_trial(
--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -36,14 +36,14 @@
         st.lists(st.sampled_from(('a', 'b', 'c', '')), min_size=6, max_size=6)
     )
     names = draw(st.sets(st.sampled_from(('a', 'b', 'c'))))
-    held = {
+    keys_by_name = {
         name: [key for at, key in enumerate(DIGESTS) if owners[at] == name]
         for name in names
     }
     return tuple(
         customers.Customer(
             name,
-            tuple(sorted(held[name])),
+            tuple(sorted(keys_by_name[name])),
             draw(st.none() | st.integers(0, 3)),
             float(draw(st.integers(0, 3))),
         )
--- a/tests/core/configuration/test_manifests.py
+++ b/tests/core/configuration/test_manifests.py
@@ -102,12 +102,12 @@
     first = manifests.encode(configuration)
     assert isinstance(first, manifests.Encoded)
     later = configuration._replace(revision=configuration.revision + 1)
-    same = manifests.encode(later, (), first.manifest.stored_parts)
-    assert isinstance(same, manifests.Encoded)
-    assert not same.part_texts
-    again = manifests.encode(later)
-    assert isinstance(again, manifests.Encoded)
-    assert not again.part_texts.keys() & first.part_texts.keys()
+    unchanged = manifests.encode(later, (), first.manifest.stored_parts)
+    assert isinstance(unchanged, manifests.Encoded)
+    assert not unchanged.part_texts
+    reencoded = manifests.encode(later)
+    assert isinstance(reencoded, manifests.Encoded)
+    assert not reencoded.part_texts.keys() & first.part_texts.keys()
 
 
 def get_refusal(
--- a/tests/core/configuration/test_revisions.py
+++ b/tests/core/configuration/test_revisions.py
@@ -59,15 +59,19 @@
     and accepts new changes as 31 and 32. A host that compares only the
     numbers loses change a some minutes after the restore.
     """
-    ours = messages.RevisionChange(31, 'a', 30)
-    other = messages.RevisionChange(31, 'b', 30)
-    state = start_alone(messages.ManifestRead(40, build(31), (ours,)))
+    own_change = messages.RevisionChange(31, 'a', 30)
+    other_change = messages.RevisionChange(31, 'b', 30)
+    state = start_alone(messages.ManifestRead(40, build(31), (own_change,)))
     later = messages.RevisionChange(32, 'c', 31)
-    state, _ = run(state, messages.ManifestRead(42, build(32), (other, later)))
+    state, _ = run(
+        state, messages.ManifestRead(42, build(32), (other_change, later))
+    )
     assert state.in_force.stamp.revision == 31
     assert list_faults(state) == {messages.Fault.PLATFORM_FORKED}
     recovered = messages.RevisionChange(34, 'd', 32)
-    read = messages.ManifestRead(43, build(34), (other, later, recovered))
+    read = messages.ManifestRead(
+        43, build(34), (other_change, later, recovered)
+    )
     state, _ = run(state, read)
     assert state.in_force.stamp.revision == 34
     assert not state.faults
--- a/tests/core/test_revision_spread.py
+++ b/tests/core/test_revision_spread.py
@@ -47,8 +47,8 @@
     from others.
     """
     network = start(20)
-    order = next(iter(network.hosts.values())).ranking
-    for name in (order[0], *order[2 : dead + 1]):
+    ranking = next(iter(network.hosts.values())).ranking
+    for name in (ranking[0], *ranking[2 : dead + 1]):
         network.hosts.pop(name)
     network.platform.change('second')
     network.run(1)
@@ -176,12 +176,12 @@
     base = network.hosts['h0'].in_force
     forged = patches.stamp_configuration(configurations.Configuration(1000))
     patch = patches.diff(base, forged)
-    order = network.hosts['h0'].ranking
-    faulty = order[-1]
+    ranking = network.hosts['h0'].ranking
+    faulty = ranking[-1]
     updated = network.hosts[faulty]._replace(in_force=forged)
     network.hosts[faulty] = updated
     for _ in range(3):
-        for name in order[:-1]:
+        for name in ranking[:-1]:
             network.send(name, messages.PatchReceived(faulty, patch))
             network.send(name, messages.StampReceived(faulty, forged.stamp))
         network.run(30)
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -17,13 +17,11 @@
 
 def make_suspects(crash_count: int) -> suspects.Suspects:
     """Make a table in which ONE has so many crashes, 10 s apart."""
-    suspects_table = suspects.Suspects()
+    table = suspects.Suspects()
     for number in range(crash_count):
         sent = 10.0 * number
-        assert suspects_table.record_crash(
-            ONE, make_crash(sent, sent + 1), sent + 1
-        )
-    return suspects_table
+        assert table.record_crash(ONE, make_crash(sent, sent + 1), sent + 1)
+    return table
 
 
 def test_counts_simultaneous_crashes_once() -> None:
@@ -162,8 +160,8 @@
         table = suspects.Suspects()
         for report in order:
             table.merge_report(report, 1.0, 'host')
-        held = table.make_report(ONE, 1.0)
-        ranks.append(None if held is None else held.rank)
+        merged = table.make_report(ONE, 1.0)
+        ranks.append(None if merged is None else merged.rank)
     assert ranks[0] == ranks[1]
 
 
--- a/tests/core/test_trial_offers.py
+++ b/tests/core/test_trial_offers.py
@@ -55,9 +55,9 @@
     ]
     for identity in fingerprints:
         table.defer_to(identity, 'north', 50.0)
-    held = [
+    kept = [
         it for it in fingerprints if table.compute_delay(it, MAX_WAIT_S, 50.0)
     ]
-    assert len(held) == trial_offers.MAX_OFFERS
+    assert len(kept) == trial_offers.MAX_OFFERS
     table.expire_offers(50.0 + trial_offers.OFFER_VALIDITY_S)
     assert not any(table.compute_delay(it, 9.0, 50.0) for it in fingerprints)
