--- a/fuchsiahaven/core/policies.py
+++ b/fuchsiahaven/core/policies.py
@@ -12,7 +12,7 @@
 
 
 class AdaptiveLimit(NamedTuple):
-    """Adapt the sub-requests in flight to each target, within its allocation."""
+    """Adapt the requests in flight to each target, within the allocation."""
 
 
 class FixedLimit(NamedTuple):
