--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -1,4 +1,4 @@
-"""Check customers in the manifest, in patches and in changes."""
+"""Test customers in the manifest, in patches and in changes."""
 
 import json
 from typing import Any, Final
@@ -31,19 +31,19 @@
 
 @st.composite
 def draw_customers(draw: st.DrawFn) -> tuple[customers.Customer, ...]:
-    """Draw customers that share no key, in the order in which hosts hold."""
+    """Draw customers that share no key, in the order that hosts use."""
     owners = draw(
         st.lists(st.sampled_from(('a', 'b', 'c', '')), min_size=6, max_size=6)
     )
     names = draw(st.sets(st.sampled_from(('a', 'b', 'c'))))
-    held = {
+    keys_by_name = {
         name: [key for at, key in enumerate(DIGESTS) if owners[at] == name]
         for name in names
     }
     return tuple(
         customers.Customer(
             name,
-            tuple(sorted(held[name])),
+            tuple(sorted(keys_by_name[name])),
             draw(st.none() | st.integers(0, 3)),
             float(draw(st.integers(0, 3))),
         )
@@ -89,7 +89,7 @@
 def test_a_patch_gives_the_same_customers(
     one: configurations.Configuration, other: configurations.Configuration
 ) -> None:
-    """Guard against a key that goes on on hosts which got a patch."""
+    """Guard against keys that stay valid on hosts that applied a patch."""
     old, new = (
         patches.stamp_configuration(one),
         patches.stamp_configuration(other),
@@ -103,14 +103,14 @@
 
 
 def test_without_customers_the_encoding_is_unchanged() -> None:
-    """Guard against hosts of the release before that refuse a manifest."""
+    """Guard against a manifest that hosts of the previous release refuse."""
     plain = configurations.Configuration(3, classes=(REQUEST_CLASS,))
     row = encode(plain)
     assert row['format'] == 1
     assert 'customers' not in row
     assert 'public' not in row['classes']['c']
     stamped = patches.stamp_configuration(plain)
-    # As the release before worked it out.
+    # The digest that the previous release computed.
     assert stamped.stamp.digest == '4c1494c25b04f8798d7a'
     emptied = patches.stamp_configuration(plain._replace(classes=()))
     patch = patches.diff(stamped, emptied)
@@ -147,22 +147,22 @@
 )
 
 
-@pytest.mark.parametrize(('field', 'told'), INVALID_CUSTOMERS)
+@pytest.mark.parametrize(('field', 'value'), INVALID_CUSTOMERS)
 def test_an_invalid_customer_refuses_the_whole_manifest(
-    field: str, told: object
+    field: str, value: object
 ) -> None:
-    """Guard against half of a version in force."""
+    """Guard against a configuration that is put into force in part."""
     decoded = manifests.decode(
-        json.dumps({**encode(WITH_CUSTOMERS), field: told})
+        json.dumps({**encode(WITH_CUSTOMERS), field: value})
     )
     assert isinstance(decoded, errors.Failure)
     assert decoded.kind is errors.Kind.INVALID_CONFIGURATION
 
 
-@pytest.mark.parametrize('figure', ['NaN', 'Infinity', '-Infinity', '1e999'])
-def test_a_rate_that_is_not_finite_is_refused(figure: str) -> None:
-    """Guard against a quota that no comparison finds exceeded."""
-    text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', figure)
+@pytest.mark.parametrize('number', ['NaN', 'Infinity', '-Infinity', '1e999'])
+def test_a_rate_that_is_not_finite_is_refused(number: str) -> None:
+    """Guard against a quota that no comparison with NaN finds exceeded."""
+    text = json.dumps(encode(WITH_CUSTOMERS)).replace('2.5', number)
     assert isinstance(manifests.decode(text), errors.Failure)
 
 
@@ -175,15 +175,15 @@
 
 
 def prepare(
-    manifest: manifests.Manifest, wanted: changes.Change, *, force: bool = False
+    manifest: manifests.Manifest, change: changes.Change, *, force: bool = False
 ) -> proposals.PreparedChange | proposals.NothingChanged | errors.Failure:
-    request = proposals.ChangeRequest('id', 'ana', wanted, force=force)
+    request = proposals.ChangeRequest('id', 'ana', change, force=force)
     return proposals.prepare_change(manifest, request, 1.0)
 
 
-def apply_changes(*wanted: changes.Change) -> manifests.Manifest:
+def apply_changes(*wanted_changes: changes.Change) -> manifests.Manifest:
     manifest = manifests.EMPTY
-    for change in wanted:
+    for change in wanted_changes:
         prepared = prepare(manifest, change)
         assert isinstance(prepared, proposals.PreparedChange), prepared
         manifest = prepared.encoded.manifest
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    'wanted',
+    'change',
     [
         changes.AddKeys('bank', DIGESTS[:1]),
         changes.AddKeys('shop', ('k-secret',)),
@@ -229,22 +229,22 @@
     ],
 )
 def test_an_invalid_customer_change_is_refused(
-    wanted: changes.Change,
+    change: changes.Change,
 ) -> None:
-    """Guard against a change that is told as done and refused by hosts."""
+    """Guard against a change that is reported accepted but hosts refuse."""
     manifest = apply_changes(
         changes.SetCustomer('shop'),
         changes.AddKeys('shop', DIGESTS[:1]),
         changes.SetCustomer('bank'),
     )
-    refused = prepare(manifest, wanted, force=True)
+    refused = prepare(manifest, change, force=True)
     assert isinstance(refused, errors.Failure)
     assert refused.kind is errors.Kind.INVALID_CHANGE
     assert 'k-secret' not in refused.detail
 
 
 def test_deleting_the_last_customer_needs_force() -> None:
-    """Guard against classes that are open to all by a slip."""
+    """Guard against opening all classes to everyone by mistake."""
     manifest = apply_changes(changes.SetCustomer('shop'))
     deletion = changes.DeleteCustomer('shop')
     refused = prepare(manifest, deletion)
--- a/tests/core/configuration/test_transactions.py
+++ b/tests/core/configuration/test_transactions.py
@@ -1,4 +1,4 @@
-"""Test changes under races, lost answers and older copies."""
+"""Test concurrent changes with lost, delayed and failed calls."""
 
 import contextlib
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 def draw_change() -> st.SearchStrategy[changes.Change]:
-    """Draw changes that touch few fields, so that they meet."""
+    """Draw changes of a few fields, so that they often conflict."""
     group = st.sampled_from(GROUPS)
     key, value = st.sampled_from(KEYS), st.sampled_from('xyz')
     name = st.sampled_from(TARGETS)
@@ -64,12 +64,12 @@
 
 
 class Operators(stateful.RuleBasedStateMachine):
-    """Let three operators change one configuration over a bad network.
+    """Let three operators change one configuration over a faulty network.
 
-    Claimed: no accepted change is lost, none is applied twice, revisions only
+    Checked: no accepted change is lost, none is applied twice, revisions only
     grow, each accepted change has exactly one audit entry, a refused change
     has none, no change overwrites a field that its operator had not seen
-    changed, and a manifest never names a part that is gone.
+    changed, and a manifest never names a missing part.
     """
 
     def __init__(self) -> None:
@@ -80,57 +80,60 @@
         self.base_revisions: dict[str, int] = {}
         self.revision = 0
         self.patches = contextlib.ExitStack()
-        # Small bounds, so that a few changes archive entries and move parts.
+        # With small bounds a few changes suffice to archive entries and to
+        # store parts under keys of their own.
         for module, bound in (
-            (proposals, 'KEPT_CHANGES'),
-            (parts, 'INLINE_BYTES'),
+            (proposals, 'MAX_KEPT_ENTRIES'),
+            (parts, 'MAX_INLINE_BYTES'),
         ):
             self.patches.enter_context(mock.patch.object(module, bound, 2))
 
     @stateful.initialize()
     def create_groups(self) -> None:
-        """Begin with groups that have targets, so that changes apply."""
+        """Create groups with targets, so that most changes can be applied."""
         for group in GROUPS:
             targets = tuple(make_target(group, name) for name in TARGETS)
             created = configurations.Group(group, (), targets)
             self.start(0, changes.CreateGroup(created))
             self.finish(0)
 
-    @stateful.rule(who=OPERATOR, change=draw_change())
-    def begin(self, who: int, change: changes.Change) -> None:
-        self.start(who, change)
+    @stateful.rule(operator=OPERATOR, change=draw_change())
+    def begin(self, operator: int, change: changes.Change) -> None:
+        self.start(operator, change)
 
-    @stateful.rule(who=OPERATOR, back=st.integers(0, 9))
-    def undo(self, who: int, back: int) -> None:
+    @stateful.rule(operator=OPERATOR, steps_back=st.integers(0, 9))
+    def undo(self, operator: int, steps_back: int) -> None:
         entries = self.read_entries()
         if entries:
-            entry = entries[-1 - back % len(entries)]
-            self.start(who, changes.UndoChange(entry.change_id, entry.edits))
+            entry = entries[-1 - steps_back % len(entries)]
+            self.start(
+                operator, changes.UndoChange(entry.change_id, entry.edits)
+            )
 
-    @stateful.rule(who=OPERATOR, calls=st.integers(1, 12))
-    def step(self, who: int, calls: int) -> None:
+    @stateful.rule(operator=OPERATOR, calls=st.integers(1, 12))
+    def step(self, operator: int, calls: int) -> None:
         for _ in range(calls):
-            self.advance(who, model_store.Fate.DONE)
+            self.advance(operator, model_store.Fate.DONE)
 
     @stateful.rule(
-        who=OPERATOR,
+        operator=OPERATOR,
         fate=st.sampled_from(model_store.Fate),
         key=st.sampled_from(('audit/', parts.KEY_PREFIX, MANIFEST)),
     )
-    def disturb(self, who: int, fate: model_store.Fate, key: str) -> None:
-        while who in self.running and not self.is_writing(who, key):
-            self.advance(who, model_store.Fate.DONE)
-        self.advance(who, fate)
+    def disturb(self, operator: int, fate: model_store.Fate, key: str) -> None:
+        while operator in self.running and not self.is_writing(operator, key):
+            self.advance(operator, model_store.Fate.DONE)
+        self.advance(operator, fate)
 
-    @stateful.rule(who=OPERATOR)
-    def finish(self, who: int) -> None:
-        while who in self.running:
-            self.advance(who, model_store.Fate.DONE)
+    @stateful.rule(operator=OPERATOR)
+    def finish(self, operator: int) -> None:
+        while operator in self.running:
+            self.advance(operator, model_store.Fate.DONE)
 
     @stateful.precondition(has_delayed)
-    @stateful.rule(who=OPERATOR)
-    def fail_call(self, who: int) -> None:
-        self.advance(who, model_store.Fate.FAILED)
+    @stateful.rule(operator=OPERATOR)
+    def fail_call(self, operator: int) -> None:
+        self.advance(operator, model_store.Fate.FAILED)
 
     @stateful.rule(index=st.integers(0, 5))
     def deliver_delayed(self, index: int) -> None:
