--- a/fuchsiahaven/routing/__init__.py
+++ b/fuchsiahaven/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where each request of a caller goes, without input or output."""
+"""Decide where each request of a caller is sent, without input or output."""
--- a/fuchsiahaven/routing/active_requests.py
+++ b/fuchsiahaven/routing/active_requests.py
@@ -1,7 +1,7 @@
-"""Follow one request from its route to its one outcome.
+"""Hold the state of one request from its routing to its one outcome.
 
-A request for one target is an ask with one part, a query over shards has one
-part for each shard. The tables of an ask belong to it and change in place.
+A request for one target has one part, a query over shards has one part for
+each shard. The tables of an active request are its own and change in place.
 """
 
 from typing import Final, NamedTuple
@@ -10,15 +10,16 @@
 from fuchsiahaven.routing import configs, events, margins, merges
 
 SOURCE: Final = 'asks'
-#: The way to a caller that is taken into account at most: what a caller with
-#: a slow line loses there is its own, and its answer may not go out at once
-#: with hardly anything in it.
+#: Bound on the transit time that is subtracted from the objective. With a very
+#: slow connection the answer would otherwise be sent at once, with hardly any
+#: parts; such a caller gets its answer after the objective instead.
 MAX_TRANSIT_S: Final = 0.04
 OK_STATUS: Final = 200
 MIN_FAILURE_STATUS: Final = 500
 
-#: How soon asking again may help, in seconds. A full target has room again
-#: after about one request's work; an entry that lapsed is back in two.
+#: When a repeated request may succeed. A full target has room again after
+#: about the time of one request; a target whose registration has expired is
+#: back in two seconds.
 RETRY_AFTER_S: Final = {
     coverage.Reason.NO_REPLICA: 1.0,
     coverage.Reason.OVERLOADED: 0.1,
@@ -26,17 +27,17 @@
     coverage.Reason.UNREACHABLE: 0.5,
     coverage.Reason.BROKEN_ANSWER: 0.1,
     coverage.Reason.TIMED_OUT: 0.2,
-    # Orders last for seconds at the least, and for as long as it takes.
+    # An evacuation lasts for seconds at least, and has no upper bound.
     coverage.Reason.EVACUATED: 5.0,
     coverage.Reason.WARMING: 0.5,
-    # At the least; what is known of the request tells how long it takes.
+    # A lower bound; the rest depends on the quarantine of the request.
     coverage.Reason.QUARANTINED: 1.0,
 }
-#: A target has to come, or an order to be taken back.
+#: Nothing is served until a target appears or an evacuation is revoked.
 UNSERVED_REASONS: Final = frozenset(
     (coverage.Reason.NO_REPLICA, coverage.Reason.EVACUATED)
 )
-#: There are targets, which take no more just now.
+#: There are targets, but they accept no more requests for now.
 OVERLOAD_REASONS: Final = frozenset(
     (
         coverage.Reason.OVERLOADED,
@@ -47,9 +48,9 @@
 
 
 class RoutedRequest(NamedTuple):
-    """Hold a request whose route is known and that may be begun.
+    """Hold a request whose route is known and that may be started.
 
-    `priority` is 0 for the most urgent, `version` the configuration's.
+    `priority` is 0 for the most urgent, `version` is the configuration's.
     """
 
     number: int
@@ -60,9 +61,10 @@
 
 
 class PartAttempt(NamedTuple):
-    """Describe one sending that has not ended.
+    """Describe one attempt at a part that is in flight.
 
-    `instance` is empty where another host sends it and has not told where.
+    `instance` is empty if a helper sends it and has not reported to which
+    target.
     """
 
     number: int
@@ -71,16 +73,17 @@
 
 
 class Part(NamedTuple):
-    """Hold what is known of one part.
-
-    `tried` are the targets not to be asked again, `sent` counts the sendings
-    that reached a target, `refusers` are those that refused to run it,
-    `asked_again` counts the sendings to one of them once more,
-    `number` is the last one's number. `failed` is a
-    target's own answer that tells of a failure. `lost` says why the part is
-    missing for good; one that is `spared` was set aside and may be sent again
-    where the others do not suffice. While it is `doubted` nobody
-    knows yet whether the target that lost it has ended.
+    """Hold the state of one part.
+
+    `tried_targets` are the targets that are not used again. `sent_count`
+    counts the attempts that were sent to a target, `last_number` is the number
+    of the last one. `refused_by` are the targets that refused to run the part,
+    `resent_count` counts the attempts at a target that was tried before.
+    `failed_answer` is a target's own answer with a failure. A part that is
+    `lost` is missing for good, for the given `reason`; one that is `deferred`
+    as well may be sent again if the others do not suffice. While
+    `awaits_target_check` is set, it is not known whether the target that lost
+    the part has exited.
     """
 
     in_flight: tuple[PartAttempt, ...] = ()
@@ -99,22 +102,24 @@
 
     @property
     def target_count(self) -> int:
-        """Count the targets to which it was sent."""
+        """Count the targets to which the part was sent."""
         return self.sent_count - self.resent_count
 
     @property
     def used_attempts(self) -> int:
-        """Count the sendings that ran or may run."""
+        """Count the attempts that ran or may run."""
         return self.sent_count - len(self.refused_by)
 
 
 class ActiveRequest(NamedTuple):
-    """Hold one request under way.
-
-    At `cut` what is in hand is worth more than what may still come; `ends` is
-    when the caller has to be told whatever there is. Where another host asked
-    for assistance, `assists` is true and `told` holds the parts that it was
-    told of, and the empty name once it was told anything.
+    """Hold the state of one active request.
+
+    From `cutoff` on, an answer with the received parts is worth more than a
+    later one with more of them. At `reply_deadline` the caller gets whatever
+    there is. `attempt_log` lists failed attempts for the log. If another host
+    delegated the request, `is_delegated` is true, and `reported` holds the
+    parts that were reported to that host, and the empty name after the first
+    report.
     """
 
     number: int
@@ -131,7 +136,7 @@
 
     @property
     def is_gather(self) -> bool:
-        """Tell whether the parts are shards to be merged."""
+        """Tell whether the parts are shards whose answers are merged."""
         return isinstance(self.route.way, configs.Gather)
 
 
@@ -143,10 +148,10 @@
     services: tuple[str, ...],
     host_margin: float = margins.MIN_MARGIN_S,
 ) -> ActiveRequest:
-    """Begin an ask that reaches the services given.
+    """Create the state of a request that needs the given services.
 
-    `own` is how many seconds before the objective this host has to decide on
-    the answer, beside the caller's way.
+    `host_margin` is how many seconds before the objective this host has to
+    decide on the answer, in addition to the transit time.
     """
     arrived = request.arrived_at
     margin = host_margin + min(request.transit_s, MAX_TRANSIT_S)
@@ -166,18 +171,18 @@
 
 
 def list_open_parts(active: ActiveRequest) -> list[str]:
-    """List the parts that are neither in nor lost, in the route's order."""
+    """List the parts neither received nor lost, in the order of the route."""
     return [service for service in active.parts if service in active.open_parts]
 
 
 def is_part_idle(active: ActiveRequest, service: str) -> bool:
-    """Tell whether nothing is under way for a part, nor looked into."""
+    """Tell whether a part has no attempt in flight and awaits no check."""
     part = active.parts[service]
     return not part.in_flight and not part.awaits_target_check
 
 
 def list_in_flight(active: ActiveRequest) -> list[events.AttemptKey]:
-    """List the sendings to targets that have not ended."""
+    """List the keys of attempts that this host has in flight."""
     return [
         events.AttemptKey(active.number, service, attempt.number)
         for service, part in active.parts.items()
@@ -187,24 +192,24 @@
 
 
 def count_missing(active: ActiveRequest) -> int:
-    """Count the parts that are not in."""
+    """Count the parts that were not received."""
     return sum(1 for part in active.parts.values() if part.answer is None)
 
 
 def has_enough_parts(active: ActiveRequest) -> bool:
-    """Tell whether what is in makes an answer."""
+    """Tell whether the received parts suffice for an answer."""
     return _has_coverage(active, count_missing(active))
 
 
 def is_unanswerable(active: ActiveRequest) -> bool:
-    """Tell whether too much is lost for what may still come to matter."""
+    """Tell whether too many parts are lost for an answer."""
     return not _has_coverage(
         active, sum(1 for it in active.parts.values() if it.lost)
     )
 
 
 def count_tolerable_losses(active: ActiveRequest) -> int:
-    """Count how many more parts may be lost before no answer can be made."""
+    """Count how many more parts may be lost without losing the answer."""
     lost = sum(1 for part in active.parts.values() if part.lost)
     total = len(active.parts)
     return next(
@@ -223,11 +228,11 @@
 
 
 def must_reply(active: ActiveRequest, now: float) -> bool:
-    """Tell whether the caller is to be told now.
+    """Tell whether the caller gets its reply now.
 
-    Past the objective an answer that covers enough goes out at once: a part
-    that is missing costs the caller less than an answer that comes late.
-    What can no longer cover enough is not held back until its deadline.
+    From the cutoff on, an answer with enough parts is sent at once: a missing
+    part costs the caller less than a late answer. A request that can no longer
+    get enough parts fails at once, without waiting for its deadline.
     """
     if not active.open_parts or now >= active.reply_deadline:
         return True
@@ -239,7 +244,7 @@
 
 
 def build_outcome(active: ActiveRequest) -> events.Outcome:
-    """Build what the caller is told."""
+    """Build the outcome that the caller gets."""
     if has_enough_parts(active):
         return _build_answer(active)
     if not active.is_gather:
@@ -250,7 +255,7 @@
 
 
 def compute_ran(active: ActiveRequest) -> errors.Ran:
-    """Say whether any target may have run any part of this."""
+    """Determine whether any target has run, or may have run, any part."""
     parts = active.parts.values()
     if any(part.answer or part.failed_answer for part in parts):
         return errors.Ran.YES
--- a/fuchsiahaven/routing/attempt_results.py
+++ b/fuchsiahaven/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""Take in how each sending ended: answer, refusal, fault, or never sent."""
+"""Handle the result of each attempt: answer, refusal, fault or not sent."""
 
 from typing import Final
 
@@ -17,7 +17,7 @@
 
 Actions = list[events.Action]
 
-#: Targets are told whole milliseconds, and may be a little early.
+#: Deadlines are sent in whole milliseconds, and targets may stop a bit early.
 DEADLINE_TOLERANCE_S: Final = 0.005
 REFUSAL_REASONS: Final = {
     messages.RefusalReason.SHED: coverage.Reason.OVERLOADED,
@@ -32,7 +32,7 @@
 def handle_answer(
     router: states.Router, event: events.TargetAnswered, now: float
 ) -> Actions:
-    """Keep the first good answer to a part; try again after a bad one."""
+    """Keep the first good answer to a part; retry after a bad one."""
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
@@ -42,8 +42,8 @@
     if answer.status >= active_requests.MIN_FAILURE_STATUS and _is_overdue(
         in_flight, now
     ):
-        # It ran out of the time that it was given, which says how slow it is
-        # and not that it fails.
+        # The target stopped at the deadline it was given, which shows that it
+        # is slow and not that it fails.
         health.record_answered(in_flight.instance, event.key, now, answer.load)
     elif answer.status >= active_requests.MIN_FAILURE_STATUS:
         health.record_failed(in_flight.instance, event.key, now)
@@ -87,7 +87,10 @@
 def handle_refusal(
     router: states.Router, event: events.TargetRefused, now: float
 ) -> Actions:
-    """Ask another target, which any request may: this one has not run it."""
+    """Send a refused part to another target, since it has not run.
+
+    Requests that run at most once are retried too.
+    """
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
@@ -95,11 +98,11 @@
     if event.reason is messages.RefusalReason.SHED and _is_overdue(
         in_flight, now
     ):
-        # It waited in the queue until its time was over.
+        # It waited in the target's queue until its deadline.
         event = event._replace(reason=messages.RefusalReason.DEADLINE)
     router.target_health.record_refused(in_flight.instance, event, now)
     if event.reason is messages.RefusalReason.LEAVING:
-        # Another process answers at this address, or this one is leaving.
+        # Another process uses this address now, or the target is leaving.
         router.target_health.record_address_reused(in_flight.instance, now)
     if event.reason is messages.RefusalReason.SHED:
         window = router.latency_windows.get(in_flight.route, hedges.EMPTY)
@@ -120,7 +123,7 @@
 def handle_fault(
     router: states.Router, event: events.AttemptBroken, now: float
 ) -> Actions:
-    """Ask another target if the request may run twice."""
+    """Send a part to another target if its request may run twice."""
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
@@ -154,7 +157,7 @@
 def handle_unsent(
     router: states.Router, event: events.AttemptUnsent, now: float
 ) -> Actions:
-    """Ask another target: nothing has left, so nothing counts as sent."""
+    """Send a part to another target; the unsent attempt does not count."""
     in_flight = router.in_flight.pop(event.key, None)
     if in_flight is None:
         return []
@@ -174,7 +177,7 @@
     part = remove_attempt(active, event.key)
     tried_targets = part.tried_targets
     if event.withdrawn:
-        # Nothing is known against the target, which may be the last one left.
+        # The target has not failed, and may be the last one left.
         tried_targets = tuple(
             it for it in tried_targets if it != in_flight.instance
         )
@@ -195,7 +198,7 @@
     service: str,
     now: float,
 ) -> Actions:
-    """Try a part again where that is allowed, and see whether this ends it."""
+    """Retry a part if allowed, and complete its request if it is ready."""
     actions = attempts.retry_part(router, active, service, now)
     return [*actions, *completions.complete_if_ready(router, active, now)]
 
@@ -203,7 +206,7 @@
 def find_waiting_request(
     router: states.Router, key: events.AttemptKey
 ) -> active_requests.ActiveRequest | None:
-    """Find the ask that still waits for a part."""
+    """Find the active request that still waits for a part."""
     active = router.active_requests.get(key.request_number)
     if active is None or key.service not in active.open_parts:
         return None
@@ -225,7 +228,7 @@
 def remove_attempt(
     active: active_requests.ActiveRequest, key: events.AttemptKey
 ) -> active_requests.Part:
-    """Return a part without a sending that has ended."""
+    """Return a part without an attempt that has ended."""
     part = active.parts[key.service]
     remaining = tuple(it for it in part.in_flight if it.number != key.number)
     return part._replace(in_flight=remaining)
@@ -245,8 +248,8 @@
 def _record_latency(
     router: states.Router, in_flight: states.InFlightAttempt, now: float
 ) -> None:
-    # Hedges and retries are left out: they go where answers come fast, and
-    # would pull the delay after which to hedge down to themselves.
+    # Hedges and retries are not counted: they go to fast targets, and would
+    # lower the hedge delay towards their own latency.
     if in_flight.purpose is events.Purpose.FIRST:
         window = router.latency_windows.get(in_flight.route, hedges.EMPTY)
         router.latency_windows[in_flight.route] = hedges.record_latency(
--- a/fuchsiahaven/routing/attempts.py
+++ b/fuchsiahaven/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Send the parts of an ask: first, again, and to a second target in time."""
+"""Send the parts of a request: first attempts, retries and hedges."""
 
 import math
 from typing import Final
@@ -16,33 +16,36 @@
     warmups,
 )
 
-#: Nine of ten sub-requests are back by then, so that hedges take up a tenth
-#: of the load or the pauses of targets, whichever is more.
+#: Nine of ten sub-requests are answered by then, so that the hedges make up a
+#: tenth of the load, or as much as the pauses of targets, whichever is more.
 HEDGE_QUANTILE: Final = 0.9
-#: Where a tenth or more is slow, the quantile falls among what is slow.
+#: Bound on the hedge delay in medians: if a tenth or more of the sub-requests
+#: is slow, the quantile is itself one of the slow latencies.
 MAX_HEDGE_MEDIANS: Final = 2.5
 HEDGE_POLICY: Final = hedges.Policy(HEDGE_QUANTILE, MAX_HEDGE_MEDIANS)
-#: Share of the objective after which to hedge while too little is known, or
-#: while targets are overloaded.
+#: Hedge delay while too few latencies are known or targets are overloaded.
+#: This and the following fractions are of the objective.
 DEFAULT_HEDGE_FRACTION: Final = 0.3
-#: Hedges later than this share of the objective are too late to help.
+#: Later hedges are too late to help.
 MAX_HEDGE_FRACTION: Final = 0.6
-#: A helper tells what is in well before; one that has told nothing by this
-#: share of the objective is taken for lost.
+#: A helper reports received parts well before this; one that has reported
+#: nothing by then is considered lost.
 HELPER_TIMEOUT_FRACTION: Final = 0.5
-#: But not sooner than so long after other hedges are due: two small hosts may
-#: take this to read, send and write what they do for one query. Sending all of
-#: its parts a second time would keep this one from reading the first answers.
+#: Least time from the usual hedge delay until a helper is considered lost: two
+#: small hosts may need it to read, send and write the messages of one query.
+#: Hedging all parts of the helper would keep this host from reading the first
+#: answers.
 HELPER_EXTRA_DELAY_S: Final = 0.02
-#: Hedges sooner than this share of the objective bring nothing that counts,
-#: and most of what is slow then, because its target pauses, ends by itself.
+#: Earlier hedges gain little: most parts that are slow by then, because their
+#: target pauses, are answered without a hedge.
 MIN_HEDGE_FRACTION: Final = 0.4
-#: Shares of the objective: from the query's arrival until its parts end, what
-#: a part has at the least, and what the last sending of it has.
+#: Times as multiples of the objective: from the arrival of a query until the
+#: deadline of its parts, the least time of an attempt, and the time of the last
+#: attempt at a part.
 PART_TIMEOUT_OBJECTIVES: Final = 1.1
 MIN_ATTEMPT_FRACTION: Final = 0.3
 LAST_ATTEMPT_OBJECTIVES: Final = 3.0
-#: Part of a host's slack that hedges leave for what was refused or broke.
+#: Fraction of a host's slack that hedges leave for retries.
 RETRY_RESERVE_FRACTION: Final = 0.1
 
 
@@ -52,14 +55,15 @@
     used_attempts: int,
     now: float,
 ) -> float:
-    """Return until when a part that was sent so often before may take.
-
-    At a target that is slow, work whose query was answered long ago fills
-    the slots and the queue, and whatever comes after it is late too. So a part
-    ends soon after the objective, with some time left for one sent late; the
-    last sending has longer, because a query that still lacks too much can
-    only be answered by it. So has each one inside a data centre that is cut
-    off: there is hardly another target, and one that pauses answers in the end.
+    """Compute the deadline of the next attempt at a part.
+
+    `used_attempts` counts the attempts before. With long deadlines, parts of
+    queries that were answered long ago would fill the slots and the queue of a
+    slow target and delay everything behind them. So a part ends soon after the
+    objective, with some time left for a late attempt. The last attempt has
+    longer, because a query that still lacks too many parts depends on it. So
+    has every attempt in a data centre that is cut off: there is hardly another
+    target, and one that pauses answers in the end.
     """
     if not active.is_gather:
         return active.reply_deadline
@@ -76,7 +80,7 @@
 
 
 def _is_isolated(router: states.Router) -> bool:
-    """Tell whether this data centre is cut off from all others."""
+    """Tell whether this data centre is cut off from all other ones."""
     silent = router.centre_health.list_silent()
     return bool(silent) and all(
         host.data_centre in silent
@@ -88,7 +92,7 @@
 def mark_unservable_parts(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> None:
-    """Mark the parts that no target can take as lost."""
+    """Mark the parts for which no target is available as lost."""
     for service in active_requests.list_open_parts(active):
         part = active.parts[service]
         if not target_selection.has_candidate(router, service, part, now):
@@ -101,9 +105,9 @@
     service: str,
     now: float,
 ) -> bool:
-    """Count a repeat that another host asks for; False if it is one too many.
+    """Charge a retry that another host asks for; False over the budget.
 
-    The part is lost then, and nothing is sent.
+    The part is marked as lost then, and nothing is sent.
     """
     if extra_attempts.count_remaining(router, active, service, now) < 1:
         _mark_lost(router, active, service, now)
@@ -113,7 +117,7 @@
 
 
 def list_unsent(active: active_requests.ActiveRequest) -> list[str]:
-    """List the parts that were sent nowhere yet."""
+    """List the open parts that were not sent yet."""
     return [
         it
         for it in active_requests.list_open_parts(active)
@@ -124,9 +128,9 @@
 def order_unsent(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[str]:
-    """Order the parts that were not sent, those where targets ended first.
+    """Order the unsent parts, those whose targets have crashed first.
 
-    A trial elsewhere would say nothing of them.
+    A trial at another service would not show whether the request crashes these.
     """
     report = router.suspects.make_report(active.request.identity, now)
     crashed_services = () if report is None else report.services
@@ -143,7 +147,7 @@
     service: str,
     now: float,
 ) -> list[events.Action]:
-    """Send a part for the first time."""
+    """Send the first attempt at a part."""
     return _send_or_mark_lost(
         router, active, service, now, events.Purpose.FIRST
     )
@@ -155,10 +159,11 @@
     service: str,
     now: float,
 ) -> list[events.Action]:
-    """Send a part again if it may run again, or note that it is lost.
+    """Send a part again if it may run again, or mark it as lost.
 
-    While repeats are short it is set aside. It is sent where its query lacks
-    too much, unless another one that was set aside has more repeats left.
+    While the budget of extra load is short, the part is deferred. It is sent
+    later if its query lacks too many parts, unless the service of another
+    deferred part has more of its budget left.
     """
     part = active.parts[service]
     if part.in_flight:
@@ -183,10 +188,10 @@
 def _send_replacements(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[events.Action]:
-    """Send parts in place of those without which there is no answer.
+    """Send lost parts again until enough parts may still be received.
 
-    First those that were set aside; then those that targets have lost which
-    live, once more to one of these.
+    Deferred parts come first. Then come parts lost by targets that are alive:
+    they are sent to such a target once more.
     """
     if not active_requests.is_unanswerable(active):
         return []
@@ -207,7 +212,7 @@
 def list_slow_parts(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[str]:
-    """List the parts that take unusually long."""
+    """List the open parts that take unusually long."""
     if active.route.at_most_once:
         return []
     delay = compute_hedge_delay(router, active)
@@ -228,7 +233,7 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether a part may be sent a second time before the first ends."""
+    """Tell whether a part may be hedged."""
     if (
         trials.get_permission(router, active, now)
         is not suspects.SendPermission.UNRESTRICTED
@@ -245,7 +250,7 @@
     services: list[str],
     now: float,
 ) -> list[events.Action]:
-    """Send parts that this host sends itself to a second target."""
+    """Hedge the given parts at targets that this host contacts itself."""
     actions: list[events.Action] = []
     for service in services:
         if may_hedge(router, active, service, now):
@@ -267,7 +272,7 @@
 def compute_hedge_delay(
     router: states.Router, active: active_requests.ActiveRequest
 ) -> float:
-    """Return after how many seconds a part is worth a second sending."""
+    """Compute after how many seconds a part is hedged."""
     objective = active.route.objective
     window = router.latency_windows.get(active.route.name, hedges.EMPTY)
     measured = hedges.find_delay(window)
@@ -279,10 +284,11 @@
 def _estimate_usual_latency(
     router: states.Router, active: active_requests.ActiveRequest
 ) -> float:
-    """Find in how many seconds answers on a route usually come, or less.
+    """Estimate the usual latency on a route in seconds, from below.
 
-    The delay after which to hedge is known at all times, and never more than
-    so many medians.
+    The measured hedge delay is at most `MAX_HEDGE_MEDIANS` medians, so that
+    dividing it by that number never yields more than the median. Infinite
+    while nothing was measured.
     """
     window = router.latency_windows.get(active.route.name, hedges.EMPTY)
     return window.delay_s / MAX_HEDGE_MEDIANS or math.inf
@@ -312,10 +318,10 @@
     service: str,
     now: float,
 ) -> list[instances.Instance]:
-    """List the targets that may be asked next to those that were.
+    """List the targets to which a part may be sent in addition.
 
-    A route bounds to how many targets a request is sent, also where some of
-    them refuse it.
+    The route bounds to how many targets a part is sent, also if some of them
+    refuse it.
     """
     part = active.parts[service]
     if part.target_count >= active.route.attempts:
@@ -350,9 +356,9 @@
         return []
     if permission is suspects.SendPermission.UNRESTRICTED:
         return [send]
-    # Only a connection that is open now shows that the target has not ended
-    # together with those before it.
-    announcement = trials.begin_trial(router, active, send.key, now)
+    # Only a connection opened now proves that the target did not exit together
+    # with the earlier ones.
+    announcement = trials.start_trial(router, active, send.key, now)
     return [send._replace(fresh_connection=True), *announcement]
 
 
@@ -412,7 +418,7 @@
     service: str,
     now: float,
 ) -> coverage.Reason:
-    """Say why no target of a service can be asked."""
+    """Return why no target of a service is available."""
     part = active.parts[service]
     if target_selection.has_candidate(router, service, part, now):
         return coverage.Reason.WARMING
--- a/fuchsiahaven/routing/balancer_polls.py
+++ b/fuchsiahaven/routing/balancer_polls.py
@@ -1,27 +1,27 @@
-"""Work out when callers who come back will be sent to another host.
+"""Estimate when the load balancer sends new connections to other hosts.
 
-A host that cannot serve reports so, but its balancer moves new connections
-only after it has asked twice. A caller told to come back sooner is refused a
-second time; one told the right moment is served by another host.
+A host that cannot serve reports so in its readiness check, but its balancer
+moves new connections only after two failed polls. A caller that retries sooner
+is refused a second time; one that retries after that is served by another host.
 """
 
 from typing import Final, NamedTuple
 
-#: Answers that are no 200 after which the balancer sends nobody any more, by
-#: its operator's word.
+#: Consecutive answers other than 200 after which the balancer stops sending
+#: connections to a host, as stated by its operator.
 REMOVAL_FAILURES: Final = 2
-#: How often it asks until that was seen, by the same word, in seconds.
+#: Poll period until it was measured, as stated by the operator.
 DEFAULT_POLL_PERIOD_S: Final = 1.0
-#: A pause longer than this many periods was an outage and not the period.
+#: A gap of more periods than this is an outage and no measure of the period.
 MAX_GAP_PERIODS: Final = 2.0
 PERIOD_WEIGHT: Final = 0.2
-#: From the answer that decides until new connections go elsewhere, and for
-#: callers who come back all at once to spread a little, in seconds.
+#: Time from the deciding answer until new connections go to other hosts, and
+#: for callers that retry at the same time to spread a little.
 SWITCH_DELAY_S: Final = 0.05
 
 
 class BalancerPolls(NamedTuple):
-    """Hold when the balancer asked last, how often, and what it was told."""
+    """Hold the last poll of the balancer, the period and recent failures."""
 
     polled_at: float = float('-inf')
     period: float = DEFAULT_POLL_PERIOD_S
@@ -31,7 +31,7 @@
 def record_poll(
     polls: BalancerPolls, now: float, *, ready: bool
 ) -> BalancerPolls:
-    """Take in that the balancer asked, and whether it was told yes."""
+    """Record a poll of the balancer and whether it was answered with 200."""
     gap = now - polls.polled_at
     period = polls.period
     if gap < MAX_GAP_PERIODS * period:
@@ -40,7 +40,7 @@
 
 
 def estimate_removal_delay(polls: BalancerPolls, now: float) -> float:
-    """Return in how many seconds new connections go to other hosts."""
+    """Estimate in how many seconds new connections go to other hosts."""
     missing_failures = REMOVAL_FAILURES - polls.failures
     if missing_failures <= 0:
         return SWITCH_DELAY_S
--- a/fuchsiahaven/routing/budgets.py
+++ b/fuchsiahaven/routing/budgets.py
@@ -1,6 +1,6 @@
-"""Bound repeated arrivals at a service over a sliding window.
+"""Bound the extra load on a service, hedges and retries, in a sliding window.
 
-All hosts share one bound. Each takes the share of its own requests, and an
+All hosts share one bound. Each host uses the share for its own requests and an
 equal part of the slack, so that no host has to ask another.
 """
 
@@ -9,15 +9,15 @@
 
 from fuchsiahaven.routing import deployments
 
-#: A window is counted in so many steps; more would follow it more closely.
+#: Steps in which a window is counted; more steps would make it more exact.
 WINDOW_STEPS: Final = 20
-#: Part of the bound that is used. A request of a caller and its repeats may
-#: fall on two sides of the window's edge, and hosts come and go.
+#: Fraction of the bound that is used. A request and its retries may fall on
+#: both sides of the window's edge, and the number of hosts changes.
 USED_FRACTION: Final = 0.85
 
 
 class Step(NamedTuple):
-    """Count what fell into one step of time."""
+    """Hold the counts of one step of time."""
 
     number: int
     requests: int
@@ -25,33 +25,33 @@
 
 
 class Budget:
-    """Count the requests for one service and their repeats."""
+    """Count the requests for one service and their extra load."""
 
     def __init__(self, extra_load: deployments.ExtraLoadLimit) -> None:
-        """Start with nothing counted."""
+        """Create an empty budget."""
         self.extra_load = extra_load
         self._steps: collections.deque[Step] = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """Count one request of a caller."""
+        """Record one request of a caller."""
         self._add(now, requests=1)
 
     def record_extra(self, now: float, count: int = 1) -> None:
-        """Count arrivals beyond the first of a request; -1 takes one back."""
+        """Record arrivals after the first of a request; -1 removes one."""
         self._add(now, extra=count)
 
     def count_remaining(self, now: float, hosts: float) -> float:
-        """Count how many repeats may be sent now by one of so many hosts."""
+        """Count the extra attempts that one of `hosts` hosts may send now."""
         allowed, extra = self._compute_allowance(now, hosts)
         return allowed - extra
 
     def is_short(self, now: float, hosts: float, fraction: float) -> bool:
-        """Tell whether less than such a part of the repeats is left."""
+        """Tell whether less than a fraction of the extra load is left."""
         allowed, extra = self._compute_allowance(now, hosts)
         return allowed - extra < fraction * allowed
 
     def _compute_allowance(self, now: float, hosts: float) -> tuple[float, int]:
-        """Count the repeats that one host may send, and those that it sent."""
+        """Compute the allowed extra load of one host, and what it has sent."""
         self._expire_steps(now)
         requests = sum(step.requests for step in self._steps)
         extra = sum(step.extra for step in self._steps)
@@ -69,7 +69,7 @@
         self._steps.append(Step(number, requests, extra))
 
     def _expire_steps(self, now: float) -> None:
-        # One step more than the window holds: the oldest may be cut.
+        # One step more than the window, which covers the oldest step in part.
         oldest = self._compute_step_number(now) - WINDOW_STEPS
         while self._steps and self._steps[0].number < oldest:
             self._steps.popleft()
--- a/fuchsiahaven/routing/completions.py
+++ b/fuchsiahaven/routing/completions.py
@@ -1,4 +1,4 @@
-"""End an ask: one reply to its caller, and an account of it for the log."""
+"""Complete a request: one reply to its caller, and a summary for the log."""
 
 import itertools
 import math
@@ -17,18 +17,19 @@
 
 Actions = list[events.Action]
 
-#: An answer decided later than this after its moment had waited for a part.
+#: A reply later than this after the cutoff was waiting for parts, and not held
+#: back until the cutoff.
 MAX_REPLY_DELAY_S: Final = 0.03
-#: Digits after the point of the seconds that a caller is told to wait.
+#: Decimal places of the seconds after which a caller is to retry.
 WAIT_DIGITS: Final = 2
-#: How many parts a line of the log tells of; a query may have hundreds.
+#: Parts listed in one log line; a query may have hundreds.
 MAX_LOGGED_PARTS: Final = 6
 
 
 def complete_if_ready(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> Actions:
-    """Reply if nothing that may still come is worth the wait."""
+    """Reply if no part that may still come is worth waiting for."""
     if active.is_delegated:
         return delegated_requests.send_reports(router, active, now)
     if not active_requests.must_reply(active, now):
@@ -39,7 +40,7 @@
 def complete(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> Actions:
-    """Reply to the caller; what waits to be sent is not needed any more."""
+    """Reply to the caller and withdraw the attempts not sent yet."""
     outcome = _add_retry_after(
         router, active, active_requests.build_outcome(active), now
     )
@@ -51,7 +52,7 @@
         else 0
     )
     if now > active.cutoff + MAX_REPLY_DELAY_S:
-        # It waited for parts, not for its moment.
+        # The reply waited for parts, and not for the cutoff.
         due = 0
     return [
         events.Reply(active.number, outcome, due),
@@ -70,7 +71,7 @@
     failure: errors.Failure,
     now: float,
 ) -> Actions:
-    """Refuse an ask that was begun and of which nothing has left."""
+    """Refuse a request that was started and of which nothing was sent."""
     router.controls.quotas.record_end(active.number, now, ran=False)
     router.active_requests.pop(active.number, None)
     failure = retry_times.spread_retry_after(
@@ -85,7 +86,7 @@
 def _settle_charge(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> None:
-    """Charge nobody for a request that has not run."""
+    """End the quota charge of a request; one that has not run is free."""
     ran = active_requests.compute_ran(active) is not errors.Ran.NO
     router.controls.quotas.record_end(active.number, now, ran=ran)
 
@@ -96,7 +97,10 @@
     outcome: events.Outcome,
     now: float,
 ) -> events.Outcome:
-    """Have the caller of a request that is not sent on come back after that."""
+    """Set the time after which a refused caller is to retry.
+
+    It covers the time for which a suspect request is blocked.
+    """
     if not isinstance(outcome, errors.Failure):
         return outcome
     outcome = retry_times.spread_retry_after(
@@ -111,11 +115,11 @@
 def _cancel_silent_helpers(
     router: states.Router, number: int, now: float
 ) -> Actions:
-    """End the assistance of hosts that have told nothing by the end.
+    """Cancel the delegated requests of helpers that have reported nothing.
 
-    One that is paused or overloaded would send all parts of the search when
-    it comes to them, long after its answer. Parts that were sent again end
-    without blame for the host that sent them.
+    A helper that is paused or overloaded would otherwise send all parts of the
+    query later, long after the reply. A helper of a retry is not recorded as
+    failed, since it reports only parts that it has received.
     """
     keys = [
         key
@@ -136,14 +140,14 @@
 
 
 def abandon(router: states.Router, number: int, now: float) -> Actions:
-    """End the work for a caller that has left.
+    """End the work for a caller that has disconnected.
 
-    What may not be repeated runs on: it has been asked for, and breaking it
-    off would leave nobody knowing whether it was done.
+    A request that runs at most once is not cancelled once it was sent: if it
+    were broken off, it would be unknown whether it has run.
     """
     active = router.active_requests.pop(number, None)
     if active is None:
-        # It may wait for a word about its customer.
+        # The request may be waiting for a token of its customer's quota.
         router.controls.quotas.record_end(number, now, ran=False)
         return []
     _settle_charge(router, active, now)
@@ -156,7 +160,7 @@
 
 
 def _cancel_delegations(router: states.Router, number: int) -> Actions:
-    """End the assistance for an ask, without blame for whoever gives it."""
+    """Cancel the delegations of a query, with no failure recorded."""
     keys = [key for key in router.delegations if key.request_number == number]
     for key in keys:
         helper = router.delegations.pop(key).helper
@@ -173,7 +177,10 @@
     now: float,
     caller: customers.RequestNames = customers.NO_NAMES,
 ) -> Actions:
-    """Refuse a request that has no route or cannot be served."""
+    """Refuse a request that has no route or cannot be served.
+
+    `number` is the request's number, `version` the configuration's.
+    """
     took = now - request.arrived_at
     result = failure.kind.value
     summary = events.RequestSummary(
@@ -188,7 +195,7 @@
 
 
 def name_result(outcome: events.Outcome) -> str:
-    """Name an outcome for the log."""
+    """Return the text for an outcome in the log."""
     match outcome:
         case events.RelayedAnswer(answer):
             return f'relayed {answer.status}'
@@ -222,7 +229,7 @@
 def _list_missing(
     active: active_requests.ActiveRequest, now: float
 ) -> tuple[str, ...]:
-    """List what became of the first few parts that lack."""
+    """List the state of the first few missing parts."""
     missing = {
         service: part
         for service, part in active.parts.items()
@@ -244,5 +251,5 @@
 
 def _show_wait(attempt: active_requests.PartAttempt, now: float) -> str:
     waited = now - attempt.sent_at
-    # A part that was to be hurried counts as sent long ago.
+    # A part to be hedged at once has a time of sending infinitely long ago.
     return f' for {waited:.3f} s' if math.isfinite(waited) else ''
--- a/fuchsiahaven/routing/crashes.py
+++ b/fuchsiahaven/routing/crashes.py
@@ -1,4 +1,4 @@
-"""Find the requests under which targets end, and hold them back."""
+"""Find the requests under which targets crash, and hold them back."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -17,9 +17,9 @@
 
 Actions = list[events.Action]
 
-#: How long the losses of a query over shards are gathered, in seconds. Others
-#: that were under way there repeat the part that was lost first; a trial
-#: elsewhere does not end their second target.
+#: How long the lost parts of a query over shards are gathered before a trial.
+#: Other requests that were active at the same target retry the lost part first;
+#: a trial at another lost shard does not crash the second target they use.
 LOSS_GATHERING_S: Final = 0.005
 
 
@@ -29,11 +29,11 @@
     in_flight: states.InFlightAttempt,
     now: float,
 ) -> Actions | None:
-    """Take in that a sending ended with its connection.
+    """Record an attempt whose connection was lost.
 
-    Returns None if its part is to wait until the pool has looked whether the
-    target has ended. A target that was leaving may end what it has not
-    finished, and is not looked at.
+    Return None if the part has to wait until the connection pool has checked
+    whether the target has exited. A target that was leaving may cut off
+    unfinished requests, and is not checked.
     """
     instance = router.directory.by_name.get(in_flight.instance)
     if instance is None:
@@ -58,12 +58,12 @@
 
 
 def handle_connection(router: states.Router, name: str, now: float) -> Actions:
-    """Take in that a target lives: its connections were reset."""
+    """Handle a new connection: the target is alive and had reset others."""
     return _continue_parts(router, router.losses.pop_losses(name), now)
 
 
 def handle_exit(router: states.Router, name: str, now: float) -> Actions:
-    """Take in that a target has ended."""
+    """Handle the exit of a target."""
     target_losses = router.losses.record_exit(name, now)
     return [
         *_record_crashes(router, target_losses, now),
@@ -74,7 +74,7 @@
 def handle_directory(
     router: states.Router, directory: instances.Directory, now: float
 ) -> Actions:
-    """Take in which targets have started again."""
+    """Handle the exit of targets that a new directory shows as restarted."""
     actions: Actions = []
     for name in router.losses.list_restarted(directory):
         actions.extend(handle_exit(router, name, now))
@@ -84,14 +84,14 @@
 def handle_check_timeout(
     router: states.Router, timer: states.TargetCheckTimer, now: float
 ) -> Actions:
-    """Go on with a part of which the pool could not tell in time."""
+    """Continue with a part whose target could not be checked in time."""
     return _continue_part(router, timer.identity, timer.key, now)
 
 
 def handle_suspect_reports(
     router: states.Router, event: events.SuspectsReported, now: float
 ) -> Actions:
-    """Take in what other hosts know against requests."""
+    """Merge the suspect reports of other hosts."""
     actions: Actions = []
     own_name = router.host.name
     for report in event.reports:
@@ -109,7 +109,7 @@
     key: events.AttemptKey,
     now: float,
 ) -> Actions:
-    """Take in that a target has run a part of a request to its end."""
+    """Record that a target has completed a part of a request."""
     if not router.suspects.record_success(identity, key.service, key):
         return []
     _resume_waiting(router, identity, now)
@@ -122,7 +122,7 @@
     key: events.AttemptKey,
     now: float,
 ) -> None:
-    """Take in that a sending has ended, in whatever way."""
+    """Record that an attempt has ended, with whatever result."""
     if router.suspects.end_trial(identity, key):
         _resume_waiting(router, identity, now)
 
@@ -161,7 +161,7 @@
 def _report_suspicion(
     router: states.Router, identity: request_identities.Identity, now: float
 ) -> Actions:
-    """Tell the log, and other hosts if they are to know."""
+    """Report a suspect request to the log, and to other hosts if needed."""
     broadcast = router.suspects.admit_report(identity, now)
     return _build_report(router, identity, now, broadcast=broadcast)
 
@@ -182,7 +182,7 @@
 def _withdraw_unsent(
     router: states.Router, identity: request_identities.Identity, now: float
 ) -> Actions:
-    """Keep what has not left yet from leaving; look at what waits."""
+    """Withdraw the unsent attempts of a request; resume what waits."""
     _resume_waiting(router, identity, now)
     return [
         events.WithdrawAttempt(key)
@@ -195,7 +195,7 @@
 def _resume_waiting(
     router: states.Router, identity: request_identities.Identity, now: float
 ) -> None:
-    """Have the parts that wait for a trial looked at."""
+    """Resume the requests that wait for the trial of a suspect request."""
     if identity in router.suspects.waiting_ids:
         router.set_timer(now, states.TrialTimer(identity))
 
@@ -215,7 +215,7 @@
     key: events.AttemptKey,
     now: float,
 ) -> Actions:
-    """Go on with a part that waited for word of its target."""
+    """Continue with a part that waited for the check of its target."""
     end_trial(router, identity, key, now)
     active = router.active_requests.get(key.request_number)
     part = None if active is None else active.parts.get(key.service)
@@ -226,7 +226,7 @@
         return []
     permission = trials.get_permission(router, active, now)
     if active.is_gather and permission is suspects.SendPermission.TRIAL:
-        # The trial is chosen among all parts that are lost by then.
+        # The trial uses one of all parts that are lost by then.
         trials.wait_for_trial(router, active)
         timer = states.TrialTimer(identity)
         router.set_timer(now + LOSS_GATHERING_S, timer)
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -451,7 +451,7 @@
         actions.append(delegate_parts(router, active, plan, now))
         number = active.parts[service].last_number
         key = events.AttemptKey(active.number, service, number)
-        actions.extend(trials.begin_trial(router, active, key, now))
+        actions.extend(trials.start_trial(router, active, key, now))
     return actions
 
 
--- a/fuchsiahaven/routing/dispatch.py
+++ b/fuchsiahaven/routing/dispatch.py
@@ -1,4 +1,7 @@
-"""Decide what a host does with each event: `handle(desk, event, now)`."""
+"""Turn each event of a host into actions.
+
+The entry point is `handle_event(router, event, now)`.
+"""
 
 from fuchsiahaven.core import errors, rendezvous, request_identities, suspects
 from fuchsiahaven.routing import (
@@ -24,7 +27,7 @@
 def handle_event(
     router: states.Router, event: events.Event, now: float
 ) -> Actions:
-    """Take in an event and return what is to be done."""
+    """Update the state for an event and return the resulting actions."""
     actions = _dispatch_event(router, event, now)
     actions.extend(router.target_health.pop_changes())
     actions.extend(router.helper_health.pop_changes())
@@ -34,7 +37,7 @@
 
 
 def _apply_quota_decisions(router: states.Router, now: float) -> Actions:
-    """Go on with what was decided on by a word about its customer."""
+    """Start or refuse the requests on which their quota has decided."""
     actions: Actions = []
     decisions, messages, next_check = router.controls.quotas.pop_output()
     for routed, failure in decisions:
@@ -93,12 +96,12 @@
 def record_reply(
     router: states.Router, reply: events.Reply, now: float
 ) -> None:
-    """Take in when a reply was written that waited for its last moment."""
+    """Record the delay with which a reply held until its due time left."""
     router.reply_margin.record_delay(now - reply.due)
 
 
 def find_obstacle(router: states.Router, now: float) -> str:
-    """Say why no new work should come to this host; empty if it may."""
+    """Return why this host should get no new work; empty if it should."""
     missing_state = find_missing_state(router)
     if missing_state:
         return missing_state
@@ -112,7 +115,7 @@
 
 
 def find_missing_state(router: states.Router) -> str:
-    """Say what this host has yet to learn before it can serve anything."""
+    """Return which state this host lacks to serve anything; empty if none."""
     if not router.index.configuration.version:
         return 'no configuration yet'
     if not router.directory.by_name and not router.directory.evacuated_services:
@@ -204,7 +207,7 @@
         )
     if isinstance(routed, active_requests.RoutedRequest):
         return _start_request(router, routed, now)
-    # It waits for a word about its customer.
+    # The request waits for a token of its customer's quota.
     return []
 
 
@@ -228,8 +231,8 @@
     actions: Actions = []
     if not active_requests.is_unanswerable(active):
         actions = _send_parts(router, active, now)
-    # What cannot be served is refused before anything is sent, so that the
-    # refusal can say that nothing has run.
+    # A request that cannot be served is refused before anything is sent, so
+    # that the refusal can state that nothing has run.
     completion = completions.complete_if_ready(router, active, now)
     if not completion:
         _set_timers(router, active, now)
@@ -248,7 +251,7 @@
 def _delegate_parts(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> Actions:
-    """Have other hosts gather what they are to; they ask nobody else."""
+    """Delegate parts to other hosts, unless they were delegated to this one."""
     permission = router.suspects.get_permission(active.request.identity, now)
     if (
         active.is_delegated
@@ -311,7 +314,7 @@
 def _resume_waiting(
     router: states.Router, identity: request_identities.Identity, now: float
 ) -> Actions:
-    """Go on with what waited for the trial of a request."""
+    """Resume the requests that wait for the trial of a suspect request."""
     actions: Actions = []
     for number in sorted(router.suspects.waiting_ids.pop(identity, ())):
         active = router.active_requests.get(number)
@@ -332,7 +335,7 @@
     refusal = admission.refuse_stale(router, active, now)
     if refusal is not None:
         return refusal
-    # Each request is tried at another of the shards that several have lost.
+    # Requests that have lost the same shards are tried at different ones.
     ranked = rendezvous.rank(active.request.identity.digest, lost)
     return [
         *delegations.retry_parts(router, active, ranked, now),
@@ -352,8 +355,8 @@
     action = active.route.way
     slow = attempts.list_slow_parts(router, active, now)
     if recurs and active.open_parts:
-        # What the budget did not allow now it may allow then, and a second
-        # sending may be worth it for what was sent again meanwhile.
+        # By then the budget may allow what it does not allow now, and a part
+        # that was retried meanwhile may need a hedge.
         interval = attempts.compute_hedge_delay(router, active) / 2
         router.set_timer(now + interval, states.HedgeTimer(active.number))
     if configs.is_wide_action(action):
--- a/fuchsiahaven/routing/events.py
+++ b/fuchsiahaven/routing/events.py
@@ -1,7 +1,7 @@
-"""Define what passes between the decisions and the sockets.
+"""Define the events and actions that connect routing decisions and sockets.
 
-`desks.handle(desk, event, now)` turns events into actions. Times are seconds
-on the monotonic clock.
+`dispatch.handle_event(router, event, now)` turns an event into actions. Times
+are seconds on the monotonic clock.
 """
 
 import enum
@@ -15,16 +15,17 @@
 
 
 class Request(NamedTuple):
-    """Hold one whole request of a caller.
-
-    `target` is the path with the query as it came, `fields` are the header
-    fields that go on to a target as they are. `away` is how many seconds of
-    the caller's own time pass outside this host: on the request's way here,
-    with the opening of its connection, and on the answer's way back. `identity`
-    is the same for each repeat, also by the caller under a new id. `key` is
-    the digest of the key that the caller shows, empty without one,
-    `credentials` the fields that hold it, which go no further where there are
-    customers. `customer` is whose request it is, once that is known.
+    """Hold one complete request of a caller.
+
+    `uri` is the path with the query string as received, `fields` are the
+    header fields that are forwarded to a target unchanged. `transit_s` is the
+    part of the caller's time that passes outside this host, in seconds: opening
+    the connection, sending the request and returning the answer. `identity` is
+    the same for every copy of a request, including one that the caller repeats
+    under a new id. `key_digest` is the digest of the caller's API key, empty
+    without one. `credentials` are the fields that hold the key; they are not
+    forwarded where customers are configured. `customer` is the owner of the
+    request, empty until it is known.
     """
 
     request_id: str
@@ -43,7 +44,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold the whole answer of a target, with the signature it gave it."""
+    """Hold the complete answer of a target, with the target's signature."""
 
     status: int
     fields: Fields
@@ -53,7 +54,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Identify one sending: the ask, its part, and which of its sendings."""
+    """Identify one attempt by its request, its part and its number."""
 
     request_number: int
     service: str
@@ -61,7 +62,7 @@
 
 
 class Purpose(enum.StrEnum):
-    """Say why a request was sent to a target."""
+    """Name the reason for which a request is sent to a target."""
 
     FIRST = 'first'
     HEDGE = 'hedge'
@@ -69,27 +70,27 @@
 
 
 class RequestReceived(NamedTuple):
-    """Bring a request in under a new number."""
+    """Report a new request of a caller, under a new number."""
 
     number: int
     request: Request
 
 
 class RequestAbandoned(NamedTuple):
-    """Tell that the caller has left without its answer."""
+    """Report that the caller has disconnected before its answer."""
 
     number: int
 
 
 class TargetAnswered(NamedTuple):
-    """Bring an answer that belongs to a request, good or bad."""
+    """Report a target's answer to an attempt, whatever its status."""
 
     key: AttemptKey
     answer: Answer
 
 
 class TargetRefused(NamedTuple):
-    """Bring a target's word that it has not run a request."""
+    """Report that a target refused an attempt without running it."""
 
     key: AttemptKey
     reason: messages.RefusalReason
@@ -97,18 +98,18 @@
 
 
 class AttemptBroken(NamedTuple):
-    """Bring a fault after the request had left: it may have run."""
+    """Report a fault after the request was sent: it may have run."""
 
     key: AttemptKey
     fault: messages.Fault
 
 
 class AttemptUnsent(NamedTuple):
-    """Tell that a request did not leave this host and will not.
+    """Report that an attempt was not sent and will not be.
 
-    `unreachable` tells that no connection could be had, as opposed to one
-    that was not waited for any longer; `withdrawn` that it was asked to be
-    taken back, which says nothing of the target.
+    `unreachable` is true if no connection could be opened, and false if the
+    wait for one was given up. `withdrawn` is true if the attempt was withdrawn,
+    which says nothing about the target.
     """
 
     key: AttemptKey
@@ -117,59 +118,60 @@
 
 
 class TargetConnected(NamedTuple):
-    """Tell that a connection to a target has just been opened."""
+    """Report that a connection to a target has just been opened."""
 
     instance: str
 
 
 class TargetExited(NamedTuple):
-    """Tell that the process of a target has ended: its port is closed."""
+    """Report that the process of a target has exited: its port is closed."""
 
     instance: str
 
 
 class SuspectsReported(NamedTuple):
-    """Bring what other hosts know against requests."""
+    """Report the suspect requests that other hosts know of."""
 
     reports: tuple[suspects.SuspectReport, ...]
 
 
 class ClockTicked(NamedTuple):
-    """Bring the passing of time."""
+    """Report that time has passed, so that timers may have to fire."""
 
 
 class ReviewDue(NamedTuple):
-    """Tell that it is time to see which data centres have fallen silent."""
+    """Report that the check for silent data centres is due."""
 
 
 class ConfigurationReceived(NamedTuple):
-    """Bring a configuration; a lower version changes nothing."""
+    """Report a configuration; one of a lower version is ignored."""
 
     configuration: configs.Configuration
 
 
 class DirectoryChanged(NamedTuple):
-    """Bring the targets there are now."""
+    """Report the current directory of targets."""
 
     directory: instances.Directory
 
 
 class HostsChanged(NamedTuple):
-    """Bring how many hosts share the bounds on load, and those known."""
+    """Report how many hosts share the bounds on load, and those known."""
 
     host_count: int
     hosts: tuple[deployments.Host, ...] = ()
 
 
 class DelegatedRequest(NamedTuple):
-    """Ask another host to gather some parts of a query near it.
-
-    `route` names whose usual times to go by, `objective` is in seconds and
-    `limit` how many records the answer to the caller holds. With `again` the
-    parts were sent before, maybe to the targets to `avoid`, and each is wanted
-    as soon as it comes. With `counts` the host that assists keeps account of
-    requests and repeats: it sees all those of its data centre for its shards,
-    so its share of what is allowed is worth more than everybody's.
+    """Ask another host, the helper, to gather parts of a query near it.
+
+    `route_name` names the route whose usual latencies apply, `objective` is in
+    seconds, `record_limit` is the number of records in the answer to the
+    caller. If `is_retry` is set, the parts were sent before, possibly to the
+    `avoided_targets`, and the helper reports each part as soon as it is in. If
+    `counts_load` is set, the helper charges requests and extra load to its own
+    budget: it sees all of them that its data centre sends to its shards, so its
+    part of the bound is worth more than an equal part at every host.
     """
 
     request: Request
@@ -184,17 +186,17 @@
 
 
 class ReceivedPart(NamedTuple):
-    """State that a part is in, with the signature of its answer."""
+    """State that a part was received, with the signature of its answer."""
 
     service: str
     signature: str
 
 
 class MissingPart(NamedTuple):
-    """State what became of a part that is not in.
+    """State what happened to a part that was not received.
 
-    `instance` is the target that was tried, if any; `arrived` tells whether
-    the request may have arrived there.
+    `instance` is the target that it was sent to, if any. `may_have_arrived`
+    is true if the request may have reached that target.
     """
 
     service: str
@@ -203,12 +205,13 @@
 
 
 class DelegationReport(NamedTuple):
-    """Bring some parts of a query from the host that gathers them.
+    """Hold some parts of a query, as reported by the helper gathering them.
 
-    `body` holds the greatest records of all parts that are in. The `pending`
-    ones may still come, the `lost` ones will not. `silent` are the data centres
-    of which that host hears nothing, `suspect` is what it knows against the
-    request. `lag` is by how many seconds that host is behind its work.
+    `body` holds the greatest records of all received parts. `pending` parts
+    may still come, `lost` parts will not. `silent_centres` are the data centres
+    that do not answer the helper, `suspect` is what the helper knows of crashes
+    under the request. `lag_s` is how many seconds the helper is behind with
+    its work.
     """
 
     parts: tuple[ReceivedPart, ...]
@@ -222,24 +225,25 @@
 
 
 class DelegationKey(NamedTuple):
-    """Identify one request for assistance: the ask, and which of its own."""
+    """Identify one delegated request by its query and its number there."""
 
     request_number: int
     number: int
 
 
 class DelegationReportReceived(NamedTuple):
-    """Bring what the host that assists has sent."""
+    """Report what a helper has sent about a delegated request."""
 
     key: DelegationKey
     share: DelegationReport
 
 
 class HelperFault(enum.Enum):
-    """Say why a host does not assist.
+    """Name the reason for which a helper does not gather parts.
 
-    Nothing was heard of one that is LOST. One that REFUSES is stopping, say;
-    one that STARTS will know enough in a moment.
+    NO_ANSWER: nothing was received from it. REFUSED: it declined, for example
+    because it is stopping. STARTING: it has yet to receive the state that it
+    needs, which takes a moment.
     """
 
     NO_ANSWER = enum.auto()
@@ -248,10 +252,10 @@
 
 
 class DelegationFailed(NamedTuple):
-    """Tell that assistance has broken off, or was never asked for.
+    """Report that a delegated request has failed or was not sent.
 
-    `asked` tells whether the request may have reached the other host, `why`
-    what was seen, for the log.
+    `may_have_arrived` is true if the request may have reached the helper,
+    `cause` describes the failure for the log.
     """
 
     key: DelegationKey
@@ -261,17 +265,17 @@
 
 
 class DelegatedRequestReceived(NamedTuple):
-    """Bring another host's request for assistance under a new number."""
+    """Report a delegated request of another host, under a new number."""
 
     number: int
     assist: DelegatedRequest
 
 
 class SendAttempt(NamedTuple):
-    """Ask for a request to be sent to a target.
+    """Send a request to a target.
 
-    `fresh` asks for a connection that is proven to work just now, because
-    the request may not be repeated.
+    `fresh_connection` asks for a connection that has just been proven to work:
+    the request may not be repeated, or the target may have crashed.
     """
 
     key: AttemptKey
@@ -282,7 +286,7 @@
 
 
 class Delegate(NamedTuple):
-    """Ask for assistance to be asked of another host."""
+    """Send a delegated request to a helper."""
 
     key: DelegationKey
     helper: deployments.Host
@@ -290,38 +294,38 @@
 
 
 class CancelDelegation(NamedTuple):
-    """Ask for assistance to end: the caller has left."""
+    """Cancel a delegated request whose parts are not needed any more."""
 
     key: DelegationKey
 
 
 class SendDelegationReport(NamedTuple):
-    """Send a share to the host that asked for assistance."""
+    """Send a report to the host that delegated the request."""
 
     request_number: int
     share: DelegationReport
 
 
 class WithdrawAttempt(NamedTuple):
-    """Ask for a request not to be sent if it has not left yet."""
+    """Withdraw an attempt if it has not been sent yet."""
 
     key: AttemptKey
 
 
 class CancelAttempt(NamedTuple):
-    """Ask for work at a target to end: the caller has left."""
+    """Cancel an attempt at its target: the caller has disconnected."""
 
     key: AttemptKey
 
 
 class RelayedAnswer(NamedTuple):
-    """Give a caller the answer of one target as it is."""
+    """Hold the answer of one target, which the caller gets unchanged."""
 
     answer: Answer
 
 
 class MergedAnswer(NamedTuple):
-    """Give a caller the greatest records of the parts that are in."""
+    """Hold the greatest records of the received parts, for the caller."""
 
     signatures: tuple[str, ...]
     missing: int
@@ -332,9 +336,10 @@
 
 
 class Reply(NamedTuple):
-    """Give a caller its one outcome.
+    """Reply to a caller with the one outcome of its request.
 
-    `due` is when it was to be decided, where that moment was waited for.
+    `due` is the time at which the outcome was to be decided, if the reply was
+    held back until then, and 0 otherwise.
     """
 
     request_number: int
@@ -343,15 +348,14 @@
 
 
 class RequestSummary(NamedTuple):
-    """Tell what was decided for one request, for the log.
-
-    `tries` lists, for the parts that did not go as planned, what was tried:
-    service, target, purpose and how it ended. `lacking` lists what became of
-    the first few parts that are not in.
-    `objective` is in seconds; 0 where there is no route. `assists` tells that
-    these are parts that another host asked for. `digest` is the same for each
-    repeat of the request. `customer` is whose it is, empty where callers need
-    no key, and `why` tells more of a refusal there.
+    """Summarize the handling of one request for the log.
+
+    `tries` lists the attempts that failed: service, target, purpose and
+    result. `lacking` lists the state of the first few missing parts. `took`
+    and `objective` are in seconds; `objective` is 0 without a route. `assists`
+    is true if another host delegated these parts. `digest` is the same for
+    every copy of the request. `customer` is the owner of the request, empty
+    where callers need no key. `why` is the detail of a refusal.
     """
 
     request_id: str
@@ -372,10 +376,10 @@
 
 
 class CrashReport(NamedTuple):
-    """Tell that a target ended while it may have run a request, for the log.
+    """Report for the log that a target exited while it may have run a request.
 
-    `sending` counts the sendings of that part, from 1; `took` is the time in
-    seconds from this one until its connection broke.
+    `sending` is the number of the attempt at that part, from 1. `took` is the
+    time in seconds from this attempt until its connection broke.
     """
 
     target: str
@@ -388,9 +392,9 @@
 
 
 class SuspicionChanged(NamedTuple):
-    """Tell what is known against a request from now on, for the log.
+    """Report a change of what is known of a suspect request, for the log.
 
-    With `passed_on` other hosts are to be told as well.
+    If `broadcast` is set, the report is also sent to the other hosts.
     """
 
     report: suspects.SuspectReport
@@ -398,7 +402,7 @@
 
 
 class TargetStatusReport(NamedTuple):
-    """Tell that a target is left out from now on, or used again, and why."""
+    """Report that a target is excluded or used again, and the reason."""
 
     target: str
     status: str
@@ -425,7 +429,7 @@
     | DelegatedRequestReceived
     | quota_messages.MessageReceived
 )
-#: What is only told: to the log, or to other hosts.
+#: Actions that only inform the log or other hosts.
 Notification = (
     RequestSummary
     | CrashReport
--- a/fuchsiahaven/routing/extra_attempts.py
+++ b/fuchsiahaven/routing/extra_attempts.py
@@ -1,4 +1,7 @@
-"""Say whether a part may be sent again, by the shared bound and by need."""
+"""Decide whether a part may be sent again: a hedge or a retry.
+
+The shared bound on extra load and the needs of the query decide.
+"""
 
 from typing import Final
 
@@ -10,13 +13,13 @@
     states,
 )
 
-#: Refusals of a part after which it is not sent again. What a target refuses
-#: has not run and leaves the attempts that a route allows as they are, but it
-#: is an arrival more there.
+#: A part with more refusals is not sent again. A refused attempt has not run
+#: and does not count towards the attempts of the route, but it is one more
+#: arrival at the target.
 MAX_REFUSALS: Final = 2
-#: Repeats are short while less than this part of what a host may send is left.
+#: The budget is short while less than this fraction of a host's part is left.
 SHORT_BUDGET_FRACTION: Final = 0.7
-#: Stands for a target that only another host knows.
+#: Name that stands for a target known only to a helper.
 UNKNOWN_TARGET: Final = ''
 
 
@@ -28,12 +31,15 @@
     *,
     reserve_fraction: float = 0,
 ) -> bool:
-    """Tell whether attempts and the shared budget allow one more sending."""
+    """Tell whether the route and the shared budget allow one more attempt.
+
+    `reserve_fraction` is the fraction of the host's slack to leave unused.
+    """
     part = active.parts[service]
     if not part.sent_count:
-        # Nothing has arrived anywhere, so this is the first arrival.
+        # No attempt has reached a target, so this is the first arrival.
         return True
-    # A helper sends each part once, whatever comes of it.
+    # A helper sends each part once, even if it is refused.
     used = part.sent_count if active.is_delegated else part.used_attempts
     if used >= active.route.attempts:
         return False
@@ -50,9 +56,10 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether repeats of a part go only to queries that lack too much.
+    """Tell whether a part may be retried only if its query needs it.
 
-    A helper does not know what the query that it helps with lacks.
+    Never for the parts of a delegated request: the helper does not know what
+    the query lacks.
     """
     if (
         not active.is_gather
@@ -69,10 +76,9 @@
 def order_replacements(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[str]:
-    """Order the parts that may be sent in place of others that are lost.
+    """Order the lost parts that may be sent again to save the answer.
 
-    Those set aside come first, and of these the one whose service has most
-    repeats left.
+    Deferred parts come first, each group by the budget left at its service.
     """
     lost = [it for it, part in active.parts.items() if part.lost]
     deferred = [
@@ -98,10 +104,10 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether a target may get a part once more that it has lost.
+    """Tell whether a part may be sent again to the target that lost it.
 
-    It has reset a connection and lives. Not where another host sent the part
-    before: which targets it went to is not known for certain.
+    The target has reset the connection and is alive. Never if a helper sent
+    the part before: it is not certain to which targets.
     """
     action = active.route.way
     if not isinstance(action, configs.Gather) or configs.is_wide(action):
@@ -121,7 +127,7 @@
     service: str,
     now: float,
 ) -> float:
-    """Count the repeats that this host may send to a service now."""
+    """Count the extra attempts that this host may send to a service now."""
     sharers = _count_sharers(router, active, service)
     return router.get_budget(service).count_remaining(now, sharers)
 
@@ -136,20 +142,21 @@
     ):
         return router.host_count
     centres = router.list_wide_centres()
-    on_duty = active.is_delegated
-    if not on_duty and router.host.data_centre in centres:
-        on_duty = _is_on_duty(router, action, service)
+    assigned = active.is_delegated
+    if not assigned and router.host.data_centre in centres:
+        assigned = _is_assigned(router, action, service)
     return chunk_assignments.count_slack_sharers(
-        len(centres), router.host_count, assigned=on_duty
+        len(centres), router.host_count, assigned=assigned
     )
 
 
-def _is_on_duty(
+def _is_assigned(
     router: states.Router, gather: configs.Gather, service: str
 ) -> bool:
-    """Tell whether this host gathers a shard for others.
+    """Tell whether this host is assigned to the chunk of a shard.
 
-    Asked for each repeat, and found out anew only where hosts come or go.
+    Called for each extra attempt, so the result is cached until the hosts
+    change.
     """
     chunk = chunk_assignments.find_chunks(gather).get(service, service)
     cached = router.centre_health.on_duty.get(chunk)
@@ -157,9 +164,9 @@
         return cached
     chunk_key = chunk_assignments.ChunkKey(router.host.data_centre, chunk)
     hosts = router.centre_health.list_hosts(router.host.data_centre)
-    first = chunk_assignments.rank_hosts(chunk_key, hosts)[
+    assigned_hosts = chunk_assignments.rank_hosts(chunk_key, hosts)[
         : chunk_assignments.HOSTS_PER_CHUNK
     ]
-    on_duty = any(it.name == router.host.name for it in first)
-    router.centre_health.on_duty[chunk] = on_duty
-    return on_duty
+    assigned = any(it.name == router.host.name for it in assigned_hosts)
+    router.centre_health.on_duty[chunk] = assigned
+    return assigned
--- a/fuchsiahaven/routing/losses.py
+++ b/fuchsiahaven/routing/losses.py
@@ -1,8 +1,8 @@
-"""Find out whether a target ended where a request was lost with its connection.
+"""Determine whether a target has exited where a connection was lost.
 
-A connection that breaks says little: it may have been reset, or the way cut. A
-target whose port is closed right after, or that has started again, has ended,
-and what it ran may be why.
+A lost connection alone shows little: it may have been reset, or the network may
+be cut. A target whose port is closed right after, or that has restarted, has
+exited, and a request that it was running may be the cause.
 """
 
 import enum
@@ -12,20 +12,20 @@
 from fuchsiahaven.core import request_identities
 from fuchsiahaven.routing import events, instances
 
-#: How long a loss is remembered, in seconds: a target's next start enters
-#: itself within that.
+#: How long a loss is kept: a restarted target registers itself within this.
 LOSS_RETENTION_S: Final = 5.0
-#: How long a part waits for word of its target, in seconds: a connection takes
-#: a round trip and what the target needs to accept it.
+#: How long a part waits for the check of its target: a connection takes a round
+#: trip and the time that the target needs to accept it.
 TARGET_CHECK_TIMEOUT_S: Final = 0.05
-#: Losses and ends remembered at most; one target has a few under way.
-MAX_ENTRIES: Final = 512
+#: Bound on the losses kept, and on the exits; a target has few requests in
+#: flight.
+MAX_TABLE_ENTRIES: Final = 512
 
 
 class TargetFate(enum.Enum):
-    """Say what is known of the target of a loss.
+    """Name what is known of the target of a loss.
 
-    SENT_LATE tells that it had ended before the request left, which therefore
+    EXITED_BEFORE: it had exited before the attempt was sent, which therefore
     never ran there.
     """
 
@@ -35,7 +35,7 @@
 
 
 class Loss(NamedTuple):
-    """Describe a sending that ended with its connection."""
+    """Describe an attempt whose connection was lost."""
 
     key: events.AttemptKey
     identity: request_identities.Identity
@@ -47,15 +47,15 @@
 
 
 class Losses:
-    """Own what was lost at targets, and which of them have ended."""
+    """Own the attempts lost at targets, and the exits of targets."""
 
     def __init__(self) -> None:
-        """Start with nothing lost."""
+        """Start without losses."""
         self._losses: dict[events.AttemptKey, Loss] = {}
         self._exits: dict[str, float] = {}
 
     def record_loss(self, loss: Loss) -> TargetFate:
-        """Take in a loss; tell what is known of its target."""
+        """Record a loss and return what is known of its target."""
         exited_at = self._exits.get(loss.instance.name)
         if exited_at is not None:
             return (
@@ -68,7 +68,7 @@
         return TargetFate.UNKNOWN
 
     def record_exit(self, name: str, now: float) -> list[Loss]:
-        """Take in that a target has ended; return what was lost there."""
+        """Record that a target has exited; return what was lost there."""
         target_losses = self.pop_losses(name)
         if name not in self._exits:
             _evict_oldest(self._exits)
@@ -76,7 +76,7 @@
         return target_losses
 
     def pop_losses(self, name: str) -> list[Loss]:
-        """Return and forget what was lost at a target."""
+        """Remove and return the losses at a target."""
         target_losses = [
             it for it in self._losses.values() if it.instance.name == name
         ]
@@ -85,7 +85,7 @@
         return target_losses
 
     def list_restarted(self, directory: instances.Directory) -> list[str]:
-        """List the targets of losses that have started again under their id."""
+        """List the targets of losses that have restarted under their id."""
         if not self._losses:
             return []
         current = {
@@ -100,7 +100,7 @@
         )
 
     def expire_old(self, now: float) -> None:
-        """Forget what is too old to be told of any more."""
+        """Remove losses and exits that are too old to matter."""
         since = now - LOSS_RETENTION_S
         self._losses = {
             key: loss
@@ -124,6 +124,6 @@
 
 
 def _evict_oldest(table: dict[Any, Any]) -> None:
-    """Drop the oldest entry of a table that is full."""
-    if len(table) >= MAX_ENTRIES:
+    """Remove the oldest entry of a full table."""
+    if len(table) >= MAX_TABLE_ENTRIES:
         table.pop(next(iter(table)))
--- a/fuchsiahaven/routing/margins.py
+++ b/fuchsiahaven/routing/margins.py
@@ -1,64 +1,67 @@
-"""Work out how long before the objective an answer has to be decided.
+"""Estimate how long before the objective an answer has to be decided.
 
-An answer that is decided at the last moment reaches its caller after the
-objective, and is worth a tenth, if the host is slow to merge and write it: its
-timer fires late while it is busy, and a small link takes milliseconds for what
-90 shards sign. How much that is differs by host and by moment, so each host
-goes by what it sees of its own answers.
+An answer decided at the last moment reaches its caller after the objective, and
+is then worth a tenth, if the host is slow to merge and write it. Timers of a
+busy host fire late, and a slow link takes milliseconds for the signatures of 90
+shards. The delay differs between hosts and over time, so each host measures it
+on its own answers.
 """
 
 from typing import Final, NamedTuple
 
 from fuchsiahaven.routing import configs
 
-#: Never so little that an idle host's timers, which fire a few milliseconds
-#: late, make answers late; nor so much that one stall of the host would empty
-#: the answers after it.
+#: Bounds of the margin. Timers of an idle host fire a few milliseconds late,
+#: which must not make answers late; and one stall of the host must not make it
+#: reply without parts afterwards.
 MIN_MARGIN_S: Final = 0.006
 MAX_MARGIN_S: Final = 0.02
-#: Weights of a new figure, as usual for round trips (RFC 6298), and how many
-#: deviations beyond the mean are kept back: a late answer costs nine tenths,
-#: a millisecond less some hundredths.
+#: Weights of a new measurement, as for round-trip times in RFC 6298, and the
+#: number of deviations above the mean in the margin. A late answer loses nine
+#: tenths of its value, a millisecond less for gathering some hundredths.
 MEAN_WEIGHT: Final = 0.125
 DEVIATION_WEIGHT: Final = 0.25
 MARGIN_DEVIATIONS: Final = 2.0
-#: What no host sees of its own answers: the kernel on both sides and the
-#: caller's reading of it.
+#: Delay that a host cannot measure on its own answers: the kernels on both
+#: sides and the caller's read.
 UNOBSERVED_DELAY_S: Final = 0.002
-#: Bytes of an answer beside its records, and of a part's signature in it.
+#: Sizes in an answer: its head, the signature of one part, and one record.
 RESPONSE_HEAD_BYTES: Final = 250
 SIGNATURE_BYTES: Final = 30
 RECORD_BYTES: Final = 16
 
 
 class ReplyDelay(NamedTuple):
-    """Hold by how many seconds this host's answers left too late."""
+    """Hold the delay of this host's answers after their due time, in seconds.
+
+    `mean` and `deviation` are moving averages.
+    """
 
     mean: float = 0.002
     deviation: float = 0.001
 
 
 class Margin:
-    """Own what this host has seen of its own answers."""
+    """Own the delays that this host has measured on its own answers."""
 
     def __init__(self) -> None:
-        """Start with nothing seen; the link is in bytes a second if known."""
+        """Start without measurements; a link speed of 0 is unknown."""
         self.link_bytes_per_s = 0.0
         self._delay = ReplyDelay()
 
     def record_delay(self, delay_s: float) -> None:
-        """Take in by how many seconds an answer left after it was due."""
+        """Record by how many seconds an answer left after its due time."""
         self._delay = update_delay(self._delay, delay_s)
 
     def estimate_margin(self, action: configs.RouteAction) -> float:
-        """Return how many seconds to keep back for an answer on this way."""
+        """Estimate the margin in seconds for an answer of a route's action."""
         return estimate_margin(self._delay) + estimate_transfer(
             action, self.link_bytes_per_s
         )
 
 
 def update_delay(delay: ReplyDelay, delay_s: float) -> ReplyDelay:
-    """Take in by how much one answer left after it was due."""
+    """Update the averages with the delay of one answer, in seconds."""
     error = delay_s - delay.mean
     return ReplyDelay(
         delay.mean + MEAN_WEIGHT * error,
@@ -67,7 +70,7 @@
 
 
 def estimate_margin(delay: ReplyDelay) -> float:
-    """Return what to keep back for this host's own delay, in seconds."""
+    """Estimate the margin for this host's own delay, in seconds."""
     margin = (
         UNOBSERVED_DELAY_S + delay.mean + MARGIN_DEVIATIONS * delay.deviation
     )
@@ -77,9 +80,9 @@
 def estimate_transfer(
     action: configs.RouteAction, link_bytes_per_s: float
 ) -> float:
-    """Return how long an answer takes on this host's link, in seconds.
+    """Estimate the transfer time of an answer on this host's link, in seconds.
 
-    `link` is in bytes a second; 0 where it is not known.
+    A link speed of 0 is unknown, and then the result is 0.
     """
     if not isinstance(action, configs.Gather) or not link_bytes_per_s:
         return 0.0
--- a/fuchsiahaven/routing/splits.py
+++ b/fuchsiahaven/routing/splits.py
@@ -1,30 +1,30 @@
-"""Spread requests over the services of a split in proportion to weights."""
+"""Distribute requests over the services of a split by their weights."""
 
 import math
 from typing import Final, NamedTuple
 
 from fuchsiahaven.routing import configs
 
-#: How far each request goes round a circle on which every service has its
-#: weight's share. Steps of the golden ratio leave the most even gaps, however
-#: many there are.
+#: Step on a circle of circumference 1 for each request; every service has an
+#: arc in proportion to its weight. Steps of the golden ratio distribute any
+#: number of requests most evenly.
 POSITION_STEP: Final = (math.sqrt(5) - 1) / 2
 
 
 class Choice(NamedTuple):
-    """Return the service chosen and the place to choose by next time."""
+    """Hold the chosen service and the position for the next choice."""
 
     service: str
     position: float
 
 
 def choose_service(split: configs.Split, position: float) -> Choice:
-    """Choose by a place from 0 to 1, which moves on with each request.
+    """Choose a service by a position from 0 to 1.
 
-    Where the first place is drawn, each single request goes to a service with
-    its share as the chance, also at a host that sees one request between two
-    starts; and requests in a row keep to the shares closely. Weights may change
-    in between, on any scale.
+    If the first position is random, the probability of a service is its share
+    of the weights, also on a host that gets one request between two restarts.
+    Consecutive requests follow the shares closely. The weights may change
+    between two requests, to any scale.
     """
     offset = position * sum(part.weight for part in split.parts)
     weighted = [part for part in split.parts if part.weight] or split.parts
--- a/fuchsiahaven/routing/states.py
+++ b/fuchsiahaven/routing/states.py
@@ -1,4 +1,4 @@
-"""Hold the state of a host's decisions, in tables that belong to its loop."""
+"""Hold the routing state of one host, which its event loop alone changes."""
 
 import heapq
 import itertools
@@ -24,9 +24,9 @@
 
 
 class HedgeTimer(NamedTuple):
-    """Look at which parts of an ask are worth a second sending.
+    """Hedge the slow parts of a request.
 
-    With `again` they are looked at once more, a little later.
+    If `recurs` is set, the timer is set again for a little later.
     """
 
     request_number: int
@@ -34,36 +34,36 @@
 
 
 class CutoffTimer(NamedTuple):
-    """See whether what is in hand makes an answer, or the time is over."""
+    """Reply if the received parts suffice or the deadline has passed."""
 
     request_number: int
 
 
 class TargetCheckTimer(NamedTuple):
-    """Go on with a part whose target nobody could look at."""
+    """Continue with a part if the check of its target has not ended."""
 
     identity: request_identities.Identity
     key: events.AttemptKey
 
 
 class TrialTimer(NamedTuple):
-    """Look at the asks that wait for the trial of a request."""
+    """Resume the requests that wait for the trial of a suspect request."""
 
     identity: request_identities.Identity
 
 
 class QuotaTimer(NamedTuple):
-    """Look at the requests that wait for a word about their customer."""
+    """Check the requests that wait for a token of their customer's quota."""
 
 
 Timer = HedgeTimer | CutoffTimer | TargetCheckTimer | TrialTimer | QuotaTimer
 
 
 class InFlightAttempt(NamedTuple):
-    """Describe a sending that has not ended, also after its ask has.
+    """Describe an attempt in flight, which may outlast its request.
 
-    `extra` tells that it was charged to the budget of repeats, `ends` is the
-    deadline that the target was given.
+    `charged` is true if it was charged to the budget of extra load, `deadline`
+    is the one that the target was given.
     """
 
     instance: str
@@ -78,11 +78,12 @@
 
 
 class Delegation(NamedTuple):
-    """Describe parts that another host gathers.
+    """Describe the parts that a helper gathers for this host.
 
-    `flights` maps each service to the number of its sending; `left` are those
-    that have not been told of. With `again` the helper tells of each part as it
-    comes and of nothing else, so that its silence says nothing about it.
+    `attempt_numbers` maps each service to the number of its attempt,
+    `unreported` are the services that the helper has not reported on. If
+    `is_retry` is set, the helper reports only parts that it has received, so
+    that its silence says nothing about the helper.
     """
 
     helper: deployments.Host
@@ -92,7 +93,7 @@
 
 
 class RouteUsage(NamedTuple):
-    """Hold how often a route was asked lately, as a sum that decays."""
+    """Hold the recent number of requests on a route, as a decaying sum."""
 
     route: configs.Route
     weight: float
@@ -100,7 +101,7 @@
 
 
 class Router:
-    """Own all that one host decides by."""
+    """Own the routing state of one host."""
 
     def __init__(
         self,
@@ -138,42 +139,42 @@
 
     @property
     def controls(self) -> controls.Controls:
-        """Return what decides whether a request may be taken in."""
+        """Return the controls that decide whether a request is admitted."""
         return self._controls
 
     @property
     def centre_health(self) -> centre_health.CentreHealth:
-        """Return what is known of the way to other data centres."""
+        """Return which data centres answer this host."""
         return self._centre_health
 
     @property
     def reply_margin(self) -> margins.Margin:
-        """Return what this host keeps back from the objective."""
+        """Return the time reserved before the objective for the reply."""
         return self._reply_margin
 
     @property
     def losses(self) -> losses.Losses:
-        """Return what was lost at targets that may have ended."""
+        """Return the attempts lost at targets that may have exited."""
         return self._losses
 
     @property
     def suspects(self) -> suspects.Suspects:
-        """Return which requests seem to end the targets that run them."""
+        """Return the requests that seem to crash the targets that run them."""
         return self._suspects
 
     @property
     def warmups(self) -> warmups.Warmups:
-        """Return which targets are cold, and what they get from here."""
+        """Return which targets are cold, and what this host sends them."""
         return self._warmups
 
     def update_wide_centres(self) -> None:
-        """Note which data centres hold targets of wide queries.
+        """Update which data centres hold targets of wide queries.
 
-        Their hosts on duty are the ones that send repeats. A data centre that
-        loses some of its targets goes on counting, so that what the hosts
-        take of the bound does not jump with each target that goes. One that is
-        evacuated goes on counting too: its hosts may hear of the order later
-        than others, and would still take their part.
+        The hosts assigned to chunks there send the hedges and retries. A data
+        centre that loses some of its targets still counts, so that the hosts'
+        parts of the bound do not change with each lost target. An evacuated
+        data centre counts too: its hosts may learn of the evacuation later
+        than others, and would still use their part.
         """
         self._wide_centres = self.directory.evacuated.union(
             instance.data_centre
@@ -182,12 +183,12 @@
         )
 
     def list_wide_centres(self) -> frozenset[str]:
-        """Find the data centres whose hosts on duty send repeats."""
+        """List the data centres whose assigned hosts send extra load."""
         settled = self._centre_health.list_populated()
         return self._wide_centres & settled or settled
 
     def get_budget(self, service: str) -> budgets.Budget:
-        """Find the budget of repeats at a service."""
+        """Return the extra-load budget of a service, a new one if needed."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = budgets.Budget(self.extra_load)
@@ -195,25 +196,25 @@
         return budget
 
     def next_number(self) -> int:
-        """Take a number that no other caller of this gets."""
+        """Return a number that is unique on this host."""
         return next(self._order)
 
     def update_extra_load(self, extra_load: deployments.ExtraLoadLimit) -> None:
-        """Take another bound on repeats, for what was counted as well."""
+        """Replace the bound on extra load, also for what was counted."""
         self.extra_load = extra_load
         for budget in self._budgets.values():
             budget.extra_load = extra_load
 
     def set_timer(self, deadline: float, timer: Timer) -> None:
-        """Have something looked at then."""
+        """Have a timer fire at a deadline."""
         heapq.heappush(self._timers, (deadline, next(self._order), timer))
 
     def pop_timer(self, now: float) -> Timer | None:
-        """Take the next thing that is due."""
+        """Remove and return the next expired timer; None without one."""
         if not self._timers or self._timers[0][0] > now:
             return None
         return heapq.heappop(self._timers)[2]
 
     def find_next_deadline(self) -> float | None:
-        """Return when something is due next."""
+        """Find the earliest timer deadline; None without timers."""
         return self._timers[0][0] if self._timers else None
--- a/fuchsiahaven/routing/target_selection.py
+++ b/fuchsiahaven/routing/target_selection.py
@@ -1,4 +1,4 @@
-"""Choose the target that a part is sent to."""
+"""Choose the target to which a part is sent."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -12,7 +12,7 @@
     warmups,
 )
 
-#: Estimates are spread by this share, so that hosts that know the same do not
+#: Random increase of estimates, so that hosts with the same measurements do not
 #: all choose the same target.
 ESTIMATE_SPREAD_FRACTION: Final = 0.2
 
@@ -20,10 +20,10 @@
 def list_candidates(
     router: states.Router, service: str, part: active_requests.Part, now: float
 ) -> list[instances.Instance]:
-    """List the targets that may be asked, without those taken for dead.
+    """List the live targets that a part was not sent to yet.
 
-    Cold ones are listed where no warm one is left: they are slow, and fall
-    over where too much comes at once.
+    Cold targets are listed only if there is no warm one: they are slow, and
+    fail under too many requests at once.
     """
     alive = _list_alive(router, service, part.tried_targets, now)
     return warmups.prefer_warm(router.warmups, alive, now)
@@ -32,10 +32,10 @@
 def list_refusing(
     router: states.Router, service: str, part: active_requests.Part, now: float
 ) -> list[instances.Instance]:
-    """List the targets that refused a part, but for the last one to do so.
+    """List the targets that refused a part, except the last one to do so.
 
-    They are asked again where no other is left: a target may refuse some
-    requests and take others, and a part that is lost counts in each answer.
+    They are used again if no other target is left: a target may refuse some
+    requests and accept others, and a lost part is missing in the answer.
     """
     return [
         instance
@@ -47,9 +47,9 @@
 def list_last_broken(
     router: states.Router, service: str, part: active_requests.Part, now: float
 ) -> list[instances.Instance]:
-    """List the target that a part was lost at last, if it is alive.
+    """List the target that lost a part last, if it is alive.
 
-    A route bounds to how many targets a part goes, and not how often.
+    A route bounds to how many targets a part is sent, and not how often.
     """
     ran = [it for it in part.tried_targets if it not in part.refused_by]
     return [
@@ -62,7 +62,7 @@
 def has_candidate(
     router: states.Router, service: str, part: active_requests.Part, now: float
 ) -> bool:
-    """Tell whether any target may be asked, without looking at all of them."""
+    """Tell whether there is a candidate, and stop at the first one."""
     return any(_iterate_alive(router, service, part.tried_targets, now))
 
 
@@ -93,12 +93,12 @@
     at_most_once: bool,
     usual_latency: float = math.inf,
 ) -> instances.Instance | None:
-    """Choose the target that would answer soonest; None where there is none.
+    """Choose the target expected to answer first; None without candidates.
 
-    What runs at most once (`once`) is no trial for a target that failed
-    lately, unless no other is left. A far target that was not measured is
-    taken to be as fast as the near one, or as `usual` where the near one is
-    slower than that.
+    A request that runs `at_most_once` does not serve as a trial for a target
+    that failed recently, unless no other target is left. A target of another
+    data centre that was not measured is assumed to be as fast as the near one,
+    or to take `usual_latency` seconds if the near one is slower than that.
     """
     trusted = [
         instance
--- a/fuchsiahaven/routing/trials.py
+++ b/fuchsiahaven/routing/trials.py
@@ -1,4 +1,7 @@
-"""Have one sending at a time show whether a request ends its targets."""
+"""Try a suspect request with one attempt at a time.
+
+The attempt, its trial, shows whether the request crashes its targets.
+"""
 
 from fuchsiahaven.core import request_identities, suspects
 from fuchsiahaven.routing import active_requests, events, states
@@ -7,29 +10,29 @@
 def get_permission(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> suspects.SendPermission:
-    """Say how the request of an ask may be sent."""
+    """Return whether and how a request may be sent."""
     return router.suspects.get_permission(active.request.identity, now)
 
 
 def wait_for_trial(
     router: states.Router, active: active_requests.ActiveRequest
 ) -> None:
-    """Have the parts of an ask looked at after the trial of its request."""
+    """Have a request resumed after the trial of a copy of it."""
     waiting = router.suspects.waiting_ids.setdefault(
         active.request.identity, set()
     )
     waiting.add(active.number)
 
 
-def begin_trial(
+def start_trial(
     router: states.Router,
     active: active_requests.ActiveRequest,
     key: events.AttemptKey,
     now: float,
 ) -> list[events.Action]:
-    """Take in that a sending is the one trial of a suspect request."""
+    """Record an attempt as the one trial of a suspect request."""
     identity = active.request.identity
-    # Whatever becomes of it, what waits for it is not to wait for ever.
+    # Bounds the wait for the trial, whatever its result.
     router.set_timer(
         now + suspects.TRIAL_TIMEOUT_S, states.TrialTimer(identity)
     )
@@ -41,7 +44,7 @@
 def _announce_trial(
     router: states.Router, identity: request_identities.Identity, now: float
 ) -> list[events.Action]:
-    """Tell other hosts that this one tries a suspect request."""
+    """Broadcast that this host is trying a suspect request."""
     report = router.suspects.make_report(identity, now)
     if report is None:
         return []
@@ -56,11 +59,12 @@
     max_wait_s: float,
     now: float,
 ) -> list[events.Action] | None:
-    """Have the trial of a new request wait for other hosts; None if it is not.
+    """Delay the trial of a new request for other hosts; None if it may start.
 
-    Those that are asked at one moment would each end a target. What was under
-    way when targets ended does not wait, and nothing waits when it is late.
-    Another host's trial is waited for no longer than `patience`, in seconds.
+    Hosts that get the request at the same time would otherwise crash a target
+    each. A request that was active when targets crashed does not wait, nor does
+    one past its objective. A trial of another host delays this one by at most
+    `max_wait_s` seconds.
     """
     identity = active.request.identity
     offers = router.suspects.offers
@@ -81,7 +85,7 @@
 
 
 def _is_unsent(active: active_requests.ActiveRequest) -> bool:
-    """Tell whether nothing of a caller's request was sent yet."""
+    """Tell whether no part of a caller's request was sent yet."""
     if active.is_delegated:
         return False
     return not any(part.last_number for part in active.parts.values())
--- a/fuchsiahaven/routing/wide_hedges.py
+++ b/fuchsiahaven/routing/wide_hedges.py
@@ -1,24 +1,23 @@
-"""Say which slow parts of a wide query are worth a second sending."""
+"""Choose which slow parts of a wide query are hedged."""
 
 from collections.abc import Mapping
 from typing import Final
 
 from fuchsiahaven.routing import active_requests, deployments
 
-#: A second sending with less than this before the answer is decided, in
-#: seconds, is hardly in by then: asking another host for it, its target's work
-#: and reading what comes take as long.
+#: Least time before the cutoff at which a hedge is useful: asking a helper, the
+#: work of the target and reading the answer take about as long.
 MIN_HEDGE_TIME_S: Final = 0.01
 
 
 def count_useful_hedges(
     active: active_requests.ActiveRequest, slow: int, now: float
 ) -> int:
-    """Count how many of so many slow parts are worth a second sending.
+    """Count how many of the `slow` parts are worth a hedge.
 
-    All of them where they may still be in when the answer is decided: it is
-    worth more with them. Later those without which there is no answer; any
-    more would keep this host from reading what comes and from answering.
+    All of them if they may be received before the cutoff, as each improves the
+    answer. Later only as many as the answer needs: more hedges would keep this
+    host from reading answers and from replying.
     """
     if active.cutoff - now >= MIN_HEDGE_TIME_S:
         return slow
@@ -30,9 +29,10 @@
     parts_by_host: Mapping[deployments.Host, list[str]],
     limit: int,
 ) -> dict[deployments.Host, list[str]]:
-    """Keep so many parts, with as few other hosts to ask as that takes.
+    """Select up to `limit` parts so that they need the fewest helpers.
 
-    `shared` maps each host to what it would send, this one included.
+    `parts_by_host` maps each host, `host` itself included, to the parts that
+    it would send.
     """
     hosts = sorted(
         parts_by_host, key=lambda it: (it != host, -len(parts_by_host[it]))
