--- a/tests/routing/load_rig.py
+++ b/tests/routing/load_rig.py
@@ -1,6 +1,6 @@
-"""Play loads on one host's decisions, with targets that misbehave by a script.
+"""Run loads against one router, with targets that fail by a script.
 
-Time is the rig's own; a run repeats exactly for a seed.
+The clock is simulated; a run with the same seed repeats exactly.
 """
 
 import enum
@@ -14,21 +14,23 @@
 from fuchsiahaven.routing import events
 from tests.routing import router_rig
 
-#: Mean and spread of a sub-request's work, as the users' sheet gives them for
-#: the most frequent kind of request of Santiago: 22.5 ms of 145 ms allowed.
+#: Mean and spread of the work of a sub-request, as the users' sheet gives them
+#: for the most frequent class of request of Santiago: 22.5 ms, with an
+#: objective of 145 ms.
 MEAN_WORK_S: Final = 0.0225
 WORK_SPREAD: Final = 0.35
-#: One way within a data centre and through both hosts' queues.
+#: One way between two hosts of a data centre, with the queues of both.
 ONE_WAY_S: Final = 0.001
-#: What a target answers whose time is over.
+#: Status with which a target answers past its deadline.
 LATE_STATUS: Final = 504
 
 
 class Fault(enum.Enum):
-    """List how a target fails: not at all, or in one of these ways.
+    """Name the ways in which a target fails.
 
-    SILENT answers nothing, SHEDS refuses at once, FAILS answers at once that
-    it failed, RESETS breaks the connection, GONE accepts none.
+    SILENT: it does not answer. SHED: it refuses at once as full. FAILURE: it
+    answers at once with a failure. RESET: it resets the connection.
+    UNREACHABLE: it accepts no connection.
     """
 
     SILENT = enum.auto()
@@ -39,9 +41,9 @@
 
 
 class Behaviour(NamedTuple):
-    """Say how a target reacts: after how long, and with what.
+    """Describe how a target reacts to an attempt.
 
-    `factor` multiplies its work, `delay` adds to it.
+    `factor` multiplies its work, `delay` is added to it, in seconds.
     """
 
     factor: float = 1.0
@@ -53,25 +55,26 @@
 
 
 class Result(NamedTuple):
-    """Hold what became of the requests of a run."""
+    """Hold the counts and the sorted latencies of a run, in seconds."""
 
     requests: int
     in_time: int
     complete: int
-    extra_sends: int
+    extra_attempts: int
     latencies: tuple[float, ...]
 
 
 class LoadRun:
-    """Own the targets and the clock of one run."""
+    """Own the simulated targets and the pending events of one run."""
 
     def __init__(
         self, rig: router_rig.Rig, script: Script, seed: int, slots: int = 0
     ) -> None:
-        """Take a host and what its targets do.
+        """Prepare a run of a rig whose targets behave by a script.
 
-        With `slots` a target works on so many requests at a time, the others
-        wait in a queue, and what has no time left is not run or broken off.
+        With `slots`, a target works on that many requests at a time and queues
+        the others. It does not start what is past its deadline, and stops what
+        reaches it.
         """
         self._slots = slots
         self._slots_free_at: dict[str, list[float]] = {}
@@ -80,10 +83,13 @@
         self._random = random.Random(seed)
         self._pending: list[tuple[float, int, events.Event]] = []
         self._order = itertools.count()
-        self._extra_sends = 0
+        self._extra_attempts = 0
 
     def run(self, rate: float, seconds: float, objective: float) -> Result:
-        """Ask at random times for so long; return what became of it."""
+        """Send requests at random times and return the results.
+
+        `rate` is in requests per second, `objective` in seconds.
+        """
         rig = self._rig
         end = rig.now + seconds
         sent_at: dict[int, float] = {}
@@ -104,7 +110,7 @@
             len(sent_at),
             in_time,
             len(complete),
-            self._extra_sends,
+            self._extra_attempts,
             sorted_latencies,
         )
 
@@ -121,7 +127,7 @@
 
     def _react_to_sent(self) -> None:
         for send in self._rig.pop_sent():
-            self._extra_sends += send.key.number > 1
+            self._extra_attempts += send.key.number > 1
             self._react(send)
 
     def _react(self, send: events.SendAttempt) -> None:
@@ -142,7 +148,7 @@
             case Fault.RESET:
                 lost = messages.Fault.CONNECTION_LOST
                 self._schedule(reply_at, events.AttemptBroken(key, lost))
-                # The target lives, and accepts the next connection.
+                # The target is alive and accepts the next connection.
                 connected = events.TargetConnected(send.instance.name)
                 self._schedule(reply_at + 2 * ONE_WAY_S, connected)
             case Fault.UNREACHABLE:
@@ -170,7 +176,7 @@
         self._schedule(answered_at, events.TargetAnswered(key, answer))
 
     def _wait_for_slot(self, send: events.SendAttempt, needed: float) -> float:
-        """Take a slot for so long; return for how long it is waited for."""
+        """Occupy a slot for the needed time and return the wait for it."""
         if not self._slots:
             return 0.0
         now = self._rig.now
@@ -178,7 +184,7 @@
             send.instance.name, [0.0] * self._slots
         )
         start = max(now, heapq.heappop(free_at))
-        # What has no time left in the queue takes no slot.
+        # A request that reaches its deadline in the queue takes no slot.
         end = (
             min(start + needed, send.deadline)
             if start < send.deadline
--- a/tests/routing/router_rig.py
+++ b/tests/routing/router_rig.py
@@ -1,4 +1,4 @@
-"""Drive the decisions of one host by hand: events in, actions out."""
+"""Drive the routing of one host by hand: events in, actions out."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -63,7 +63,7 @@
 
 
 class Rig:
-    """Own the decisions of one host and its clock."""
+    """Own the router of one host and its clock."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         targets: Iterable[instances.Instance],
         hosts: int = 1,
     ) -> None:
-        """Put the routes in force, as version 1."""
+        """Start a router with these routes as configuration version 1."""
         self.now = 100.0
         self.router = states.Router(HOST, EXTRA_LOAD, float)
         self.sent: list[events.SendAttempt] = []
@@ -89,14 +89,14 @@
         routes: Iterable[configs.Route],
         customers: tuple[configs.Customer, ...] | None = None,
     ) -> None:
-        """Bring a version."""
+        """Post a version of the configuration."""
         configuration = configs.Configuration(
             version, tuple(routes), (), configs.Limits(), customers
         )
         self.post(events.ConfigurationReceived(configuration))
 
     def set_targets(self, targets: Iterable[instances.Instance]) -> None:
-        """Bring the targets there are."""
+        """Post a directory of these targets."""
         self.post(events.DirectoryChanged(instances.build_directory(targets)))
 
     def send_request(
@@ -105,7 +105,7 @@
         wait: float = 0.8,
         transit_s: float = 0.006,
     ) -> int:
-        """Bring a request; return its number."""
+        """Post a new GET request and return its number."""
         request = events.Request(
             f'id-{self._last_number + 1}',
             'GET',
@@ -121,7 +121,7 @@
         return self.submit(request)
 
     def submit(self, request: events.Request) -> int:
-        """Bring a request as it was read; return its number."""
+        """Post a given request and return its number."""
         self._last_number += 1
         self.post(events.RequestReceived(self._last_number, request))
         return self._last_number
@@ -129,7 +129,7 @@
     def answer(
         self, send: events.SendAttempt, body: bytes = b'', status: int = 200
     ) -> None:
-        """Bring the answer to a sending."""
+        """Post the answer to an attempt."""
         signature = f'signed {send.key.service} {send.key.number}'
         answer = events.Answer(status, (), signature, body)
         self.post(events.TargetAnswered(send.key, answer))
@@ -139,7 +139,7 @@
         send: events.SendAttempt,
         reason: messages.RefusalReason = messages.RefusalReason.SHED,
     ) -> None:
-        """Bring a refusal that says not run."""
+        """Post a refusal of an attempt, which has not run."""
         self.post(events.TargetRefused(send.key, reason))
 
     def break_attempt(
@@ -147,17 +147,17 @@
         send: events.SendAttempt,
         fault: messages.Fault = messages.Fault.CONNECTION_LOST,
     ) -> None:
-        """Bring the end of a sending with unknown outcome.
+        """Post a fault of an attempt, which may have run.
 
-        The target lives, and accepts the connection by which its pool looks
-        whether it does.
+        After a lost connection the target is alive: it accepts the connection
+        with which the pool checks it.
         """
         self.post(events.AttemptBroken(send.key, fault))
         if fault is messages.Fault.CONNECTION_LOST:
             self.post(events.TargetConnected(send.instance.name))
 
     def end_target(self, send: events.SendAttempt) -> None:
-        """Bring the end of a target that runs a sending."""
+        """Post the exit of the target that runs an attempt."""
         self.post(
             events.AttemptBroken(send.key, messages.Fault.CONNECTION_LOST)
         )
@@ -170,11 +170,11 @@
         unreachable: bool = True,
         withdrawn: bool = False,
     ) -> None:
-        """Bring word that a sending has not left."""
+        """Post that an attempt was not sent."""
         self.post(events.AttemptUnsent(send.key, unreachable, withdrawn))
 
     def advance_time(self, seconds: float) -> None:
-        """Let time pass, timer by timer."""
+        """Advance the clock, firing the timers one by one."""
         end = self.now + seconds
         while (
             deadline := self.router.find_next_deadline()
@@ -184,7 +184,7 @@
         self.now = end
 
     def post(self, event: events.Event) -> None:
-        """Bring an event and keep what is to be done."""
+        """Handle an event and keep the resulting actions."""
         for action in dispatch.handle_event(self.router, event, self.now):
             match action:
                 case events.SendAttempt():
@@ -197,13 +197,13 @@
                     self.other_actions.append(action)
 
     def pop_sent(self) -> list[events.SendAttempt]:
-        """Return what was sent since the last time."""
+        """Return the attempts sent since the last call."""
         sent = self.sent
         self.sent = []
         return sent
 
     def pop_outcome(self) -> events.Outcome:
-        """Return the one outcome that was replied since the last time."""
+        """Return the outcome of the one reply since the last call."""
         (reply,) = self.replies
         self.replies = []
         return reply.outcome
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test to which targets a part is sent, how often, and for how long."""
+"""Test to which targets a part is sent, how often, and its deadlines."""
 
 from fuchsiahaven.routing import configs, events
 from tests.routing import router_rig
@@ -8,15 +8,15 @@
 
 
 def make_search() -> router_rig.Rig:
-    """Make a host that is asked for twenty shards of two targets."""
+    """Make a rig with twenty shards of two targets each."""
     return router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS))
 
 
 def test_retries_a_refusing_target_when_no_other_is_left() -> None:
     """Symptom: parts are lost while targets refuse half of their requests.
 
-    Both targets of a shard refuse one request and would take the next; a
-    refusal has not run, so the attempts that the route allows are left.
+    Both targets of a shard refuse one request and would accept the next. A
+    refused attempt has not run, so it does not use up the route's attempts.
     """
     rig = make_search()
     rig.send_request()
@@ -31,10 +31,10 @@
 
 
 def test_ends_a_part_soon_after_the_objective() -> None:
-    """Symptom: a slow target is late for all that comes to it.
+    """Symptom: a slow target answers every request late.
 
-    Its slots and its queue are full of parts of queries that were answered
-    without them; each was given as long as the caller waits.
+    If parts may take as long as their callers wait, its slots and its queue
+    fill with parts of queries that were answered without them.
     """
     rig = make_search()
     rig.send_request()
@@ -50,7 +50,7 @@
 def test_does_not_eject_targets_that_reach_the_deadline() -> None:
     """Symptom: slow targets are ejected, and the others get their load.
 
-    A target that stops at the deadline answers that it has failed.
+    A target that stops at the deadline of a part answers with a failure.
     """
     rig = make_search()
     for _ in range(8):
@@ -70,7 +70,7 @@
 
 
 def test_sends_to_no_third_target_after_refusals() -> None:
-    """Three replicas and two attempts: a refusal opens the way to no third."""
+    """With two attempts, a refusal does not allow a third of three replicas."""
     route = router_rig.make_route(configs.Gather(('shard',), 10, 0.85))
     rig = router_rig.Rig([route], router_rig.make_instances(('shard',), 3))
     rig.send_request()
--- a/tests/routing/test_balancer_polls.py
+++ b/tests/routing/test_balancer_polls.py
@@ -1,4 +1,4 @@
-"""Test when callers are told to come back from a host that is cut off."""
+"""Test when the callers of a host that is cut off are asked to retry."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def poll(*answers: tuple[float, bool]) -> balancer_polls.BalancerPolls:
-    """Have the balancer ask at these times, with these answers."""
+    """Record polls of the balancer at these times, with these answers."""
     polls = balancer_polls.BalancerPolls()
     for now, ready in answers:
         polls = balancer_polls.record_poll(polls, now, ready=ready)
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'now', 'wanted'),
+    ('answers', 'now', 'expected'),
     [
         (((0, True), (1, True)), 1.5, 1.5),
         (((0, True), (1, False)), 1.5, 0.5),
@@ -27,21 +27,21 @@
 ) -> None:
     """Symptom: callers of a data centre that is cut off are refused twice.
 
-    They come back before the balancer has asked a second time, and reach the
-    same host again.
+    They retry before the balancer has polled a second time, and reach the same
+    host again.
     """
     delay_s = balancer_polls.estimate_removal_delay(poll(*answers), now)
     assert expected <= delay_s <= expected + 0.1
 
 
 def test_follows_the_poll_period() -> None:
-    """Another balancer asks twice a second; an outage of it is no period."""
+    """A balancer polls twice a second; a gap in its polls is no period."""
     answers = [(number / 2, True) for number in range(40)]
     polls = poll(*answers, (60.0, True))
     assert balancer_polls.estimate_removal_delay(polls, 60.0) < 1.2
 
 
 def test_a_ready_answer_resets_the_failures() -> None:
-    """An answer of 200 takes the host back at once."""
+    """After an answer of 200 the balancer uses the host again at once."""
     polls = poll((0, False), (1, False), (2, True))
     assert balancer_polls.estimate_removal_delay(polls, 2.0) > 1.5
--- a/tests/routing/test_budgets.py
+++ b/tests/routing/test_budgets.py
@@ -1,4 +1,4 @@
-"""Test the bound on repeats at a service."""
+"""Test the bound on extra load at a service."""
 
 from hypothesis import given, strategies
 
@@ -12,10 +12,10 @@
     ),
     strategies.integers(1, 10),
 )
-def test_extra_sends_stay_in_bounds_in_any_window(
+def test_extra_load_stays_in_bounds_in_any_window(
     script: list[tuple[float, bool]], hosts: int
 ) -> None:
-    """Whenever a window of 10 s begins, a host keeps to its share in it."""
+    """In every window of 10 s, a host keeps to its part of the bound."""
     extra_load = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
     budget = budgets.Budget(extra_load)
     now = 0.0
@@ -30,6 +30,6 @@
             extra_times.append(now)
     for start in extra_times:
         inside = [it for it in extra_times if start <= it <= start + 10]
-        # Requests of the window before count as well.
+        # Requests of the preceding window count as well.
         around = [it for it in request_times if start - 10 <= it <= start + 10]
         assert len(inside) <= 0.2 * len(around) + 50 / hosts
--- a/tests/routing/test_crashes.py
+++ b/tests/routing/test_crashes.py
@@ -1,4 +1,4 @@
-"""Test what is told of requests under way at targets that end."""
+"""Test the crash reports on requests running at targets that exit."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def make_rig() -> tuple[router_rig.Rig, events.SendAttempt]:
-    """Make a host that has sent one request."""
+    """Make a rig that has sent one request."""
     targets = router_rig.make_instances(['records'], 3)
     rig = router_rig.Rig([SINGLE], targets)
     rig.send_request()
@@ -21,14 +21,14 @@
 
 
 def list_crashes(rig: router_rig.Rig) -> list[events.CrashReport]:
-    """List what was told."""
+    """List the crash reports."""
     return [
         it for it in rig.other_actions if isinstance(it, events.CrashReport)
     ]
 
 
 def test_reports_requests_running_at_an_exited_target() -> None:
-    """Symptom: targets end, and no line says under which request."""
+    """Symptom: targets crash, and no log line names the request."""
     rig, send = make_rig()
     rig.now += 0.02
     rig.post(events.AttemptBroken(send.key, CONNECTION_LOST))
@@ -43,7 +43,7 @@
 
 
 def test_reports_a_loss_after_the_exit_is_known() -> None:
-    """Connections of a target that ended are lost one after the other."""
+    """The connections of an exited target are lost one after the other."""
     rig, send = make_rig()
     rig.now += 0.02
     rig.post(events.TargetExited(send.instance.name))
@@ -52,7 +52,7 @@
 
 
 def test_does_not_report_a_reset_connection() -> None:
-    """A target that accepts the next connection has not ended."""
+    """A target that accepts the next connection has not exited."""
     rig, send = make_rig()
     rig.post(events.AttemptBroken(send.key, CONNECTION_LOST))
     rig.post(events.TargetConnected(send.instance.name))
@@ -61,7 +61,7 @@
 
 
 def test_does_not_report_a_leaving_target() -> None:
-    """A planned stop may cut what takes too long."""
+    """A planned stop may cut off requests that take too long."""
     rig, send = make_rig()
     rig.set_targets(router_rig.make_instances(['records'], 3)[1:])
     rig.post(events.AttemptBroken(send.key, CONNECTION_LOST))
@@ -70,7 +70,7 @@
 
 
 def test_reports_a_target_restarted_under_its_id() -> None:
-    """Its port is open again before anybody asks."""
+    """Its port is open again before it can be checked."""
     rig, send = make_rig()
     rig.post(events.AttemptBroken(send.key, CONNECTION_LOST))
     restarted = [
@@ -84,7 +84,7 @@
 
 
 def test_expires_losses_without_an_exit() -> None:
-    """An end that is noticed much later has another cause."""
+    """An exit detected much later has another cause."""
     rig, send = make_rig()
     rig.post(events.AttemptBroken(send.key, CONNECTION_LOST))
     rig.now += 6
@@ -94,10 +94,10 @@
 
 
 def test_a_helper_does_not_delegate_waiting_parts() -> None:
-    """Guard against parts that hosts hand to each other in a circle.
+    """Guard against parts that hosts delegate to each other in a circle.
 
-    A host that knows something against a query is asked to gather its parts: it
-    tries one, and sends the others once that has run.
+    A host for which a query is suspect is asked to gather its parts: it tries
+    one, and sends the others itself once that one has run.
     """
     shards = tuple(f'shard-{number:02}' for number in range(60))
     search = router_rig.make_route(configs.Gather(shards, 2, 0.8))
@@ -118,10 +118,10 @@
         rig.now + 1,
         identity=identity,
     )
-    assist = events.DelegatedRequest(
+    delegated = events.DelegatedRequest(
         request, 'route', 0.1, 2, shards, rig.now + 0.5, counts_load=True
     )
-    rig.post(events.DelegatedRequestReceived(1, assist))
+    rig.post(events.DelegatedRequestReceived(1, delegated))
     (trial,) = rig.pop_sent()
     assert trial.key.service == shards[7]
     assert trial.fresh_connection
@@ -135,7 +135,8 @@
     """Guard against a part that is lost because it waited for a connection.
 
     Its first target cannot be reached. The request becomes suspect at another
-    shard while the part waits at its second target, the only one left.
+    shard while the part waits for a connection to its second target, the only
+    one left, and the attempt is withdrawn.
     """
     search = router_rig.make_route(configs.Gather(('a', 'b'), 2, 1.0))
     rig = router_rig.Rig([search], router_rig.make_instances(('a', 'b')))
--- a/tests/routing/test_dispatch.py
+++ b/tests/routing/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Test what a host decides for one request."""
+"""Test the decisions of a host for one request."""
 
 import pytest
 
@@ -17,12 +17,12 @@
 
 
 def make_search() -> router_rig.Rig:
-    """Make a host with twenty shards of two targets each."""
+    """Make a rig with twenty shards of two targets each."""
     return router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS))
 
 
 def make_single(count: int = 3) -> router_rig.Rig:
-    """Make a host with one service for requests to one target."""
+    """Make a rig with one service for requests to one target."""
     targets = router_rig.make_instances(SERVICES, count)
     return router_rig.Rig([SINGLE, AT_MOST_ONCE], targets)
 
@@ -33,7 +33,7 @@
 
 
 def test_sends_to_each_shard_once_and_merges_top_records() -> None:
-    """Four records of all shards are there; the greatest three go out."""
+    """The shards return four records; the answer holds the greatest three."""
     rig = make_search()
     rig.send_request()
     sent = rig.pop_sent()
@@ -50,10 +50,11 @@
 
 
 def test_answers_partially_at_the_objective() -> None:
-    """Symptom: a whole query is late because one shard is.
+    """Symptom: a query is late because one shard is late.
 
-    Eighteen of twenty parts are in when the objective is near and two targets
-    are paused; 85 % are enough, so the answer goes out and says what lacks.
+    Two targets pause, and eighteen of twenty parts are received shortly before
+    the objective. 85 % are enough, so the answer is sent and states how many
+    parts are missing.
     """
     rig = make_search()
     rig.send_request()
@@ -67,15 +68,15 @@
     assert (outcome.missing, len(outcome.signatures)) == (2, 18)
 
 
-@pytest.mark.parametrize('away', [0.002, 0.0064, 0.0128])
+@pytest.mark.parametrize('transit_s', [0.002, 0.0064, 0.0128])
 def test_answer_reaches_the_caller_by_the_objective(
     transit_s: float,
 ) -> None:
-    """Symptom: partial answers reach callers a millisecond after objective.
+    """Symptom: partial answers reach callers 1 ms after the objective.
 
-    Callers are 3 ms away; the first request on a connection spends one more
-    round trip on opening it. An answer held until 12 ms before the objective
-    is 13 to 14 ms on its way, and all that was held so long is late.
+    Callers are 3 ms away, and the first request on a connection needs one more
+    round trip to open it. An answer held until 12 ms before the objective takes
+    13 to 14 ms to arrive, so that every answer held that long is late.
     """
     rig = make_search()
     rig.send_request(transit_s=transit_s)
@@ -88,7 +89,7 @@
 
 
 def test_bounds_the_transit_time_of_distant_callers() -> None:
-    """A caller with a slow line still gets more than what came at once."""
+    """A caller on a slow connection still gets the parts of 60 ms."""
     rig = make_search()
     rig.send_request(transit_s=0.5)
     for send in rig.pop_sent()[2:]:
@@ -99,7 +100,7 @@
 
 
 def test_waits_past_the_objective_for_enough_parts() -> None:
-    """Sixteen of twenty parts are too few: one more ends the wait at once."""
+    """Sixteen of twenty parts are too few; the next one ends the wait."""
     rig = make_search()
     rig.send_request()
     sent = rig.pop_sent()
@@ -114,7 +115,7 @@
 
 
 def test_reports_unknown_execution_at_the_timeout() -> None:
-    """A query without enough parts ends at the timeout of its route."""
+    """A query without enough parts fails at the timeout of its route."""
     rig = make_search()
     rig.send_request(wait=3)
     rig.advance_time(0.79)
@@ -127,10 +128,10 @@
 
 
 def test_refuses_at_once_with_too_few_targets() -> None:
-    """Symptom: callers wait until their deadline for what cannot come.
+    """Symptom: callers wait until their deadline for an impossible answer.
 
-    Four of twenty shards have no target, 85 % are needed: nothing is sent, so
-    that the refusal can say that nothing has run.
+    Four of twenty shards have no target, and 85 % are needed. Nothing is sent,
+    so that the refusal can state that nothing has run.
     """
     rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS[4:]))
     rig.send_request()
@@ -141,7 +142,7 @@
 
 
 def test_hedges_a_slow_part_at_another_target() -> None:
-    """The first target is paused: the second one is asked, and wins."""
+    """The first target pauses, and the hedge at the second one answers."""
     rig = make_search()
     rig.send_request()
     sent = rig.pop_sent()
@@ -153,16 +154,16 @@
     assert hedge.instance != sent[0].instance
     rig.answer(hedge)
     assert isinstance(rig.pop_outcome(), events.MergedAnswer)
-    # The late answer of the first finds nobody, and nothing is sent twice.
+    # The late answer of the first target causes no second reply.
     rig.answer(sent[0])
     assert not rig.replies
 
 
 def test_hedges_never_exceed_the_shared_budget() -> None:
-    """All targets stand still: repeats stay within the share of this host.
+    """All targets are silent: hedges stay within this host's part of the bound.
 
-    One host of four may use a quarter of the slack of 40, with a margin, and
-    a fifth of its own requests.
+    One host of four may use a quarter of the slack of 40 and a fifth of its own
+    requests, less a margin.
     """
     targets = router_rig.make_instances(SHARDS)
     rig = router_rig.Rig([SEARCH], targets, hosts=4)
@@ -177,7 +178,7 @@
 
 
 def test_sends_a_part_to_no_more_targets_than_allowed() -> None:
-    """Both attempts are used up: the part is lost, and no third is sent."""
+    """Both attempts are used up: the part is lost, with no third attempt."""
     rig = make_single()
     rig.send_request('/one/1')
     (first,) = rig.pop_sent()
@@ -193,9 +194,8 @@
 def test_never_resends_at_most_once_that_may_have_run() -> None:
     """Symptom: a refund is paid twice.
 
-    The connection breaks after the request has left; whether it ran is not
-    known, so it is not sent again, and the caller is not told that it did not
-    run.
+    The connection is lost after the request was sent, so it may have run. It is
+    not sent again, and the reply does not state that it has not run.
     """
     rig = make_single()
     rig.send_request('/once/1')
@@ -210,7 +210,7 @@
 
 
 def test_retries_a_request_refused_as_not_run() -> None:
-    """A refusal says not run, so even a refund may go to another target."""
+    """A refused request has not run, so even a refund is sent elsewhere."""
     rig = make_single()
     rig.send_request('/once/1')
     (first,) = rig.pop_sent()
@@ -222,7 +222,7 @@
 
 
 def test_says_not_run_when_every_target_refused() -> None:
-    """All targets are full: the refusal is true and says when to return."""
+    """All targets are full: the reply states not run and when to retry."""
     rig = make_single(2)
     rig.send_request('/once/1')
     (first,) = rig.pop_sent()
@@ -236,7 +236,7 @@
 
 
 def test_hedges_no_request_that_runs_at_most_once() -> None:
-    """A refund that takes long is waited for."""
+    """A slow refund is waited for, without a second copy."""
     rig = make_single()
     rig.send_request('/once/1')
     rig.pop_sent()
@@ -245,7 +245,7 @@
 
 
 def test_unsent_attempts_do_not_count() -> None:
-    """Connections are refused: each target is tried until one takes it."""
+    """Connections are refused: targets are tried until one accepts."""
     rig = make_single(4)
     rig.send_request('/once/1')
     for _ in range(3):
@@ -257,7 +257,7 @@
 
 
 def test_relays_the_last_failure_after_all_attempts() -> None:
-    """Both targets answer 500: the second one's own words go out."""
+    """Both targets answer 500: the caller gets the answer of the second."""
     rig = make_single()
     rig.send_request('/one/1')
     (first,) = rig.pop_sent()
@@ -270,20 +270,20 @@
 
 
 def test_retries_a_shard_that_answers_with_a_failure() -> None:
-    """A shard's signed failure is no part, so its other target is asked."""
+    """A shard's signed failure is not merged; its other target is tried."""
     rig = make_search()
     rig.send_request()
     sent = rig.pop_sent()
     rig.answer(sent[0], make_record('z'), status=500)
-    (again,) = rig.pop_sent()
-    assert again.key.service == sent[0].key.service
+    (retry,) = rig.pop_sent()
+    assert retry.key.service == sent[0].key.service
 
 
 @pytest.mark.parametrize(
-    ('target', 'cancelled'), [('/one/1', True), ('/once/1', False)]
+    ('uri', 'cancelled'), [('/one/1', True), ('/once/1', False)]
 )
 def test_cancels_work_for_a_caller_that_left(uri: str, cancelled: bool) -> None:
-    """Work for nobody ends, unless breaking it off leaves it half done."""
+    """Work is cancelled, unless the request runs at most once."""
     rig = make_single()
     number = rig.send_request(uri)
     (send,) = rig.pop_sent()
@@ -298,7 +298,7 @@
 
 
 def test_prefers_targets_of_the_near_data_centre() -> None:
-    """With both idle the near target is asked."""
+    """With targets idle in both data centres, the near one is used."""
     near = router_rig.make_instances(SERVICES, 1)
     far = router_rig.make_instances(SERVICES, 2, 'south')[1:]
     rig = router_rig.Rig([SINGLE], [*far, *near])
@@ -311,10 +311,10 @@
 
 
 def test_avoids_a_paused_target() -> None:
-    """Symptom: each request of a host waits out the same pause.
+    """Symptom: every request of a host waits for the same pause to end.
 
-    A target usually answers in 10 ms and has now said nothing for 60 ms: the
-    next request goes to the other one.
+    A target usually answers in 10 ms and has now been silent for 60 ms, so the
+    next request goes to the other target.
     """
     rig = make_single(2)
     for _ in range(4):
@@ -331,7 +331,7 @@
 
 
 def test_sends_nothing_to_a_removed_target() -> None:
-    """A target that is gone from the directory gets no request."""
+    """A target that is no longer in the directory gets no request."""
     rig = make_single(2)
     rig.set_targets(router_rig.make_instances(SERVICES, 1))
     for _ in range(6):
@@ -342,8 +342,9 @@
 def test_avoids_an_address_reused_by_another_target() -> None:
     """Symptom: every second request is refused for seconds.
 
-    Another process has taken over the address of a target and says that it is
-    not meant. The directory is old, so the target is left out for a while.
+    Another process has taken over the address of a target and refuses requests
+    for that target. The directory is out of date, so the target is excluded for
+    a while.
     """
     rig = make_single(2)
     rig.send_request('/one/1')
@@ -355,7 +356,7 @@
 
 
 def test_keeps_the_version_a_request_started_with() -> None:
-    """A version that comes meanwhile changes nothing for what is under way."""
+    """A new version does not change the requests that are active."""
     rig = make_search()
     rig.send_request()
     sent = rig.pop_sent()
@@ -370,7 +371,7 @@
 
 
 def test_ignores_an_older_version() -> None:
-    """Versions come by several ways and in any order; none goes back."""
+    """Versions come from several sources in any order; old ones are ignored."""
     rig = make_search()
     rig.configure(3, [SEARCH])
     rig.configure(2, [])
@@ -379,7 +380,7 @@
 
 
 def test_answers_not_found_without_a_route() -> None:
-    """A path below no prefix is not found; nothing is sent."""
+    """A path under no prefix is answered as not found."""
     rig = make_search()
     rig.send_request('/elsewhere/1')
     outcome = rig.pop_outcome()
@@ -388,7 +389,7 @@
 
 
 def test_answers_not_ready_without_a_configuration() -> None:
-    """A host that has just started refuses, and does not say not found."""
+    """A host that has just started refuses as not ready, not as not found."""
     rig = router_rig.Rig([], [])
     rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
     rig.send_request()
--- a/tests/routing/test_extra_attempts.py
+++ b/tests/routing/test_extra_attempts.py
@@ -1,4 +1,4 @@
-"""Test which parts are sent again while the shared bound is nearly spent."""
+"""Test which parts are sent again while the shared budget is nearly spent."""
 
 import random
 from unittest import mock
@@ -15,7 +15,7 @@
 )
 from tests.routing import router_rig
 
-#: Of 10 parts 8 have to be in.
+#: An answer needs 8 of 10 parts.
 SHARDS = tuple(f'shard-{number:02}' for number in range(10))
 SEARCH = router_rig.make_route(configs.Gather(SHARDS, 10, 0.8))
 WIDE_SHARDS = tuple(f'shard-{number:02}' for number in range(60))
@@ -24,7 +24,7 @@
 
 
 def make_rig(replicas: int = 2) -> router_rig.Rig:
-    """Make a host that may repeat a few parts of each service."""
+    """Make a rig that may send a few parts of each service again."""
     targets = router_rig.make_instances(SHARDS, replicas)
     rig = router_rig.Rig([SEARCH], targets)
     rig.router.extra_load = deployments.ExtraLoadLimit(0.0, 10.0, 10.0)
@@ -32,7 +32,7 @@
 
 
 def spend_budget(rig: router_rig.Rig, extra: int) -> None:
-    """Spend repeats at each service; 8 are allowed."""
+    """Spend extra attempts at each service; 8 are allowed."""
     for shard in SHARDS:
         rig.router.get_budget(shard).record_extra(rig.now, extra)
 
@@ -40,21 +40,24 @@
 def break_attempts(
     rig: router_rig.Rig, sent: list[events.SendAttempt]
 ) -> list[str]:
-    """Lose parts by their connections; list the services sent again."""
+    """Lose the connections of attempts; list the services retried."""
     for send in sent:
         rig.break_attempt(send)
     return [retry.key.service for retry in rig.pop_sent()]
 
 
 def test_retries_all_parts_while_the_budget_lasts() -> None:
-    """An answer is worth more with them."""
+    """An answer with these parts is worth more."""
     rig = make_rig()
     rig.send_request()
     assert break_attempts(rig, rig.pop_sent()[:2]) == list(SHARDS[:2])
 
 
 def test_defers_parts_while_the_budget_is_short() -> None:
-    """Symptom: queries that need a part find the repeats spent on others."""
+    """Symptom: the budget is spent on parts that no query needs.
+
+    A query that cannot be answered without a part then cannot retry it.
+    """
     rig = make_rig()
     spend_budget(rig, 6)
     rig.send_request()
@@ -67,7 +70,7 @@
 
 
 def test_sends_a_deferred_part_when_another_is_lost() -> None:
-    """The repeats of one service are spent, those of another are not."""
+    """The budget of one service is spent, so a part of another one is sent."""
     rig = make_rig()
     spend_budget(rig, 6)
     rig.router.get_budget(SHARDS[2]).record_extra(rig.now, 2)
@@ -79,10 +82,11 @@
 
 
 def test_resends_once_to_a_target_that_reset() -> None:
-    """Symptom: queries fail at targets that live and have reset both.
+    """Symptom: queries fail though their targets are alive.
 
-    A route bounds to how many targets a part goes. It goes to one of them
-    once more where there is no answer without it, and no more than that.
+    Both targets of a part have reset their connection, and the route allows no
+    third target. If there is no answer without the part, it is sent to one of
+    the two once more, and only once.
     """
     rig = make_rig()
     rig.send_request()
@@ -102,7 +106,7 @@
 
 
 def test_does_not_resend_to_a_failed_target() -> None:
-    """It has run the part, and would most likely fail again."""
+    """The target has run the part, and would most likely fail again."""
     rig = make_rig()
     rig.send_request()
     for send in rig.pop_sent()[:3]:
@@ -115,7 +119,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_resends_only_to_the_target_that_reset(seed: int) -> None:
-    """Symptom: a part goes back to the target that took too long with it."""
+    """Symptom: a part is sent again to the target that timed out."""
     rig = make_rig()
     rig.router.draw = random.Random(seed).random
     rig.send_request()
@@ -132,7 +136,7 @@
 
 
 def test_does_not_resend_a_part_that_failed_once() -> None:
-    """Symptom: a part that fails where it runs goes to three sendings."""
+    """Symptom: a part that fails wherever it runs gets three attempts."""
     rig = make_rig()
     rig.send_request()
     for send in rig.pop_sent()[:3]:
@@ -144,7 +148,7 @@
 
 
 def test_does_not_resend_to_a_silent_target() -> None:
-    """What takes as long as it is allowed to would take as long again."""
+    """A part that timed out at a target would time out there again."""
     rig = make_rig()
     rig.send_request()
     sent = rig.pop_sent()[:3]
@@ -155,10 +159,10 @@
         sent = rig.pop_sent()
 
 
-def test_ranks_hosts_once_for_many_extra_sends() -> None:
-    """Symptom: a host spends its time on finding out who is on duty.
+def test_ranks_hosts_once_for_many_attempts() -> None:
+    """Symptom: a host spends its time ranking the hosts of each chunk.
 
-    It has taken all parts itself, as no other host is left.
+    It sends all parts itself, as no other host is left.
     """
     rig = router_rig.Rig([WIDE_SEARCH], router_rig.make_instances(WIDE_SHARDS))
     rig.post(events.HostsChanged(100, (router_rig.HOST,)))
--- a/tests/routing/test_loads.py
+++ b/tests/routing/test_loads.py
@@ -1,7 +1,7 @@
-"""Test what callers get under the loads that the users' heaviest days hold.
+"""Test the answers under the load patterns of the users' heaviest days.
 
-Each test names the pattern, where its figures come from, and what it asks for:
-answers within the objective of 145 ms, and repeats within the shared bound.
+Each test names the pattern and the source of its figures. Answers have to
+arrive within the objective of 145 ms, and extra load has to stay in its bound.
 """
 
 import random
@@ -24,16 +24,16 @@
     1,
     configs.Gather(SHARDS, 10, 0.89),
 )
-#: Of 8 hosts, and 45 searches a second for all of them.
+#: One of 8 hosts, which get 45 searches a second in all.
 HOST_COUNT = 8
 RATE_PER_S = 5.6
 RUN_S = 60.0
-#: Of 100 searches 53 are in time with parts that end soon, 36 without.
+#: With early part deadlines 53 of 100 searches are in time, without them 36.
 MIN_IN_TIME_FRACTION = 0.45
 
 
 def run_load(script: load_rig.Script, seed: int = 1) -> load_rig.Result:
-    """Play a minute on one host."""
+    """Run a minute of load on one host."""
     targets = router_rig.make_instances(SHARDS)
     rig = router_rig.Rig([SEARCH], targets, HOST_COUNT)
     rig.router.extra_load = deployments.ExtraLoadLimit(0.2, 56.0, 10.0)
@@ -41,26 +41,26 @@
 
 
 def count_allowed(requests: int) -> float:
-    """Count the repeats of a minute that the bound allows one host."""
+    """Count the extra attempts that the bound allows one host in a minute."""
     windows = RUN_S / 10 + 1
     return len(SHARDS) * (0.2 * requests + windows * 56.0 / HOST_COUNT)
 
 
 def hash_to_fraction(name: str) -> float:
-    """Draw a number from 0 to 1 that belongs to a target."""
+    """Return a number from 0 to 1 that depends on a target's name."""
     return zlib.crc32(name.encode()) / 2**32
 
 
 def hash_moment_to_fraction(name: str, now: float) -> float:
-    """Draw a number from 0 to 1 that belongs to a target at a moment.
+    """Return a number from 0 to 1 that depends on a target and a moment.
 
-    Names differ in a few letters, for which a checksum would draw alike.
+    A checksum would give similar numbers for names that differ in few letters.
     """
     return random.Random(f'{name} {now}').random()
 
 
 def behave_with_pauses(name: str, now: float) -> load_rig.Behaviour:
-    """Stand still for 150 ms each 3.6 s, each target at its own time."""
+    """Pause for 150 ms every 3.6 s, each target at a different time."""
     phase = (now + hash_to_fraction(name) * 3.6) % 3.6
     return load_rig.Behaviour(delay=max(0.0, 0.15 - phase))
 
@@ -68,24 +68,24 @@
 def behave_with_fault(
     name: str, now: float, fault: load_rig.Fault | None
 ) -> load_rig.Behaviour:
-    """Fail in a way, beside the pauses."""
+    """Fail with a fault, in addition to the pauses."""
     return behave_with_pauses(name, now)._replace(fault=fault)
 
 
 def test_pauses_of_targets_make_no_query_late() -> None:
-    """Each target pauses for 150 ms each 3.6 s, as the users' sheet says.
+    """Each target pauses for 150 ms every 3.6 s, as in the users' sheet.
 
-    One in three queries meets a pause somewhere; waiting for it would make
-    each of them late.
+    One in three queries meets a pause at some shard, and would be late if it
+    waited for its end.
     """
     result = run_load(behave_with_pauses)
     assert result.in_time >= 0.99 * result.requests
     assert result.complete >= 0.85 * result.requests
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_avoids_slow_targets() -> None:
-    """Every seventh target takes eight times as long, beside the pauses.
+    """Every seventh target takes eight times as long, with the pauses.
 
     As on the users' days with slow searchers across all shards.
     """
@@ -96,13 +96,13 @@
 
     result = run_load(script)
     assert result.in_time >= 0.98 * result.requests
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_silent_targets_cost_few_answers() -> None:
-    """For 5 s every seventh target answers nothing and refuses nothing.
+    """For 5 s every seventh target neither answers nor refuses.
 
-    As after a loss of power that the store has not noticed yet.
+    As after a power failure that the store has not detected yet.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
@@ -116,10 +116,10 @@
 
 
 def test_retries_to_shedding_targets_stay_in_bounds() -> None:
-    """For 9 s most targets refuse two thirds of what they get as full.
+    """For 9 s all targets refuse six of ten requests as full.
 
-    As when another caller floods a service: refused parts go to the second
-    target, but no flood of this host's own comes on top.
+    As when another caller floods a service: refused parts are sent to the
+    second target, but this host's retries must not add to the flood.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
@@ -130,12 +130,12 @@
         )
 
     result = run_load(script)
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
     assert result.in_time >= 0.8 * result.requests
 
 
 def test_a_shard_without_targets_is_left_out_in_time() -> None:
-    """All targets of one shard are down: answers lack it and say so."""
+    """All targets of one shard are silent: answers are partial and in time."""
 
     def script(name: str, now: float) -> load_rig.Behaviour:
         fault = load_rig.Fault.SILENT if name.startswith(SHARDS[3]) else None
@@ -150,26 +150,26 @@
     )
 
 
-def test_extra_sends_stay_in_bounds_when_all_is_slow() -> None:
+def test_extra_load_stays_in_bounds_when_all_is_slow() -> None:
     """All targets take eight times as long for a minute.
 
-    A second sending for each part would double the load on what is slow
-    because of its load; the bound is a fifth of the requests and the slack.
+    A hedge for each part would double the load on targets that are slow because
+    of their load. The bound is a fifth of the requests and the slack.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
         return load_rig.Behaviour(factor=8.0)
 
     result = run_load(script)
-    assert count_allowed(result.requests) / 3 < result.extra_sends
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert count_allowed(result.requests) / 3 < result.extra_attempts
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_failing_targets_with_good_health_cost_few_answers() -> None:
-    """For 8 s every tenth target fails half of what it is asked, at once.
+    """For 8 s every tenth target fails half of its requests at once.
 
-    As on the users' days with targets whose health check passes: what fails
-    at once must not look like what answers fastest.
+    As on the users' days with failing targets whose health check passes: a
+    target that fails at once must not count as the fastest.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
@@ -182,14 +182,14 @@
     result = run_load(script)
     assert result.in_time >= 0.98 * result.requests
     assert result.complete >= 0.85 * result.requests
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_flapping_targets_cost_few_answers() -> None:
-    """For 10 s every seventh target goes down and up each 1.5 s.
+    """For 10 s every seventh target goes down and up every 1.5 s.
 
-    As on the users' days with flapping targets: half of the time it accepts
-    no connection, and it is back before its entry could go.
+    As on the users' days with flapping targets: half of the time a target
+    accepts no connection, and it is back before its registration expires.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
@@ -202,14 +202,14 @@
     result = run_load(script)
     assert result.in_time >= 0.98 * result.requests
     assert result.complete >= 0.85 * result.requests
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_dropped_idle_connections_cost_few_answers() -> None:
     """For 10 s half of the targets reset one request in three.
 
-    As where targets drop idle connections without notice: whatever is sent
-    next is reset, and the targets themselves are as well as ever.
+    As when healthy targets drop idle connections without notice: the next
+    request on such a connection is reset.
     """
 
     def script(name: str, now: float) -> load_rig.Behaviour:
@@ -221,16 +221,16 @@
 
     result = run_load(script)
     assert result.in_time >= 0.98 * result.requests
-    assert result.extra_sends <= count_allowed(result.requests)
+    assert result.extra_attempts <= count_allowed(result.requests)
 
 
 def test_slow_targets_do_not_fill_up_with_abandoned_work() -> None:
-    """Both targets of three shards turn 5 times slower for 8 s.
+    """Both targets of three shards are 5 times slower for 8 s.
 
-    On the customer's heaviest day that meets 40 searches a second and targets
-    of two slots; with the sheet's 22 ms of work the two can take 36 a second.
-    One of the three shards has to be in for an answer. Where parts last as
-    long as their callers wait, the queues of all six fill with parts of
+    The customer's heaviest day has 40 searches a second and targets of two
+    slots. With the sheet's 22 ms of work, the two targets of such a shard can
+    serve 36 a second. An answer needs one of the three shards. If parts last as
+    long as their callers wait, the queues of all six targets fill with parts of
     searches that were answered or are late.
     """
 
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -1,4 +1,4 @@
-"""Test how much time before the objective a host keeps for itself."""
+"""Test how long before the objective a host decides on an answer."""
 
 from fuchsiahaven.routing import configs, margins
 
@@ -8,7 +8,7 @@
 
 
 def estimate_after(delay_s: float) -> float:
-    """See a hundred answers leave so late; return what is kept back then."""
+    """Return the margin after a hundred answers with this delay."""
     delay = margins.ReplyDelay()
     for _ in range(100):
         delay = margins.update_delay(delay, delay_s)
@@ -16,16 +16,16 @@
 
 
 def test_margin_covers_the_delay_of_a_busy_host() -> None:
-    """Symptom: on hosts of half a core most answers come just too late.
+    """Symptom: on hosts with half a core most answers are just too late.
 
-    An answer over 90 shards takes 8 ms from the moment that was chosen until
-    it has left; callers had it 2 ms after the objective.
+    An answer over 90 shards leaves 8 ms after the time chosen for it, and
+    reaches callers 2 ms after the objective.
     """
     assert 0.008 < estimate_after(0.008) < 0.012
 
 
 def test_margin_is_bounded() -> None:
-    """A host that stalls once does not answer with nothing from then on."""
+    """A host that stalls once must not answer without parts from then on."""
     assert estimate_after(0.0) == margins.MIN_MARGIN_S
     assert estimate_after(2.0) == margins.MAX_MARGIN_S
 
--- a/tests/routing/test_offers.py
+++ b/tests/routing/test_offers.py
@@ -1,4 +1,4 @@
-"""Test that of hosts that are asked for a suspect request one tries it."""
+"""Test that only one of several hosts tries a suspect request."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 SEARCH = router_rig.make_route(configs.Gather(SHARDS, 2, 0.8))
 IDENTITY = request_identities.identify('shop.example', b'/search/1')
 REPORT = suspects.SuspectReport(IDENTITY, 0, 1, 0.0, (), ('b',))
-#: Hosts that go before and after the rig's own, for this request.
+#: Other hosts: first those with precedence over the rig's host for the request.
 RANKED_HOSTS = sorted(
     (f'other-{number}' for number in range(20)),
     key=lambda it: trial_offers.wins_trial(IDENTITY, router_rig.HOST.name, it),
@@ -19,7 +19,7 @@
 
 
 def make_rig(*reports: suspects.SuspectReport) -> router_rig.Rig:
-    """Make a host among others that has heard of a moment, and more."""
+    """Make a rig with two other hosts that has received these reports."""
     rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 3))
     others = [
         deployments.Host(name, '10.0.0.2:7000', 'north')
@@ -33,7 +33,7 @@
 
 
 def list_broadcast(rig: router_rig.Rig) -> list[suspects.SuspectReport]:
-    """List what other hosts are told."""
+    """List the reports broadcast to other hosts."""
     return [
         it.report
         for it in rig.other_actions
@@ -42,12 +42,12 @@
 
 
 def test_announces_a_trial_before_it_begins() -> None:
-    """Symptom: hosts asked at one moment end a target each."""
+    """Symptom: hosts that get a request at once crash a target each."""
     rig = make_rig(REPORT)
     rig.send_request()
     (announced,) = list_broadcast(rig)
     assert (announced.host, announced.crashes) == (router_rig.HOST.name, 1)
-    # A host of the version before refuses what is to wait.
+    # Hosts of the previous version would refuse a request with a wait.
     assert not announced.wait_s
     assert not rig.pop_sent()
     rig.advance_time(trial_offers.OFFER_WAIT_S)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize('name', [FIRST_HOST, LAST_HOST])
 def test_one_of_two_offering_hosts_proceeds(name: str) -> None:
-    """Both offer at once, and each hears of the other."""
+    """Both hosts offer a trial at once, and each receives the other's offer."""
     rig = make_rig(REPORT)
     rig.send_request()
     rig.post(events.SuspectsReported((REPORT._replace(host=name),)))
@@ -67,7 +67,7 @@
 
 
 def test_sends_all_parts_once_another_host_cleared_it() -> None:
-    """Nothing is tried twice, and nothing innocent is refused."""
+    """The cleared request is neither tried again nor refused."""
     rig = make_rig(REPORT, REPORT._replace(host=LAST_HOST))
     rig.send_request()
     rig.advance_time(0.02)
@@ -80,9 +80,10 @@
 
 
 def test_waits_a_bounded_time_for_another_host() -> None:
-    """The host that offered to try it has died, or was cut off.
+    """The host that offered the trial has died, or was cut off.
 
-    Those that waited for it offer it again: they are not to go all at once.
+    The hosts that waited for it offer a trial again, so that they do not all
+    start at once.
     """
     rig = make_rig(REPORT, REPORT._replace(host=FIRST_HOST))
     rig.send_request()
@@ -99,7 +100,7 @@
 
 
 def test_does_not_wait_past_the_objective() -> None:
-    """One host after the other offers to try it, and dies."""
+    """One host after the other offers a trial, and dies."""
     rig = make_rig(REPORT)
     rig.send_request()
     for number in range(20):
@@ -112,10 +113,10 @@
 
 
 def test_forwards_each_offer_once() -> None:
-    """Symptom: two hosts offer, and a fleet tells itself of it all over again.
+    """Symptom: the hosts forward the offers of two hosts over and over.
 
-    Each is heard from many hosts, in turns, before and after one is left to
-    the other.
+    Each offer arrives from many hosts, in turns with the other one, before and
+    after one of the two has precedence.
     """
     for own_name in (router_rig.HOST.name, FIRST_HOST):
         suspect_table = suspects.Suspects()
@@ -133,7 +134,7 @@
 
 
 def test_does_not_wait_for_its_own_offer() -> None:
-    """Its offer comes round to it once its trial has ended in a refusal."""
+    """Its offer is forwarded back to it after its trial was refused."""
     rig = make_rig(REPORT)
     rig.send_request()
     rig.advance_time(trial_offers.OFFER_WAIT_S)
@@ -146,7 +147,7 @@
 
 
 def test_active_requests_do_not_wait_for_other_hosts() -> None:
-    """Guard against innocent requests that are late where a rack died."""
+    """Guard against harmless requests that are late after a rack failure."""
     rig = make_rig()
     rig.send_request()
     lost, *others = rig.pop_sent()
@@ -154,7 +155,7 @@
         rig.answer(send)
     rig.post(events.SuspectsReported((REPORT._replace(host=FIRST_HOST),)))
     rig.end_target(lost)
-    # The losses of a query are gathered, as without other hosts.
+    # The lost parts of a query are gathered, as on a single host.
     rig.advance_time(0.005)
     (trial,) = rig.pop_sent()
     assert trial.fresh_connection
@@ -162,7 +163,7 @@
 
 
 def test_a_single_host_does_not_wait() -> None:
-    """There is nobody to hear of the trial."""
+    """There is no other host to offer the trial to."""
     rig = router_rig.Rig([SEARCH], router_rig.make_instances(SHARDS, 3))
     rig.post(events.SuspectsReported((REPORT,)))
     rig.send_request()
@@ -170,7 +171,7 @@
 
 
 def test_bounds_announcements_of_first_trials() -> None:
-    """A rack that dies makes many innocent requests suspect at once."""
+    """A rack failure makes many harmless requests suspect at once."""
     rig = make_rig()
     count = 3 * suspects.REPORT_BURST
     for number in range(count):
@@ -180,5 +181,5 @@
         rig.post(events.SuspectsReported((report,)))
         rig.send_request(path)
     assert len(list_broadcast(rig)) == suspects.REPORT_BURST
-    # What is not told of does not wait either.
+    # Requests whose trial is not announced do not wait either.
     assert len(rig.pop_sent()) == count - suspects.REPORT_BURST
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -1,4 +1,4 @@
-"""Test that hosts together stop sending a request that ends its targets."""
+"""Test that a fleet of hosts stops sending a request that crashes targets."""
 
 import heapq
 import itertools
@@ -32,17 +32,17 @@
     for number in range(4)
 )
 REPLICAS: Final = 3
-#: One way to a target, how long it takes to accept a connection, and to run.
+#: One way to a target, the time to accept a connection, and the work.
 ONE_WAY_S: Final = 0.001
 ACCEPT_DELAY_S: Final = 0.006
 WORK_S: Final = 0.02
-#: How soon another process stands in for a target that ended, and hosts know.
+#: When hosts know of the process that replaces an exited target.
 REPLACEMENT_DELAY_S: Final = 2.0
-#: How soon news of a host reach the others, and what is in the store.
+#: When a host's reports reach the other hosts, and when those in the store do.
 BROADCAST_DELAY_S: Final = 0.003
 STORE_DELAY_S: Final = 0.6
-#: After its third target a request reaches no more than so many others, from
-#: hosts that were in touch for so long.
+#: Bound on the targets that a request reaches this long after it has crashed
+#: the third one. By then all connected hosts have the reports.
 PROPAGATION_S: Final = 4.0
 MAX_LATE_ARRIVALS: Final = 3
 DEADLY_PATH: Final = 'death'
@@ -54,7 +54,7 @@
 
 
 class Step(NamedTuple):
-    """Say what callers, or a fault, do after a pause in seconds."""
+    """Describe a request, or the restart of a host, after a pause."""
 
     pause_s: float
     host: int
@@ -62,10 +62,10 @@
 
 
 class Fleet:
-    """Own hosts that decide, targets that end, and the clock."""
+    """Own the routers of some hosts, targets that crash, and the clock."""
 
     def __init__(self) -> None:
-        """Start everything."""
+        """Start all hosts and targets."""
         self.now = 100.0
         self.exits: list[float] = []
         self.deadly_arrivals: list[float] = []
@@ -100,7 +100,7 @@
         return router
 
     def run(self, steps: list[Step]) -> None:
-        """Take steps, and let what is under way end."""
+        """Run the steps, and let the active requests end."""
         for step in steps:
             self.run_to(self.now + step.pause_s)
             match step.action:
@@ -113,7 +113,7 @@
         self.run_to(self.now + 1)
 
     def send_request(self, host: int, path: str) -> None:
-        """Bring a request to a host."""
+        """Send a request to a host."""
         number = next(self._numbers)
         self._paths[host, number] = path
         request = events.Request(
@@ -130,7 +130,7 @@
         self.post(host, events.RequestReceived(number, request))
 
     def run_to(self, end: float) -> None:
-        """Let time pass."""
+        """Advance the clock, with all events until then."""
         while (moment := self._find_next_moment()) <= end:
             self.now = max(self.now, moment)
             self._fire_timers()
@@ -151,7 +151,7 @@
         return min(times, default=float('inf'))
 
     def post(self, host: int, event: events.Event) -> None:
-        """Bring an event to a host and do what it asks for."""
+        """Post an event to a host and carry out the resulting actions."""
         for action in dispatch.handle_event(
             self.routers[host], event, self.now
         ):
@@ -187,7 +187,7 @@
 
     def _send(self, host: int, send: events.SendAttempt) -> None:
         self._in_flight[host, send.key] = send
-        # It leaves once its connection is open.
+        # The request is sent once its connection is open.
         delay_s = ACCEPT_DELAY_S + 2 * ONE_WAY_S if send.fresh_connection else 0
         self._schedule(delay_s, host, make_departure_marker(send.key))
 
@@ -207,7 +207,7 @@
         self.post(host, event)
 
     def _depart(self, host: int, key: events.AttemptKey) -> None:
-        """Have a sending arrive at its target, if it has not ended."""
+        """Send an attempt to its target, if it was not withdrawn."""
         send = self._in_flight.get((host, key))
         if send is None:
             return
@@ -227,13 +227,13 @@
         )
 
     def list_targets(self) -> list[instances.Instance]:
-        """List the targets, one of each service after the other."""
+        """List the targets, one replica of each service after the other."""
         return sorted(self._targets, key=lambda it: it.name[-1])
 
     def end_target(
         self, target: instances.Instance, delay_s: float = ONE_WAY_S
     ) -> None:
-        """Have a target end, with all that is under way there."""
+        """Have a target exit, with all requests that it is running."""
         self._targets.remove(target)
         self.exits.append(self.now + delay_s)
         for (host, key), send in tuple(self._in_flight.items()):
@@ -253,7 +253,7 @@
         )
 
     def count_late_arrivals(self) -> int:
-        """Count what reached a target long after it had ended the third."""
+        """Count the arrivals of deadly requests long after the third exit."""
         exits = sorted(self.exits)
         if len(exits) < 3:
             return 0
@@ -264,12 +264,12 @@
 
 
 def make_departure_marker(key: events.AttemptKey) -> events.Event:
-    """Make what stands for the moment at which a sending leaves."""
+    """Make an event that stands for the sending of an attempt."""
     return events.CancelAttempt(key)  # type: ignore[return-value]
 
 
 def make_steps(*paths: str) -> strategies.SearchStrategy[list[Step]]:
-    """Draw requests at any hosts, close together and far apart."""
+    """Generate requests to any hosts, close together and far apart."""
     pauses = strategies.sampled_from((0.0, 0.002, 0.03, 0.4, 1.1, 5.0, 30.0))
     actions = strategies.sampled_from((*paths, *paths, *paths, 'start'))
     hosts = strategies.integers(0, len(HOSTS) - 1)
@@ -282,15 +282,15 @@
 def test_few_arrivals_after_the_third_exit(
     steps: list[Step],
 ) -> None:
-    """Symptom: each host, and each that starts, finds out anew.
+    """Symptom: every host, and every restarted one, crashes targets again.
 
-    A query over shards comes at any host, at any time; hosts start again and
-    know only what is in the store. Others are served beside it.
+    A query over shards arrives at any host at any time. Restarted hosts have
+    only the reports in the store. Other queries are served meanwhile.
     """
     fleet = Fleet()
     fleet.run(steps)
     assert fleet.count_late_arrivals() <= MAX_LATE_ARRIVALS
-    # What nothing speaks against is never refused for it.
+    # A request that is not suspect is never refused as quarantined.
     for outcome in fleet.outcomes.get('/search/1', ()):
         if isinstance(outcome, errors.Failure):
             assert outcome.kind is not errors.Kind.QUARANTINED
@@ -299,7 +299,7 @@
 @settings(max_examples=100)
 @given(make_steps('/one/death', '/one/1'))
 def test_few_arrivals_of_an_at_most_once_request(steps: list[Step]) -> None:
-    """It is not repeated by a host, but by its callers."""
+    """Such a request is repeated by its callers, and not by a host."""
     fleet = Fleet()
     fleet.run(steps)
     assert fleet.count_late_arrivals() <= MAX_LATE_ARRIVALS
@@ -320,10 +320,10 @@
 def test_simultaneous_requests_end_one_target(
     arrivals: list[tuple[int, float]], path: str, crashes: int
 ) -> None:
-    """Symptom: each host tries a suspect request beside the others.
+    """Symptom: every host tries a suspect request at the same time.
 
-    All of them know the moments at which it ended targets, and hear of each
-    other's trials only once they have begun their own.
+    All hosts have reports of its crashes, but learn of each other's trials only
+    after they have started their own.
     """
     fleet = Fleet()
     identity = request_identities.identify('shop.example', path.encode())
@@ -352,7 +352,7 @@
 def test_serves_requests_active_when_targets_exit_at_once(
     arrivals: list[tuple[int, float]], count: int
 ) -> None:
-    """Symptom: what many callers ask for is refused because a rack died."""
+    """Symptom: a frequent request is refused because a rack failed."""
     fleet = Fleet()
     for host, pause_s in arrivals:
         fleet.run_to(fleet.now + pause_s)
--- a/tests/routing/test_split_loads.py
+++ b/tests/routing/test_split_loads.py
@@ -1,7 +1,8 @@
-"""Test that parts of a split keep to their weights, over many hosts.
+"""Test that the parts of a split follow their weights, over many hosts.
 
-The users' rule: within 0.1 of its share in steady state, within 0.2 while a
-part is short of room, and what does not fit is refused and not moved.
+The users require each part to be within 0.1 of its share in steady state, and
+within 0.2 while a part is short of capacity. Requests over its capacity are
+refused, and not moved to another part.
 """
 
 import collections
@@ -32,7 +33,7 @@
 def make_configuration_event(
     version: int, weights: Sequence[float]
 ) -> events.ConfigurationReceived:
-    """Put a split with these weights in force."""
+    """Make the event for a configuration with a split of these weights."""
     parts = map(configs.Weighted, PARTS, weights)
     route = router_rig.make_route(configs.Split(tuple(parts)))
     return events.ConfigurationReceived(
@@ -41,10 +42,10 @@
 
 
 class Fleet:
-    """Own hosts of which some are asked often and most seldom."""
+    """Own hosts with very different rates of requests."""
 
     def __init__(self, seed: int, weights: Sequence[float]) -> None:
-        """Start all hosts."""
+        """Start all hosts with these weights."""
         self.random = random.Random(seed)
         self.full_parts: frozenset[str] = frozenset()
         self.targets = router_rig.make_instances(PARTS)
@@ -60,7 +61,7 @@
         self.routers = [self._start(number) for number in range(HOST_COUNT)]
 
     def restart(self, share: float) -> None:
-        """Start a share of the hosts again; they know nothing."""
+        """Restart a share of the hosts, with empty state."""
         for number in range(HOST_COUNT):
             if self.random.random() < share:
                 self.routers[number] = self._start(number)
@@ -71,23 +72,23 @@
         for router in self.routers:
             dispatch.handle_event(router, self._configuration_event, self.now)
 
-    def set_targets(
+    def replace_targets(
         self, targets: list[instances.Instance], evacuated: str = ''
     ) -> None:
-        """Bring other targets to all hosts, those of a data centre gone."""
+        """Post other targets to all hosts, with one data centre evacuated."""
         self.targets = targets
         for router in self.routers:
-            self._set_targets(router, evacuated)
+            self._post_directory(router, evacuated)
 
     def send_requests(self, count: int) -> None:
-        """Ask for so much, each at a host by how often that is asked."""
+        """Send requests to hosts chosen by their rates."""
         numbers = range(HOST_COUNT)
         for number in self.random.choices(numbers, self._rates, k=count):
             self.now += self.random.expovariate(40)
             self._send_request(self.routers[number])
 
     def list_shares(self) -> dict[str, float]:
-        """List the share of each part in what was asked since last time."""
+        """List the share of each part in the requests since the last call."""
         total = sum(self.sent_counts.values())
         shares = {part: self.sent_counts[part] / total for part in PARTS}
         self.sent_counts.clear()
@@ -98,10 +99,10 @@
         router = states.Router(host, EXTRA_LOAD, self.random.random)
         dispatch.handle_event(router, self._configuration_event, self.now)
         dispatch.handle_event(router, events.HostsChanged(HOST_COUNT), self.now)
-        self._set_targets(router, '')
+        self._post_directory(router, '')
         return router
 
-    def _set_targets(self, router: states.Router, evacuated: str) -> None:
+    def _post_directory(self, router: states.Router, evacuated: str) -> None:
         directory = instances.build_directory(self.targets, (evacuated,))
         dispatch.handle_event(
             router, events.DirectoryChanged(directory), self.now
@@ -151,7 +152,7 @@
     ) -> list[events.Action]:
         match action:
             case events.SendAttempt(key):
-                # Nothing goes to another part than the one it is counted to.
+                # A request is sent only to the part for which it is counted.
                 assert key.service == part
                 if part in self.full_parts:
                     shed = messages.RefusalReason.SHED
@@ -171,7 +172,7 @@
 def check_shares(
     fleet: Fleet, weights: Sequence[float], tolerance: float
 ) -> None:
-    """Check that each part has its share."""
+    """Check that each part got its share of the requests."""
     shares = fleet.list_shares()
     total = sum(weights)
     for part, weight in zip(PARTS, weights, strict=True):
@@ -183,9 +184,10 @@
 def test_keeps_to_weights_on_restarting_hosts(
     seed: int, weights: tuple[float, float, float]
 ) -> None:
-    """Symptom: after restarts the heaviest part gets nearly all.
+    """Symptom: after restarts the heaviest part gets nearly all requests.
 
-    Most hosts are asked once or twice between two starts of theirs.
+    Most hosts get one or two requests between two restarts, and a fixed first
+    position would send these to the heaviest part.
     """
     fleet = Fleet(seed, weights)
     for _ in range(8):
@@ -196,10 +198,10 @@
 
 @pytest.mark.parametrize('seed', range(4))
 def test_follows_weights_of_another_scale(seed: int) -> None:
-    """Symptom: a part that is to get half gets nothing for a while.
+    """Symptom: a part with half of the weight gets no request for a while.
 
-    Weights of hundreds become weights of one; what was saved by the old ones
-    must not decide by the new ones.
+    The weights change from hundreds to ones. A position saved under the old
+    weights must not distort the choice under the new ones.
     """
     fleet = Fleet(seed, (900, 50, 50))
     fleet.send_requests(600)
@@ -213,30 +215,30 @@
 
 
 def remove_capacity(fleet: Fleet, shortage: str) -> None:
-    """Take the room of the part `old` away."""
+    """Remove the capacity of the part `old`."""
     others = [it for it in fleet.targets if it.service != 'old']
     own_targets = [it for it in fleet.targets if it.service == 'old']
     match shortage:
         case 'full':
             fleet.full_parts = frozenset(('old',))
         case 'gone':
-            fleet.set_targets(others)
+            fleet.replace_targets(others)
         case 'evacuated':
             moved = [it._replace(data_centre='south') for it in own_targets]
-            fleet.set_targets([*others, *moved], 'south')
+            fleet.replace_targets([*others, *moved], 'south')
         case _:
             cold = [it._replace(warming=5.0) for it in own_targets]
             for router in fleet.routers:
                 router.warmups.limit = deployments.WarmUpLimit(1.2, 3.0)
-            fleet.set_targets([*others, *cold])
+            fleet.replace_targets([*others, *cold])
 
 
-@pytest.mark.parametrize('way', ['full', 'gone', 'evacuated', 'cold'])
+@pytest.mark.parametrize('shortage', ['full', 'gone', 'evacuated', 'cold'])
 @pytest.mark.parametrize('seed', range(3))
 def test_refuses_excess_without_moving_it(seed: int, shortage: str) -> None:
-    """Shares hold while a part has no room, and beside new weights.
+    """Shares hold while a part has no capacity, also under new weights.
 
-    What is refused was refused at once, and says when to come back.
+    Refused requests have not run, and the refusal says when to retry.
     """
     fleet = Fleet(seed, (5, 4, 1))
     fleet.send_requests(300)
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -1,4 +1,4 @@
-"""Test how requests are spread over the services of a split."""
+"""Test how requests are distributed over the services of a split."""
 
 import collections
 
@@ -6,7 +6,7 @@
 
 
 def test_follows_weights_from_the_first_requests() -> None:
-    """Any ten requests in a row keep to weights of 7, 2 and 1."""
+    """Any ten consecutive requests follow weights of 7, 2 and 1."""
     split = configs.Split(
         tuple(
             configs.Weighted(name, weight)
@@ -26,10 +26,8 @@
 
 
 def test_excludes_a_service_without_weight() -> None:
-    """It gets nothing, wherever on the circle a host begins or ends."""
+    """It gets no request at any position on the circle."""
     weights = (('x', 0.0), ('y', 0.1), ('z', 0.0))
-    split = configs.Split(
-        tuple(configs.Weighted(*weight) for weight in weights)
-    )
+    split = configs.Split(tuple(configs.Weighted(*entry) for entry in weights))
     for position in (0.0, 0.3, 1 - 2**-53, 1.0):
         assert splits.choose_service(split, position).service == 'y'
--- a/tests/routing/test_wide_hedges.py
+++ b/tests/routing/test_wide_hedges.py
@@ -1,4 +1,4 @@
-"""Test which slow parts are worth a second sending."""
+"""Test which slow parts of a wide query are hedged."""
 
 from hypothesis import given, strategies
 
@@ -15,10 +15,10 @@
     strategies.integers(0, 90),
 )
 def test_uses_as_few_helpers_as_possible(sizes: list[int], limit: int) -> None:
-    """Symptom: a message to each of six hosts for what two would send.
+    """Symptom: six hosts get a message for parts that two could send.
 
-    What this host sends itself takes no message and comes first; of the
-    others, those that send most of the parts.
+    Parts that this host sends itself need no message and come first, then
+    those of the hosts that send the most parts.
     """
     parts_by_host = {
         host: [f'{host.name} {number}' for number in range(size)]
