--- a/fuchsiahaven/routing/active_requests.py
+++ b/fuchsiahaven/routing/active_requests.py
@@ -136,7 +136,7 @@
 
     @property
     def is_gather(self) -> bool:
-        """Tell whether the parts are shards whose answers are merged."""
+        """Return whether the parts are shards whose answers are merged."""
         return isinstance(self.route.way, configs.Gather)
 
 
@@ -176,7 +176,7 @@
 
 
 def is_part_idle(active: ActiveRequest, service: str) -> bool:
-    """Tell whether a part has no attempt in flight and awaits no check."""
+    """Return whether a part has no attempt in flight and awaits no check."""
     part = active.parts[service]
     return not part.in_flight and not part.awaits_target_check
 
@@ -197,12 +197,12 @@
 
 
 def has_enough_parts(active: ActiveRequest) -> bool:
-    """Tell whether the received parts suffice for an answer."""
+    """Return whether the received parts suffice for an answer."""
     return _has_coverage(active, count_missing(active))
 
 
 def is_unanswerable(active: ActiveRequest) -> bool:
-    """Tell whether too many parts are lost for an answer."""
+    """Return whether too many parts are lost for an answer."""
     return not _has_coverage(
         active, sum(1 for it in active.parts.values() if it.lost)
     )
@@ -228,7 +228,7 @@
 
 
 def must_reply(active: ActiveRequest, now: float) -> bool:
-    """Tell whether the caller gets its reply now.
+    """Return whether the caller gets its reply now.
 
     From the cutoff on, an answer with enough parts is sent at once: a missing
     part costs the caller less than a late answer. A request that can no longer
--- a/fuchsiahaven/routing/attempts.py
+++ b/fuchsiahaven/routing/attempts.py
@@ -80,7 +80,7 @@
 
 
 def _is_isolated(router: states.Router) -> bool:
-    """Tell whether this data centre is cut off from all other ones."""
+    """Return whether this data centre is cut off from all other ones."""
     silent = router.centre_health.list_silent()
     return bool(silent) and all(
         host.data_centre in silent
@@ -233,7 +233,7 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether a part may be hedged."""
+    """Return whether a part may be hedged."""
     if (
         trials.get_permission(router, active, now)
         is not suspects.SendPermission.UNRESTRICTED
--- a/fuchsiahaven/routing/budgets.py
+++ b/fuchsiahaven/routing/budgets.py
@@ -46,7 +46,7 @@
         return allowed - extra
 
     def is_short(self, now: float, hosts: float, fraction: float) -> bool:
-        """Tell whether less than a fraction of the extra load is left."""
+        """Return whether less than a fraction of the extra load is left."""
         allowed, extra = self._compute_allowance(now, hosts)
         return allowed - extra < fraction * allowed
 
--- a/fuchsiahaven/routing/extra_attempts.py
+++ b/fuchsiahaven/routing/extra_attempts.py
@@ -31,7 +31,7 @@
     *,
     reserve_fraction: float = 0,
 ) -> bool:
-    """Tell whether the route and the shared budget allow one more attempt.
+    """Return whether the route and the shared budget allow one more attempt.
 
     `reserve_fraction` is the fraction of the host's slack to leave unused.
     """
@@ -56,7 +56,7 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether a part may be retried only if its query needs it.
+    """Return whether a part may be retried only if its query needs it.
 
     Never for the parts of a delegated request: the helper does not know what
     the query lacks.
@@ -104,7 +104,7 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether a part may be sent again to the target that lost it.
+    """Return whether a part may be sent again to the target that lost it.
 
     The target has reset the connection and is alive. Never if a helper sent
     the part before: it is not certain to which targets.
@@ -153,7 +153,7 @@
 def _is_assigned(
     router: states.Router, gather: configs.Gather, service: str
 ) -> bool:
-    """Tell whether this host is assigned to the chunk of a shard.
+    """Return whether this host is assigned to the chunk of a shard.
 
     Called for each extra attempt, so the result is cached until the hosts
     change.
--- a/fuchsiahaven/routing/losses.py
+++ b/fuchsiahaven/routing/losses.py
@@ -47,7 +47,7 @@
 
 
 class Losses:
-    """Own the attempts lost at targets, and the exits of targets."""
+    """Hold the attempts lost at targets, and the exits of targets."""
 
     def __init__(self) -> None:
         """Start without losses."""
--- a/fuchsiahaven/routing/margins.py
+++ b/fuchsiahaven/routing/margins.py
@@ -42,7 +42,7 @@
 
 
 class Margin:
-    """Own the delays that this host has measured on its own answers."""
+    """Hold the delays that this host has measured on its own answers."""
 
     def __init__(self) -> None:
         """Start without measurements; a link speed of 0 is unknown."""
--- a/fuchsiahaven/routing/states.py
+++ b/fuchsiahaven/routing/states.py
@@ -101,7 +101,7 @@
 
 
 class Router:
-    """Own the routing state of one host."""
+    """Hold the routing state of one host."""
 
     def __init__(
         self,
--- a/fuchsiahaven/routing/target_selection.py
+++ b/fuchsiahaven/routing/target_selection.py
@@ -62,7 +62,7 @@
 def has_candidate(
     router: states.Router, service: str, part: active_requests.Part, now: float
 ) -> bool:
-    """Tell whether there is a candidate, and stop at the first one."""
+    """Return whether there is a candidate, and stop at the first one."""
     return any(_iterate_alive(router, service, part.tried_targets, now))
 
 
--- a/fuchsiahaven/routing/trials.py
+++ b/fuchsiahaven/routing/trials.py
@@ -85,7 +85,7 @@
 
 
 def _is_unsent(active: active_requests.ActiveRequest) -> bool:
-    """Tell whether no part of a caller's request was sent yet."""
+    """Return whether no part of a caller's request was sent yet."""
     if active.is_delegated:
         return False
     return not any(part.last_number for part in active.parts.values())
--- a/tests/routing/load_rig.py
+++ b/tests/routing/load_rig.py
@@ -65,7 +65,7 @@
 
 
 class LoadRun:
-    """Own the simulated targets and the pending events of one run."""
+    """Hold the simulated targets and the pending events of one run."""
 
     def __init__(
         self, rig: router_rig.Rig, script: Script, seed: int, slots: int = 0
--- a/tests/routing/router_rig.py
+++ b/tests/routing/router_rig.py
@@ -63,7 +63,7 @@
 
 
 class Rig:
-    """Own the router of one host and its clock."""
+    """Hold the router of one host and its clock."""
 
     def __init__(
         self,
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -62,7 +62,7 @@
 
 
 class Fleet:
-    """Own the routers of some hosts, targets that crash, and the clock."""
+    """Hold the routers of some hosts, targets that crash, and the clock."""
 
     def __init__(self) -> None:
         """Start all hosts and targets."""
