--- a/fuchsiahaven/routing/changes.py
+++ b/fuchsiahaven/routing/changes.py
@@ -1,7 +1,7 @@
-"""List what a host has learned after another host asked, and note when.
+"""List what a host has learned since another host's last poll.
 
-Each change gets a place in the order in which this host learned it, which is
-what a cursor of another host names.
+Each change gets a position in the order in which this host learned it; the
+cursors of other hosts name such positions.
 """
 
 import zlib
@@ -10,8 +10,8 @@
 
 from fuchsiahaven.routing import facts
 
-#: How long a removal is remembered for hosts that ask what has changed. A
-#: host that was silent for longer gets everything.
+#: Time for which a removal is listed for hosts that poll for changes. A host
+#: that has not polled for longer gets a full listing.
 REMOVAL_LIFETIME_S: Final = 60.0
 
 
@@ -22,11 +22,11 @@
     *,
     known_digest: int = 0,
 ) -> facts.Report:
-    """List what has been learned after a place, for another host.
+    """List what was learned after a cursor, for another host.
 
-    A host that asks for the first time gets everything, unless the digest of
-    what it has `known` from elsewhere is the same: everything is 50 kB where
-    there are 350 entries, and in an outage each host asks many others.
+    A host that polls for the first time gets a full listing, unless the digest
+    of what it already knows, `known_digest`, is the same: a full listing is 50
+    kB for 350 entries, and in an outage each host polls many others.
     """
     cursor = view.cursor
     report = facts.Report(
@@ -59,11 +59,14 @@
 
 
 def compute_digest(view: facts.StoreView) -> int:
-    """Sum up what is known, whatever revisions it was written at.
+    """Return a digest of all known facts, whatever their revisions.
 
-    What lapses unless it is written again is left out: a host that has it
-    from the store knows more. What is held counts: a host that does not hold
-    it knows whether it is gone.
+    Facts that are removed unless they are written again are left out: a host
+    that has them from the store knows more. Deferred facts are included: a host
+    that does not defer them knows whether they are removed.
+
+    Hosts of different versions compare their digests, so the names of classes
+    and fields in the text form of keys and values must not change.
     """
     lines = [
         f'{fact.key} {fact.value}'
@@ -77,7 +80,7 @@
 def record_changes(
     view: facts.StoreView, changed: Collection[facts.Key], now: float
 ) -> facts.StoreView:
-    """Note when facts were learned, for those who ask what is new."""
+    """Record when facts were learned, for polls of other hosts."""
     incarnation, position = view.cursor
     position += len(changed)
     removed_at = {key: now for key in changed if view.facts[key].value is None}
@@ -89,7 +92,7 @@
 
 
 def expire_removals(view: facts.StoreView, now: float) -> facts.StoreView:
-    """Forget removals from time to time; who asks later gets everything."""
+    """Remove expired removals at intervals; later polls get a full listing."""
     if now < view.next_expiry:
         return view
     expired = {
--- a/fuchsiahaven/routing/fact_updates.py
+++ b/fuchsiahaven/routing/fact_updates.py
@@ -1,7 +1,7 @@
-"""Decide which told facts count against what is known.
+"""Decide which reported facts replace the known ones.
 
-The higher rank wins. What only a copy of the store says against what was
-confirmed is held until it can have been written again.
+The fact with the higher rank wins. Facts of a restored copy that contradict
+confirmed ones are deferred until the time by which they are overwritten.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,9 +12,10 @@
 def update_removal_eras(
     current: dict[facts.Key, facts.Fact], removals: Iterable[facts.Fact]
 ) -> set[facts.Key]:
-    """Note known removals that are repeated in a later era; return their keys.
+    """Update known removals that a later era repeats; return their keys.
 
-    They are passed on: other hosts may still hold what the copy had.
+    They are passed on, because other hosts may still defer the facts of the
+    copy.
     """
     changed: set[facts.Key] = set()
     for removal in removals:
@@ -32,7 +33,7 @@
     reported: Iterable[facts.Fact],
     copy_stamp: facts.Stamp,
 ) -> tuple[list[facts.Fact], dict[facts.Key, facts.Fact]]:
-    """Separate what is taken from what only a copy says against the known."""
+    """Separate facts to apply from contradictions of a restored copy."""
     accepted: list[facts.Fact] = []
     deferred: dict[facts.Key, facts.Fact] = {}
     for fact in reported:
@@ -49,7 +50,10 @@
     reported: Iterable[facts.Fact],
     complete_to: facts.Stamp,
 ) -> set[facts.Key]:
-    """Take what ranks higher than what is known; return what has changed."""
+    """Apply facts that rank higher than the known ones; return their keys.
+
+    Keys of facts that repeat what is known are left out.
+    """
     changed: set[facts.Key] = set()
     for fact in reported:
         if fact.value is None or _is_forgotten(current, fact, complete_to):
@@ -62,10 +66,10 @@
 
 
 def _is_repeated(before: facts.Fact, fact: facts.Fact) -> bool:
-    """Tell whether a fact says what was known, so that it is not passed on.
+    """Return whether a fact repeats what is known, so it is not passed on.
 
-    What was written again in a new era is passed on, because other hosts may
-    hold an entry of the copy against it.
+    A fact that was written again in a new era is passed on, because other hosts
+    may defer an entry of the copy that contradicts it.
     """
     if fact.era != before.era or fact.value is None:
         return False
@@ -77,12 +81,12 @@
     fact: facts.Fact,
     complete_to: facts.Stamp,
 ) -> bool:
-    """Tell whether an unknown order was taken back, and that is forgotten.
+    """Return whether an unknown evacuation was withdrawn and then forgotten.
 
-    This host knows every order up to where its ledger is complete. A host
-    that was cut off for longer than removals are remembered still passes on
-    the orders of then; taken for news, one of them would leave a data centre
-    out that is in use, on all hosts and for good.
+    This host knows every evacuation up to the stamp to which its view is
+    complete. A host that was cut off for longer than removals are kept still
+    passes on old evacuations; applied as new, one of them would exclude a data
+    centre that is in use, on all hosts and for good.
     """
     if fact.key.subject is not facts.Subject.EVACUATION or fact.key in current:
         return False
--- a/fuchsiahaven/routing/facts.py
+++ b/fuchsiahaven/routing/facts.py
@@ -1,4 +1,4 @@
-"""Hold what is known of the store, each fact under what wrote it."""
+"""Define the facts of the store, reports of them and the view of a host."""
 
 import enum
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class Subject(enum.StrEnum):
-    """List what facts are about."""
+    """List the kinds of facts."""
 
     CONFIGURATION = 'configuration'
     INSTANCE = 'instance'
@@ -29,29 +29,30 @@
 
 
 class Key(NamedTuple):
-    """Name a fact."""
+    """Identify a fact."""
 
     subject: Subject
     name: str
 
 
-#: The era of what is told without one. It is before all that are told.
+#: Era of facts and reports without one; it precedes all other eras.
 NO_ERA: Final = freshness.NO_ERA
 
 
 class Stamp(NamedTuple):
-    """Order the changes of the store: its revisions count anew in each era."""
+    """Order the changes of the store; revisions start again in each era."""
 
     era: int
     revision: int
 
 
 class Fact(NamedTuple):
-    """State one fact; without a value it is gone.
+    """Hold one fact; a fact without a value is a removal.
 
-    `revision` is the store's when the fact last changed its meaning, in its
-    history `era`. `born` is the writer's number of what a removal is about, as
-    the start of a target; 0 where it is of any.
+    `revision` is the store's revision at which the fact last changed its
+    meaning, within its history `era`. `born` is the writer's number of the
+    start of a target, or the version, that a removal applies to; 0 if it
+    applies to any.
     """
 
     key: Key
@@ -62,16 +63,16 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Return where in the store's histories the fact was written."""
+        """Return the era and revision at which the fact was written."""
         return Stamp(self.era, self.revision)
 
 
 class Cursor(NamedTuple):
-    """Name a place in the order in which one process learned its facts.
+    """Mark a position in the order in which one process learned its facts.
 
-    The store's revisions will not do: a removal that was held back is learned
-    after later ones, and whoever had asked in between would never hear of it.
-    `life` is another one after each start of the process.
+    Revisions of the store do not serve as cursors: a delayed removal is learned
+    after later revisions, and a host that polled in between would miss it.
+    `incarnation` differs at each start of the process.
     """
 
     incarnation: int = 0
@@ -85,13 +86,14 @@
 
 
 class Report(NamedTuple):
-    """Bring news: what has changed, or, if `whole`, everything there is.
-
-    It is complete up to `revision` of the history `era`; `age` says how many
-    seconds ago the store itself was read. `cursor` is where to go on from the
-    next time. `lost` tells that whoever reports cannot read the store just now.
-    `since` is the first revision that was read in this era; 0 where it is this
-    one. `proof` is given where customers' keys have to be fresh.
+    """Hold an update (what has changed) or a `full` listing of the store.
+
+    The report is complete up to `revision` of the history `era`. `age` is the
+    time since the store was read, in seconds. `cursor` is where the next poll
+    continues. `store_lost` says that the reporting host cannot read the store
+    at the moment. `first_revision` is the first revision that was read in this
+    era; 0 if it equals `revision`. `proof` is set where customers' keys have to
+    be fresh.
     """
 
     revision: int
@@ -106,23 +108,26 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Return up to where in the store's histories this is complete."""
+        """Return up to which era and revision the report is complete."""
         return Stamp(self.era, self.revision)
 
 
 class StoreView(NamedTuple):
-    """Hold all that is known.
-
-    `read` is when the store was last read by whoever told us. `missing` are
-    facts that are gone from the store but kept until the time given; `lapsing`
-    are those that it lacked when it came back from a copy, kept until they can
-    have been written again. `held` is what the copy says against what was
-    confirmed before: it counts after `patience` seconds, in which it would have
-    been written over. `places` is when each fact was learned, in the order of
-    `cursor`, and `gone` the time at which each removal was; removals up to
-    `floor` are forgotten. `revision` and `since` are of the history `era`;
-    `restores` counts how often it was seen to rise, `restored` is when it last
-    did, or when the store was last reached again.
+    """Hold all that a host knows of the store's contents.
+
+    `read_at` is when the store was last read, by this host or by the one that
+    reported it. `pending_removals` are facts that are gone from the store but
+    kept until the time given. `unwritten` are facts that the store lacked after
+    it was restored from a copy; they are kept until the time by which they are
+    written again. `deferred` are facts of that copy which contradict confirmed
+    ones: they are applied after `deferral_s` seconds, because outdated ones are
+    overwritten or removed by then.
+
+    `positions` is when each fact was learned, as a position of `cursor`;
+    `removed_at` the time of each removal. Removals up to `expired_position` are
+    forgotten. `revision` and `first_revision` belong to the history `era`.
+    `restore_count` is how often the era was seen to rise; `restored_at` when it
+    last did, or when the store was last reached again.
     """
 
     cursor: Cursor
@@ -144,14 +149,15 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Return up to where in the store's histories this is complete."""
+        """Return up to which era and revision the view is complete."""
         return Stamp(self.era, self.revision)
 
 
 class Restore(NamedTuple):
-    """Tell what a store that came back from a copy was found to hold.
+    """Summarize the contents of a store that was restored from a copy.
 
-    `kept` facts it lacks or has in an earlier version, `taken` have changed.
+    `kept` counts the facts that the store lacks or has in an earlier version,
+    `changed` those whose value has changed.
     """
 
     before: Stamp
@@ -161,10 +167,10 @@
 
 
 class MergeResult(NamedTuple):
-    """Return the ledger and which subjects have changed.
+    """Return the merged view and the subjects that have changed.
 
-    A report may be of an `earlier` era; `dropped` facts were not written again
-    after a restore.
+    `from_earlier_era` marks the report of an earlier era. `dropped` are the
+    facts that were not written again after a restore.
     """
 
     view: StoreView
@@ -175,7 +181,7 @@
 
 
 def find_configuration(view: StoreView) -> configs.Configuration:
-    """Return the configuration, or none yet."""
+    """Return the configuration, or an empty one if none is known."""
     for fact in view.facts.values():
         if isinstance(fact.value, configs.Configuration):
             return fact.value
@@ -201,7 +207,7 @@
 
 
 def list_evacuations(view: StoreView) -> dict[str, int]:
-    """Map each evacuated data centre to the revision of the order."""
+    """Map each evacuated data centre to the revision of its evacuation."""
     return {
         fact.value.data_centre: fact.revision
         for fact in view.facts.values()
@@ -210,7 +216,7 @@
 
 
 def list_quarantines(view: StoreView) -> list[suspects.SuspectReport]:
-    """List the requests that end the targets that run them."""
+    """List the reports on quarantined requests."""
     return [
         fact.value
         for fact in view.facts.values()
--- a/fuchsiahaven/routing/freshness.py
+++ b/fuchsiahaven/routing/freshness.py
@@ -1,4 +1,4 @@
-"""Tell how old what a host knows of customers' keys may be."""
+"""Track how old a host's knowledge of customers' keys may be."""
 
 from typing import Final
 
@@ -16,10 +16,10 @@
 
 
 class Freshness(freshness.Freshness):
-    """Own what proves how old the knowledge of keys is."""
+    """Own the proofs of how old the knowledge of customers' keys is."""
 
     def update_configuration(
         self, configuration: configs.Configuration
     ) -> None:
-        """Note whether the configuration in force has customers."""
+        """Record whether the configuration in force has customers."""
         self.record_customers(has_customers=configuration.customers is not None)
--- a/fuchsiahaven/routing/ranks.py
+++ b/fuchsiahaven/routing/ranks.py
@@ -1,7 +1,7 @@
-"""Order what is told of one key, and tell what a removal is of.
+"""Rank facts of one key, and tell which fact a removal applies to.
 
-The store's revisions order its changes within one of its eras only. What
-outlives a restore is ranked first by a number of whoever wrote it.
+Revisions of the store order its changes within one era only. Facts that outlive
+a restore are ranked first by a number that their writer sets.
 """
 
 from typing import Final
@@ -9,21 +9,21 @@
 from fuchsiahaven.core import suspects
 from fuchsiahaven.routing import configs, deployments, facts, instances
 
-#: More than a quarantine counts of crashes, so that clears count first.
+#: Above any count of crashes, so that clears take precedence.
 MAX_CRASHES: Final = 100_000
 
 
 def compute_rank(fact: facts.Fact) -> tuple[int, facts.Stamp, bool]:
-    """Rank what is told of a key: by its writer's number, then by the store's.
+    """Rank a fact by its writer's number, then by its era and revision.
 
-    Of one entry of a host, as one wrote it, that with its capacity ranks first:
-    the version before passes entries on without it.
+    Of two copies of one entry of a host the one with its capacity ranks first:
+    hosts of the previous version pass entries on without it.
 
-    A configuration that was accepted is replaced by a higher version only.
-    A target may start again under its id. The last entry of its earlier
-    start can reach the store after the first of the new one, and hosts that
-    heard of one of them only pass it on; by revision alone the dead start
-    would win, and requests would go to connections that are gone.
+    An accepted configuration is replaced by a higher version only. A target may
+    start again under its id. The last entry of its earlier start can reach the
+    store after the first of the new one, and hosts that know one of them only
+    pass it on. By revision alone the earlier start would win, and requests
+    would go to connections that are closed.
     """
     has_capacity = (
         isinstance(fact.value, deployments.Host)
@@ -33,7 +33,7 @@
 
 
 def is_repeat(before: facts.Value | None, value: facts.Value) -> bool:
-    """Tell whether a value only repeats, or counts down, what was known."""
+    """Return whether a value repeats the known one, or only counts down."""
     if before == value:
         return True
     if isinstance(before, instances.Instance):
@@ -43,27 +43,28 @@
 
 
 def is_removed(fact: facts.Fact | None, removal: facts.Fact) -> bool:
-    """Tell whether a removal is of this fact."""
+    """Return whether a removal applies to this fact."""
     if fact is None or fact.value is None:
         return False
-    # A host that has not heard of a target's new start tells of the end of
-    # the one before, maybe under a later revision.
+    # A host that has not seen a target's new start reports the removal of the
+    # earlier one, maybe under a later revision.
     if is_for_earlier_start(removal, fact):
         return False
     return fact.stamp <= removal.stamp
 
 
 def is_for_earlier_start(removal: facts.Fact, fact: facts.Fact) -> bool:
-    """Tell whether a removal is of an earlier start than a fact."""
+    """Return whether a removal is of an earlier start than a fact."""
     return 0 < removal.born < get_writer_number(fact)
 
 
 def contradicts(fact: facts.Fact, before: facts.Fact | None) -> bool:
-    """Tell whether a fact undoes what was confirmed in an earlier era.
+    """Return whether a fact undoes what was confirmed in an earlier era.
 
-    One start of a target neither returns nor stays once it has said that it
-    leaves, and what was removed is not there again unless it is written again.
-    An order counts at once: it may be a new one, which must not wait.
+    One start of a target does not return after its removal, nor stay after it
+    announced its leaving, and a removed entry exists again only if it is
+    written again. An evacuation is applied at once: it may be a new one, which
+    must not be delayed.
     """
     if before is None or before.era >= fact.era:
         return False
@@ -81,13 +82,13 @@
 
 
 def make_removal(fact: facts.Fact, stamp: facts.Stamp) -> facts.Fact:
-    """State that a fact is gone, by the time the store has come so far."""
+    """Make the removal of a fact as of a stamp of the store."""
     era, revision = max(stamp, fact.stamp._replace(revision=fact.revision + 1))
     return facts.Fact(fact.key, revision, None, get_writer_number(fact), era)
 
 
 def get_writer_number(fact: facts.Fact) -> int:
-    """Find the number by which its writer orders a fact; 0 without one."""
+    """Return the number by which its writer orders a fact; 0 without one."""
     match fact.value:
         case None:
             return fact.born
--- a/fuchsiahaven/routing/removals.py
+++ b/fuchsiahaven/routing/removals.py
@@ -1,4 +1,4 @@
-"""Find what is gone from the store, and how long it may still come back."""
+"""Find facts that are gone from the store, and how long they are kept."""
 
 import math
 import types
@@ -7,16 +7,15 @@
 
 from fuchsiahaven.routing import facts, instances, ranks
 
-#: Entries of targets lapse while the store is down and are back this soon
-#: after its return, says its operator; the tenths are for the way here.
-#: Without the wait, a store that returns empties every host's directory for
-#: two seconds, and all requests are refused.
+#: Entries of targets expire during an outage of the store and are written again
+#: within this time after it, as its operator promises; the tenths are for the
+#: delay to this host. Without the wait an outage would empty the directory of
+#: every host for two seconds, and all requests would be refused.
 REWRITE_S: Final = 2.3
-#: How long what a store lacks that came back from a copy is kept, by subject,
-#: in seconds. Operators may be slower than targets to write again, and an
-#: order that lapses too late costs less than one that lapses too early. Hosts
-#: write again one after the other, and count for as long as their leases in
-#: any case.
+#: Time for which facts are kept that a restored store lacks, by subject.
+#: Operators may be slower than targets to write again, and an evacuation that
+#: ends too late costs less than one that ends too early. Hosts write again one
+#: after the other, and stay valid for as long as their leases in any case.
 RETENTION_S: Final[Mapping[facts.Subject, float]] = types.MappingProxyType(
     {
         facts.Subject.CONFIGURATION: math.inf,
@@ -26,10 +25,11 @@
         facts.Subject.QUARANTINE: 30.0,
     }
 )
-#: A target whose entry is not renewed for so many heartbeats is gone.
+#: Heartbeats without a renewal after which a target is gone.
 MAX_MISSED_HEARTBEATS: Final = 3
-#: More of the targets than this do not vanish between two readings without a
-#: word before: it is the store that has lost their entries.
+#: Fraction and number of targets above which removals between two reads mean
+#: that the store has lost entries, and not that so many targets left
+#: unannounced.
 MASS_REMOVAL_FRACTION: Final = 0.5
 MASS_REMOVAL_TARGETS: Final = 4
 
@@ -37,9 +37,9 @@
 def find_removed(
     current: Mapping[facts.Key, facts.Fact], report: facts.Report
 ) -> set[facts.Key]:
-    """Find which facts a report removes, or leaves out if it is whole."""
-    # A target may go and return between two readings: what is gone by then is
-    # what was written before its removal.
+    """Find facts that a report removes, or that a full one does not list."""
+    # A target may be removed and enter again between two reads: only entries
+    # written before the removal are removed.
     removed = {it.key: it for it in report.facts if it.value is None}
     if report.full:
         absent = current.keys() - {fact.key for fact in report.facts}
@@ -58,9 +58,9 @@
 
 
 def compute_deferral(heartbeat_s: float) -> float:
-    """Count the seconds in which a copy's entries are renewed, or gone.
+    """Return the seconds in which entries of a copy are renewed or removed.
 
-    `heartbeat` is how often targets renew theirs, in seconds.
+    `heartbeat_s` is the interval in which targets renew their entries.
     """
     return REWRITE_S + MAX_MISSED_HEARTBEATS * heartbeat_s
 
@@ -68,14 +68,14 @@
 def compute_retention(
     removed: set[facts.Key], now: float
 ) -> dict[facts.Key, float]:
-    """Say until when each fact is kept that a store lacks which came back."""
+    """Return until when facts are kept that a restored store lacks."""
     return {key: now + RETENTION_S[key.subject] for key in removed}
 
 
 def extend_retention(
     unwritten: Mapping[facts.Key, float], returned_at: float | None
 ) -> dict[facts.Key, float]:
-    """Wait anew where the store was away again: nobody could write."""
+    """Extend the deadlines after another outage: nobody could write."""
     if returned_at is None:
         return dict(unwritten)
     return {
@@ -87,10 +87,10 @@
 def list_later_starts(
     current: Mapping[facts.Key, facts.Fact], report: facts.Report
 ) -> set[facts.Key]:
-    """List later starts of targets whose earlier start is told to be gone.
+    """List later starts of targets whose earlier start is reported removed.
 
-    The host that tells it never heard of the later start. A late entry of the
-    earlier one may have overwritten it, and it will be back; or it has ended
+    The reporting host has not seen the later start. Either a late entry of the
+    earlier one has overwritten it and it will be written again, or it has ended
     too.
     """
     return {
@@ -106,9 +106,9 @@
 def list_unwritten(
     current: Mapping[facts.Key, facts.Fact], report: facts.Report
 ) -> set[facts.Key]:
-    """List what is known from an earlier era and left out in this one.
+    """List facts of an earlier era that a full report of this one lacks.
 
-    It may not have been written again yet.
+    They may not have been written again yet.
     """
     if not report.full:
         return set()
@@ -123,14 +123,14 @@
 
 
 def list_present(report: facts.Report) -> set[facts.Key]:
-    """List what a report tells to be there."""
+    """List the keys of the facts that a report holds."""
     return {fact.key for fact in report.facts if fact.value is not None}
 
 
 def list_removals(
     deferred: Mapping[facts.Key, facts.Fact], report: facts.Report
 ) -> list[facts.Fact]:
-    """List what a report removes, and what was held and is left out."""
+    """List reported removals, and those of deferred facts not listed."""
     removals = [fact for fact in report.facts if fact.value is None]
     if report.full:
         present = list_present(report)
@@ -146,7 +146,7 @@
 def list_still_deferred(
     deferred: Mapping[facts.Key, facts.Fact], report: facts.Report
 ) -> dict[facts.Key, facts.Fact]:
-    """List which held facts a report neither repeats nor removes."""
+    """Return the deferred facts that a report neither repeats nor removes."""
     present = list_present(report)
     removed = find_removed(deferred, report)
     return {
@@ -162,9 +162,9 @@
     now: float,
     returned_at: float | None,
 ) -> dict[facts.Key, float]:
-    """Say until when each fact that is gone may come back.
+    """Return until when each removed fact is kept.
 
-    An order of operators lapses never: gone, it has been taken back.
+    An evacuation does not expire: when it is gone, operators have withdrawn it.
     """
     deadline = (
         now
@@ -183,7 +183,7 @@
     now: float,
     returned_at: float,
 ) -> float:
-    """Say until when entries that are gone may come back."""
+    """Return until when entries that are gone may be written again."""
     expected = sum(1 for fact in current.values() if _is_staying_target(fact))
     vanished = sum(1 for key in removed if _is_staying_target(current[key]))
     if vanished > max(MASS_REMOVAL_TARGETS, MASS_REMOVAL_FRACTION * expected):
@@ -192,5 +192,5 @@
 
 
 def _is_staying_target(fact: facts.Fact) -> bool:
-    """Tell whether a fact is of a target that has not said that it leaves."""
+    """Return whether a fact is of a target that is not marked as leaving."""
     return isinstance(fact.value, instances.Instance) and not fact.value.leaving
--- a/fuchsiahaven/routing/report_codecs.py
+++ b/fuchsiahaven/routing/report_codecs.py
@@ -1,4 +1,4 @@
-"""Write facts as the JSON that hosts send each other, and read them."""
+"""Encode reports as the JSON that hosts send each other, and decode them."""
 
 import json
 import math
@@ -16,15 +16,15 @@
     suspect_codecs,
 )
 
-#: A proof is written in thousandths of a second, rounded to the safe side.
+#: Leads of proofs are encoded in whole milliseconds, rounded down.
 MS_PER_S: Final = 1000
 
 
 class EncodedFact(TypedDict):
-    """Hold one fact on the wire; `value` is null where it is gone.
+    """Hold the JSON form of a fact; `value` is null for a removal.
 
-    `capacity` is a host's. It stands beside the value, where hosts of the
-    version before pass over it, and is left out where it is not told.
+    `capacity` is that of a host. It stands beside the value, where hosts of the
+    previous version ignore it, and is left out if unknown.
     """
 
     subject: str
@@ -37,17 +37,17 @@
 
 
 class EncodedProof(TypedDict):
-    """Hold a proof on the wire; `lead` is in seconds."""
+    """Hold the JSON form of a proof; `lead` is in seconds."""
 
     lead: float
     era: int
 
 
 class EncodedReport(TypedDict):
-    """Hold a report on the wire; `age` is in seconds.
+    """Hold the JSON form of a report; `age` is in seconds.
 
-    `cursor` is the process's life and a place in it. Hosts of the version
-    before write no `era` and no `since`.
+    `cursor` is an incarnation of the process and a position in it. Hosts of the
+    previous version write no `era` and no `since`.
     """
 
     cursor: list[int]
@@ -62,11 +62,11 @@
 
 
 class MalformedReport(Exception):
-    """Report bytes that are no report."""
+    """Reject bytes that are not a valid report."""
 
 
 def encode_report(report: facts.Report) -> bytes:
-    """Write a report."""
+    """Encode a report."""
     encoded = EncodedReport(
         cursor=list(report.cursor),
         lost=report.store_lost,
@@ -83,7 +83,7 @@
 
 
 def decode_report(data: bytes) -> facts.Report:
-    """Read a report; raises Malformed."""
+    """Decode a report; raises MalformedReport."""
     try:
         return _decode_report(json.loads(data))
     except (ValueError, KeyError, TypeError) as error:
@@ -91,12 +91,12 @@
 
 
 def encode_cursor(cursor: facts.Cursor) -> str:
-    """Write a cursor as part of a query."""
+    """Encode a cursor for a query string."""
     return f'{cursor.incarnation}.{cursor.position}'
 
 
 def decode_cursor(text: str) -> facts.Cursor:
-    """Read a cursor; what is none asks for everything."""
+    """Decode a cursor; an invalid one requests a full listing."""
     incarnation, _, position = text.partition('.')
     if incarnation.isdigit() and position.isdigit():
         return facts.Cursor(int(incarnation), int(position))
@@ -141,10 +141,10 @@
 def _encode_configuration(
     configuration: configs.Configuration,
 ) -> Mapping[str, Any]:
-    """Write a configuration; what only some have is left out of others.
+    """Encode a configuration; optional parts are left out where unused.
 
-    The public routes stand beside the routes: hosts of the version before
-    take no route with a field more.
+    Public routes are listed beside the routes, because hosts of the previous
+    version reject a route with an additional field.
     """
     encoded: dict[str, Any] = {
         'version': configuration.version,
--- a/fuchsiahaven/routing/store_views.py
+++ b/fuchsiahaven/routing/store_views.py
@@ -1,9 +1,9 @@
-"""Merge what hosts read and are told into one ledger.
+"""Merge reports of the store and of other hosts into one view of the store.
 
-Facts come from the store or from other hosts; the higher rank wins, so that the
-order in which news arrives does not matter and nothing goes back. The store may
-come back from an older copy of itself: its revisions begin a new era then, and
-what it lacks is kept until it can have been written again.
+The fact with the higher rank wins, so the result does not depend on the order
+of the reports and no fact is replaced by an older one. The store may be
+restored from an older copy of itself: its revisions then start a new era, and
+facts that it lacks are kept until the time by which they are written again.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,16 +11,16 @@
 
 from fuchsiahaven.routing import changes, fact_updates, facts, ranks, removals
 
-#: How often targets renew their entries where that is not told, in seconds.
+#: Interval in which targets renew their entries, if not set by the platform.
 DEFAULT_HEARTBEAT_S: Final = 1.2
 
 
 def create(
     incarnation: int, heartbeat_s: float = DEFAULT_HEARTBEAT_S
 ) -> facts.StoreView:
-    """Begin with nothing known; `life` is new at each start of a process.
+    """Create an empty view; `incarnation` differs at each start of a process.
 
-    `heartbeat` is how often targets renew their entries, in seconds.
+    `heartbeat_s` is the interval in which targets renew their entries.
     """
     return facts.StoreView(
         facts.Cursor(incarnation, 0),
@@ -35,11 +35,12 @@
     *,
     returned_at: float | None,
 ) -> facts.MergeResult:
-    """Take in a report.
+    """Merge a report into a view.
 
-    `returned` is when the store was reached again after an outage, or minus
-    infinity without one; removals seen soon after it wait until the entries
-    can be back. It is None for a report of another host, which has waited.
+    `returned_at` is when the store was reached again after an outage, or minus
+    infinity without one; removals seen soon after it are delayed until the
+    entries can be back. It is None for a report of another host, which has
+    already waited.
     """
     resolved = _resolve_era(view, report)
     if resolved.era < view.era:
@@ -50,10 +51,10 @@
 
 
 def _resolve_era(view: facts.StoreView, report: facts.Report) -> facts.Report:
-    """Find the era of a report that tells none.
+    """Set the era of a report that has none.
 
-    It is of the era that is known, as long as this host has seen no restore:
-    after one, what a host tells that knows no eras may be of the one before.
+    It is the era of the view as long as this host has seen no restore. After
+    one, a host that knows no eras may report from before it.
     """
     if report.era != facts.NO_ERA or view.restore_count:
         return report
@@ -66,9 +67,10 @@
 def _merge_earlier_era(
     view: facts.StoreView, report: facts.Report, now: float
 ) -> facts.MergeResult:
-    """Take in a report of an era that has ended.
+    """Merge a report of an earlier era.
 
-    Only a configuration still counts, because versions order it in all eras.
+    Only its configuration is used, because versions order configurations across
+    eras.
     """
     current = dict(view.facts)
     accepted = [
@@ -86,10 +88,10 @@
 def _merge_later_era(
     view: facts.StoreView, report: facts.Report, now: float
 ) -> facts.MergeResult:
-    """Go over to a later era.
+    """Merge a report of a later era.
 
-    What it lacks is kept until it can have been written again: dropped at
-    once, all that was confirmed in between would go back until then.
+    Facts that the store lacks are kept until the time by which they are written
+    again. Removing them at once would undo confirmed changes in the meantime.
     """
     current = dict(view.facts)
     first_revision = report.first_revision or report.revision
@@ -97,7 +99,7 @@
         current, report.facts, facts.Stamp(report.era, first_revision)
     )
     changed = fact_updates.apply_values(current, accepted, view.stamp)
-    # Everybody who asks gets everything: cursors were of the era before.
+    # Cursors belong to the earlier era, so each poll gets a full listing.
     expired_position = view.cursor.position + 1
     reset = view._replace(
         cursor=view.cursor._replace(position=expired_position),
@@ -127,7 +129,7 @@
     report: facts.Report,
     now: float,
 ) -> dict[facts.Key, float]:
-    """Find what is gone unless it is written again in a new era."""
+    """Find facts that are removed unless written again in a new era."""
     removed = removals.find_removed(current, report) | view.unwritten.keys()
     return removals.compute_retention(
         removed - removals.list_present(report), now
@@ -137,7 +139,7 @@
 def _summarize_restore(
     before: facts.StoreView, view: facts.StoreView
 ) -> facts.Restore | None:
-    """Say what a restore has brought; None where no era was known before."""
+    """Summarize a restore; None if no era was known before."""
     if not before.revision or before.era == facts.NO_ERA:
         return None
     present = [it for it in view.facts.values() if it.value is not None]
@@ -153,9 +155,9 @@
     now: float,
     returned_at: float | None,
 ) -> facts.MergeResult:
-    """Take in a report of the era that is known."""
+    """Merge a report of the current era."""
     current = dict(view.facts)
-    # A host that tells the news also tells when what it misses is gone.
+    # Another host has already delayed the removals that it reports.
     pending = {} if returned_at is None else dict(view.pending_removals)
     for present in removals.list_present(report):
         pending.pop(present, None)
@@ -169,7 +171,8 @@
         removals.compute_removal_times(current, removed, now, returned_at)
     )
     changed |= _remove_expired(current, pending, view.stamp, now)
-    # What cannot be written again, as nobody reaches the store, does not lapse.
+    # While nobody reaches the store nothing can be written again, so these
+    # deadlines are compared with the time of the last read.
     dropped = _remove_expired(current, unwritten, view.stamp, view.read_at)
     changed |= dropped
     merged = view._replace(
@@ -189,7 +192,7 @@
     now: float,
     returned_at: float | None,
 ) -> dict[facts.Key, float]:
-    """Find what is gone unless it is written again, after a report."""
+    """Find facts that are removed unless written again, by deadline."""
     unwritten = removals.extend_retention(view.unwritten, returned_at)
     for present in removals.list_present(report):
         unwritten.pop(present, None)
@@ -211,11 +214,11 @@
     now: float,
     returned_at: float | None,
 ) -> facts.StoreView:
-    """Note how far the store has been read, and by when."""
+    """Update up to which revision, and when, the store was read."""
     first_revision = report.first_revision or view.first_revision
     restored_at = view.restored_at
     if returned_at is not None:
-        # While the store was away again nobody could write.
+        # Nobody could write while the store was unreachable again.
         restored_at = max(restored_at, returned_at)
     return view._replace(
         revision=max(view.revision, report.revision),
@@ -231,7 +234,7 @@
     report: facts.Report,
     complete_to: facts.Stamp,
 ) -> tuple[facts.StoreView, set[facts.Key]]:
-    """Take what is told, and what was held for long enough."""
+    """Apply reported facts, and deferred ones once their time is over."""
     deferred = removals.list_still_deferred(view.deferred, report)
     copy_stamp = facts.Stamp(view.era, view.first_revision)
     accepted = list(report.facts)
@@ -262,13 +265,13 @@
     stamp: facts.Stamp,
     now: float,
 ) -> set[facts.Key]:
-    """Remove what was waited for long enough; return what has changed."""
+    """Remove the facts whose deadline has passed; return their keys."""
     expired = [key for key, deadline in deadlines.items() if deadline <= now]
     changed = set()
     for key in expired:
         deadlines.pop(key)
         fact = current.get(key)
-        # What operators accepted never goes away again.
+        # An accepted configuration is never removed.
         is_kept = key.subject is facts.Subject.CONFIGURATION
         if fact is not None and fact.value is not None and not is_kept:
             current[key] = ranks.make_removal(fact, stamp)
--- a/tests/routing/freshness_model.py
+++ b/tests/routing/freshness_model.py
@@ -15,20 +15,20 @@
 
 REVOKE_S: Final = 5.0
 KEY_COUNT: Final = 3
-#: Operators write again in time only where time goes on in small steps.
+#: Operators write lost entries again in time only if time advances in small
+#: steps.
 STEP_S: Final = 0.1
-#: The configuration's keys are told by its version, so that reports need not
-#: carry them here.
+#: The version identifies the valid keys, so reports need not carry them here.
 CONFIGURATION_WITH_KEYS: Final = configs.EMPTY_CONFIGURATION._replace(
     customers=()
 )
 
 
 class Operator:
-    """Own the store, and which key each version has."""
+    """Own the store, and which keys each version has."""
 
     def __init__(self, *, has_eras: bool) -> None:
-        """Begin with all keys; a store without eras comes from no copy."""
+        """Start with all keys; a store without eras is never restored."""
         self.store = store_model.Store()
         self.has_eras = has_eras
         self.valid_keys = frozenset(range(KEY_COUNT))
@@ -36,7 +36,7 @@
         self.revoked_at: dict[int, float] = {}
 
     def toggle_key(self, key: int) -> None:
-        """Take a key away, or give it again."""
+        """Revoke a key, or make it valid again."""
         self.valid_keys ^= {key}
         self.store.change_version()
         self.keys_by_version[self.store.version] = self.valid_keys
@@ -46,12 +46,12 @@
             self.revoked_at[key] = self.store.now
 
     def restore(self, back: int) -> None:
-        """Come back from a copy."""
+        """Restore the store from a copy."""
         if self.has_eras:
             self.store.restore(back, 1)
 
     def make_report(self, view: facts.StoreView) -> facts.Report:
-        """Answer a host that reads on from there."""
+        """Make a report for a host that reads on from a view."""
         report = self.store.make_update(view)
         if self.has_eras:
             return report
@@ -60,41 +60,45 @@
 
 
 class Host:
-    """Own what a host knows and by which clock it counts."""
+    """Own what a host knows, and the clock that it uses."""
 
     def __init__(self, operator: Operator, incarnation: int) -> None:
-        """Start knowing nothing."""
-        self.life = incarnation
-        self.ledger = store_views.create(incarnation)
+        """Start without any knowledge."""
+        self.incarnation = incarnation
+        self.view = store_views.create(incarnation)
         self.freshness = freshness.Freshness(REVOKE_S, self._read_clock)
         self._operator = operator
         self._clock_offset = 1000.0 * (incarnation % 7)
 
     def merge(self, report: facts.Report) -> None:
-        """Take in a report."""
+        """Merge a report."""
         now = self._operator.store.now
         returned_at = None if report.proof else store_model.NEVER
-        self.ledger = store_views.merge_report(
-            self.ledger, report, now, returned_at=returned_at
+        self.view = store_views.merge_report(
+            self.view, report, now, returned_at=returned_at
         ).view
-        if facts.find_configuration(self.ledger).version:
+        if facts.find_configuration(self.view).version:
             self.freshness.update_configuration(CONFIGURATION_WITH_KEYS)
 
     def list_admitted(self) -> frozenset[int]:
         """List the keys that this host admits now."""
-        version = facts.find_configuration(self.ledger).version
+        version = facts.find_configuration(self.view).version
         if not version or self.freshness.compute_wait():
             return frozenset()
         return self._operator.keys_by_version[version]
 
     def make_report(
-        self, arrived: float, after: facts.Cursor, *, configuration_only: bool
+        self,
+        received_at: float,
+        after: facts.Cursor,
+        *,
+        configuration_only: bool,
     ) -> facts.Report:
-        """Answer another host, as over the wire."""
+        """Make a report for another host, encoded and decoded."""
         now = self._operator.store.now
-        report = changes.list_changes(self.ledger, after, now)
+        report = changes.list_changes(self.view, after, now)
         report = report._replace(
-            proof=self.freshness.make_proof(arrived), age=0
+            proof=self.freshness.make_proof(received_at), age=0
         )
         if configuration_only:
             report = keep_configuration(report)
@@ -105,7 +109,7 @@
 
 
 class Stage(enum.Enum):
-    """Say how far a question has come."""
+    """Name how far a request has come."""
 
     SENT = 'left'
     ARRIVED = 'arrived'
@@ -113,26 +117,26 @@
 
 
 class Request(NamedTuple):
-    """Hold a question on its way; `other` is None where it goes to the store.
+    """Hold a request under way; `other` is None if it reads the store.
 
-    With `alone` only the configuration is asked for.
+    With `configuration_only` it requests nothing else.
     """
 
     host: Host
     other: Host | None
     configuration_only: bool
     sent_at: float
-    ledger: facts.StoreView
+    view: facts.StoreView
     stage: Stage = Stage.SENT
     arrived_at: float = 0.0
     report: facts.Report | None = None
 
 
 class RoundTrip(NamedTuple):
-    """Describe a question that goes there and back.
+    """Describe a request that is sent, answered and returned.
 
-    The `pauses` are those before it arrives, is answered and comes back; at
-    the beginning of each one a key may change.
+    The `pauses` are before its arrival, its answer and its return; at the start
+    of each one a key may change.
     """
 
     host: int
@@ -143,7 +147,7 @@
 
 
 def keep_configuration(report: facts.Report) -> facts.Report:
-    """Keep the configuration of a report and nothing else."""
+    """Return a report with the configuration alone."""
     entries = tuple(
         it
         for it in report.facts
@@ -153,12 +157,12 @@
 
 
 class World:
-    """Own the store, the hosts and what is on its way between them."""
+    """Own the store, the hosts and the requests under way between them."""
 
     def __init__(self, count: int, *, has_eras: bool) -> None:
-        """Start with hosts that have read the store long ago."""
+        """Start with hosts that read the store long ago."""
         self.operator = Operator(has_eras=has_eras)
-        self.host_count = count
+        self.start_count = count
         self.hosts = [
             Host(self.operator, incarnation + 1) for incarnation in range(count)
         ]
@@ -171,7 +175,7 @@
             self.advance(freshness.RESTORE_SETTLING_S + 1)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, and check all the while."""
+        """Advance the time in small steps and check the keys after each."""
         for _ in range(round(seconds / STEP_S)):
             self.operator.store.advance(STEP_S)
             self.check_keys()
@@ -179,19 +183,19 @@
     def send_request(
         self, host: int, other: int | None, *, configuration_only: bool
     ) -> None:
-        """Have a question leave."""
+        """Send a request."""
         sender = self.hosts[host]
         receiver = None if other is None else self.hosts[other]
         if receiver is not sender:
             sent_at = sender.freshness.read_clock()
             self.requests.append(
                 Request(
-                    sender, receiver, configuration_only, sent_at, sender.ledger
+                    sender, receiver, configuration_only, sent_at, sender.view
                 )
             )
 
     def advance_request(self, number: int) -> None:
-        """Have a question go on by one stage."""
+        """Advance a request by one stage."""
         if not self.requests:
             return
         request = self.requests.pop(number % len(self.requests))
@@ -204,7 +208,7 @@
                 self._handle_delivery(request)
 
     def make_round_trip(self, trip: RoundTrip) -> None:
-        """Have a question go there and back with pauses on its way."""
+        """Send a request and have it answered, with pauses on its path."""
         self.send_request(
             trip.host, trip.other, configuration_only=trip.configuration_only
         )
@@ -220,27 +224,27 @@
         self.make_round_trip(RoundTrip(host, None, False, (0, 0, 0), no_keys))
 
     def lose_request(self, number: int) -> None:
-        """Lose a question or its answer."""
+        """Lose a request or its answer."""
         if self.requests:
             self.requests.pop(number % len(self.requests))
 
     def restart_host(self, host: int) -> None:
-        """Start a host anew."""
+        """Restart a host without any knowledge."""
         stopped = self.hosts[host]
         self.requests = [
             it for it in self.requests if stopped not in {it.host, it.other}
         ]
-        self.host_count += 1
-        self.hosts[host] = Host(self.operator, self.host_count)
+        self.start_count += 1
+        self.hosts[host] = Host(self.operator, self.start_count)
 
     def check_keys(self) -> None:
-        """Check that no host admits a key that has been dead for too long."""
+        """Check that no host admits a key that was revoked too long ago."""
         now = self.operator.store.now
         for host in self.hosts:
             for key in host.list_admitted():
                 revoked_at = self.operator.revoked_at.get(key, now)
                 assert now <= revoked_at + REVOKE_S, (
-                    host.life,
+                    host.incarnation,
                     key,
                     now - revoked_at,
                 )
@@ -255,7 +259,7 @@
 
     def _handle_answer(self, request: Request) -> None:
         if request.other is None:
-            report = self.operator.make_report(request.ledger)
+            report = self.operator.make_report(request.view)
             if request.configuration_only:
                 report = keep_configuration(report)
         else:
@@ -272,10 +276,10 @@
         host = request.host
         report = request.report
         assert report is not None
-        if request.configuration_only and report.era > host.ledger.era:
+        if request.configuration_only and report.era > host.view.era:
             return
         if request.other is None:
-            if report.era < host.ledger.era:
+            if report.era < host.view.era:
                 return
             host.freshness.record_read(request.sent_at, report.era)
         else:
--- a/tests/routing/store_model.py
+++ b/tests/routing/store_model.py
@@ -1,4 +1,4 @@
-"""Model a store that comes back from copies, and hosts that follow it."""
+"""Model a store that is restored from copies, and hosts that follow it."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -14,18 +14,18 @@
     store_views,
 )
 
-#: What the platform promises: entries are written again so soon after a return,
-#: and those of targets that are gone are removed.
+#: What the platform promises: within these times after a restore lost entries
+#: are written again, and entries of targets that are gone are removed.
 MAX_REWRITE_S: Final = 2.0
 MAX_EXPIRY_S: Final = 3 * store_views.DEFAULT_HEARTBEAT_S
-#: How far back the copies go that the store comes back from.
+#: Maximum age of the copies that the store is restored from.
 MAX_COPY_AGE_S: Final = 8.0
 CONFIGURATION: Final = facts.Key(facts.Subject.CONFIGURATION, '')
 NEVER: Final = float('-inf')
 
 
 class History(NamedTuple):
-    """Hold what the store holds, and how it came to that."""
+    """Hold the contents of the store, and the changes that led to them."""
 
     items: dict[facts.Key, facts.Fact]
     events: tuple[facts.Fact, ...]
@@ -33,15 +33,15 @@
 
 
 class Store:
-    """Own a store and what operators and targets want it to hold."""
+    """Own a store, and what operators and targets want it to hold."""
 
     def __init__(self) -> None:
-        """Begin with one accepted version."""
+        """Start with one accepted version."""
         self.now = 100.0
         self.era = 1
         self.history = History({}, (), 1)
         self.wanted: dict[facts.Key, facts.Value] = {}
-        #: Keys that were written once, and never over nor removed.
+        #: Keys that were written once, and neither overwritten nor removed.
         self.unchanged: set[facts.Key] = set()
         self.version = 0
         self._copies: list[tuple[float, History]] = []
@@ -57,7 +57,7 @@
         self._set_wanted(CONFIGURATION, accepted)
 
     def start_target(self, number: int) -> None:
-        """Start a target, maybe under an id that was used before."""
+        """Start a target, possibly under an id that was used before."""
         self._starts += 1
         name = f'i-{number}'
         instance = instances.Instance(
@@ -74,7 +74,7 @@
         self._set_wanted(facts.Key(facts.Subject.INSTANCE, name), instance)
 
     def mark_leaving(self, number: int) -> None:
-        """Have a target say that it leaves."""
+        """Mark the entry of a target as leaving."""
         key = facts.Key(facts.Subject.INSTANCE, f'i-{number}')
         instance = self.wanted.get(key)
         if isinstance(instance, instances.Instance):
@@ -85,7 +85,7 @@
         self._remove_wanted(facts.Key(facts.Subject.INSTANCE, f'i-{number}'))
 
     def toggle_evacuation(self, number: int) -> None:
-        """Give an order to evacuate, or take it back."""
+        """Evacuate a data centre, or end its evacuation."""
         key = facts.Key(facts.Subject.EVACUATION, f'centre-{number}')
         if key in self.wanted:
             self._remove_wanted(key)
@@ -93,7 +93,7 @@
             self._set_wanted(key, deployments.Evacuation(key.name))
 
     def restore(self, back: int, eras: int) -> None:
-        """Come back from one of the copies, so many eras later."""
+        """Restore the store from an earlier copy and increase its era."""
         if self._copies:
             position = max(0, len(self._copies) - 1 - back)
             self.history = self._copies[position][1]
@@ -101,7 +101,7 @@
         self._restored_at = self.now
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; what was lost is written again in time."""
+        """Advance the time; write lost entries again when it is due."""
         self.now += seconds
         self._copies = [
             (at, copy)
@@ -117,23 +117,23 @@
                 self._remove(key)
 
     def make_listing(self) -> facts.Report:
-        """List what it holds."""
-        return self._make_report(self.history.items.values(), whole=True)
+        """Make a full listing of the store."""
+        return self._make_report(self.history.items.values(), full=True)
 
     def make_update(self, view: facts.StoreView) -> facts.Report:
-        """Read on from a ledger, as the reader does."""
+        """Make an update from where a view is complete, as the reader does."""
         history = self.history
         if view.era != self.era or view.revision > history.revision:
             return self.make_listing()
         events = [it for it in history.events if it.revision > view.revision]
-        return self._make_report(events, whole=False)
+        return self._make_report(events, full=False)
 
     def _make_report(
-        self, entries: Iterable[facts.Fact], *, whole: bool
+        self, entries: Iterable[facts.Fact], *, full: bool
     ) -> facts.Report:
-        # All that an answer holds is of the era that it tells.
+        # All facts of a report have the era of the report.
         dated = tuple(fact._replace(era=self.era) for fact in entries)
-        report = facts.Report(self.history.revision, dated, whole, age=0)
+        report = facts.Report(self.history.revision, dated, full, age=0)
         return report._replace(era=self.era)
 
     def _set_wanted(self, key: facts.Key, value: facts.Value) -> None:
@@ -172,11 +172,11 @@
 
 
 class Host:
-    """Own what one host knows, and what it may not forget."""
+    """Own what one host knows, and check what it must not forget."""
 
     def __init__(self, store: Store, incarnation: int) -> None:
-        """Start knowing nothing."""
-        self.ledger = store_views.create(incarnation)
+        """Start without any knowledge."""
+        self.view = store_views.create(incarnation)
         self.is_cut_off = False
         self._store = store
         self._cursors: dict[int, facts.Cursor] = {}
@@ -186,27 +186,27 @@
         self._usable_names: set[str] = set()
         self._unchanged: set[facts.Key] = set()
 
-    def read(self, *, everything: bool, noticed_outage: bool) -> None:
-        """Read the store; the host may have noticed that it was away."""
+    def read(self, *, full: bool, noticed_outage: bool) -> None:
+        """Read the store; the host may have noticed an outage."""
         now = self._store.now
-        report = self._store.make_update(self.ledger)
-        if everything or self._needs_listing:
+        report = self._store.make_update(self.view)
+        if full or self._needs_listing:
             report = self._store.make_listing()
-        # What others have told may lack removals that they hold back.
+        # Reports of other hosts may lack removals that they delay.
         self._needs_listing = False
         self._cursors.clear()
         self._merge(report, now if noticed_outage else NEVER)
 
     def poll(self, other: 'Host') -> None:
-        """Ask another host for news, as over the wire."""
+        """Poll another host, with the report encoded and decoded."""
         self._needs_listing = True
-        incarnation = other.ledger.cursor.incarnation
+        incarnation = other.view.cursor.incarnation
         cursor = self._cursors.get(incarnation, facts.START_CURSOR)
         known_digest = (
-            0 if cursor.incarnation else changes.compute_digest(self.ledger)
+            0 if cursor.incarnation else changes.compute_digest(self.view)
         )
         changed = changes.list_changes(
-            other.ledger, cursor, self._store.now, known_digest=known_digest
+            other.view, cursor, self._store.now, known_digest=known_digest
         )
         if math.isinf(changed.age):
             return
@@ -217,19 +217,19 @@
         self._merge(report, None)
 
     def list_values(self) -> dict[facts.Key, facts.Value]:
-        """Show what is known."""
-        entries = self.ledger.facts.values()
+        """Return the known values by key."""
+        entries = self.view.facts.values()
         return {it.key: it.value for it in entries if it.value is not None}
 
     def _merge(self, report: facts.Report, returned_at: float | None) -> None:
         merged = store_views.merge_report(
-            self.ledger, report, self._store.now, returned_at=returned_at
+            self.view, report, self._store.now, returned_at=returned_at
         )
-        self.ledger = merged.view
+        self.view = merged.view
         self._check()
 
     def _check(self) -> None:
-        version = facts.find_configuration(self.ledger).version
+        version = facts.find_configuration(self.view).version
         assert version >= self._version
         self._version = version
         unchanged = self.list_values().keys() & self._store.unchanged
@@ -237,10 +237,10 @@
         self._unchanged = unchanged
         usable = {it.name for it in self._list_usable()}
         assert not usable & self._left_names
-        # What has vanished without a word may be back: its entry has lapsed.
+        # A target that vanished unannounced may be back: its entry expired.
         leaving = {
             instance.name
-            for instance in facts.list_instances(self.ledger)
+            for instance in facts.list_instances(self.view)
             if instance.leaving
         }
         left = (self._usable_names - usable) & leaving
@@ -248,6 +248,6 @@
         self._usable_names = usable
 
     def _list_usable(self) -> Iterator[instances.Instance]:
-        for instance in facts.list_instances(self.ledger):
+        for instance in facts.list_instances(self.view):
             if not instance.leaving:
                 yield instance
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -1,4 +1,4 @@
-"""Test that no host admits a key that was taken away too long ago."""
+"""Test that no host admits a key that was revoked too long ago."""
 
 import math
 import random
@@ -19,7 +19,7 @@
 sources = st.one_of(st.none(), hosts)
 positions = st.integers(0, 5)
 keys = st.integers(0, freshness_model.KEY_COUNT - 1)
-requests = st.tuples(st.just('ask'), hosts, sources, st.booleans())
+requests = st.tuples(st.just('request'), hosts, sources, st.booleans())
 request_steps = st.tuples(st.just('move'), positions)
 durations = st.tuples(st.just('advance'), st.sampled_from((0.1, 0.4, 1.2, 4.8)))
 pauses = st.sampled_from((0.0, 0.3, 2.0))
@@ -51,28 +51,28 @@
 
 
 class Clock:
-    """Own a time that is set by hand."""
+    """Own a time that tests set."""
 
     def __init__(self) -> None:
-        """Start somewhere."""
+        """Start at an arbitrary time."""
         self.now = 500.0
 
     def read(self) -> float:
-        """Read it."""
+        """Return the time."""
         return self.now
 
 
 def make_freshness(clock: Clock) -> freshness.Freshness:
-    """Make what a host knows that has customers and knows nothing yet."""
+    """Make the freshness of a host that has customers and no proof yet."""
     host_freshness = freshness.Freshness(REVOKE_S, clock.read)
     host_freshness.update_configuration(CONFIGURATION_WITH_KEYS)
     return host_freshness
 
 
 def apply_step(world: freshness_model.World, step: tuple[object, ...]) -> None:
-    """Have one thing happen."""
+    """Apply one step."""
     match step:
-        case ('ask', int(host), other, bool(configuration_only)):
+        case ('request', int(host), other, bool(configuration_only)):
             assert other is None or isinstance(other, int)
             world.send_request(
                 host, other, configuration_only=configuration_only
@@ -103,11 +103,11 @@
 def test_no_host_admits_a_revoked_key_too_late(
     history: list[tuple[object, ...]], has_eras: bool
 ) -> None:
-    """Symptom: a key that was taken away is served seconds after its time.
+    """Guard against a revoked key that is admitted seconds too long.
 
-    Reads and questions leave, arrive, are held, answered, lost and delivered
-    in any order and after any time, as where hosts are cut off, frozen or
-    suspended; hosts start anew, and the store comes back from copies.
+    Reads and polls are sent, arrive, are held, answered, lost and delivered in
+    any order and after any time, as when hosts are cut off, frozen or
+    suspended; hosts restart, and the store is restored from copies.
     """
     world = freshness_model.World(HOSTS, has_eras=has_eras)
     for step in history:
@@ -117,7 +117,7 @@
 
 
 class Poll(NamedTuple):
-    """Hold a question of a host for its news, or its answer on its way."""
+    """Hold a poll of a host, or its answer under way."""
 
     sent_at: float
     arrives_at: float
@@ -130,14 +130,14 @@
     """Own a host that reads a store in which nothing changes."""
 
     def __init__(self, clock: Clock, draw: random.Random) -> None:
-        """Start by reading."""
+        """Start with a read."""
         self.freshness = make_freshness(clock)
         self._draw = draw
         self._sent_at = clock.now
         self._answered_at = clock.now
 
     def run_due(self) -> None:
-        """Do what is due."""
+        """Run what is due."""
         now = self.freshness.read_clock()
         if now >= self._answered_at:
             self.freshness.record_read(self._sent_at, facts.NO_ERA)
@@ -153,12 +153,12 @@
 
 
 class Follower:
-    """Own a host that asks another one again and again."""
+    """Own a host that polls another one again and again."""
 
     def __init__(
         self, clock: Clock, other: freshness.Freshness, draw: random.Random
     ) -> None:
-        """Start by asking."""
+        """Start with a poll."""
         self.freshness = make_freshness(clock)
         self._other = other
         self._draw = draw
@@ -166,7 +166,7 @@
         self._poll = self._send_poll()
 
     def run_due(self) -> None:
-        """Do what is due."""
+        """Run what is due."""
         now = self.freshness.read_clock()
         poll = self._poll
         if now >= poll.returns_at:
@@ -189,11 +189,12 @@
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6))
 def test_hosts_stay_fresh_without_any_change(seed: int) -> None:
-    """Symptom: hosts refuse requests on a quiet day.
+    """Guard against hosts that refuse requests while nothing changes.
 
-    Nothing changes in the store, so each watch lasts its whole wait. A host
-    without a way to the store for 0.6 of the time owes nothing, so a calm one
-    has to be well below that: it is under 0.4, and never tries a second way.
+    Without changes in the store each watch lasts its whole wait. A host without
+    a path to the store for 0.6 of the time must still be fresh, so in normal
+    operation the age has to be far below that: it stays under 0.4, and no
+    alternate source is tried.
     """
     draw = random.Random(seed)
     clock = Clock()
@@ -216,7 +217,10 @@
 
 
 def test_counts_the_age_of_a_report_from_its_request() -> None:
-    """Symptom: an answer two seconds late counts as fresh by two too much."""
+    """Guard against a report that counts as fresher by its own delay.
+
+    The report of this test takes two seconds.
+    """
     clock = Clock()
     sender, receiver = make_freshness(clock), make_freshness(clock)
     sender.record_read(clock.now, facts.NO_ERA)
@@ -229,7 +233,7 @@
 
 
 def test_counts_reads_while_a_request_was_held() -> None:
-    """The teller's read counts, less no more than the question's way."""
+    """The sender's read counts, less at most the delay of the request."""
     clock = Clock()
     sender, receiver = make_freshness(clock), make_freshness(clock)
     sent_at = clock.now
@@ -242,7 +246,7 @@
 
 
 def test_refuses_from_the_bound_on_with_a_retry_delay() -> None:
-    """A host that has proved nothing refuses as well."""
+    """A host without any proof refuses as well."""
     clock = Clock()
     host_freshness = make_freshness(clock)
     assert host_freshness.compute_wait() == freshness.MAX_WAIT_S
@@ -256,7 +260,7 @@
 
 
 def test_is_off_without_a_revocation_bound() -> None:
-    """Deployments without it refuse nothing and send nothing more."""
+    """Deployments without the bound refuse nothing and send nothing more."""
     host_freshness = freshness.Freshness()
     host_freshness.update_configuration(CONFIGURATION_WITH_KEYS)
     assert not host_freshness.compute_wait()
@@ -269,10 +273,10 @@
 
 
 def test_a_read_of_a_restored_store_proves_nothing_at_first() -> None:
-    """Symptom: a withdrawal that the copy lacks is forgotten.
+    """Guard against forgetting a revocation that the copy lacks.
 
-    A host that was out of touch reads the store that has just come back from a
-    copy; operators have yet to write again what it lost.
+    A host that was cut off reads the store just after it was restored from a
+    copy; operators have yet to write again what was lost.
     """
     clock = Clock()
     host_freshness = make_freshness(clock)
@@ -288,7 +292,7 @@
 
 
 def test_a_started_host_accepts_the_era_of_another_host() -> None:
-    """Symptom: a reader that starts anew leaves all others without proof."""
+    """Guard against a restarted reader that leaves all others without proof."""
     clock = Clock()
     other, host_freshness = make_freshness(clock), make_freshness(clock)
     other.record_read(clock.now, 3)
@@ -300,14 +304,14 @@
 
 
 def test_a_report_without_proof_proves_nothing() -> None:
-    """It carries customers nowhere, and says nothing of its reads."""
+    """A host of the previous version sends no customers and no proof."""
     host_freshness = make_freshness(Clock())
     host_freshness.record_proof(500, None, facts.NO_ERA)
     assert host_freshness.compute_wait()
 
 
 def test_answers_early_only_if_the_asker_gains() -> None:
-    """Who asks is told once it gains; who tells no age is not hurried."""
+    """A poll without an age gets no early answer."""
     clock = Clock()
     host_freshness = make_freshness(clock)
     host_freshness.record_read(clock.now, facts.NO_ERA)
--- a/tests/routing/test_report_codecs.py
+++ b/tests/routing/test_report_codecs.py
@@ -1,4 +1,4 @@
-"""Test how hosts write configurations for each other."""
+"""Test the encoding of reports between hosts."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
     configs.Customer('shop', ('12ab', '34cd'), 0, 2.5, 4.0),
     configs.Customer('bank'),
 )
-#: A route as hosts of the version before write it.
+#: A route as hosts of the previous version encode it.
 ENCODED_ROUTE = {
     'name': 'route /search/',
     'host': 'shop.example',
@@ -41,14 +41,14 @@
 
 
 def encode_configuration(report: facts.Report) -> dict[str, Any]:
-    """Write a report; return its configuration as it is on the wire."""
+    """Encode a report; return the JSON of its configuration."""
     row = json.loads(report_codecs.encode_report(report))
     value: dict[str, Any] = row['facts'][0]['value']
     return value
 
 
 def test_encodes_customers_and_public_routes() -> None:
-    """Nothing is lost between hosts, also where no key is valid."""
+    """No part is lost, also where no key is valid."""
     routes = (ROUTE, PUBLIC._replace(public=True))
     for customers in (CUSTOMERS, (), None):
         report = make_report(routes, customers)
@@ -59,9 +59,9 @@
 
 
 def test_keeps_the_old_encoding_without_customers() -> None:
-    """Symptom: a host of the version before reads no report any more.
+    """Guard against reports that hosts of the previous version reject.
 
-    It takes no route with a field that it does not know.
+    They accept no route with a field that they do not know.
     """
     encoded = encode_configuration(make_report((ROUTE,), None))
     assert encoded == {
@@ -77,7 +77,7 @@
 
 
 def test_decodes_a_report_of_the_previous_version() -> None:
-    """It names neither customers nor public routes."""
+    """It has neither customers nor public routes."""
     report = make_report((ROUTE,), None)
     row = json.loads(report_codecs.encode_report(report))
     assert row['facts'][0]['value'].keys().isdisjoint(('customers', 'public'))
@@ -85,7 +85,7 @@
 
 
 def test_rounds_the_lead_of_a_proof_down() -> None:
-    """Symptom: knowledge of keys seems fresher than it is, with each hop."""
+    """Guard against proofs that seem more recent with each hop."""
     report = make_report((ROUTE,), CUSTOMERS)
     for lead, rounded in ((-0.2001, -0.201), (0.3009, 0.3)):
         proof = facts.Proof(lead, 2)
--- a/tests/routing/test_restores.py
+++ b/tests/routing/test_restores.py
@@ -1,4 +1,4 @@
-"""Test what is known while the store comes back from older copies."""
+"""Test the view of a host while the store is restored from older copies."""
 
 import json
 
@@ -18,13 +18,13 @@
     make_fact,
     merge,
 )
-from tests.routing.test_store_views import make_listing as read_whole
+from tests.routing.test_store_views import make_listing as make_plain_listing
 
 CONFIGURATION = facts.Key(facts.Subject.CONFIGURATION, '')
 
 
 def make_configuration(version: int, revision: int) -> facts.Fact:
-    """State that a version was accepted."""
+    """Make the fact of an accepted version."""
     accepted = configs.EMPTY_CONFIGURATION._replace(version=version)
     return facts.Fact(CONFIGURATION, revision, accepted)
 
@@ -32,35 +32,35 @@
 def make_era_listing(
     era: int, revision: int, *entries: facts.Fact
 ) -> facts.Report:
-    """Read the whole store in one of its eras."""
-    stamped = [fact._replace(era=era) for fact in entries]
-    report = read_whole(revision, *stamped)
+    """Make a full report of one of the store's eras."""
+    dated = [fact._replace(era=era) for fact in entries]
+    report = make_plain_listing(revision, *dated)
     return report._replace(era=era)
 
 
 def make_era_update(
     era: int, revision: int, *entries: facts.Fact
 ) -> facts.Report:
-    """Read what has changed in one of the store's eras."""
+    """Make an update of one of the store's eras."""
     return make_era_listing(era, revision, *entries)._replace(full=False)
 
 
 def make_view(*entries: facts.Fact, incarnation: int = 1) -> facts.StoreView:
-    """Begin with what the store held at revision 74 of its first era."""
+    """Make a view of the store at revision 74 of its first era."""
     return merge(
         store_views.create(incarnation), make_era_listing(1, 74, *entries), 0
     )
 
 
 def get_version(view: facts.StoreView) -> int:
-    """Find which version is in force."""
+    """Return the version in force."""
     return facts.find_configuration(view).version
 
 
 def pass_on(
     sender: facts.StoreView, receiver: facts.StoreView, now: float
 ) -> facts.StoreView:
-    """Have a host ask another for the first time, as on the wire."""
+    """Have a host poll another for the first time, with the report encoded."""
     report = changes.list_changes(
         sender,
         facts.START_CURSOR,
@@ -72,7 +72,7 @@
 
 
 def test_applies_a_version_at_a_reused_revision() -> None:
-    """Symptom: an accepted version is not in force, at any host."""
+    """Guard against ignoring an accepted version at a revision used before."""
     view = make_view(make_configuration(78, 74))
     view = merge(view, make_era_listing(2, 71, make_configuration(69, 71)), 5)
     for version, revision in ((82, 72), (86, 73), (88, 74)):
@@ -84,7 +84,7 @@
 
 
 def test_keeps_the_active_version_that_the_copy_lacks() -> None:
-    """Symptom: what was accepted goes back to what the copy holds."""
+    """Guard against going back from an accepted version to that of the copy."""
     view = make_view(make_configuration(78, 74))
     view = merge(view, make_era_listing(2, 71, make_configuration(69, 71)), 5)
     assert get_version(view) == 78
@@ -93,10 +93,10 @@
 
 
 def test_keeps_entries_until_the_rewrite_deadline() -> None:
-    """Symptom: a store that comes back empties the directory, or never does.
+    """Guard against a restore that empties the directory, or never does.
 
-    A target entered after the copy was taken. It is used until its entry can
-    be back; if it is not, the target is gone.
+    A target entered after the copy was taken. It stays in use until its entry
+    can be written again; if it is not, the target is gone.
     """
     view = make_view(make_fact('a', 40), make_fact('b', 73))
     view = merge(view, make_era_listing(2, 71, make_fact('a', 40)), 5)
@@ -112,9 +112,9 @@
 
 
 def test_applies_a_new_entry_below_the_revision_of_its_removal() -> None:
-    """Symptom: a target that is back gets nothing, for minutes.
+    """Guard against a returned target that gets no requests for minutes.
 
-    Its removal was at a high revision; its new entry has a low one.
+    Its removal has a high revision of the earlier era, its new entry a low one.
     """
     view = make_view(make_fact('a', 40))
     removal = facts.Fact(make_fact('a', 0).key, 80, None, era=1)
@@ -125,7 +125,7 @@
 
 
 def test_keeps_an_evacuation_until_the_rewrite_deadline() -> None:
-    """Symptom: a data centre that is evacuated gets work after a restore."""
+    """Guard against requests to an evacuated data centre after a restore."""
     retention_s = removals.RETENTION_S[facts.Subject.EVACUATION]
     view = make_view(make_evacuation(73))
     view = merge(view, make_era_listing(2, 71), 5)
@@ -141,7 +141,7 @@
 
 
 def test_applies_the_end_of_an_evacuation_at_a_low_revision() -> None:
-    """Symptom: a data centre that is used again gets nothing."""
+    """Guard against a data centre without requests after its evacuation."""
     view = make_view(make_evacuation(73))
     view = merge(view, make_era_listing(2, 60, make_evacuation(50)), 5)
     removal = facts.Fact(make_evacuation(0).key, 61, None, era=2)
@@ -150,7 +150,7 @@
 
 
 def test_ignores_a_report_of_an_earlier_era() -> None:
-    """Only a higher version of the configuration still counts."""
+    """Only a higher version of the configuration is applied."""
     view = make_view(make_fact('a', 40), make_configuration(69, 50))
     view = merge(view, make_era_listing(2, 71, make_configuration(69, 50)), 5)
     view = merge(view, make_era_update(2, 72), 10)
@@ -165,7 +165,7 @@
 
 
 def test_sends_everything_for_a_cursor_of_an_earlier_era() -> None:
-    """Symptom: a host that hears of the store from another stays behind."""
+    """Guard against a host that misses a restore because it polls another."""
     reader = make_view(make_fact('a', 40), make_fact('b', 73))
     other = pass_on(reader, store_views.create(2), 1)
     cursor = reader.cursor
@@ -187,7 +187,7 @@
 
 
 def test_keeps_facts_that_a_host_started_from_the_copy_lacks() -> None:
-    """A host that tells of a new era undoes nothing that was confirmed."""
+    """A report of a new era undoes nothing that was confirmed."""
     view = make_view(
         make_fact('b', 73), make_evacuation(73), make_configuration(78, 74)
     )
@@ -204,9 +204,9 @@
 
 
 def test_removes_unwritten_facts_when_other_hosts_report() -> None:
-    """Symptom: a target that is gone is kept for ever by one host.
+    """Guard against one host that keeps a removed target for ever.
 
-    The host that tells the news started from the copy and never knew it.
+    The host that it polls started from the copy and never knew the target.
     """
     view = make_view(make_fact('a', 40), make_fact('b', 73))
     started = merge(
@@ -221,10 +221,11 @@
 
 
 def test_requests_everything_while_facts_are_unwritten() -> None:
-    """Symptom: a target that is back is dropped by one host.
+    """Guard against one host that removes a target which is back.
 
-    It lapses here. The host that is asked has its new entry, so both know the
-    same, but only one of them knows it from the store.
+    The target is removed here unless it is written again. The polled host has
+    its new entry, so both know the same facts, but only one knows it from the
+    store.
     """
     view = make_view(make_fact('b', 73))
     view = merge(view, make_era_listing(2, 71), 5)
@@ -250,16 +251,16 @@
 
 
 def strip_eras(report: facts.Report) -> facts.Report:
-    """Write a report as a host of the version before does, and read it."""
-    written = json.loads(report_codecs.encode_report(report))
-    del written['era'], written['since']
-    for row in written['facts']:
+    """Encode a report as a host of the previous version does, and decode it."""
+    encoded = json.loads(report_codecs.encode_report(report))
+    del encoded['era'], encoded['since']
+    for row in encoded['facts']:
         del row['era']
-    return report_codecs.decode_report(json.dumps(written).encode())
+    return report_codecs.decode_report(json.dumps(encoded).encode())
 
 
 def test_accepts_a_report_without_era() -> None:
-    """Hosts of the version before are heard during a rolling update."""
+    """Hosts of the previous version report during a rolling update."""
     view = make_view(make_configuration(78, 74), make_fact('a', 40))
     leaving = make_era_update(1, 76, make_fact('a', 75, leaving=True))
     report = strip_eras(leaving)
@@ -270,7 +271,7 @@
 
 
 def test_rejects_reports_without_era_after_a_restore() -> None:
-    """Symptom: during a rolling update hosts fall back to the era before."""
+    """Guard against hosts that go back an era during a rolling update."""
     view = make_view(make_configuration(78, 74))
     view = merge(view, make_era_listing(2, 71, make_configuration(78, 71)), 5)
     report = strip_eras(
@@ -284,12 +285,14 @@
 
 
 def test_starts_with_the_first_reported_era() -> None:
-    """The first listing of a host is no restore, nor a header that is new."""
+    """Neither a first listing nor a first era counts as a restore."""
     merged = store_views.merge_report(
         store_views.create(1), make_era_listing(7, 74), 0, returned_at=None
     )
     assert (merged.restore, merged.view.era) == (None, 7)
-    before = merge(store_views.create(1), read_whole(74, make_fact('a', 3)), 0)
+    before = merge(
+        store_views.create(1), make_plain_listing(74, make_fact('a', 3)), 0
+    )
     merged = store_views.merge_report(
         before, make_era_listing(7, 80, make_fact('a', 3)), 1, returned_at=None
     )
@@ -298,7 +301,7 @@
 
 
 def test_summarizes_a_restore() -> None:
-    """Operators read in one line what became of what was known."""
+    """Operators read in one log line what became of the known facts."""
     view = make_view(
         make_configuration(78, 74), make_fact('a', 40), make_fact('b', 73)
     )
@@ -315,14 +318,14 @@
 
 
 def make_removal(name: str, revision: int) -> facts.Fact:
-    """State that a target's entry is gone."""
+    """Make the removal of a target's entry."""
     return facts.Fact(make_fact(name, 0).key, revision, None)
 
 
 def test_keeps_a_target_leaving_that_the_copy_has_as_ready() -> None:
-    """Symptom: a target that has said that it leaves gets new work.
+    """Guard against requests to a target that has announced its leaving.
 
-    It said so after the copy was taken, and says it again.
+    It did so after the copy was taken, and repeats it later.
     """
     view = make_view(make_fact('a', 73, leaving=True))
     view = merge(view, make_era_listing(2, 71, make_fact('a', 40)), 5)
@@ -335,7 +338,7 @@
 
 
 def test_does_not_bring_back_a_removed_target_of_the_copy() -> None:
-    """Symptom: requests go to a target that left before the restore."""
+    """Guard against requests to a target that left before the restore."""
     view = make_view(make_fact('a', 40), make_fact('b', 41))
     view = merge(view, make_era_update(1, 76, make_removal('a', 75)), 1)
     copy = make_era_listing(2, 71, make_fact('a', 40), make_fact('b', 41))
@@ -347,10 +350,11 @@
 
 
 def test_uses_a_target_of_the_copy_after_the_deferral() -> None:
-    """Symptom: a target that is there gets nothing, for good.
+    """Guard against a running target that never gets requests again.
 
-    Its entry lapsed in the era before and is in the copy; the target lives, and
-    has nothing new to say. An entry that is dead would be gone by then.
+    Its entry expired in the earlier era and is in the copy; the target runs and
+    has nothing new to write. The entry of a dead target would be removed by the
+    end of the deferral.
     """
     view = make_view(make_fact('a', 40))
     view = merge(view, make_era_update(1, 76, make_removal('a', 75)), 1)
@@ -363,7 +367,7 @@
 
 
 def test_uses_a_target_whose_leaving_entry_was_lost() -> None:
-    """Symptom: the same, for a target that was taken for leaving by mistake."""
+    """Guard against excluding a target marked as leaving by mistake."""
     view = make_view(make_fact('a', 73, leaving=True))
     view = merge(view, make_era_listing(2, 71, make_fact('a', 40)), 5)
     view = merge(view, make_era_update(2, 72), 5 + view.deferral_s)
@@ -378,11 +382,11 @@
 
 
 def test_applies_an_evacuation_of_the_copy_until_it_is_withdrawn() -> None:
-    """Symptom: a data centre gets work seconds after it was evacuated.
+    """Guard against requests to a data centre seconds after its evacuation.
 
-    The order of before had been taken back, and one like it may have been
-    given since the return: nothing tells them apart, and a new one is bound to
-    be obeyed in time.
+    The evacuation of the copy was withdrawn, but a new one may have been
+    ordered since the restore. They cannot be distinguished, and a new one has
+    to be applied in time.
     """
     view = make_view(make_evacuation(40))
     removal = facts.Fact(make_evacuation(0).key, 75, None)
@@ -398,7 +402,7 @@
 
 
 def test_defers_facts_that_another_host_has_from_the_copy() -> None:
-    """A host that started from the copy brings nobody back either."""
+    """A host that started from the copy restores no removed target either."""
     view = make_view(make_fact('a', 40), make_fact('b', 41))
     view = merge(view, make_era_update(1, 76, make_removal('a', 75)), 1)
     copy = make_era_listing(2, 71, make_fact('a', 40), make_fact('b', 41))
@@ -413,9 +417,9 @@
 
 
 def test_keeps_each_removal_for_its_lifetime() -> None:
-    """Symptom: the same, for a target that left a moment before.
+    """Guard against requests to a target that left just before a restore.
 
-    Removals were forgotten together, the latest ones too.
+    Removals of all ages used to be forgotten at once.
     """
     view = make_view(make_fact('a', 40), make_fact('b', 41))
     removed_at = changes.REMOVAL_LIFETIME_S - 1
@@ -429,7 +433,7 @@
 
 
 def make_quarantine(revision: int, clears: int, crashes: int) -> facts.Fact:
-    """State what was entered of a request."""
+    """Make the fact of a quarantine."""
     identity = request_identities.identify('shop', b'one')
     report = suspects.SuspectReport(identity, clears, crashes, 0.0)
     key = facts.Key(facts.Subject.QUARANTINE, identity.digest)
@@ -437,7 +441,7 @@
 
 
 def test_does_not_bring_back_a_cleared_quarantine() -> None:
-    """Symptom: a request is refused for minutes that was found innocent."""
+    """Guard against minutes of refusals of a request that was cleared."""
     view = make_view(make_quarantine(40, 0, 3))
     view = merge(view, make_era_update(1, 76, make_quarantine(75, 1, 0)), 1)
     view = merge(view, make_era_listing(2, 71, make_quarantine(40, 0, 3)), 5)
@@ -449,7 +453,7 @@
 
 
 def test_ends_a_quarantine_with_its_entry() -> None:
-    """Only what was known by the time of the removal is removed."""
+    """Only entries written before the removal are removed."""
     view = make_view(make_quarantine(40, 0, 3))
     key = make_quarantine(0, 0, 0).key
     view = merge(view, make_era_update(1, 76, facts.Fact(key, 75, None)), 1)
@@ -461,10 +465,11 @@
 
 
 def test_passes_on_removals_of_deferred_facts() -> None:
-    """Symptom: one host sends to a target that is gone, after a restore.
+    """Guard against one host that uses a removed target after a restore.
 
-    Both hold what the copy has of it. One of them reads that it is gone, which
-    it knew before the restore; the other would believe the copy in the end.
+    Both hosts defer the target's entry of the copy. One of them reads its
+    removal, which it knew before the restore; the other would apply the entry
+    in the end if the removal were not passed on.
     """
     both = (make_fact('a', 40), make_fact('b', 41))
     hosts = [
@@ -485,10 +490,10 @@
 
 
 def test_keeps_unwritten_facts_that_its_own_listing_lacks() -> None:
-    """Symptom: a data centre that is evacuated gets work after a restore.
+    """Guard against requests to an evacuated data centre after a restore.
 
-    A host heard of the restore and of the order from another, which keeps it;
-    then it lists the store itself, where the order is not written again yet.
+    A host learned of the restore and the evacuation from another, which keeps
+    it; then it lists the store itself, before the evacuation is written again.
     """
     reader = make_view(make_evacuation(73), make_fact('b', 72))
     reader = merge(reader, make_era_listing(2, 71), 5)
@@ -503,10 +508,10 @@
 
 
 def test_waits_for_entries_that_expire_in_a_later_outage() -> None:
-    """Symptom: all requests are refused after an outage, long after a restore.
+    """Guard against refusals after an outage long after a restore.
 
-    The host heard of the restore from one that knew the same, so all that it
-    knows is of the era before.
+    The host learned of the restore from one that knew the same facts, so all
+    its facts are of the earlier era.
     """
     targets = [make_fact(f'target-{number}', number) for number in range(20)]
     view = make_view(*targets)
--- a/tests/routing/test_store_views.py
+++ b/tests/routing/test_store_views.py
@@ -1,4 +1,4 @@
-"""Test how news is kept and passed on."""
+"""Test how reports are merged into a view and passed on."""
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.routing import (
@@ -15,14 +15,14 @@
 
 
 def make_key(name: str) -> facts.Key:
-    """Name a target's fact."""
+    """Make the key of a target's fact."""
     return facts.Key(facts.Subject.INSTANCE, name)
 
 
 def make_fact(
     name: str, revision: int, *, leaving: bool = False, born: int = 0
 ) -> facts.Fact:
-    """State that a target is there."""
+    """Make the fact of a target."""
     instance = instances.Instance(
         instances.make_start_name(name, born),
         name,
@@ -38,7 +38,7 @@
 
 
 def make_listing(revision: int, *entries: facts.Fact) -> facts.Report:
-    """Read the whole store."""
+    """Make a full report of the store."""
     return facts.Report(revision, entries, full=True, age=0.0)
 
 
@@ -48,19 +48,19 @@
     now: float,
     returned_at: float | None = NEVER,
 ) -> facts.StoreView:
-    """Take in a report."""
+    """Merge a report."""
     return store_views.merge_report(
         view, report, now, returned_at=returned_at
     ).view
 
 
 def list_names(view: facts.StoreView) -> set[str]:
-    """Name the targets that are known."""
+    """Return the names of the known targets."""
     return {instance.name for instance in facts.list_instances(view)}
 
 
 def test_removes_missing_facts_at_once() -> None:
-    """A target that has left gets no new work."""
+    """A target that has left gets no new requests."""
     view = merge(
         store_views.create(1),
         make_listing(5, make_fact('a', 2), make_fact('b', 3)),
@@ -71,10 +71,10 @@
 
 
 def test_keeps_entries_that_expired_during_an_outage() -> None:
-    """Symptom: all requests are refused for two seconds after an outage.
+    """Guard against two seconds of refusals after an outage of the store.
 
-    The store returns without the entries of the targets, which come back
-    within two seconds; what is still missing then is gone.
+    The store returns without the entries of the targets, which are written
+    again within two seconds; those that are still missing then are removed.
     """
     listing = make_listing(5, make_fact('a', 2), make_fact('b', 3))
     view = merge(store_views.create(1), listing, 0)
@@ -88,7 +88,7 @@
 
 
 def test_keeps_entries_that_vanish_all_at_once() -> None:
-    """Symptom: the same, where this host did not notice the outage."""
+    """Guard against refusals after an outage that this host did not notice."""
     entries = [make_fact(f'target-{number}', number) for number in range(20)]
     view = merge(store_views.create(1), make_listing(30, *entries), 0)
     view = merge(view, make_listing(31, *entries[:2]), 1)
@@ -98,12 +98,12 @@
 
 
 def test_removes_a_target_at_once_beside_many_drained_ones() -> None:
-    """Symptom: a target gets work 3.2 s after it has left.
+    """Guard against requests to a target 3.2 s after it has left.
 
-    Thirty shards are replaced: their old targets have drained, and all their
-    entries go between two readings. One target leaves without a word in that
-    time. So many removals at once are no sign that the store lost entries,
-    because those that drained were to go.
+    When thirty shards are replaced, the entries of their drained targets go
+    between two reads, and one target leaves unannounced in that time. So many
+    removals do not mean that the store has lost entries, because the drained
+    targets were expected to go.
     """
     drained = [make_fact(f'old-{n}', n, leaving=True) for n in range(29)]
     active = [make_fact(f'new-{n}', 40 + n) for n in range(40)]
@@ -113,11 +113,11 @@
 
 
 def test_passes_on_a_delayed_removal() -> None:
-    """Symptom: a host sends requests to a target that left seconds ago.
+    """Guard against requests to a target that left seconds ago.
 
-    The reader holds a removal back after an outage. Another host asks before
-    it is made and again after it; between the two the store's revision does
-    not change, so the second question must not be by that revision.
+    The reader delays a removal after an outage. Another host polls before and
+    after it is made. The revision of the store does not change between the two
+    polls, so updates must not be selected by revision.
     """
     listing = make_listing(5, make_fact('a', 2), make_fact('b', 3))
     reader = merge(store_views.create(1), listing, 0)
@@ -136,7 +136,7 @@
 
 
 def test_ignores_older_reports() -> None:
-    """A host that is behind brings back no target and no old state."""
+    """A stale report restores no removed target and no earlier state."""
     view = merge(store_views.create(1), make_listing(5, make_fact('a', 2)), 0)
     view = merge(view, make_listing(9, make_fact('b', 8)), 1)
     stale_report = make_listing(6, make_fact('a', 2))
@@ -159,7 +159,7 @@
 
 
 def test_never_removes_the_configuration() -> None:
-    """Operators' word does not lapse, whatever a listing lacks."""
+    """An accepted configuration stays, whatever a listing lacks."""
     key = facts.Key(facts.Subject.CONFIGURATION, '')
     configuration = configs.EMPTY_CONFIGURATION._replace(version=4)
     view = merge(
@@ -173,12 +173,12 @@
 
 
 def test_cancels_pending_removals_when_another_host_reports() -> None:
-    """Symptom: after an outage some hosts refuse requests for half a minute.
+    """Guard against half a minute of refusals by some hosts after an outage.
 
-    A host reads the store itself, which has lost entries, and holds their
-    removal back. It goes on by what another host tells, for which the entries
-    were back unchanged, so nothing about them comes; its own removal must not
-    take place then.
+    A host reads the store itself, which has lost entries, and delays their
+    removal. Then it polls another host. That one reports no change, because it
+    only saw the entries written again unchanged; the pending removal must not
+    be made then.
     """
     listing = make_listing(5, make_fact('a', 2), make_fact('b', 3))
     view = merge(store_views.create(8), listing, 0)
@@ -190,7 +190,7 @@
 
 
 def test_decodes_what_it_encodes() -> None:
-    """Every kind of fact survives the way to another host."""
+    """Facts of all kinds are encoded without loss."""
     routes = [
         configs.Route(
             'name',
@@ -234,11 +234,10 @@
 
 
 def test_keeps_the_later_start_of_a_target() -> None:
-    """Symptom: requests go to a start of a target that is dead.
+    """Guard against requests to a start of a target that has ended.
 
-    A target starts again under its id and writes its entry; then the last
-    entry of its earlier start, which was on the way, reaches the store under
-    a later revision.
+    A target starts again under its id and writes its entry; then a delayed
+    entry of its earlier start reaches the store under a later revision.
     """
     view = merge(
         store_views.create(1), make_listing(5, make_fact('a', 5, born=2)), 0
@@ -248,7 +247,7 @@
 
 
 def test_applies_the_later_start_from_any_host() -> None:
-    """Each of two hosts heard of one start; both end with the later one."""
+    """Each of two hosts saw one start; both end with the later one."""
     earlier = merge(
         store_views.create(1), make_listing(6, make_fact('a', 6, born=1)), 0
     )
@@ -269,10 +268,10 @@
 
 
 def test_keeps_a_new_start_when_the_earlier_is_removed() -> None:
-    """Symptom: a target that has just started again gets no requests.
+    """Guard against a restarted target that gets no requests.
 
-    Another host tells that the earlier start is gone, under a revision that
-    is later than the entry of the new one.
+    Another host reports the removal of the earlier start, under a later
+    revision than that of the new entry.
     """
     sender = merge(
         store_views.create(1), make_listing(5, make_fact('a', 5, born=1)), 0
@@ -289,13 +288,13 @@
 
 
 def make_evacuation(revision: int, name: str = 'north') -> facts.Fact:
-    """State that a data centre is evacuated."""
+    """Make the fact of an evacuation."""
     key = facts.Key(facts.Subject.EVACUATION, name)
     return facts.Fact(key, revision, deployments.Evacuation(name))
 
 
 def test_applies_an_evacuation_of_the_first_listing() -> None:
-    """A host that starts knows it before it serves."""
+    """A host that starts knows the evacuation before it serves."""
     merged = store_views.merge_report(
         store_views.create(1),
         make_listing(9, make_evacuation(7)),
@@ -307,7 +306,7 @@
 
 
 def test_passes_on_an_evacuation_and_its_end() -> None:
-    """Hosts tell each other of the order, and of its end as well."""
+    """Hosts pass on both the evacuation and its end."""
     reader = merge(store_views.create(1), make_listing(5, make_fact('a', 2)), 0)
     other = merge(
         store_views.create(2),
@@ -330,10 +329,10 @@
 
 
 def test_removes_an_evacuation_at_once_after_an_outage() -> None:
-    """Symptom: a data centre stays empty for seconds more than it has to.
+    """Guard against a data centre that stays excluded for seconds too long.
 
-    Entries of targets lapse while the store is down and are waited for. An
-    order does not lapse: it is gone because operators took it back.
+    Entries of targets expire during an outage and are waited for. An evacuation
+    does not expire: it is gone because operators withdrew it.
     """
     view = merge(
         store_views.create(1),
@@ -346,11 +345,11 @@
 
 
 def test_does_not_bring_back_an_old_evacuation() -> None:
-    """Symptom: a data centre that is in use gets nothing any more, for good.
+    """Guard against a data centre in use that never gets requests again.
 
-    An order is given at revision 4 and taken back by 6. A host that was cut
-    off in between for two minutes comes back and tells all that it knows, to
-    hosts that have forgotten the removal, and to one that has started since.
+    An evacuation is ordered at revision 4 and withdrawn by 6. A host that was
+    cut off for two minutes returns and reports all that it knows, to a host
+    that has forgotten the removal and to one that has started since.
     """
     stale_report = make_listing(5, make_evacuation(4))
     view = merge(store_views.create(1), stale_report, 0)
@@ -365,7 +364,7 @@
 
 
 def test_applies_the_latest_of_many_evacuations() -> None:
-    """The last word counts, in whatever order hosts tell of them."""
+    """The latest change counts, in whatever order hosts report."""
     view = merge(store_views.create(1), make_listing(3), 0)
     ordered = facts.Report(6, (make_evacuation(6),), full=False, age=0.0)
     key = make_evacuation(6).key
@@ -380,10 +379,10 @@
 
 
 def test_removes_a_new_start_that_no_other_host_saw() -> None:
-    """Symptom: one host goes on sending to a target that is gone.
+    """Guard against one host that goes on using a target that is gone.
 
-    It has read the new start itself. The host that it asks saw the earlier
-    one and then neither; its word of the end is of the earlier one.
+    It has read the new start itself. The polled host saw the earlier start and
+    then neither, so the removal that it reports is of the earlier one.
     """
     sender = merge(
         store_views.create(1), make_listing(5, make_fact('a', 5, born=1)), 0
