--- a/fuchsiahaven/routing/configs.py
+++ b/fuchsiahaven/routing/configs.py
@@ -1,4 +1,4 @@
-"""Hold what operators put in force: routes, services and limits."""
+"""Define the configuration: routes, services, customers and limits."""
 
 import functools
 from collections.abc import Mapping
@@ -7,8 +7,8 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.customers import customers
 
-#: A query over no more shards than this is gathered by the host that takes
-#: it: a hop more would cost as much as it saves.
+#: Shards up to which a query is gathered by the host that received it; a
+#: further hop would cost as much as it saves.
 MAX_DIRECT_SHARDS: Final = 40
 
 
@@ -34,8 +34,8 @@
 class Gather(NamedTuple):
     """Send each request to one target of every shard and merge the records.
 
-    `limit` is how many records an answer holds, `coverage` the smallest share
-    of shards that makes an answer.
+    `limit` is how many records an answer holds, `coverage` the smallest
+    fraction of shards that makes an answer.
     """
 
     shards: tuple[str, ...]
@@ -47,12 +47,12 @@
 
 
 class Route(NamedTuple):
-    """Hold what operators want for the requests below one path of one host.
+    """Hold the settings for the requests below one path of one host.
 
     Times are in seconds. `objective` is the time within which an answer is
-    worth most, `attempts` the most targets that a part of a request may run
-    on, `priority` 0 for the most urgent. Where there are customers, only a
-    `public` route takes requests without a key.
+    worth most, `attempts` the maximum number of targets that a part of a
+    request may run on, `priority` 0 for the most urgent. Where there are
+    customers, only a `public` route accepts requests without a key.
     """
 
     name: str
@@ -68,15 +68,16 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether no target may run a request a second time."""
+        """Return whether no target may run a request a second time."""
         return self.repeat is configurations.Repeat.AT_MOST_ONCE
 
 
 class Service(NamedTuple):
-    """Hold how many connections each target of a service takes over all.
+    """Hold the settings of a service.
 
-    `warm_rate` is how many requests a second a target bears that is cold; 0
-    where that is not told.
+    `connections` bounds the connections to each of its targets from all hosts
+    together. `cold_rate` is how many requests a second a cold target can serve;
+    0 if unknown.
     """
 
     name: str
@@ -97,7 +98,7 @@
 
 
 class Configuration(NamedTuple):
-    """Hold one accepted version in full; version 0 is none.
+    """Hold one accepted version in full; version 0 is the empty one.
 
     `customers` is None where callers need no key.
     """
@@ -113,10 +114,10 @@
 
 
 class Priorities(NamedTuple):
-    """Hold how urgent work is by the names that hosts tell each other.
+    """Hold the priorities of customers and routes by name.
 
-    Only customers that have a priority of their own are in here. `ranks` are
-    all priorities there are, the most urgent first.
+    Only customers with a priority of their own are listed. `levels` are all
+    priorities in use, the most urgent first.
     """
 
     customers: Mapping[str, int]
@@ -127,9 +128,9 @@
 class Index(NamedTuple):
     """Hold a configuration so that requests find their route quickly.
 
-    `wide` are the shards of queries whose cost is shared among hosts,
-    `customers` whose key each digest is of. `priorities` are empty where
-    nobody competes.
+    `wide_shards` are the shards of queries whose cost is shared among hosts;
+    `customers` maps the digest of each key to its customer. `priorities` are
+    empty where there are no customers.
     """
 
     configuration: Configuration
@@ -141,13 +142,13 @@
 
 
 def build_index(configuration: Configuration) -> Index:
-    """Sort routes by host and prefix."""
+    """Index the routes by host and prefix."""
     routes: dict[str, dict[str, Route]] = {}
     for route in configuration.routes:
         routes.setdefault(route.host, {})[route.prefix] = route
     services = {service.name: service for service in configuration.services}
     actions = {it.way for it in configuration.routes}
-    wide = frozenset(
+    wide_shards = frozenset(
         shard
         for action in actions
         if isinstance(action, Gather) and is_wide(action)
@@ -156,7 +157,12 @@
     customers_by_digest = customers.index_by_key(configuration.customers or ())
     priorities = _build_priorities(configuration)
     return Index(
-        configuration, routes, services, wide, customers_by_digest, priorities
+        configuration,
+        routes,
+        services,
+        wide_shards,
+        customers_by_digest,
+        priorities,
     )
 
 
@@ -174,12 +180,12 @@
 
 
 def is_wide(gather: Gather) -> bool:
-    """Tell whether the cost of a query is shared among hosts."""
+    """Return whether the cost of a query is shared among hosts."""
     return len(gather.shards) > MAX_DIRECT_SHARDS
 
 
 def is_wide_action(action: RouteAction) -> bool:
-    """Tell whether requests on a way are such queries."""
+    """Return whether an action is a query whose cost is shared among hosts."""
     return isinstance(action, Gather) and is_wide(action)
 
 
@@ -203,7 +209,7 @@
 
 @functools.lru_cache(maxsize=1024)
 def list_services(action: RouteAction) -> tuple[str, ...]:
-    """List every service that a request on this way may reach."""
+    """List every service that a request with this action may reach."""
     match action:
         case Single(service):
             return (service,)
--- a/fuchsiahaven/routing/deployments.py
+++ b/fuchsiahaven/routing/deployments.py
@@ -1,22 +1,21 @@
-"""Hold what a host knows of itself and of the others from the start."""
+"""Define hosts, and the settings of the deployment that a host starts with."""
 
 from typing import Final, NamedTuple
 
-#: The time in which configurations are in force with the usual pauses.
+#: Time in which a configuration is in force with the default delays.
 DEFAULT_APPLY_S: Final = 3.0
 
 
-#: The capacity of a host that tells of none.
+#: Capacity of a host that reports none.
 UNKNOWN_CAPACITY: Final = 0.0
 
 
 class Host(NamedTuple):
-    """Name a host, where other hosts reach it (`ip:port`), its data centre.
+    """Hold a host's name, its address for other hosts (`ip:port`), data centre.
 
-    `capacity` is what it can do, in cores, as it tells others, UNTOLD if it
-    does not. Two of the same
-    name are the same host, whatever each says of that: hosts of the version
-    before pass entries on without it.
+    `capacity` is the host's reported capacity in cores, UNKNOWN_CAPACITY if it
+    reports none. Two entries of the same name are of the same host, whatever
+    their capacities: hosts of the previous version pass entries on without it.
     """
 
     name: str
@@ -26,16 +25,17 @@
 
 
 class Evacuation(NamedTuple):
-    """Order that nothing more be sent to the targets of a data centre."""
+    """Forbid sending anything to the targets of a data centre."""
 
     data_centre: str
 
 
 class ExtraLoadLimit(NamedTuple):
-    """Bound repeated arrivals at a service, over all hosts together.
+    """Bound the extra load on a service, over all hosts together.
 
-    In any stretch of `window` seconds at most `share` of the requests for the
-    service plus `slack` may arrive beyond the first of each request.
+    In any stretch of `window_s` seconds at most `fraction` of the requests for
+    the service plus `slack` may arrive beyond the first attempt of each
+    request.
     """
 
     fraction: float
@@ -55,10 +55,10 @@
 
 
 class QuotaTolerance(NamedTuple):
-    """Say by how much customers' requests may exceed their limit, over all.
+    """Bound by how much customers may exceed their quota, over all hosts.
 
-    In any stretch of `window` seconds a customer may have what its rate and
-    burst allow, a share `overage` of that more, and `slack` requests more.
+    In any stretch of `window_s` seconds a customer may send what its rate and
+    burst allow, a fraction `overage` of that more, and `slack` requests more.
     """
 
     window_s: float
@@ -67,18 +67,19 @@
 
 
 class Settings(NamedTuple):
-    """Hold what the platform tells a process at its start.
+    """Hold the settings that the platform passes to a process at its start.
 
     Addresses are `ip:port`, times in seconds. `data_centres` are all of the
-    deployment. `heartbeat` is how often a target renews its entry, `grace`
-    the time from the signal to stop to the kill, `link` the bytes a second
-    that the host's own link carries (0 if that is not told). `warm_up` is None
-    where no bound on cold targets is told. `first_start` tells that the whole
-    system starts for the first time. `store_writes` is how many writes a
-    second the store takes of all hosts together, `apply` the time within which
-    an accepted configuration is to be in force. `quota` is None where customers
-    have none; a key that was taken away is to be dead within `revoke` seconds
-    on hosts out of touch too, None where it need not.
+    deployment. `heartbeat_s` is the interval in which a target renews its
+    entry, `grace_s` the time from the signal to stop to the kill,
+    `link_bytes_per_s` the capacity of the host's own link (0 if unknown).
+    `warm_up` is None if requests to cold targets are not bounded. `first_start`
+    is set if the whole system starts for the first time. `store_writes_per_s`
+    is how many writes a second the store accepts from all hosts together,
+    `apply_s` the time within which an accepted configuration is to be in force.
+    `quota` is None if customers have no quotas. A revoked key is to be rejected
+    within `revoke_s` seconds, also on hosts that are cut off; None if there is
+    no such bound.
     """
 
     host: Host
@@ -101,5 +102,5 @@
 
     @property
     def delay_factor(self) -> float:
-        """Return the share of the usual times that news may take."""
+        """Return the fraction of the default delays that updates may take."""
         return min(1.0, self.apply_s / DEFAULT_APPLY_S)
--- a/fuchsiahaven/routing/instances.py
+++ b/fuchsiahaven/routing/instances.py
@@ -1,4 +1,4 @@
-"""Hold which targets there are, each start of one under its own identity."""
+"""Define targets; each start of a target is an instance of its own."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 class Instance(NamedTuple):
     """Describe one start of a target.
 
-    `id` is what a request names it by, because an address can pass to a
-    target of another service. A target may start again under the same id;
-    `born`, in milliseconds of its own clock, tells the starts apart, and
-    `name` belongs to one start alone: whatever is kept by name (connections,
-    latencies, failures) starts anew with the target. `warming` is for how many
-    seconds it will be cold from when that was told; 0 for a warm one.
+    Requests name a target by its `id`, because an address can pass to a target
+    of another service. A target may start again under the same id; `born`, in
+    milliseconds of its own clock, distinguishes the starts, and `name` belongs
+    to one start alone: all state kept by name (connections, latencies,
+    failures) starts anew with the target. `warming` is for how many seconds the
+    target will be cold from the time of its entry; 0 for a warm one.
     """
 
     name: str
@@ -27,15 +27,16 @@
 
 
 def make_start_name(target_id: str, born: int) -> str:
-    """Name one start of a target; `born` is 0 where that is not known."""
+    """Return the name of one start of a target; `born` is 0 if unknown."""
     return f'{target_id}@{born}' if born else target_id
 
 
 def is_warmup_countdown(before: Instance, after: Instance) -> bool:
-    """Tell whether a target is no more than a little nearer to being warm.
+    """Return whether an entry only counts down the time until a target is warm.
 
-    Each of its heartbeats says so while it is cold. Passed on, they would be
-    most of what hosts tell each other when many targets start.
+    A cold target writes its remaining time with each heartbeat. Passed on
+    between hosts, these entries would be most of their traffic when many
+    targets start.
     """
     if not 0 < after.warming <= before.warming:
         return False
@@ -43,10 +44,10 @@
 
 
 class Directory(NamedTuple):
-    """Hold the targets that may get new work, by service.
+    """Index the targets that may get new work, by name and by service.
 
-    Those of an `evacuated` data centre may not; services with targets in
-    these alone are `withheld`.
+    Targets of `evacuated` data centres may not; `evacuated_services` are the
+    services with targets in such data centres alone.
     """
 
     by_name: Mapping[str, Instance]
@@ -61,10 +62,11 @@
 def build_directory(
     instances: Iterable[Instance], evacuated: Iterable[str] = ()
 ) -> Directory:
-    """Leave out what is leaving or evacuated; order each service by name.
+    """Build a directory without leaving and evacuated targets.
 
-    Everything that may lead to a sending asks the directory: first sendings,
-    repeats, trials of targets taken for dead and connections opened ahead.
+    The targets of each service are ordered by name. The directory is used for
+    everything that may send to a target: first attempts, retries, hedges,
+    trials of excluded targets and connections opened in advance.
     """
     excluded = frozenset(evacuated)
     active = [instance for instance in instances if not instance.leaving]
--- a/fuchsiahaven/routing/sources.py
+++ b/fuchsiahaven/routing/sources.py
@@ -1,4 +1,4 @@
-"""Choose from whom a host gets its news: the store, or another host."""
+"""Choose the source of a host's next report: the store or another host."""
 
 import itertools
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -6,30 +6,32 @@
 
 from fuchsiahaven.routing import deployments
 
-#: News older than this is doubted: the reader reads each 1.5 s, and whoever
-#: asks is answered after 0.7 s at the latest, two times on the way.
+#: What is known is stale from this age on: the reader reads every 1.5 s, and a
+#: poll is answered after 0.7 s at most, with two polls on the path.
 MAX_REPORT_AGE_S: Final = 3.5
-#: How long a host that did not answer, or had lost the store, is passed over;
-#: doubled each time up to the longest, because a host that is gone stays in
-#: the list for half a minute and each try may cost a time-out.
+#: Time for which a host is not polled that did not answer or had lost the
+#: store. It doubles with each failure up to the maximum, because a host that is
+#: gone stays in the list for half a minute and each attempt may cost a
+#: time-out.
 BACKOFF_S: Final = 3.0
 MAX_BACKOFF_S: Final = 24.0
-#: The same for a host that has just started: what it asked may be starting
-#: too, and be there a moment later.
+#: The same while this host starts: the polled host may be starting too, and be
+#: up a moment later.
 STARTING_BACKOFF_S: Final = 0.1
-#: How long a host is passed over that had old news: it tries the store itself.
+#: Time for which a host with a stale report is not polled; it tries the store
+#: itself.
 STALE_BACKOFF_S: Final = 1.0
-#: Hosts of a data centre that are asked before the store is. Each that is out
-#: of date costs most of a second, and there may be dozens.
+#: Hosts of a data centre that are polled before the store is read. Each stale
+#: one costs most of a second, and there may be dozens.
 DESIGNATED_HOSTS: Final = 2
-#: First figures in common from which on addresses count as near each other.
+#: Leading octets in common from which on two addresses count as near.
 MIN_SHARED_OCTETS: Final = 2
-#: Hosts of a data centre beside them that try the store in one round, of which
-#: there are some four in a second.
+#: Expected number of further hosts of a data centre that try the store in one
+#: round; there are about four rounds a second.
 EXTRA_READERS: Final = 0.5
-#: The share of tries by a second way that read the store, at most, how many
-#: hosts of a data centre do so in one round, and the share of other tries that
-#: stay in the data centre.
+#: For alternate reads: the maximum fraction that go to the store, the expected
+#: number of hosts of a data centre that read it in one round, and the fraction
+#: of the other reads that stay in the data centre.
 MAX_ALTERNATE_STORE_FRACTION: Final = 0.5
 ALTERNATE_READERS: Final = 2.0
 ALTERNATE_NEAR_FRACTION: Final = 0.5
@@ -40,7 +42,7 @@
 
 
 class Peer(NamedTuple):
-    """Ask another host (`ip:port`) what it knows."""
+    """Poll another host (`ip:port`)."""
 
     address: str
 
@@ -49,12 +51,12 @@
 
 
 class SourceInputs(NamedTuple):
-    """Hold what the choice is made by.
+    """Hold the inputs of the choice of a source.
 
-    `doubted` maps addresses of hosts to the time until which they are passed
-    over because they did not answer, `behind` those whose news were old;
-    `store_doubted` is the same for the store. A `patient` host has time
-    until it is needed, because the whole system starts for the first time.
+    `failed_until` maps addresses of hosts that did not answer to the time until
+    which they are not polled, `stale_until` those of hosts with stale reports;
+    `store_failed_until` is that time for the store. A host that `can_wait` is
+    not needed yet, because the whole system starts for the first time.
     """
 
     own: deployments.Host
@@ -67,16 +69,17 @@
 
 
 def choose_source(inputs: SourceInputs, now: float, draw: float) -> Source:
-    """Choose where to ask next.
+    """Choose the source of the next report.
 
     The first host by name reads the store for all, the first one of each data
-    centre asks it, and the others ask that one: all choose the same without
-    having to agree. Where the reader is in doubt the first one of the data
-    centre reads for itself; where it cannot, it asks any host at all. Of the
-    others a few read, and the rest ask any host: when the store is back after
-    an outage, each that reads it takes a fifth of a second over the whole
-    listing, in which it serves nothing, and all of them would do so at once.
-    Where the first ones do not answer, the next ones by name take their place.
+    centre polls it, and the others poll that one: all hosts agree on this
+    without coordination. After the reader failed, the first host of the data
+    centre reads the store itself; if that fails, it polls any host.
+
+    Of the other hosts a few read the store and the rest poll any host: after an
+    outage of the store each listing takes a host a fifth of a second, in which
+    it serves nothing, and otherwise all hosts would do so at once. If the first
+    hosts do not answer, the next ones by name replace them.
     """
     if not inputs.hosts:
         return _choose_seed(inputs, now, draw)
@@ -98,11 +101,11 @@
     failed: Collection[str],
     draw: float,
 ) -> Source:
-    """Choose whom to ask beside the first way, anew for each try.
+    """Choose an alternate source beside the main one, anew for each attempt.
 
-    A few hosts of each data centre read the store. Of the other tries half go
-    to the own data centre, which may be cut off, the rest to any but those
-    that `failed` just now.
+    A few hosts of each data centre read the store. Half of the other attempts
+    go to the own data centre, which may be cut off, the rest to any host but
+    those that just `failed`.
     """
     near = [it for it in hosts if it.data_centre == own.data_centre]
     fraction = min(
@@ -127,7 +130,7 @@
 
 
 def _list_near(inputs: SourceInputs, now: float) -> list[deployments.Host]:
-    """List the hosts of the data centre that may answer, in their order."""
+    """List the hosts of the own data centre that may answer, by name."""
     usable = {
         host
         for host in (*inputs.hosts, inputs.own)
@@ -143,7 +146,7 @@
     now: float,
     draw: float,
 ) -> Source:
-    """Choose where those that others ask are in doubt."""
+    """Choose a source after the hosts that are usually polled have failed."""
     others = _list_others(inputs, now)
     fraction = _compute_read_fraction(inputs.own, near)
     if now < inputs.store_failed_until:
@@ -156,19 +159,19 @@
 def _compute_read_fraction(
     own: deployments.Host, near: Sequence[deployments.Host]
 ) -> float:
-    """Count with which chance a host reads the store itself."""
+    """Return the probability with which a host reads the store itself."""
     if own in near[:DESIGNATED_HOSTS]:
         return 1
     return min(1, EXTRA_READERS / (len(near) - DESIGNATED_HOSTS))
 
 
 def _choose_seed(inputs: SourceInputs, now: float, draw: float) -> Source:
-    """Choose at the start, when no host is known yet.
+    """Choose a source at the start, when no host is known yet.
 
-    If each of many hosts that start at once read the store, the reads would
-    be most of the calls in hours; so only the seeds do, and others that find
-    a seed missing: the seeds may be the last to have power again, and until
-    a host has news it refuses everything.
+    If each of many hosts that start together read the store, these reads would
+    be most of its calls in hours. So only the seeds read it, and hosts that
+    find a seed missing: the seeds may be the last to have power again, and a
+    host without any report refuses all requests.
     """
     others = [it for it in inputs.seeds if it != inputs.own.address]
     seeds = [it for it in others if _is_address_usable(inputs, it, now)]
@@ -190,10 +193,11 @@
 
 
 def _count_shared_octets(first: str, second: str) -> int:
-    """Count the first figures that two addresses have in common.
+    """Count the leading octets that two addresses have in common.
 
-    Before it has news a host knows no seed's data centre, and the first news
-    are most that it ever hears. Addresses of a data centre mostly begin alike.
+    Before its first report a host does not know the data centre of any seed,
+    and the first report is the largest. Addresses of one data centre usually
+    have a common prefix.
     """
     pairs = zip(first.split('.'), second.split('.'), strict=False)
     return len(list(itertools.takewhile(_is_equal_pair, pairs)))
@@ -204,14 +208,14 @@
 
 
 def has_similar_prefix(first: str, second: str) -> bool:
-    """Tell whether two addresses look as if of one data centre."""
+    """Return whether two addresses seem to belong to one data centre."""
     return _count_shared_octets(first, second) >= MIN_SHARED_OCTETS
 
 
 def is_near(inputs: SourceInputs, address: str) -> bool:
-    """Tell whether a host is in the own data centre, or looks as if it were.
+    """Return whether a host is, or seems to be, in the own data centre.
 
-    The seeds are asked before anything else is known of them.
+    Seeds are polled before their data centre is known.
     """
     for host in inputs.hosts:
         if host.address == address:
@@ -220,9 +224,9 @@
 
 
 def compute_backoff(failures: int, *, starting: bool) -> float:
-    """Return for how long a host is passed over that failed so many times.
+    """Return the time for which a failed host is not polled, in seconds.
 
-    While this host is starting, whoever it asks may be starting too.
+    While this host is starting, the hosts it polls may be starting too.
     """
     if starting:
         return STARTING_BACKOFF_S
@@ -243,7 +247,7 @@
 
 
 def _list_others(inputs: SourceInputs, now: float) -> list[str]:
-    """List whom else to ask: near hosts as long as there are any."""
+    """List the other hosts that may be polled: near ones if there are any."""
     near = [
         host.address
         for host in inputs.hosts
--- a/tests/routing/test_configs.py
+++ b/tests/routing/test_configs.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ('path', 'found'),
+    ('path', 'expected'),
     [
         ('/a/x', '/a/'),
         ('/a/b/x', '/a/b/'),
@@ -18,7 +18,7 @@
     ],
 )
 def test_finds_the_longest_prefix(path: str, expected: str | None) -> None:
-    """Prefixes end with a slash: a longer word is another path."""
+    """Prefixes end with a slash: a longer path segment does not match."""
     action = configs.Single('one')
     routes = [
         router_rig.make_route(action, prefix=it) for it in ('/a/', '/a/b/')
--- a/tests/routing/test_sources.py
+++ b/tests/routing/test_sources.py
@@ -1,4 +1,4 @@
-"""Test from whom a host gets its news."""
+"""Test the choice of the source of a host's reports."""
 
 from fuchsiahaven.routing import deployments, sources
 
@@ -13,7 +13,7 @@
     stale_until: dict[str, float] | None = None,
     store_failed_until: float = 0,
 ) -> sources.SourceInputs:
-    """Make what a host chooses its source by."""
+    """Make the inputs of the choice."""
     return sources.SourceInputs(
         OWN,
         hosts,
@@ -25,7 +25,7 @@
 
 
 def test_polls_the_first_host_of_its_data_centre() -> None:
-    """The first host by name of the own data centre passes news on."""
+    """The first host by name of the own data centre passes reports on."""
     inputs = make_inputs(OWN, NEAR, FAR)
     assert sources.choose_source(inputs, 1, 0) == sources.Peer(NEAR.address)
 
@@ -39,23 +39,23 @@
 
 
 def test_reads_the_store_after_the_reader_failed() -> None:
-    """Symptom: news stands still because its one reader has died."""
+    """Guard against views that stop updating when the only reader dies."""
     inputs = make_inputs(OWN, FAR, failed_until={FAR.address: 5})
     assert sources.choose_source(inputs, 1, 0) == sources.Store()
     assert sources.choose_source(inputs, 6, 0) == sources.Peer(FAR.address)
 
 
 def test_skips_a_failed_first_host_of_its_data_centre() -> None:
-    """Symptom: the hosts of a data centre wait for one that is gone."""
+    """Guard against a data centre whose hosts wait for a dead one."""
     inputs = make_inputs(OWN, NEAR, failed_until={NEAR.address: 5})
     assert sources.choose_source(inputs, 1, 0) == sources.Store()
 
 
 def test_reads_the_store_after_two_stale_hosts() -> None:
-    """Symptom: hosts are at an old version for ten seconds after an outage.
+    """Guard against hosts at an old version for ten seconds after an outage.
 
-    All hosts of a data centre are out of date. Asking them one after the
-    other takes most of a second each, and the store is back meanwhile.
+    All hosts of a data centre are stale. Polling them in turn takes most of a
+    second each, while the store is already back.
     """
     near = [
         deployments.Host(f'a{n}', f'10.0.2.{n}:1', 'north') for n in range(9)
@@ -68,7 +68,7 @@
 
 
 def test_polls_any_host_while_the_store_fails() -> None:
-    """Symptom: one host stays at an old version while the others move on."""
+    """Guard against one host that stays at an old version."""
     later = deployments.Host('c', '10.0.1.3:1', 'south')
     inputs = make_inputs(OWN, later, store_failed_until=5)
     assert sources.choose_source(inputs, 1, 0) == sources.Peer(later.address)
@@ -79,7 +79,7 @@
 
 
 def test_backs_off_longer_after_each_failure() -> None:
-    """A host that is gone is tried less and less often."""
+    """A host that is gone is polled less and less often."""
     delays = [
         sources.compute_backoff(failures, starting=False)
         for failures in (1, 2, 3, 9)
@@ -88,7 +88,7 @@
 
 
 def test_polls_a_seed_at_the_start() -> None:
-    """Symptom: hosts that all start at once each list the whole store."""
+    """Guard against a full listing by each host when all start together."""
     assert sources.choose_source(make_inputs(), 1, 0) == sources.Peer(
         '10.0.9.9:1'
     )
@@ -97,7 +97,7 @@
 
 
 def test_polls_the_seed_with_the_most_similar_address() -> None:
-    """Symptom: the first news of each host come from another data centre."""
+    """Guard against first reports that come from another data centre."""
     own = OWN._replace(address='10.2.0.7:1')
     seeds = ('10.1.0.4:1', '10.2.0.4:1', '10.3.0.2:1')
     inputs = make_inputs()._replace(own=own, seeds=seeds)
@@ -110,26 +110,26 @@
 
 
 def test_reads_the_store_at_the_start_if_it_is_a_seed() -> None:
-    """Somebody has to know something."""
+    """At least one host has to read the store."""
     inputs = make_inputs()._replace(seeds=(OWN.address, '10.0.9.9:1'))
     assert sources.choose_source(inputs, 1, 0) == sources.Store()
 
 
 def test_retries_at_once_while_it_starts() -> None:
-    """Symptom: all hosts are back, and some refuse for 0.3 s more.
+    """Guard against 0.3 s of further refusals after a power loss.
 
-    All hosts lost power at once; one that is back first asks a seed that is
-    still dark. The seed is there a moment later, but was passed over for
-    seconds, and the wait for its connection was the one of a running host.
+    All hosts lost power together, and one that is back first polls a seed that
+    is still down. The seed is up a moment later, but was not polled again for
+    seconds.
     """
     assert sources.compute_backoff(4, starting=True) <= 0.1
 
 
 def test_reads_the_store_where_one_seed_is_missing() -> None:
-    """Symptom: hosts that have power again refuse until the seeds have it.
+    """Guard against hosts that refuse until the seeds have power again.
 
-    All lost power at once and the seeds were the last to get it back. The
-    others asked one seed after the other, 0.25 s in all.
+    The seeds were the last to get it back, and the others polled one seed after
+    the other, 0.25 s in all.
     """
     inputs = make_inputs(failed_until={'10.0.9.9:1': 5})._replace(
         seeds=('10.0.9.9:1', '10.0.9.8:1')
@@ -142,10 +142,10 @@
 
 
 def test_waits_for_the_seeds_when_the_whole_system_starts() -> None:
-    """Symptom: a first start costs the store one listing a host.
+    """Guard against one listing per host at the first start of the system.
 
-    All hosts start within 0.3 s, in any order, and whoever found one seed
-    missing read the store. Nobody calls them yet.
+    All hosts start within 0.3 s in any order, and each that found one seed
+    missing read the store. Nobody sends requests yet.
     """
     seeds = ('10.0.9.9:1', '10.0.9.8:1')
     inputs = make_inputs(failed_until=dict.fromkeys(seeds, 5.0))._replace(
@@ -154,13 +154,13 @@
     assert sources.choose_source(inputs, 1, 0) == sources.Store()
     waiting = inputs._replace(can_wait=True)
     assert sources.choose_source(waiting, 1, 0) == sources.Peer(seeds[0])
-    # A seed reads: somebody has to know something.
+    # A seed reads the store, because at least one host has to.
     seed = waiting._replace(seeds=(OWN.address, *seeds))
     assert sources.choose_source(seed, 1, 0) == sources.Store()
 
 
 def test_a_seed_without_the_store_polls_another_seed() -> None:
-    """A host does not ask itself."""
+    """A host does not poll itself."""
     inputs = make_inputs(store_failed_until=5)._replace(
         seeds=(OWN.address, '10.0.9.8:1')
     )
@@ -168,10 +168,10 @@
 
 
 def test_few_hosts_read_a_store_after_an_outage() -> None:
-    """Symptom: queries are late for a second when the store is back.
+    """Guard against queries that are late for a second after an outage.
 
-    It was away for eight seconds and all hosts are out of date. Each of them
-    read and decoded the whole listing, forty of 63 within half a second.
+    After eight seconds without the store all hosts are stale. Each one listed
+    it and decoded the listing, forty of 63 within half a second.
     """
     near = [
         deployments.Host(f'n{n:02}', f'10.0.2.{n}:1', 'north')
@@ -194,10 +194,10 @@
 
 
 def test_the_next_host_reads_after_the_designated_ones_fail() -> None:
-    """Symptom: news stand still for seconds after half of the hosts are killed.
+    """Guard against seconds without updates after half of the hosts died.
 
-    Both hosts that the others ask are gone. Somebody has to read the store at
-    once, and the others have to know who.
+    Both hosts that the others poll are gone. One host has to read the store at
+    once, and the others have to agree which.
     """
     near = [
         deployments.Host(f'n{n}', f'10.0.2.{n}:1', 'north') for n in range(9)
@@ -216,7 +216,7 @@
 
 
 def test_chooses_few_alternate_readers_of_the_store() -> None:
-    """Symptom: all hosts of a data centre press a store that is back."""
+    """Guard against all hosts of a data centre reading a returned store."""
     near = [
         deployments.Host(f'a{n}', f'10.0.2.{n}:1', 'north') for n in range(19)
     ]
@@ -234,6 +234,6 @@
 
 
 def test_the_alternate_of_a_single_host_is_the_store() -> None:
-    """A host that is alone proves by itself what it knows."""
+    """A host that is alone proves its own knowledge."""
     assert sources.choose_alternate(OWN, (), (), 0.9) == sources.Store()
     assert sources.choose_alternate(OWN, (OWN,), (), 0.9) == sources.Store()
