--- a/fuchsiahaven/routing/capacities.py
+++ b/fuchsiahaven/routing/capacities.py
@@ -1,4 +1,4 @@
-"""Say what hosts can do, and how much of shared work each is to have."""
+"""Encode the capacities of hosts, and compute their weights."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -6,34 +6,35 @@
 
 from fuchsiahaven.routing import deployments
 
-#: What is told beyond these is taken for the nearest, in cores: one host that
-#: tells nonsense must not take all work of its data centre, or none.
+#: Bounds of a capacity: a host that reports a false one must get neither all
+#: shared work of its data centre nor none.
 MIN_CORES: Final = 0.05
 MAX_CORES: Final = 16.0
-#: How much more often a larger host is on duty: a part takes it less time, and
-#: the balancer gives it no more callers than a small one. Much more, and one
-#: twice as large as the others would be the first to be overloaded.
+#: How steeply larger hosts are preferred for chunks: a part takes them less
+#: time, and the balancer sends them no more callers than a small one. With a
+#: much higher exponent a host of twice the capacity would be the first to be
+#: overloaded.
 WEIGHT_EXPONENT: Final = 2.0
 _DIGITS: Final = 3
 _FIELD: Final = 'capacity'
 
 
 def clamp(cores: float) -> float:
-    """Bound a capacity; one that is none, or not above 0, is untold."""
+    """Clamp a capacity; one that is not finite or not above 0 is unknown."""
     if not math.isfinite(cores) or cores <= 0:
         return deployments.UNKNOWN_CAPACITY
     return round(min(MAX_CORES, max(MIN_CORES, cores)), _DIGITS)
 
 
 def encode_capacity(capacity: float) -> dict[str, float]:
-    """Write a capacity as a field; there is none where it is untold."""
+    """Encode a capacity as a field; there is none if it is unknown."""
     if capacity == deployments.UNKNOWN_CAPACITY:
         return {}
     return {_FIELD: capacity}
 
 
 def decode_capacity(row: Mapping[str, Any]) -> float:
-    """Read the field of a capacity; UNTOLD where there is none."""
+    """Decode the field of a capacity; UNKNOWN_CAPACITY if there is none."""
     value = row.get(_FIELD, deployments.UNKNOWN_CAPACITY)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return deployments.UNKNOWN_CAPACITY
@@ -41,11 +42,11 @@
 
 
 def compute_weights(cores: Sequence[float]) -> list[float]:
-    """Weigh hosts by their capacities, for work that any of them may have.
+    """Return the weights of hosts, given in cores, for work that any may have.
 
-    One that tells of none weighs as the smallest that does: of many small ones
-    in a rolling update the last of the version before must not have most work.
-    What it weighs moves no other host.
+    A host of unknown capacity weighs as much as the smallest known one: in a
+    rolling update of many small hosts the last one of the previous version must
+    not get most work. Its weight moves the work of no other host.
     """
     minimum = min(
         (it for it in cores if it != deployments.UNKNOWN_CAPACITY), default=1.0
--- a/fuchsiahaven/routing/centre_health.py
+++ b/fuchsiahaven/routing/centre_health.py
@@ -1,10 +1,10 @@
-"""Notice that a whole data centre has fallen silent.
+"""Detect that a whole data centre is silent.
 
-A data centre that is cut off without a word leaves each target there to be
-found out by itself: each costs queries a timeout, and this host goes on taking
-callers that it cannot serve. Where several hosts and targets of one data centre
-were sent something, and nothing at all has come from there since, it is the
-way there that is lost, and all of it is left out at once.
+When a data centre is cut off, each of its targets would be detected separately:
+each would cost queries a time-out, while this host goes on accepting callers
+that it cannot serve. If several hosts and targets of one data centre were sent
+something and nothing at all has come back since, the network path is lost and
+the whole data centre is excluded at once.
 """
 
 import collections
@@ -13,35 +13,36 @@
 
 from fuchsiahaven.routing import deployments
 
-#: Silence after which a data centre counts as lost, in seconds: pauses of
-#: targets take 0.2 s, and never all of them at once.
+#: Silence from which on a data centre counts as lost: pauses of targets take
+#: 0.2 s, and never affect all of them at once.
 MIN_SILENCE_S: Final = 0.3
-#: So many hosts or targets have to be silent: one or two may have crashed.
+#: Silent hosts or targets that are required: one or two may have crashed.
 MIN_SILENT_PEERS: Final = 3
-#: A review that comes later than this after the one before tells of this host:
-#: it stood still, and what others sent meanwhile has yet to be read.
+#: A longer gap between two reviews means that this host itself was suspended;
+#: answers that arrived meanwhile have not been read yet.
 MAX_REVIEW_GAP_S: Final = 0.25
 
 
-#: How long another host's word that a data centre is silent is believed. Hosts
-#: that gather for others notice first, because they send most.
+#: How long a delegate's hint counts that a data centre is silent. Delegates
+#: notice it first, because they send most.
 HINT_LIFETIME_S: Final = 1.0
-#: The same for what a host beside this one tells all that are beside it, which
-#: it repeats and takes back.
+#: The same for the report of another host in the own data centre, which is
+#: repeated and withdrawn.
 REPORT_LIFETIME_S: Final = 3.0
-#: Whoever was heard of as lately as this is in reach, whatever others say.
+#: A data centre with a contact as recent as this is reachable, whatever other
+#: hosts report.
 CONTACT_LIFETIME_S: Final = 1.0
 NEVER: Final = float('-inf')
-#: One host may have asked none but targets that are gone; so many hosts beside
-#: each other have not.
+#: Hosts of the own data centre that have to report a silence: a single host may
+#: have sent only to targets that are gone.
 MIN_REPORTERS: Final = 2
 
 
 class Unanswered(NamedTuple):
-    """Hold what was sent to a data centre since the last sign of life.
+    """Hold the peers of a data centre that were sent to since its last answer.
 
-    `since` is when the first of it was sent. `failed` are those to whom
-    connections could not be had or broke.
+    `since` is when the first of them was sent to. `failed` are the peers to
+    which connections failed or broke.
     """
 
     since: float = 0.0
@@ -53,7 +54,7 @@
 
 
 class SilenceReport(NamedTuple):
-    """Hold all other data centres that a host hears nothing of."""
+    """Report all data centres that a host gets no answer from."""
 
     host: str
     data_centre: str
@@ -61,7 +62,7 @@
 
 
 class ReceivedReport(NamedTuple):
-    """Hold what a host beside this one told, and until when it counts."""
+    """Hold what another host in the data centre reported, and its expiry."""
 
     silent: frozenset[str]
     until: float
@@ -71,10 +72,10 @@
 
 
 class CentreHealth:
-    """Own what is known of each data centre, and of the way to it."""
+    """Own which data centres answer this host, and which hosts they have."""
 
     def __init__(self, own: str) -> None:
-        """Start with all of them reached, and on duty for nothing known."""
+        """Start with all data centres reachable and nothing cached."""
         self._own = own
         self.on_duty: dict[str, bool] = {}
         self._unanswered: dict[str, Unanswered] = {}
@@ -87,9 +88,10 @@
         self._hosts: dict[str, tuple[deployments.Host, ...]] = {}
 
     def update_hosts(self, hosts: Iterable[deployments.Host]) -> None:
-        """Take in which hosts there are, the own one among them.
+        """Update the list of hosts, which includes this one.
 
-        For which chunks this one is `on_duty` has to be found out anew then.
+        It clears `on_duty`, which caches for each chunk whether this host is
+        assigned to it.
         """
         self.on_duty.clear()
         by_centre: dict[str, list[deployments.Host]] = {}
@@ -100,7 +102,7 @@
         )
 
     def list_hosts(self, centre: str) -> tuple[deployments.Host, ...]:
-        """List the hosts of a data centre, also of the own one."""
+        """List the hosts of a data centre, possibly the own one."""
         return self._hosts.get(centre, ())
 
     def list_populated(self) -> frozenset[str]:
@@ -108,7 +110,7 @@
         return frozenset(self._hosts)
 
     def record_sent(self, centre: str, peer: str, now: float) -> None:
-        """Take in that something was sent to a host or target there."""
+        """Record that something was sent to a peer in a data centre."""
         if centre == self._own:
             return
         unanswered = self._unanswered.get(centre, NOTHING_UNANSWERED)
@@ -120,7 +122,7 @@
         )
 
     def record_contact(self, centre: str) -> None:
-        """Take in a sign of life from anybody there."""
+        """Record that something arrived from a data centre."""
         self._unanswered.pop(centre, None)
         self._contacts[centre] = self._reviewed_at
         if centre in self._silent:
@@ -128,19 +130,19 @@
             self._hints.pop(centre, None)
             self._update_silent(self._reviewed_at)
 
-    def update_hints(self, names: Iterable[str], now: float) -> None:
-        """Take in which data centres a host beside this one finds silent."""
-        hints = dict.fromkeys(names, now + HINT_LIFETIME_S)
+    def update_hints(self, centres: Iterable[str], now: float) -> None:
+        """Update which data centres a delegate in the own one finds silent."""
+        hints = dict.fromkeys(centres, now + HINT_LIFETIME_S)
         hints.pop(self._own, None)
         if hints:
             self._hints.update(hints)
             self._update_silent(now)
 
     def update_report(self, report: SilenceReport, now: float) -> None:
-        """Take in what a host beside this one hears nothing of.
+        """Update which data centres another host in the own one finds silent.
 
-        It takes the place of what the same host told before. Where that host
-        has heard again, the way is open for all beside it.
+        The report replaces the earlier one of the same host. If that host got
+        an answer again, the data centre is reachable for this host too.
         """
         silent = frozenset(report.silent)
         previous = self._reports.get(report.host, NO_REPORT).silent
@@ -152,7 +154,7 @@
         self._update_silent(now)
 
     def list_unreported(self, now: float) -> frozenset[str]:
-        """List those found silent here of which too few others tell."""
+        """List data centres found silent here that too few others report."""
         counts = _count_reporters(self._reports, now + REPORT_LIFETIME_S / 2)
         return frozenset(
             centre
@@ -161,14 +163,14 @@
         )
 
     def record_failed(self, centre: str, peer: str) -> None:
-        """Take in that a connection there broke or could not be had."""
+        """Record that a connection to a peer broke or could not be opened."""
         unanswered = self._unanswered.get(centre)
         if unanswered is not None:
             failed = unanswered.failed | {peer}
             self._unanswered[centre] = unanswered._replace(failed=failed)
 
     def review(self, now: float) -> frozenset[str]:
-        """See which have fallen silent; return those that have just done so."""
+        """Update which data centres are silent; return those that are new."""
         stalled = now - self._reviewed_at > MAX_REVIEW_GAP_S
         self._reviewed_at = now
         if stalled:
@@ -197,18 +199,18 @@
         return self._silent - before
 
     def is_silent(self, centre: str) -> bool:
-        """Tell whether a data centre is taken to be out of reach."""
+        """Return whether a data centre is taken to be unreachable."""
         return centre in self._silent
 
     def list_silent(self) -> frozenset[str]:
-        """List the data centres that are taken to be out of reach."""
+        """List the data centres that are taken to be unreachable."""
         return self._silent
 
     def list_observed(self) -> frozenset[str]:
-        """List those that this host has found silent itself.
+        """List the data centres that this host itself has found silent.
 
-        Only these are passed on: hosts that repeat each other's word would
-        keep it alive for ever.
+        Only these are reported to others: hosts that repeat each other's
+        reports would keep them alive for ever.
         """
         return self._observed
 
@@ -226,7 +228,7 @@
 def _count_reporters(
     reports: Mapping[str, ReceivedReport], at: float
 ) -> collections.Counter[str]:
-    """Count whose word of each data centre still counts at a time."""
+    """Count the hosts with a valid report of each silent data centre."""
     return collections.Counter(
         centre
         for received in reports.values()
--- a/fuchsiahaven/routing/reachability.py
+++ b/fuchsiahaven/routing/reachability.py
@@ -1,8 +1,8 @@
-"""Tell whether a host still reaches enough targets to be sent requests.
+"""Return whether a host reaches enough targets to be sent requests.
 
 A host in a data centre that is cut off would refuse most requests for as long
-as its balancer sends them; told that it is not ready, the balancer sends them
-to hosts that can serve them.
+as its balancer sends them. Once it reports that it is not ready, the balancer
+sends them to hosts that can serve them.
 """
 
 from typing import Final
@@ -15,16 +15,16 @@
     target_health,
 )
 
-#: Requests on a route count half after so many seconds: a host sees some of
-#: each frequent kind in that time.
+#: Half-life of the request counts of routes: a host gets some requests of each
+#: frequent route in that time.
 REQUEST_HALF_LIFE_S: Final = 5.0
-#: A host that cannot serve more than this share of what it is asked sends
-#: the rest of it to others as well: they can serve all of it.
+#: Fraction of the requests above which a host that cannot serve them lets other
+#: hosts take the rest as well: they can serve all of it.
 MAX_BLOCKED_FRACTION: Final = 0.5
-#: A wide route counts as if it had been asked this often at the least.
+#: Minimum weight of a wide route, in recent requests.
 MIN_WIDE_WEIGHT: Final = 1.0
 #: Targets of a silent data centre to which connections are tried at a time.
-MAX_PROBED_TARGETS: Final = 4
+MAX_TRIED_TARGETS: Final = 4
 
 
 def record_request(
@@ -39,7 +39,7 @@
 
 
 def is_cut_off(router: states.Router, now: float) -> bool:
-    """Tell whether most of what callers ask could not be served now."""
+    """Return whether most recent requests could not be served now."""
     weigh_parts = bool(
         router.centre_health.list_silent()
     ) and contention.is_contended(router.index)
@@ -60,11 +60,11 @@
 def _list_route_usage(
     router: states.Router, *, weigh_parts: bool
 ) -> list[states.RouteUsage]:
-    """List the routes that were asked here lately.
+    """List the routes that were requested here lately.
 
-    Inside a data centre that is cut off, `by_parts` adds the wide ones that
-    others beside this host are asked: callers move only if all hosts say that
-    they are not ready, also those that are asked little themselves.
+    In a data centre that is cut off, `weigh_parts` adds wide routes that other
+    hosts of the data centre are asked for: the balancer moves callers only if
+    all hosts are unready, also those with few requests of their own.
     """
     recent = dict(router.route_usage)
     if weigh_parts:
@@ -80,18 +80,18 @@
 
 
 def needs_probes(router: states.Router, now: float) -> bool:
-    """Tell whether ways should be tried that no request takes just now.
+    """Return whether connections should be tried that no request needs now.
 
-    What is left out is sent nothing, and would not be heard of again.
+    An excluded target is sent nothing, so its return would go unnoticed.
     """
     return bool(router.centre_health.list_silent()) or is_cut_off(router, now)
 
 
 def list_unconfirmed(router: states.Router, now: float) -> set[str]:
-    """List the targets to which the way is in doubt, to try it again.
+    """List the targets of unconfirmed reachability, to try connections.
 
-    Of a silent data centre it takes some, others each time: one connection
-    proves the way to all of it.
+    Of a silent data centre it chooses a few, different ones each time: one
+    connection proves that all of it can be reached.
     """
     names = {
         name
@@ -108,7 +108,7 @@
         first = int(router.draw() * len(silent_targets))
         names.update(
             (silent_targets[first:] + silent_targets[:first])[
-                :MAX_PROBED_TARGETS
+                :MAX_TRIED_TARGETS
             ]
         )
     return names
@@ -125,9 +125,9 @@
 
 
 def _is_out_of_reach(router: states.Router, service: str, now: float) -> bool:
-    """Tell whether there are targets of a service, all of them in doubt.
+    """Return whether a service has targets and all of them are unconfirmed.
 
-    A service without any target is so for every host, and no reason to send
+    A service without any target has none on any host, and is no reason to send
     requests elsewhere.
     """
     targets = router.directory.by_service.get(service, ())
--- a/fuchsiahaven/routing/suspect_codecs.py
+++ b/fuchsiahaven/routing/suspect_codecs.py
@@ -1,7 +1,7 @@
-"""Write and read what hosts tell each other of requests that end targets.
+"""Encode and decode reports on requests that crash their targets.
 
-It is read strictly: what a host takes in by mistake would have it refuse
-requests for minutes.
+Decoding is strict: a wrongly accepted report would make a host refuse requests
+for minutes.
 """
 
 import json
@@ -14,13 +14,13 @@
 #: More hops than this would reach more hosts than there are.
 MAX_HOPS: Final = 12
 MAX_ROWS: Final = 64
-#: Cleared or counted more often than this, a number is no count.
+#: Counts of clears and crashes above this are invalid.
 MAX_COUNT: Final = 10_000
 MAX_NAME_CHARS: Final = 200
 
 
 class EncodedSuspectReport(TypedDict):
-    """Hold what is known against a request; `wait` is in seconds."""
+    """Hold the JSON form of a report on a request; `wait` is in seconds."""
 
     customer: str
     digest: str
@@ -33,14 +33,14 @@
 
 
 class SuspectNotice(NamedTuple):
-    """Hold news, and how often it may still be handed on."""
+    """Hold reports, and over how many hops they may still be passed on."""
 
     reports: tuple[suspects.SuspectReport, ...]
     hops: int
 
 
 def encode_report(report: suspects.SuspectReport) -> EncodedSuspectReport:
-    """Write what is known against one request."""
+    """Encode the report on one request."""
     return EncodedSuspectReport(
         customer=report.identity.customer,
         digest=report.identity.digest,
@@ -54,7 +54,7 @@
 
 
 def decode_report(row: Mapping[str, Any]) -> suspects.SuspectReport:
-    """Read what is known against one request; raises ValueError."""
+    """Decode the report on one request; raises ValueError."""
     try:
         return _decode_report(row)
     except (KeyError, TypeError, AttributeError) as error:
@@ -62,14 +62,14 @@
 
 
 def encode_notice(notice: SuspectNotice) -> bytes:
-    """Write news for another host."""
+    """Encode a notice for another host."""
     rows = [encode_report(report) for report in notice.reports]
     encoded = {'news': rows, 'hops': notice.hops}
     return json.dumps(encoded, separators=(',', ':')).encode()
 
 
 def decode_notice(data: bytes) -> SuspectNotice:
-    """Read news of another host; raises ValueError."""
+    """Decode a notice of another host; raises ValueError."""
     try:
         row = json.loads(data)
         rows = tuple(row['news'])
@@ -77,7 +77,7 @@
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(repr(error)) from error
     if len(rows) > MAX_ROWS:
-        raise ValueError(f'{len(rows)} rows')
+        raise ValueError(f'too many reports: {len(rows)}')
     return SuspectNotice(tuple(decode_report(it) for it in rows), hops)
 
 
@@ -86,10 +86,10 @@
     if len(digest) != request_identities.DIGEST_DIGITS or set(digest) - set(
         request_identities.HEX_DIGITS
     ):
-        raise ValueError('no digest')
+        raise ValueError('digest is not a hexadecimal digest')
     wait = row['wait']
     if not isinstance(wait, (int, float)) or not math.isfinite(wait):
-        raise ValueError('no wait')
+        raise ValueError('wait is not a finite number')
     return suspects.SuspectReport(
         request_identities.Identity(_decode_name(row['customer']), digest),
         _decode_count(row['clears'], MAX_COUNT),
@@ -105,7 +105,7 @@
     if isinstance(value, int) and not isinstance(value, bool):
         if 0 <= value <= maximum:
             return value
-    raise ValueError(f'no count: {value!r}')
+    raise ValueError(f'not a count in range: {value!r}')
 
 
 def _decode_name(value: object) -> str:
@@ -116,5 +116,5 @@
 
 def _decode_names(value: object) -> tuple[str, ...]:
     if not isinstance(value, list) or len(value) > suspects.MAX_NAMES:
-        raise ValueError('no names')
+        raise ValueError('not a list of names, or too many')
     return tuple(_decode_name(name) for name in value)
--- a/fuchsiahaven/routing/target_health.py
+++ b/fuchsiahaven/routing/target_health.py
@@ -1,4 +1,4 @@
-"""Judge each target by what this host sees of it."""
+"""Judge the health of each target by what this host observes."""
 
 from collections.abc import Mapping
 from typing import Final, NamedTuple
@@ -6,30 +6,31 @@
 from fuchsiahaven.core.targets import ejections, messages, target_stats
 from fuchsiahaven.routing import events, instances
 
-#: Added to the expected wait at a target in another data centre, in seconds:
-#: bytes between data centres are dear.
+#: Cost of a target in another data centre, because traffic between data centres
+#: is expensive; like all costs here in seconds of expected wait.
 CROSS_CENTRE_COST_S: Final = 0.05
-#: What a target costs that has been silent for longer than it usually takes:
-#: pauses last 120 to 150 ms.
+#: Cost of a target that has been silent for longer than usual: pauses last 120
+#: to 150 ms.
 PAUSE_COST_S: Final = 0.15
-#: A target counts as paused after so many times its usual latency.
+#: A target counts as paused after this multiple of its usual latency.
 PAUSE_FACTOR: Final = 2.0
 #: But not sooner: scheduling on both sides takes some milliseconds.
 MIN_PAUSE_S: Final = 0.025
-#: A target that has answered nothing for this long is taken for dead. Pauses
-#: are shorter; the answers of single requests take longer, hence the factor.
+#: Silence from which on a target is taken to be dead. Pauses are shorter;
+#: single requests may take longer, hence the factor on the usual latency.
 MIN_SILENCE_S: Final = 0.4
 SILENCE_FACTOR: Final = 5.0
-#: How often a target taken for dead gets a request, to see whether it is.
+#: Interval in which a target that is taken to be dead gets a trial request.
 TRIAL_INTERVAL_S: Final = 0.3
-#: How long a target that refused a connection is left out; doubled with each
-#: further one up to the longest, so that its return is noticed within that.
+#: Time for which a target that refused a connection is excluded. It doubles
+#: with each further refusal up to the maximum, which bounds how late the
+#: target's return is noticed.
 EXCLUSION_S: Final = 0.2
 MAX_EXCLUSION_S: Final = 0.8
-#: What a target costs for each failure of late, which fade by half in 2 s: a
+#: Cost of each recent failure of a target; the count halves every 2 s. A
 #: failure makes a request wait for a second target, some tens of milliseconds.
 FAILURE_COST_S: Final = 0.05
-#: A time-out weighs as much as three other failures: it costs the caller most.
+#: A time-out counts as this many failures, because it costs the caller most.
 TIMEOUT_FAILURES: Final = 3
 MS_PER_S: Final = 1000
 
@@ -37,9 +38,9 @@
 class TargetHealth(NamedTuple):
     """Hold what is known of one target.
 
-    `aloft` maps the requests sent and not ended to when they were sent, the
-    oldest first. `down` is until when it is left out, `trial` when a silent
-    one may be tried next.
+    `in_flight` maps the requests under way to when they were sent, the oldest
+    first. `excluded_until` is when the target may be used again, `next_trial`
+    when a silent one may get a trial request.
     """
 
     stats: target_stats.TargetStats = target_stats.NO_STATS
@@ -53,25 +54,25 @@
 
 
 class TargetHealthTable:
-    """Own the standing of every target."""
+    """Own the health of every target."""
 
     def __init__(self) -> None:
-        """Start with no target seen."""
+        """Start with no target known."""
         self._by_name: dict[str, TargetHealth] = {}
         self._changes: list[events.TargetStatusReport] = []
 
     def get(self, name: str) -> TargetHealth:
-        """Return the standing of a target."""
+        """Return the health of a target; UNSEEN if nothing is known of it."""
         return self._by_name.get(name, UNSEEN)
 
     def pop_changes(self) -> list[events.TargetStatusReport]:
-        """Return which targets were left out or came back since last time."""
+        """Return and clear the exclusions and returns since the last call."""
         changes = self._changes
         self._changes = []
         return changes
 
     def retain_targets(self, names: Mapping[str, object]) -> None:
-        """Forget the targets that are gone and have nothing under way."""
+        """Remove targets that are not named and have no request in flight."""
         for name in self._by_name.keys() - names.keys():
             if not self._by_name[name].in_flight:
                 self._by_name.pop(name)
@@ -79,7 +80,7 @@
     def record_sent(
         self, name: str, key: events.AttemptKey, now: float
     ) -> None:
-        """Count a request out."""
+        """Record a request that was sent."""
         health = self.get(name)
         next_trial = health.next_trial
         if measure_silence(health, now) is not None:
@@ -97,11 +98,11 @@
         now: float,
         load: messages.Load | None,
     ) -> None:
-        """Take in an answer; what has answered before is no further sample.
+        """Record an answer; only a request's first one is a latency sample.
 
-        A host that gathers parts answers several times. Counted each time, the
-        later ones would seem to have taken no time at all, and the host to be
-        silent whenever it takes as long as ever.
+        A delegate host answers several times. If each were a sample, the later
+        ones would seem to have taken no time, and the host would count as
+        silent whenever it takes its usual time.
         """
         health = self.get(name)
         if key not in health.in_flight:
@@ -118,10 +119,10 @@
     def record_failed(
         self, name: str, key: events.AttemptKey, now: float
     ) -> None:
-        """Take in that an answer told of a failure.
+        """Record an answer that reports a failure.
 
-        How soon it came is left out: what fails at once would look like the
-        fastest target of all, and draw ever more requests.
+        Its latency is ignored: a target that fails at once would look like the
+        fastest one and attract ever more requests.
         """
         health = _remove_in_flight(self.get(name), key)
         stats = _eject_if_failing(
@@ -133,7 +134,7 @@
     def record_refused(
         self, name: str, event: events.TargetRefused, now: float
     ) -> None:
-        """Take in that a target refused a request without running it."""
+        """Record that a target refused a request without running it."""
         health = self.get(name)
         stats = target_stats.record_refusal(health.stats, now, event.reason)
         if event.load is not None:
@@ -145,7 +146,7 @@
     def record_broken(
         self, name: str, event: events.AttemptBroken, now: float
     ) -> None:
-        """Take in that a request ended with an unknown outcome."""
+        """Record that a request ended with an unknown outcome."""
         health = self.get(name)
         stats = target_stats.record_fault(health.stats, now)
         if event.fault is messages.Fault.TIMED_OUT:
@@ -163,7 +164,7 @@
     def record_unsent(
         self, name: str, event: events.AttemptUnsent, now: float
     ) -> None:
-        """Take in that a request did not leave."""
+        """Record that a request could not be sent."""
         health = _remove_in_flight(self.get(name), event.key)
         health = health._replace(
             stats=target_stats.record_cancelled_end(health.stats)
@@ -173,14 +174,14 @@
         self._set(name, health, 'no connection')
 
     def record_abandoned(self, name: str, key: events.AttemptKey) -> None:
-        """Take in that this host gave a request up; nobody is to blame."""
+        """Record an abandoned request; the target is not at fault."""
         health = _remove_in_flight(self.get(name), key)
         self._by_name[name] = health._replace(
             stats=target_stats.record_cancelled_end(health.stats)
         )
 
     def record_connected(self, name: str) -> None:
-        """Take in that a connection was had: the way there is open."""
+        """Record a connection, which proves that the target can be reached."""
         health = self.get(name)
         if health.failures:
             self._set(name, health._replace(failures=0, excluded_until=0))
@@ -188,7 +189,7 @@
     def record_delegation_lost(
         self, name: str, key: events.AttemptKey, until: float, reason: str
     ) -> None:
-        """Leave a host that broke off its assistance out for a while."""
+        """Exclude a host that broke off a delegation until a given time."""
         health = self.get(name)
         if key in health.in_flight:
             health = _remove_in_flight(health, key)
@@ -199,7 +200,7 @@
         self._set(name, health, f'no help: {reason}')
 
     def record_address_reused(self, name: str, now: float) -> None:
-        """Take in that another process has the address by now."""
+        """Record that another process has the address now."""
         health = self.get(name)
         health = health._replace(excluded_until=now + MAX_EXCLUSION_S)
         self._set(name, health, 'another process has its address')
@@ -228,7 +229,7 @@
 
 
 def measure_silence(health: TargetHealth, now: float) -> float | None:
-    """Return for how long a target has been unusually silent, or None."""
+    """Return the seconds of a target's unusual silence, or None."""
     if not health.in_flight:
         return None
     oldest = next(iter(health.in_flight.values()))
@@ -238,7 +239,7 @@
 
 
 def is_excluded(health: TargetHealth, now: float) -> bool:
-    """Tell whether a target is left out, but for a trial now and then."""
+    """Return whether a target is excluded, apart from a trial now and then."""
     if health is UNSEEN:
         return False
     if now < health.excluded_until:
@@ -247,7 +248,7 @@
 
 
 def is_silent(health: TargetHealth, now: float) -> bool:
-    """Tell whether a target has been silent for longer than pauses take."""
+    """Return whether a target has been silent for longer than pauses take."""
     silence = measure_silence(health, now)
     if silence is None:
         return False
@@ -255,7 +256,7 @@
 
 
 def is_unconfirmed(health: TargetHealth, now: float) -> bool:
-    """Tell whether nothing proves that a target can be reached."""
+    """Return whether there is no proof that a target can be reached."""
     return health.failures > 0 or is_silent(health, now)
 
 
@@ -265,9 +266,10 @@
     own_centre: str,
     now: float,
 ) -> float:
-    """Estimate the seconds until a target would answer, and what it costs.
+    """Estimate the cost of a request to a target, in seconds.
 
-    `near` is the data centre of this host.
+    It is the time until the answer plus penalties. `own_centre` is the data
+    centre of this host.
     """
     cost = target_stats.estimate_cost(health.stats, now, 0)
     return cost + _estimate_penalty(health, instance, own_centre, now)
@@ -280,16 +282,16 @@
     now: float,
     usual_latency: float = 0.0,
 ) -> float:
-    """Estimate as above, to compare a near target with a far one.
+    """Estimate the cost for comparing a near target with a far one, in seconds.
 
-    A target works on as many requests at a time as it has slots, so the first
-    few make nobody wait: counted as waits, a request under way near by was
-    enough to send the next one away. Near targets are compared with each other
-    by the full count, which spreads the load.
+    A target works on as many requests at a time as it has slots, so only
+    requests beyond these wait. If all requests in flight counted, one near by
+    would be enough to send the next one to another data centre. Near targets
+    are compared with each other by the full count, which spreads the load.
 
-    What is known of a far target does not fade, and one that was not measured
-    is taken to be as fast as is `usual` near by: trying it to see costs bytes
-    between data centres, and second sendings measure it for nothing.
+    The latency of a far target does not decay with time, and an unmeasured far
+    target is assumed to take `usual_latency`: measuring it would cost traffic
+    between data centres, and hedges measure it anyway.
     """
     queued = max(0, health.stats.in_flight + 1 - max(1, instance.slots))
     stats = health.stats._replace(in_flight=queued)
@@ -307,7 +309,7 @@
     own_centre: str,
     now: float,
 ) -> float:
-    """Count what speaks against a target beside its work, in seconds."""
+    """Estimate the cost of a target apart from its work, in seconds."""
     cost = 0.0
     if instance.data_centre != own_centre:
         cost += CROSS_CENTRE_COST_S
@@ -317,19 +319,20 @@
         )
     silence = measure_silence(health, now)
     if silence is not None:
-        # What has been silent for long will most likely be so for as long.
+        # A target that has been silent for long is likely to stay silent for as
+        # long again.
         cost += max(PAUSE_COST_S, silence)
     return cost
 
 
 def estimate_gather_cost(health: TargetHealth, now: float) -> float:
-    """Estimate the seconds until a host would have gathered parts."""
+    """Estimate the seconds until a delegate host has gathered its parts."""
     silence = measure_silence(health, now) or 0
     return target_stats.estimate_cost(health.stats, now, 0) + silence
 
 
 def describe(health: TargetHealth, now: float) -> str:
-    """Say in a few words how a target stands."""
+    """Describe the health of a target in a few words, for operators."""
     if now < health.excluded_until:
         return 'left out'
     if now < health.stats.failure_record.ejected_until:
@@ -351,7 +354,7 @@
 def _eject_if_failing(
     stats: target_stats.TargetStats, now: float
 ) -> target_stats.TargetStats:
-    """Leave a target out that has failed too often lately."""
+    """Eject a target that has failed too often lately."""
     if not ejections.is_failing(stats.failure_record, now):
         return stats
     return stats._replace(
--- a/fuchsiahaven/routing/warmups.py
+++ b/fuchsiahaven/routing/warmups.py
@@ -1,9 +1,9 @@
-"""Bound what cold targets get, over all hosts together and without asking.
+"""Bound the requests to cold targets over all hosts without coordination.
 
-A target that is cold falls over at a rate well above what its service names,
-and callers of all hosts may come to it at once. So a few hosts, which all
-choose alike, may send to it, each no more than an equal part of the bound. A
-host that sees other hosts than before waits until the others see them too.
+A cold target fails at a rate well above what its service names, and callers of
+all hosts may be sent to it at once. So only a few hosts, which all hosts select
+alike, may send to it, each no more than an equal part of the bound. When the
+set of hosts changes, a host waits until the others have seen the change too.
 """
 
 import collections
@@ -19,35 +19,35 @@
     instances,
 )
 
-#: How long all hosts may take to see that a host came or went, in seconds. In
-#: that time two sets of hosts would each take the whole bound.
+#: Maximum time in which all hosts see that a host came or went. In that time
+#: two sets of hosts would each use the whole bound.
 HOSTS_SETTLE_S: Final = 2.5
-#: A bound holds in any second. What is sent may have waited for a connection
-#: for the rest, and would leave together with what came after it.
+#: The bound holds in any second. A request may have waited for a connection for
+#: the rest, and would leave together with those that came after it.
 RATE_WINDOW_S: Final = 1.3
-#: Part of the bound that is used: a host that is cut off from all others may
-#: go on taking a part that another one has by now.
+#: Fraction of the bound that is used: a host that is cut off from all others
+#: may go on using a part that another host has by now.
 USED_FRACTION: Final = 0.8
-#: So long after its time a target counts as warm that has not said so. Its
-#: entry says so within two heartbeats; without the store none does.
+#: Time after its warm-up from which on a target counts as warm without a new
+#: entry. The entry follows within two heartbeats, or never without the store.
 WARM_DELAY_S: Final = 3.0
-#: Targets of a data centre that is used again are cold, and their entries say
-#: so only with the next heartbeats.
+#: Targets of a data centre that is used again are cold for this long: their
+#: entries say so only with the next heartbeats.
 REUSE_COLD_S: Final = 3.5
 
 
 class ReportedWarmup(NamedTuple):
-    """Hold how long a target was said to stay cold, and until when it is."""
+    """Hold the reported time for which a target is cold, and when it ends."""
 
     seconds: float
     until: float
 
 
 class Warmups:
-    """Own which targets are cold, and what this host has sent them."""
+    """Own which targets are cold, and what this host has sent to them."""
 
     def __init__(self, own: deployments.Host) -> None:
-        """Start with all targets warm; without terms nothing is bounded."""
+        """Start with all targets warm; without a `limit` nothing is bounded."""
         self.limit: deployments.WarmUpLimit | None = None
         self._own = own
         self._hosts: tuple[deployments.Host, ...] = ()
@@ -59,10 +59,10 @@
     def update_hosts(
         self, hosts: Sequence[deployments.Host], now: float
     ) -> None:
-        """Take in which hosts there are.
+        """Update the list of hosts.
 
-        This one is among them if the others see it too: one whose entry is gone
-        would go on sending what another sends by now.
+        It holds this one only if the others see it too: a host whose entry is
+        gone would use a part of the bound that another host has by now.
         """
         ordered = tuple(sorted(set(hosts)))
         if ordered != self._hosts or math.isinf(self._settled_at):
@@ -75,7 +75,7 @@
         directory: instances.Directory,
         now: float,
     ) -> None:
-        """Take in which targets are cold by what is told of them."""
+        """Update which targets are cold from their entries."""
         reused = before.evacuated - directory.evacuated
         self._reused_until = {
             **{
@@ -94,11 +94,11 @@
             self._sent.pop(name)
 
     def has_cold_targets(self) -> bool:
-        """Tell whether any target may be cold: mostly none is."""
+        """Return whether any target may be cold; usually none is."""
         return bool(self._reported or self._reused_until)
 
     def is_cold(self, instance: instances.Instance, now: float) -> bool:
-        """Tell whether a target has to be taken for cold."""
+        """Return whether a target has to be treated as cold."""
         if not self.has_cold_targets():
             return False
         if now < self._reused_until.get(instance.data_centre, 0):
@@ -109,7 +109,7 @@
     def list_cold(
         self, directory: instances.Directory, now: float
     ) -> list[str]:
-        """List the targets that are taken for cold, for people."""
+        """List the names of the cold targets, for operators."""
         return [
             name
             for name, instance in directory.by_name.items()
@@ -119,18 +119,18 @@
     def may_send(
         self, instance: instances.Instance, index: configs.Index, now: float
     ) -> bool:
-        """Tell whether this host may send a target something now."""
+        """Return whether this host may send a request to a target now."""
         if self.limit is None or not self.is_cold(instance, now):
             return True
         if now < self._settled_at:
             return False
         bound = compute_bound(self.limit, get_cold_rate(index, instance))
         candidates = list_senders(instance, index, self._hosts)
-        limit = compute_host_limit(bound, candidates, self._own.name)
-        return self._count_sent(instance.name, now) < limit
+        host_limit = compute_host_limit(bound, candidates, self._own.name)
+        return self._count_sent(instance.name, now) < host_limit
 
     def record_sent(self, instance: instances.Instance, now: float) -> None:
-        """Count a request to a target that is cold."""
+        """Count a request to a cold target."""
         if self.is_cold(instance, now):
             self._sent.setdefault(instance.name, collections.deque()).append(
                 now
@@ -152,16 +152,16 @@
 
 
 def compute_bound(limit: deployments.WarmUpLimit, rate: float) -> float:
-    """Count the requests that a cold target may get in any second."""
+    """Return how many requests a cold target may get in any second."""
     return USED_FRACTION * (rate * limit.overage + limit.slack)
 
 
 def compute_host_limit(
     bound: float, candidates: Sequence[str], own: str
 ) -> int:
-    """Count the requests of a bound that are one host's.
+    """Return how many requests of a bound one host may send.
 
-    The first hosts take equal parts, as many of them as get one request each.
+    The first hosts get equal parts; there are as many as get one request each.
     """
     senders = candidates[: max(0, int(bound))]
     if own not in senders:
@@ -176,13 +176,13 @@
 ) -> tuple[str, ...]:
     """List the hosts that may send to a cold target, in order.
 
-    Those of wide queries get work from the hosts on duty in their own data
-    centre; the others from any host.
+    Targets of wide queries get requests from the hosts of their own data centre
+    that are assigned to their chunk, the others from any host.
     """
     chunk = chunk_assignments.find_chunk(index, instance.service)
     if chunk is not None:
-        duty = chunk_assignments.ChunkKey(instance.data_centre, chunk)
-        ranked = chunk_assignments.rank_hosts(duty, hosts)[
+        chunk_key = chunk_assignments.ChunkKey(instance.data_centre, chunk)
+        ranked = chunk_assignments.rank_hosts(chunk_key, hosts)[
             : chunk_assignments.HOSTS_PER_CHUNK
         ]
         if ranked:
@@ -208,10 +208,10 @@
     index: configs.Index,
     now: float,
 ) -> list[instances.Instance]:
-    """List the targets to which this host may send something now.
+    """List the targets to which this host may send a request now.
 
-    Where a service names no rate at which its cold targets fall over, they are
-    spared as long as that costs no part of an answer.
+    Cold targets of a service without a rate are avoided only as long as that
+    costs no part of an answer.
     """
     if not warmups.has_cold_targets():
         return targets
@@ -226,6 +226,6 @@
 
 
 def get_cold_rate(index: configs.Index, instance: instances.Instance) -> float:
-    """Find how many requests a second a cold target bears; 0 if not told."""
+    """Return the requests a second that a cold target serves; 0 if unknown."""
     service = index.services.get(instance.service)
     return service.cold_rate if service is not None else 0
--- a/tests/routing/test_capacities.py
+++ b/tests/routing/test_capacities.py
@@ -1,4 +1,4 @@
-"""Test what hosts tell of what they can do, and what that comes to."""
+"""Test the reported capacities of hosts, and the weights that follow."""
 
 import json
 
@@ -25,27 +25,30 @@
     deployments.Host(f'large-{number}', f'10.0.2.{number}:1', 'north', 2.151)
     for number in range(2)
 )
-DUTIES = tuple(
+CHUNK_KEYS = tuple(
     chunk_assignments.ChunkKey('north', f'chunk-{it}') for it in range(100)
 )
 NEVER = float('-inf')
 
 
 def make_report(host: deployments.Host, revision: int = 4) -> facts.Report:
-    """Report one host."""
+    """Make a report of one host."""
     key = facts.Key(facts.Subject.HOST, host.name)
     fact = facts.Fact(key, revision, host)
     return facts.Report(9, (fact,), full=True, age=0.0)
 
 
-def count_first_on_duty(hosts: tuple[deployments.Host, ...], name: str) -> int:
-    """Count the chunks of a hundred that a host is on duty for, the first."""
-    ranked = [chunk_assignments.rank_hosts(duty, hosts) for duty in DUTIES]
+def count_first_assigned(hosts: tuple[deployments.Host, ...], name: str) -> int:
+    """Count the chunks of a hundred that are first assigned to such hosts."""
+    ranked = [
+        chunk_assignments.rank_hosts(chunk_key, hosts)
+        for chunk_key in CHUNK_KEYS
+    ]
     return sum(it[0].name.startswith(name) for it in ranked)
 
 
 @pytest.mark.parametrize(
-    ('told', 'wanted'),
+    ('value', 'expected'),
     [
         (2.151, 2.151),
         (1, 1.0),
@@ -61,12 +64,12 @@
     ],
 )
 def test_clamps_decoded_capacities(value: object, expected: float) -> None:
-    """Anybody may have written an entry, and a report."""
+    """Entries and reports may hold any value."""
     assert capacities.decode_capacity({'capacity': value}) == expected
 
 
 def test_an_entry_carries_the_capacity() -> None:
-    """A host that is told of none writes what it wrote before."""
+    """A host of unknown capacity writes the same entry as before."""
     for capacity in (2.151, 1.0, deployments.UNKNOWN_CAPACITY):
         host = LARGE[0]._replace(capacity=capacity)
         key, encoded = records.write_host(host)
@@ -80,7 +83,10 @@
 
 
 def test_encodes_the_capacity_outside_the_value() -> None:
-    """Symptom: they refuse a report in which a host has a field more."""
+    """Guard against reports that hosts of the previous version reject.
+
+    They accept no additional field in the value of a host.
+    """
     row = json.loads(report_codecs.encode_report(make_report(LARGE[0])))[
         'facts'
     ][0]
@@ -96,9 +102,9 @@
 
 
 def test_prefers_an_entry_with_its_capacity() -> None:
-    """Symptom: hosts disagree for good on who is on duty.
+    """Guard against hosts that never agree on the hosts of a chunk.
 
-    One has heard of an entry from a host of the version before, which passes
+    One of them got the entry from a host of the previous version, which passes
     it on without the capacity.
     """
     without_capacity = make_report(
@@ -117,7 +123,7 @@
 
 
 def test_applies_the_capacity_of_a_later_entry() -> None:
-    """A host starts again with fewer cores, or tells of none."""
+    """A host restarts with fewer cores, or with unknown capacity."""
     for capacity in (0.5, 1.0, deployments.UNKNOWN_CAPACITY):
         changed = LARGE[0]._replace(capacity=capacity)
         view = store_views.create(1)
@@ -129,40 +135,43 @@
 
 
 def test_large_hosts_gather_most_chunks() -> None:
-    """Symptom: the smallest hosts are the slowest part of every answer."""
-    assert count_first_on_duty((*SMALL, *LARGE), 'large') > 65
+    """Guard against answers that wait for their smallest hosts."""
+    assert count_first_assigned((*SMALL, *LARGE), 'large') > 65
     alike = tuple(
         it._replace(capacity=deployments.UNKNOWN_CAPACITY)
         for it in (*SMALL, *LARGE)
     )
-    assert count_first_on_duty(alike, 'large') < 20
+    assert count_first_assigned(alike, 'large') < 20
 
 
-def test_duties_spread_when_all_large_hosts_die() -> None:
+def test_chunks_spread_when_all_large_hosts_die() -> None:
     """No host takes over more than a few of their chunks."""
-    ranked = [chunk_assignments.rank_hosts(duty, SMALL) for duty in DUTIES]
+    ranked = [
+        chunk_assignments.rank_hosts(chunk_key, SMALL)
+        for chunk_key in CHUNK_KEYS
+    ]
     for position in range(chunk_assignments.HOSTS_PER_CHUNK):
         for host in SMALL:
             assert sum(it[position] == host for it in ranked) < 12
 
 
 def test_hosts_of_unknown_capacity_count_as_small() -> None:
-    """Symptom: the last host that is not updated gathers nearly all chunks."""
+    """Guard against nearly all chunks on the last host that is not updated."""
     last = deployments.Host('last', '10.0.3.1:1', 'north')
-    assert count_first_on_duty((*SMALL, last), 'last') < 12
+    assert count_first_assigned((*SMALL, last), 'last') < 12
     old = tuple(
         it._replace(capacity=deployments.UNKNOWN_CAPACITY) for it in SMALL
     )
     for updated in (SMALL[0], LARGE[0]):
-        assert count_first_on_duty((*old[1:], updated), updated.name) < 12
+        assert count_first_assigned((*old[1:], updated), updated.name) < 12
 
 
-def test_a_host_with_a_false_capacity_is_one_of_two_on_duty() -> None:
-    """Another host is on duty for each chunk whatever one tells."""
+def test_a_host_with_a_false_capacity_is_one_of_two_assigned() -> None:
+    """Each chunk is assigned to another host too, whatever one reports."""
     capacity = capacities.decode_capacity({'capacity': 1e300})
     faulty = deployments.Host('liar', '10.0.3.1:1', 'north', capacity)
-    for duty in DUTIES:
-        first = chunk_assignments.rank_hosts(duty, (*SMALL, faulty))[
+    for chunk_key in CHUNK_KEYS:
+        first = chunk_assignments.rank_hosts(chunk_key, (*SMALL, faulty))[
             : chunk_assignments.HOSTS_PER_CHUNK
         ]
         assert (
@@ -172,7 +181,7 @@
 
 
 def test_two_hosts_share_the_connections_of_each_chunk() -> None:
-    """The seats at a target are shared out among so many, large or not."""
+    """The connections to a target are shared by so many, large or not."""
     hosts = (*SMALL, *LARGE)
     sharers = chunk_assignments.count_sharers(
         'one', frozenset(('one',)), hosts, len(hosts)
@@ -181,9 +190,9 @@
 
 
 def test_identifies_itself_whatever_its_reported_capacity() -> None:
-    """Symptom: a host asks itself for parts, or holds no quota of its own.
+    """Guard against a host that delegates to itself or holds no quota.
 
-    A host of the version before has passed its entry on.
+    A host of the previous version has passed its entry on.
     """
     own = router_rig.HOST._replace(capacity=2.151)
     quota = deployments.QuotaTolerance(10.0, 0.1, 20.0)
--- a/tests/routing/test_centre_health.py
+++ b/tests/routing/test_centre_health.py
@@ -1,4 +1,4 @@
-"""Test how a host notices that a data centre has fallen silent."""
+"""Test how a host detects that a data centre is silent."""
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.routing import (
@@ -25,18 +25,18 @@
 
 
 def review(rig: router_rig.Rig, seconds: float) -> None:
-    """Let time pass, with a review each tenth of a second."""
+    """Advance the time, with a review each tenth of a second."""
     for _ in range(round(seconds * 10)):
         rig.advance_time(0.1)
         rig.post(events.ReviewDue())
 
 
 def test_excludes_a_data_centre_that_is_cut_off() -> None:
-    """Symptom: for over a second callers wait at a host that cannot serve.
+    """Guard against callers that wait over a second at a host that is cut off.
 
-    The way to a data centre is lost and nothing is reset: each target there
-    would be found out by a timeout of its own. A third of a second of silence
-    of all of them is enough to refuse at once and to report not ready.
+    The path to a data centre is lost without resets, so each target there would
+    be detected by a time-out of its own. A third of a second of silence of all
+    of them is enough to refuse at once and to report not ready.
     """
     rig = make_rig()
     rig.send_request()
@@ -53,7 +53,7 @@
 
 
 def test_uses_a_data_centre_again_after_the_first_contact() -> None:
-    """A connection that can be had proves the way."""
+    """A connection proves that the data centre can be reached."""
     rig = make_rig()
     rig.send_request()
     sent = rig.pop_sent()
@@ -65,12 +65,12 @@
 
 
 def test_takes_many_broken_connections_as_a_cut() -> None:
-    """A cut that resets connections is seen without any wait."""
+    """A cut that resets connections is detected without any wait."""
     rig = make_rig()
     rig.send_request()
     for send in rig.pop_sent():
         if send.instance.data_centre == 'south':
-            # No other connection can be had either.
+            # No other connection can be opened either.
             lost = messages.Fault.CONNECTION_LOST
             rig.post(events.AttemptBroken(send.key, lost))
     review(rig, 0.1)
@@ -78,7 +78,7 @@
 
 
 def test_does_not_take_one_silent_target_as_a_cut() -> None:
-    """The others there answer."""
+    """The other targets there answer."""
     rig = make_rig()
     rig.send_request()
     for send in rig.pop_sent()[:-1]:
@@ -88,9 +88,9 @@
 
 
 def test_does_not_judge_others_after_its_own_suspension() -> None:
-    """Symptom: a host that was suspended refuses everybody when it wakes.
+    """Guard against a suspended host that refuses all requests on resuming.
 
-    The answers that came meanwhile have yet to be read.
+    The answers that arrived meanwhile have not been read yet.
     """
     health = centre_health.CentreHealth('north')
     health.review(0.0)
@@ -123,30 +123,30 @@
 
 
 def test_learns_of_a_silent_data_centre_from_a_delegate() -> None:
-    """Symptom: inside a data centre that is cut off queries end unanswered.
+    """Guard against unanswered queries in a data centre that is cut off.
 
-    Each of 21 hosts takes a query each two seconds, and spends the second
-    sendings of its first few on targets of which nothing can be heard. Those
-    on duty know it after the first one.
+    Each of 21 hosts gets a query every two seconds and spends the hedges of its
+    first few on unreachable targets. The hosts assigned to a chunk know it
+    after the first query.
     """
     rig = make_wide_rig()
     rig.send_request()
     delegates = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
-    share = events.DelegationReport(
+    report = events.DelegationReport(
         (), b'', (), (), is_last=False, silent_centres=('south',)
     )
-    rig.post(events.DelegationReportReceived(delegates[0].key, share))
+    rig.post(events.DelegationReportReceived(delegates[0].key, report))
     assert rig.router.centre_health.is_silent('south')
-    # Nobody's word is passed on, and it is forgotten where nobody repeats it.
+    # Hints are not passed on, and expire unless they are repeated.
     assert not rig.router.centre_health.list_observed()
     review(rig, centre_health.HINT_LIFETIME_S + 0.2)
     assert not rig.router.centre_health.is_silent('south')
 
 
 def test_ignores_hints_of_hosts_in_other_data_centres() -> None:
-    """What the south does not reach the north may reach."""
+    """The north may reach what the south does not."""
     rig = router_rig.Rig(
         [SEARCH], router_rig.make_instances(SHARDS, 2, 'south')
     )
@@ -156,39 +156,39 @@
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
-    share = events.DelegationReport(
+    report = events.DelegationReport(
         (), b'', (), (), is_last=False, silent_centres=('north', 'west')
     )
-    rig.post(events.DelegationReportReceived(delegate.key, share))
+    rig.post(events.DelegationReportReceived(delegate.key, report))
     assert not rig.router.centre_health.list_silent()
 
 
 def test_a_delegate_reports_silent_data_centres() -> None:
-    """The word goes with the shares, and survives the way."""
+    """They are part of delegation reports, encoded and decoded."""
     rig = make_wide_rig()
     for name in ('a', 'b', 'c'):
         rig.router.centre_health.record_sent('south', name, rig.now)
     review(rig, 0.5)
     assert rig.router.centre_health.list_observed() == {'south'}
     request = events.Request('id', 'GET', '/', '', (), b'', rig.now, rig.now)
-    assist = events.DelegatedRequest(
+    delegated = events.DelegatedRequest(
         request, 'r', 0.1, 5, WIDE[:2], rig.now + 1
     )
     rig.other_actions = []
-    rig.post(events.DelegatedRequestReceived(99, assist))
+    rig.post(events.DelegatedRequestReceived(99, delegated))
     for send in rig.pop_sent():
         rig.answer(send)
-    (give,) = [
+    (action,) = [
         it
         for it in rig.other_actions
         if isinstance(it, events.SendDelegationReport)
     ]
-    line = delegation_codecs.encode_report(give.share)
+    line = delegation_codecs.encode_report(action.share)
     assert delegation_codecs.decode_report(line).silent_centres == ('south',)
 
 
 def measure_part_timeout(rig: router_rig.Rig) -> float:
-    """Find how long the parts that were just asked for may take."""
+    """Return how long the parts that were just delegated may take."""
     delegates = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
@@ -197,11 +197,11 @@
 
 
 def test_waits_longer_for_a_paused_target_while_others_are_cut_off() -> None:
-    """Symptom: queries fail that the near targets alone could answer.
+    """Guard against failed queries that the near targets could answer alone.
 
-    A target pauses for 250 ms. Its part was ended shortly after the objective
-    so that another target could be asked, and none can be reached. Where one
-    of two other data centres is cut off there are targets in the other.
+    A target pauses for 250 ms. Its part used to end shortly after the objective
+    so that another target could be used, but none can be reached. If only one
+    of two other data centres is cut off, there are targets in the other.
     """
     rig = make_wide_rig()
     rig.send_request()
@@ -223,7 +223,7 @@
 def report_silent(
     health: centre_health.CentreHealth, now: float, *silent: str
 ) -> None:
-    """Have two hosts beside this one tell what they hear nothing of."""
+    """Have two hosts of the own data centre report silent data centres."""
     for host in NEAR_HOSTS:
         health.update_report(
             centre_health.SilenceReport(host, 'north', silent), now
@@ -231,7 +231,7 @@
 
 
 def silence_south(health: centre_health.CentreHealth) -> None:
-    """Have a host notice by itself that the south is silent, at 5.5 s."""
+    """Have a host itself detect by 5.5 s that the south is silent."""
     health.review(4.9)
     for name in ('a', 'b', 'c'):
         health.record_sent('south', name, 4.9)
@@ -240,12 +240,16 @@
 
 
 def test_applies_silence_reports_until_they_are_withdrawn() -> None:
-    """Symptom: hosts that are asked little begin what cannot be whole."""
+    """Guard against starting queries that cannot become complete.
+
+    Hosts with few requests do not notice by themselves that a data centre is
+    silent.
+    """
     health = centre_health.CentreHealth('north')
     health.review(5.0)
     report_silent(health, 5.0, 'south', 'west', 'north')
     assert health.list_silent() == {'south', 'west'}
-    # It is not this host's own finding, and is not told on.
+    # It was not observed by this host, so it does not report it.
     assert not health.list_unreported(5.0)
     report_silent(health, 6.0, 'west')
     assert health.list_silent() == {'west'}
@@ -255,9 +259,9 @@
 
 
 def test_ignores_the_silence_report_of_a_single_host() -> None:
-    """Symptom: the targets of a data centre that lives are left out.
+    """Guard against excluding the targets of a data centre that is up.
 
-    One host has asked three targets there, and all three were gone.
+    One host has sent to three targets there, all of which were gone.
     """
     health = centre_health.CentreHealth('north')
     health.review(5.0)
@@ -272,13 +276,13 @@
 
 
 def test_ignores_silence_reports_after_a_recent_contact() -> None:
-    """Hosts whose own way is lost do not empty their data centre."""
+    """Hosts that are cut off exclude no data centre for the others."""
     health = centre_health.CentreHealth('north')
     health.review(5.0)
     health.record_contact('south')
     report_silent(health, 5.1, 'south')
     assert not health.is_silent('south')
-    # The word stands; it counts once nothing has been heard for long enough.
+    # The reports count once the last contact is old enough.
     for tenth in range(52, 62):
         health.review(tenth / 10)
     assert health.is_silent('south')
@@ -287,7 +291,7 @@
 
 
 def test_sends_no_silence_report_that_two_hosts_have_sent() -> None:
-    """The word of two hosts is enough for all beside them."""
+    """The reports of two hosts are enough for their data centre."""
     health = centre_health.CentreHealth('north')
     silence_south(health)
     assert health.list_unreported(5.6) == {'south'}
@@ -303,9 +307,9 @@
 
 
 def test_uses_a_data_centre_again_after_the_contact_of_a_near_host() -> None:
-    """Symptom: some hosts stay unready for seconds after a cut.
+    """Guard against hosts that stay unready for seconds after a cut.
 
-    They are sent nothing, and open no connection by which they would notice.
+    They get no requests, and open no connection that would show it.
     """
     health = centre_health.CentreHealth('north')
     silence_south(health)
--- a/tests/routing/test_evacuations.py
+++ b/tests/routing/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Test what hosts do while a data centre is evacuated: nothing goes there."""
+"""Test that hosts send nothing to an evacuated data centre."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 def make_rig(*centres: str) -> router_rig.Rig:
-    """Make a host with a search, a single route and one that runs once."""
+    """Make a host with a search, a single and an at-most-once route."""
     routes = (
         router_rig.make_route(SEARCH),
         router_rig.make_route(SINGLE, prefix='/one/'),
@@ -45,7 +45,7 @@
 
 
 def evacuate(rig: router_rig.Rig, targets: list[instances.Instance]) -> None:
-    """Have the own data centre evacuated."""
+    """Evacuate the own data centre."""
     directory = instances.build_directory(targets, {'north'})
     rig.post(events.DirectoryChanged(directory))
 
@@ -54,7 +54,7 @@
 def test_sends_no_first_attempts_to_an_evacuated_data_centre(
     target: str,
 ) -> None:
-    """The own data centre is dearer to leave, and is left all the same."""
+    """The own data centre is not used although other ones cost more."""
     rig = make_rig('north', 'south')
     evacuate(rig, make_targets('north', 'south'))
     rig.send_request(target)
@@ -64,10 +64,10 @@
 
 
 def test_sends_no_extra_load_to_an_evacuated_data_centre() -> None:
-    """Symptom: repeats reach targets seconds after the order.
+    """Guard against extra load at targets seconds after the evacuation.
 
-    A search is under way when the order comes. What is at a target ends
-    there; what fails there, and what is slow, goes elsewhere.
+    A search is under way when the evacuation comes. Its attempts in flight end
+    there; hedges and retries go elsewhere.
     """
     rig = make_rig('north', 'south')
     rig.send_request()
@@ -82,7 +82,7 @@
 
 
 def test_accepts_the_answer_of_an_evacuated_target() -> None:
-    """What was under way ends in peace, and counts."""
+    """Attempts in flight end normally, and their answers count."""
     rig = make_rig('north', 'south')
     rig.send_request('/one/1')
     (sent,) = rig.pop_sent()
@@ -95,10 +95,10 @@
 def test_refuses_at_once_when_the_last_data_centre_is_evacuated(
     target: str,
 ) -> None:
-    """Symptom: callers wait for their deadline, or come back too soon.
+    """Guard against callers that wait for their deadline or retry too soon.
 
-    Nobody can serve them until the order is taken back, and they are told so
-    at once, with nothing sent.
+    Nobody can serve them until the evacuation ends, so they are refused at once
+    and nothing is sent.
     """
     rig = make_rig('north')
     evacuate(rig, make_targets('north'))
@@ -140,7 +140,7 @@
 
 
 def test_ignores_the_evacuation_of_an_unknown_data_centre() -> None:
-    """An operator's slip takes nothing out of use."""
+    """A misspelt name excludes nothing."""
     rig = make_rig('north')
     directory = instances.build_directory(make_targets('north'), {'nowhere'})
     rig.post(events.DirectoryChanged(directory))
@@ -149,11 +149,10 @@
 
 
 def test_shares_the_extra_load_as_before_during_an_evacuation() -> None:
-    """Symptom: repeats pass the bound while hosts differ in what they know.
+    """Guard against extra load beyond its bound during an evacuation.
 
-    The bound on repeats is shared by the data centres of a wide query. Those
-    that know of the order would take a larger part, and the others would go on
-    taking theirs.
+    The data centres of a wide query share the bound. Hosts that know of the
+    evacuation would use a larger part while the others go on using theirs.
     """
     shards = tuple(f's-{number:02}' for number in range(50))
     wide = configs.Gather(shards, 5, 0.5)
--- a/tests/routing/test_lags.py
+++ b/tests/routing/test_lags.py
@@ -1,4 +1,4 @@
-"""Test how far hosts are behind their work, and what others make of it."""
+"""Test the lag of hosts, and how other hosts use it."""
 
 import json
 
@@ -31,7 +31,7 @@
 
 
 def find_other_pair(rig: router_rig.Rig) -> tuple[deployments.Host, ...]:
-    """Find two hosts on duty for one chunk that are others."""
+    """Find two other hosts that are assigned to one chunk."""
     hosts = rig.router.centre_health.list_hosts('north')
     for shard in SHARDS[:: chunk_assignments.SHARDS_PER_CHUNK]:
         ranked = chunk_assignments.rank_hosts(
@@ -40,11 +40,11 @@
         pair = tuple(ranked[: chunk_assignments.HOSTS_PER_CHUNK])
         if router_rig.HOST not in pair:
             return pair
-    raise AssertionError('this host is on duty for all')
+    raise AssertionError('this host is assigned to all chunks')
 
 
 def count_delegated(rig: router_rig.Rig, name: str) -> int:
-    """Ask a few times; count how often a host is asked for parts."""
+    """Send some requests; count how often a host gets parts of them."""
     count = 0
     for _ in range(40):
         rig.send_request()
@@ -54,20 +54,20 @@
         rig.other_actions = []
         count += sum(it.helper.name == name for it in delegates)
         for delegate in delegates:
-            share = events.DelegationReport((), b'', (), (), is_last=True)
+            report = events.DelegationReport((), b'', (), (), is_last=True)
             lag = rig.router.controls.lags.get_lag(
                 delegate.helper.name, rig.now
             )
             rig.post(
                 events.DelegationReportReceived(
-                    delegate.key, share._replace(lag_s=lag)
+                    delegate.key, report._replace(lag_s=lag)
                 )
             )
     return count
 
 
 def test_keeps_the_largest_lag_until_it_has_decayed() -> None:
-    """Symptom: one timer that fires in time hides a stall just before."""
+    """Guard against a timer in time that hides a stall just before."""
     lag = lags.record_delay(lags.NO_LAG, 0.08, 1.0)
     lag = lags.record_delay(lag, 0.001, 1.01)
     assert lags.compute_reported(lag, 1.01) > 0.07
@@ -79,25 +79,25 @@
 def test_hands_nothing_over_to_a_host_with_the_same_lag(
     first: float, second: float
 ) -> None:
-    """Hosts that are all behind keep their work; it would only move about."""
-    share = lags.compute_handover(first, second)
-    assert 0 <= share < 1
+    """Work would only move around if all hosts are behind."""
+    fraction = lags.compute_handover(first, second)
+    assert 0 <= fraction < 1
     assert lags.compute_handover(first, first) == 0
-    assert not (share and lags.compute_handover(second, first))
+    assert not (fraction and lags.compute_handover(second, first))
 
 
-def test_a_share_encodes_a_lag_only_if_there_is_one() -> None:
-    """Hosts of the version before pass over it; on time, it costs nothing."""
-    share = events.DelegationReport((), b'', (), (), is_last=True)
+def test_a_delegation_report_encodes_a_lag_only_if_there_is_one() -> None:
+    """Hosts of the previous version ignore it; without lag it costs nothing."""
+    report = events.DelegationReport((), b'', (), (), is_last=True)
     for lag, encoded_ms in ((0.0, None), (0.0004, None), (0.03, 30)):
-        line = delegation_codecs.encode_report(share._replace(lag_s=lag))
+        line = delegation_codecs.encode_report(report._replace(lag_s=lag))
         assert json.loads(line).get('lag') == encoded_ms
         decoded = delegation_codecs.decode_report(line)
         assert decoded.lag_s == (encoded_ms or 0) / 1000
 
 
 def test_hosts_of_equal_capacity_measure_no_lag() -> None:
-    """Deployments with one kind of host are served as before."""
+    """Deployments with one kind of host behave as before."""
     for capacity, expected in ((HOSTS[0].capacity, 0), (0.36, 0.5)):
         host_lags = lags.Lags()
         host_lags.update_hosts((*HOSTS, HOSTS[0]._replace(capacity=capacity)))
@@ -105,8 +105,8 @@
         assert host_lags.get_own(1.0) == expected
 
 
-def test_hands_work_of_a_lagging_host_to_the_next_on_duty() -> None:
-    """Symptom: each query waits for a host without processor time."""
+def test_hands_work_of_a_lagging_host_to_the_next_assigned_one() -> None:
+    """Guard against queries that wait for a host without processor time."""
     usual = make_rig()
     first, second = find_other_pair(usual)
     rig = make_rig()
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -1,4 +1,4 @@
-"""Test when a host tells its balancer that it is cut off."""
+"""Test when a host reports to its balancer that it is cut off."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def cut_off_south(rig: router_rig.Rig) -> list[events.SendAttempt]:
-    """Ask, and let the near targets alone answer; return the other sends."""
+    """Send a request that only near targets answer; return the other sends."""
     rig.send_request()
     silent = []
     for send in rig.pop_sent():
@@ -31,11 +31,11 @@
 
 
 def test_is_not_ready_while_most_requests_miss_too_many_shards() -> None:
-    """Symptom: the callers of a data centre are refused while it is cut off.
+    """Guard against refused callers while their data centre is cut off.
 
-    Four of ten shards fall silent, 80 % are needed. Hosts elsewhere can serve
-    these callers, so this one tells its balancer that it is not ready, and is
-    ready again once connections to the far targets can be had.
+    Four of ten shards are silent and 80 % are required. Hosts elsewhere can
+    serve these callers, so this one reports that it is not ready, until
+    connections to the far targets can be opened.
     """
     rig = make_rig()
     cut_off_south(rig)
@@ -51,7 +51,7 @@
 
 
 def test_stays_unready_after_hung_requests_have_ended() -> None:
-    """The end of what was under way proves nothing; a connection does."""
+    """The end of hung requests proves nothing; a connection does."""
     rig = make_rig()
     hung = cut_off_south(rig)
     rig.advance_time(0.7)
@@ -66,7 +66,7 @@
 
 
 def test_stays_ready_for_a_service_without_any_target() -> None:
-    """No host could serve it, so sending callers elsewhere gains nothing."""
+    """No host could serve it, so moving callers elsewhere gains nothing."""
     rig = make_rig()
     rig.set_targets(router_rig.make_instances(SHARDS))
     for _ in range(5):
@@ -75,12 +75,12 @@
 
 
 WIDE = tuple(f'wide-{number:02}' for number in range(45))
-#: Shards of which there are targets in this data centre.
+#: Shards with targets in this data centre.
 NEAR_SHARDS = 30
 
 
 def make_wide_rig(*, customers: bool) -> router_rig.Rig:
-    """Make a host that reaches 30 of 45 shards without the other centre."""
+    """Make a host that reaches 30 of 45 shards in its own data centre."""
     wide = router_rig.make_route(configs.Gather(WIDE, 3, 0.8))
     targets = [
         *router_rig.make_instances((*WIDE[:NEAR_SHARDS], 'records')),
@@ -102,7 +102,7 @@
 
 
 def report_silent(rig: router_rig.Rig, *silent: str) -> None:
-    """Have two hosts beside it tell what they hear nothing of."""
+    """Have two hosts of the own data centre report silent data centres."""
     for name in ('host-2', 'host-3'):
         report = centre_health.SilenceReport(name, 'north', silent)
         rig.router.centre_health.update_report(report, rig.now)
@@ -112,10 +112,10 @@
 def test_a_host_with_few_requests_counts_the_wide_routes(
     *, customers: bool
 ) -> None:
-    """Symptom: callers stay in a data centre that is cut off for all the cut.
+    """Guard against callers that stay in a data centre that is cut off.
 
-    The balancer moves them only if no host there says that it is ready, and
-    hosts that are asked for nothing wide just then did not notice.
+    The balancer moves them only if no host there is ready, and hosts without
+    wide requests at the time did not notice the cut.
     """
     rig = make_wide_rig(customers=customers)
     for _ in range(5):
@@ -127,7 +127,7 @@
 
 
 def test_stays_ready_while_another_data_centre_is_cut_off() -> None:
-    """The shards that it reaches suffice, so its callers are served here."""
+    """The reachable shards are enough, so its callers are served here."""
     rig = make_wide_rig(customers=True)
     rig.set_targets(router_rig.make_instances((*WIDE, 'records')))
     report_silent(rig, 'south')
--- a/tests/routing/test_suspect_codecs.py
+++ b/tests/routing/test_suspect_codecs.py
@@ -1,4 +1,4 @@
-"""Test what hosts tell each other of requests that end targets."""
+"""Test the reports of hosts on requests that crash targets."""
 
 import json
 from typing import Any
@@ -27,22 +27,22 @@
 
 
 def test_decodes_what_it_encodes() -> None:
-    """Nothing is lost on the way."""
+    """All fields are encoded without loss."""
     encoded = suspect_codecs.encode_notice(NOTICE)
     assert suspect_codecs.decode_notice(encoded) == NOTICE
 
 
-def test_a_share_carries_a_suspect_report() -> None:
-    """Who asked for help stops where the helper's targets ended."""
-    share = events.DelegationReport(
+def test_a_delegation_report_carries_a_suspect_report() -> None:
+    """The host that delegated stops if the delegate's targets crashed."""
+    report = events.DelegationReport(
         (), b'', (), (), is_last=True, suspect=REPORT
     )
-    encoded = delegation_codecs.encode_report(share)
-    assert delegation_codecs.decode_report(encoded) == share
+    encoded = delegation_codecs.encode_report(report)
+    assert delegation_codecs.decode_report(encoded) == report
 
 
 def test_a_report_carries_quarantines() -> None:
-    """Hosts that the store turns away learn of them from others."""
+    """Hosts that the store rejects get quarantines from other hosts."""
     key = facts.Key(facts.Subject.QUARANTINE, REPORT.identity.digest)
     report = facts.Report(9, (facts.Fact(key, 9, REPORT),), True, 0.0)
     assert (
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    'spoilt',
+    'invalid',
     [
         {'digest': 'ab'},
         {'digest': 'z' * request_identities.DIGEST_DIGITS},
@@ -69,7 +69,7 @@
     ],
 )
 def test_rejects_invalid_fields(invalid: dict[str, Any]) -> None:
-    """Symptom: one bad message has every host refuse requests."""
+    """Guard against one bad message that makes every host refuse requests."""
     row = {**suspect_codecs.encode_report(REPORT), **invalid}
     data = json.dumps({'news': [row], 'hops': 0}).encode()
     with pytest.raises(ValueError):
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    'text',
+    'data',
     [
         b'',
         b'[]',
@@ -89,6 +89,6 @@
     ],
 )
 def test_rejects_malformed_notices(data: bytes) -> None:
-    """Whatever comes, the host goes on."""
+    """A malformed message does not stop the host."""
     with pytest.raises(ValueError):
         suspect_codecs.decode_notice(data)
--- a/tests/routing/test_target_health.py
+++ b/tests/routing/test_target_health.py
@@ -1,4 +1,4 @@
-"""Test how a host judges targets, and what it tells of that."""
+"""Test how a host judges the health of targets, and what it reports of it."""
 
 from fuchsiahaven.core.queries import hedges
 from fuchsiahaven.core.targets import messages
@@ -15,7 +15,7 @@
 
 
 def list_health_changes(rig: router_rig.Rig) -> list[tuple[str, str]]:
-    """List what was told of targets."""
+    """List the reported changes of targets."""
     return [
         (it.target, it.status)
         for it in rig.other_actions
@@ -24,7 +24,7 @@
 
 
 def test_excludes_a_target_that_refuses_connections() -> None:
-    """It is tried again soon, and longer and longer after each failure."""
+    """It is tried again soon, and later after each failure."""
     rig = make_rig(1)
     exclusions = []
     for _ in range(4):
@@ -38,7 +38,7 @@
 
 
 def test_reports_each_exclusion_and_return_once() -> None:
-    """The log has a line for each change of what the host believes."""
+    """The log has a line for each exclusion and return of a target."""
     rig = make_rig(1)
     rig.send_request('/one/1')
     (send,) = rig.pop_sent()
@@ -55,7 +55,10 @@
 
 
 def test_avoids_a_target_whose_answers_fail() -> None:
-    """Symptom: a third of all requests fail at a target that looks healthy."""
+    """Guard against a target whose requests fail while it looks healthy.
+
+    A third of all requests used to fail there.
+    """
     rig = make_rig(2)
     failing = 'records-0'
     failed = 0
@@ -72,9 +75,9 @@
 
 
 def test_tolerates_longer_silence_of_slow_targets() -> None:
-    """Symptom: slow but sound targets are taken for dead.
+    """Guard against excluding slow but healthy targets.
 
-    A request that usually takes 300 ms is out for 500 ms: that is no silence.
+    A request that usually takes 300 ms is out for 500 ms, which is no silence.
     """
     rig = make_rig(1)
     rig.send_request('/one/1')
@@ -91,7 +94,7 @@
 
 
 def test_describes_the_health_of_a_target() -> None:
-    """People see latency, or why a target gets nothing."""
+    """Operators see the latency, or why a target gets no requests."""
     rig = make_rig(1)
     rig.send_request('/one/1')
     (send,) = rig.pop_sent()
@@ -107,10 +110,11 @@
 
 
 def test_prefers_a_near_target_with_a_free_slot() -> None:
-    """Symptom: a quarter of what crosses data centres does so for nothing.
+    """Guard against needless traffic between data centres.
 
-    One request is under way at the near target, which has two slots; the next
-    one is sent to the far target, as if it had to wait for the first.
+    One request is in flight at the near target, which has two slots. The next
+    one used to go to the far target, as if it had to wait; that was a quarter
+    of the traffic between data centres.
     """
     near, far = router_rig.make_instances(['records'])
     far = far._replace(data_centre='maipu')
@@ -130,7 +134,7 @@
 
 
 def send_single_request(rig: router_rig.Rig, duration: float) -> str:
-    """Ask for a record that takes so long; return who was asked."""
+    """Send a request that takes `duration` seconds; return its target."""
     rig.send_request('/one/1', wait=5)
     (sent,) = rig.pop_sent()
     rig.advance_time(duration)
@@ -141,11 +145,11 @@
 
 
 def test_does_not_probe_the_latency_of_a_far_target() -> None:
-    """Symptom: a third of all records cross between data centres.
+    """Guard against records that cross between data centres needlessly.
 
-    Records take 220 ms. A target that was not asked for some seconds looked
-    several times as fast as it is, and one that was never asked as the fastest
-    of all, so that each host tried each far target every few seconds.
+    Records take 220 ms. The latency of a target without recent requests decayed
+    to a fraction, and an unmeasured target looked fastest of all, so each host
+    tried each far target every few seconds: a third of all records.
     """
     near, far = router_rig.make_instances(['records'])
     far = far._replace(data_centre='maipu')
@@ -161,7 +165,7 @@
 
 
 def test_uses_a_far_target_when_the_near_one_is_slow() -> None:
-    """Second sendings show that the far one is faster; it is believed then."""
+    """Hedges show that the far target is faster; it is preferred then."""
     near, far = router_rig.make_instances(['records'])
     far = far._replace(data_centre='maipu')
     route = router_rig.make_route(configs.Single('records'), prefix='/one/')
@@ -180,13 +184,11 @@
     assert sent_last.instance.name == far.name
 
 
-def test_uses_an_unmeasured_far_target_when_the_near_one_is_unusually_slow() -> (
-    None
-):
-    """Symptom: queries are late for two seconds after a reshard.
+def test_uses_an_unmeasured_far_target_when_the_near_one_is_slow() -> None:
+    """Guard against late queries for two seconds after a reshard.
 
-    All targets are new, and a seventh of those near by take 0.3 s for what
-    takes 20 ms elsewhere. Nothing is known of the far ones.
+    All targets are new, and a seventh of the near ones take 0.3 s instead of 20
+    ms. Nothing is known of the far ones.
     """
     near, far = router_rig.make_instances(['records'])
     far = far._replace(data_centre='maipu')
--- a/tests/routing/test_warmups.py
+++ b/tests/routing/test_warmups.py
@@ -1,4 +1,4 @@
-"""Test that cold targets get no more than they bear, over all hosts."""
+"""Test that cold targets get no more than their limit, over all hosts."""
 
 from typing import Final, NamedTuple
 
@@ -51,7 +51,7 @@
 
 
 class HostChange(NamedTuple):
-    """Tell that a host comes or goes; each other host hears with a lag."""
+    """Describe a host that comes or goes; the others see it after a delay."""
 
     at: float
     host: int
@@ -75,20 +75,20 @@
 def list_views(
     changes: list[HostChange], own: int
 ) -> list[tuple[float, frozenset[int]]]:
-    """List when a host hears of which set of hosts, the last word last."""
+    """List when a host sees which set of hosts."""
     present = set(range(HOSTS))
     seen_at = 0.0
     views = [(-10.0, frozenset(present))]
     for change in sorted(changes):
         present ^= {change.host}
-        # Revisions never go back, so what comes late comes with the next.
+        # Revisions never go back, so a late change arrives with the next one.
         seen_at = max(seen_at, change.at + change.delays[own])
         views.append((seen_at, frozenset(present)))
     return views
 
 
 class Sender(NamedTuple):
-    """Hold one host, and when it hears of which hosts."""
+    """Hold the warm-ups of one host, and when it sees which hosts."""
 
     warmups: warmups.Warmups
     views: list[tuple[float, frozenset[int]]]
@@ -97,7 +97,7 @@
 def make_sender(
     own: int, instance: instances.Instance, changes: list[HostChange]
 ) -> Sender:
-    """Make a host that knows of a cold target."""
+    """Make a host that knows a cold target."""
     sender_warmups = warmups.Warmups(ALL_HOSTS[own])
     sender_warmups.limit = LIMIT
     sender_warmups.update_targets(
@@ -107,7 +107,7 @@
 
 
 def update_hosts(sender: Sender, now: float) -> None:
-    """Have a host hear what it has heard by now."""
+    """Apply the changes that a host has seen by now."""
     while sender.views and sender.views[0][0] <= now:
         at, present = sender.views.pop(0)
         sender.warmups.update_hosts(
@@ -118,7 +118,7 @@
 def send_all(
     rate: float, changes: list[HostChange], waits: list[float], target: str
 ) -> list[float]:
-    """Have each host send all that it may; list when it leaves."""
+    """Have each host send all that it may; list when the requests leave."""
     index = make_index(rate)
     instance = COLD._replace(service=target)
     sent: list[float] = []
@@ -145,11 +145,11 @@
 def test_no_second_exceeds_the_limit_of_a_cold_target(
     rate: float, changes: list[HostChange], waits: list[float], target: str
 ) -> None:
-    """Symptom: a target that has just started falls over under all hosts.
+    """Guard against a target that fails under all hosts just after its start.
 
-    Hosts come and go, each hears of it up to two seconds and a half later, and
-    what is sent waits for a connection. In no second that anybody may lay does
-    more leave than the target bears.
+    Hosts come and go, each sees it up to two and a half seconds later, and
+    requests wait for a connection. In no stretch of a second may more requests
+    leave than the limit.
     """
     sent = send_all(rate, changes, waits, target)
     bound = rate * LIMIT.overage + LIMIT.slack
@@ -160,14 +160,14 @@
 
 @pytest.mark.parametrize('target', ['records', 's-20'])
 def test_cold_targets_get_most_of_their_limit(target: str) -> None:
-    """While no host comes or goes the bound is used, and not by one host."""
+    """Without changes of the hosts the bound is used, and not by one host."""
     sent = send_all(20.0, [], [0.0], target)
     used = sum(4 <= it < 4 + warmups.RATE_WINDOW_S for it in sent)
     assert used >= 0.6 * (20 * LIMIT.overage + LIMIT.slack)
 
 
 def make_rig(rate: float, *targets: instances.Instance) -> router_rig.Rig:
-    """Make a host that is not among those that may send to the targets."""
+    """Make a host that may not send to cold targets with a rate."""
     rig = router_rig.Rig(ROUTES, targets)
     rig.router.warmups.limit = LIMIT
     configuration = make_index(rate).configuration._replace(version=2)
@@ -176,7 +176,7 @@
 
 
 def test_prefers_warm_targets() -> None:
-    """Symptom: a release costs answers, as each new target is slow at first."""
+    """Guard against answers lost in a release, when each new target is slow."""
     warm = COLD._replace(
         name='warm', id='warm', data_centre='south', warming=0.0
     )
@@ -187,10 +187,10 @@
 
 
 def test_refuses_at_once_what_only_cold_targets_could_serve() -> None:
-    """Symptom: all targets of a service crash again as soon as they return.
+    """Guard against a service whose targets crash again when they return.
 
-    All of them are cold, and this host does not know yet which hosts there
-    are. Callers are told at once that nothing has run, and when to come back.
+    All of them are cold, and this host does not know yet which hosts there are.
+    Callers learn at once that nothing has run, and when to retry.
     """
     rig = make_rig(4.0, COLD)
     rig.send_request('/one/1')
@@ -203,7 +203,7 @@
 
 
 def test_uses_cold_targets_without_a_rate() -> None:
-    """A service that names no rate is spared, but not at a caller's cost."""
+    """They are avoided, but not at the cost of an answer."""
     rig = make_rig(0.0, COLD)
     for _ in range(9):
         rig.send_request('/one/1')
@@ -211,9 +211,9 @@
 
 
 def test_a_target_is_warm_after_its_warmup_without_reports() -> None:
-    """Symptom: a target gets nothing as long as the store is down.
+    """Guard against a target without requests while the store is down.
 
-    Its last entry says that it is cold, and no other one comes.
+    Its last entry says that it is cold, and no other one follows.
     """
     host_warmups = warmups.Warmups(router_rig.HOST)
     cold = COLD._replace(warming=3.0)
@@ -225,7 +225,7 @@
 
 
 def test_all_targets_of_a_reused_data_centre_are_cold() -> None:
-    """Its entries still say that it is warm; they are a heartbeat old."""
+    """Their entries say that they are warm, but are a heartbeat old."""
     host_warmups = warmups.Warmups(router_rig.HOST)
     warm = COLD._replace(warming=0.0)
     evacuated = instances.build_directory([warm], {'north'})
