--- a/fuchsiahaven/routing/centre_health.py
+++ b/fuchsiahaven/routing/centre_health.py
@@ -54,7 +54,7 @@
 
 
 class SilenceReport(NamedTuple):
-    """Report all data centres that a host gets no answer from."""
+    """Hold all data centres that a host gets no answer from."""
 
     host: str
     data_centre: str
@@ -90,8 +90,7 @@
     def update_hosts(self, hosts: Iterable[deployments.Host]) -> None:
         """Update the list of hosts, which includes this one.
 
-        It clears `on_duty`, which caches for each chunk whether this host is
-        assigned to it.
+        It clears the cache of which chunks this host is assigned to.
         """
         self.on_duty.clear()
         by_centre: dict[str, list[deployments.Host]] = {}
--- a/fuchsiahaven/routing/configs.py
+++ b/fuchsiahaven/routing/configs.py
@@ -76,8 +76,8 @@
     """Hold the settings of a service.
 
     `connections` bounds the connections to each of its targets from all hosts
-    together. `cold_rate` is how many requests a second a cold target can serve;
-    0 if unknown.
+    together. The last field is how many requests a second a cold target can
+    serve; 0 if unknown.
     """
 
     name: str
@@ -89,7 +89,11 @@
 
 
 class Limits(NamedTuple):
-    """Bound what a caller may send; times are in seconds."""
+    """Bound what a caller may send, in bytes and in seconds.
+
+    The times are for sending the head of a request, and for an idle connection
+    between two requests.
+    """
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 262_144
--- a/fuchsiahaven/routing/facts.py
+++ b/fuchsiahaven/routing/facts.py
@@ -19,6 +19,8 @@
     QUARANTINE = 'quarantine'
 
 
+#: The names of the classes and fields of values are part of the digest that
+#: hosts of different versions compare; see `changes.compute_digest`.
 Value = (
     configs.Configuration
     | instances.Instance
@@ -167,7 +169,7 @@
 
 
 class MergeResult(NamedTuple):
-    """Return the merged view and the subjects that have changed.
+    """Hold the merged view and the subjects that have changed.
 
     `from_earlier_era` marks the report of an earlier era. `dropped` are the
     facts that were not written again after a restore.
