--- a/fuchsiahaven/routing/target_health.py
+++ b/fuchsiahaven/routing/target_health.py
@@ -14,7 +14,8 @@
 PAUSE_COST_S: Final = 0.15
 #: A target counts as paused after this multiple of its usual latency.
 PAUSE_FACTOR: Final = 2.0
-#: But not sooner: scheduling on both sides takes some milliseconds.
+#: Minimum silence of a paused target: scheduling on both sides takes some
+#: milliseconds.
 MIN_PAUSE_S: Final = 0.025
 #: Silence from which on a target is taken to be dead. Pauses are shorter;
 #: single requests may take longer, hence the factor on the usual latency.
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -191,10 +191,10 @@
 def test_hosts_stay_fresh_without_any_change(seed: int) -> None:
     """Guard against hosts that refuse requests while nothing changes.
 
-    Without changes in the store each watch lasts its whole wait. A host without
-    a path to the store for 0.6 of the time must still be fresh, so in normal
-    operation the age has to be far below that: it stays under 0.4, and no
-    alternate source is tried.
+    Without changes in the store each watch lasts its whole wait. A host may
+    refuse after 0.6 of the bound without a path to the store, so without a cut
+    the age has to be far below that: it stays under 0.4, and no alternate
+    source is tried.
     """
     draw = random.Random(seed)
     clock = Clock()
--- a/tests/routing/test_restores.py
+++ b/tests/routing/test_restores.py
@@ -125,7 +125,10 @@
 
 
 def test_keeps_an_evacuation_until_the_rewrite_deadline() -> None:
-    """Guard against requests to an evacuated data centre after a restore."""
+    """Guard against requests to an evacuated data centre after a restore.
+
+    The copy was taken before the evacuation, which is written again later.
+    """
     retention_s = removals.RETENTION_S[facts.Subject.EVACUATION]
     view = make_view(make_evacuation(73))
     view = merge(view, make_era_listing(2, 71), 5)
@@ -141,7 +144,11 @@
 
 
 def test_applies_the_end_of_an_evacuation_at_a_low_revision() -> None:
-    """Guard against a data centre without requests after its evacuation."""
+    """Guard against a data centre without requests after its evacuation.
+
+    The end of the evacuation has a lower revision than its order, which was
+    given before the restore.
+    """
     view = make_view(make_evacuation(73))
     view = merge(view, make_era_listing(2, 60, make_evacuation(50)), 5)
     removal = facts.Fact(make_evacuation(0).key, 61, None, era=2)
--- a/tests/routing/test_sources.py
+++ b/tests/routing/test_sources.py
@@ -68,7 +68,10 @@
 
 
 def test_polls_any_host_while_the_store_fails() -> None:
-    """Guard against one host that stays at an old version."""
+    """Guard against one host that stays at an old version.
+
+    The store rejects it while the other hosts move on.
+    """
     later = deployments.Host('c', '10.0.1.3:1', 'south')
     inputs = make_inputs(OWN, later, store_failed_until=5)
     assert sources.choose_source(inputs, 1, 0) == sources.Peer(later.address)
@@ -120,7 +123,7 @@
 
     All hosts lost power together, and one that is back first polls a seed that
     is still down. The seed is up a moment later, but was not polled again for
-    seconds.
+    seconds, and the time-out of its connection was that of a running host.
     """
     assert sources.compute_backoff(4, starting=True) <= 0.1
 
