--- a/bench/trial.py
+++ b/bench/trial.py
@@ -1,9 +1,10 @@
 """Compare two ways to decide on the same loads and seeds.
 
-A way is `stands`, or constants of `fuchsiahaven.routing` with other values:
+A way is `stands`, or constants of `fuchsiahaven.routing` with other values,
+separated by commas:
 
-    python -m bench.trial stands delegations.MOST_HANDINGS=0 --seeds 5
-    python -m bench.trial stands plans.FEWEST=2,duties.CHUNK=30 --load paused
+    python -m bench.trial stands delegations.MAX_PART_SENDINGS=0 --seeds 5
+    python -m bench.trial stands chunk_assignments.SHARDS_PER_CHUNK=30
 """
 
 import argparse
--- a/fuchsiahaven/routing/chunk_assignments.py
+++ b/fuchsiahaven/routing/chunk_assignments.py
@@ -1,9 +1,10 @@
-"""Say which hosts gather which shards of a query over many.
+"""Assign chunks of shards to the hosts that gather them for wide queries.
 
-A query over many shards costs the host that takes it a fraction of a
-millisecond for each. Shards are cut into chunks, and each data centre has a
-host for each chunk, so that the cost is shared, few hosts hold connections to
-a target, and each of them sees enough of a target's answers to notice a pause.
+A query over many shards costs the host that receives it a fraction of a
+millisecond for each shard. Shards are split into chunks, and each data centre
+assigns hosts to each chunk. This shares the cost, keeps the number of hosts
+with connections to a target low, and lets each of them see enough answers of a
+target to notice that it is paused.
 """
 
 import functools
@@ -13,22 +14,24 @@
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.routing import capacities, configs, deployments
 
-#: Shards of a chunk: few enough that a helper brings them in a few
-#: milliseconds.
+#: Few enough that a helper gathers the shards of a chunk in a few milliseconds.
 SHARDS_PER_CHUNK: Final = 15
 #: Hosts of a data centre that may hold connections to the targets of a chunk:
-#: the one on duty and the one that takes over from it.
+#: the first assigned host and the one that replaces it.
 HOSTS_PER_CHUNK: Final = 2
-#: Part of the slack of repeats that the hosts on duty share.
+#: Fraction of the slack of extra load that the assigned hosts share.
 ASSIGNED_SLACK_FRACTION: Final = 0.6
-#: A version in force and the one before it name a few gathers each, and each
-#: has a chunk for fifteen shards and data centre.
+#: The configuration in force and the one before it hold a few gathers each, and
+#: each gather has one chunk for fifteen shards in each data centre.
 _MAX_CACHED_GATHERS: Final = 64
 _MAX_CACHED_RANKINGS: Final = 4096
 
 
 class ChunkKey(NamedTuple):
-    """Name a chunk in a data centre."""
+    """Identify a chunk of shards in a data centre.
+
+    `chunk` is the first shard of the chunk, empty for narrow queries.
+    """
 
     data_centre: str
     chunk: str
@@ -36,7 +39,7 @@
 
 @functools.lru_cache(maxsize=_MAX_CACHED_GATHERS)
 def find_chunks(gather: configs.Gather) -> dict[str, str]:
-    """Map each shard to its chunk, which is named by its first shard."""
+    """Map each shard to the first shard of its chunk, which identifies it."""
     chunks = {}
     for position, shard in enumerate(gather.shards):
         chunks[shard] = gather.shards[position - position % SHARDS_PER_CHUNK]
@@ -44,7 +47,7 @@
 
 
 def find_chunk(index: configs.Index, shard: str) -> str | None:
-    """Find the chunk of a shard of wide queries; None for other services."""
+    """Find the chunk of a shard of a wide query; None for other services."""
     if shard not in index.wide_shards:
         return None
     actions = (route.way for route in index.configuration.routes)
@@ -59,7 +62,7 @@
 def rank_hosts(
     chunk_key: ChunkKey, hosts: Sequence[deployments.Host]
 ) -> list[deployments.Host]:
-    """Order the hosts of a data centre for a chunk, the one on duty first."""
+    """Rank the hosts of a data centre for a chunk, the assigned ones first."""
     by_name = {
         host.name: host
         for host in hosts
@@ -73,10 +76,11 @@
 def count_slack_sharers(
     centre_count: int, host_count: int, *, assigned: bool
 ) -> float:
-    """Count who shares the slack of repeats at the targets of wide queries.
+    """Count the hosts that share the slack of extra load of a wide shard.
 
-    Those on duty, in so many data centres, have the larger part among them;
-    the rest is for hosts that send directly because none on duty is left.
+    The result is the number of equal shares that the slack is divided into.
+    The assigned hosts of all data centres share the larger fraction of it. The
+    rest is for hosts that send directly because no assigned host is left.
     """
     if not assigned:
         return host_count / (1 - ASSIGNED_SLACK_FRACTION)
@@ -89,7 +93,7 @@
     hosts: Sequence[deployments.Host],
     host_count: int,
 ) -> int:
-    """Count the hosts that share the connections to a service's targets."""
+    """Count the hosts that may open connections to a service's targets."""
     if service not in wide_services:
         return host_count
     centres = {host.data_centre for host in hosts}
--- a/fuchsiahaven/routing/delegated_requests.py
+++ b/fuchsiahaven/routing/delegated_requests.py
@@ -1,7 +1,7 @@
 """Gather parts of a query for another host that is farther from the targets.
 
-The other host decides: it sends again what is slow or fails, and it answers
-the caller. This host sends each part once, to a target near it.
+The delegating host decides: it hedges slow parts, retries failed ones and
+answers the caller. This host sends each part once, to a target near it.
 """
 
 from typing import Final
@@ -18,17 +18,17 @@
 
 Actions = list[events.Action]
 
-#: Share of the objective after which what is in goes out at the latest, so
-#: that the other host can still send what lacks to other targets in time.
+#: Fraction of the objective after which the first report is sent at the latest,
+#: so that the delegating host can still hedge the missing parts in time.
 MAX_HOLD_FRACTION: Final = 0.4
-#: The empty name marks that something was told.
+#: Marks among the reported parts that a report has been sent.
 FIRST_REPORT_SENT: Final = ''
 
 
 def handle_request(
     router: states.Router, event: events.DelegatedRequestReceived, now: float
 ) -> Actions:
-    """Send the parts that another host asks for."""
+    """Start a delegated request and send its parts."""
     active = _start_request(router, event, now)
     router.active_requests[active.number] = active
     actions: Actions = []
@@ -58,11 +58,11 @@
 def send_reports(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> Actions:
-    """Tell what is due to be told.
+    """Send the reports that are due.
 
-    What is in when most should be goes out as one merged share; what comes
-    later goes out by itself, because the other host may have got that part
-    from another target by then and has to be able to leave it out.
+    The first report merges all parts that are in when most should be. Later
+    parts are reported one by one: the delegating host may have got a part from
+    another target by then and has to be able to discard it.
     """
     is_over = not active.open_parts or now >= active.reply_deadline
     is_first = FIRST_REPORT_SENT not in active.reported
--- a/fuchsiahaven/routing/delegation_codecs.py
+++ b/fuchsiahaven/routing/delegation_codecs.py
@@ -1,4 +1,4 @@
-"""Write and read what hosts send each other to gather parts of a query."""
+"""Encode and decode delegated requests and their reports as JSON."""
 
 import base64
 import json
@@ -10,9 +10,9 @@
 
 
 class EncodedRequest(TypedDict):
-    """Hold a request for assistance; times are in milliseconds from now.
+    """JSON form of a delegated request; times are in milliseconds from now.
 
-    `customer` is left out where there is none.
+    `customer` is left out if there is none.
     """
 
     id: str
@@ -32,10 +32,11 @@
 
 
 class EncodedDelegationReport(TypedDict):
-    """Hold a share: parts with their signatures, and rows of a `PartOut`.
+    """JSON form of a report.
 
-    `silent`, `suspect` and `lag`, in milliseconds, are left out where empty, as
-    they mostly are.
+    `parts` holds rows of a service and its signature, `pending` and `lost` hold
+    the fields of a `MissingPart`. `silent`, `suspect` and `lag` (milliseconds)
+    are usually empty and then left out.
     """
 
     parts: list[list[str]]
@@ -49,7 +50,7 @@
 
 
 def encode_request(delegated: events.DelegatedRequest, now: float) -> bytes:
-    """Write a request for assistance."""
+    """Encode a delegated request."""
     request = delegated.request
     encoded = EncodedRequest(
         id=request.request_id,
@@ -72,7 +73,7 @@
 
 
 def decode_request(text: bytes, now: float) -> events.DelegatedRequest:
-    """Read a request for assistance; raises codecs.Malformed."""
+    """Decode a delegated request; raises report_codecs.MalformedReport."""
     try:
         return _decode_request(json.loads(text), now)
     except (ValueError, KeyError, TypeError) as error:
@@ -80,7 +81,7 @@
 
 
 def encode_report(report: events.DelegationReport) -> bytes:
-    """Write a share as one line."""
+    """Encode a report as one line."""
     encoded = EncodedDelegationReport(
         parts=[list(part) for part in report.parts],
         body=base64.b64encode(report.body).decode(),
@@ -99,7 +100,7 @@
 
 
 def decode_report(text: bytes) -> events.DelegationReport:
-    """Read a line that holds a share; raises codecs.Malformed."""
+    """Decode a report line; raises report_codecs.MalformedReport."""
     try:
         return _decode_report(json.loads(text))
     except (ValueError, KeyError, TypeError) as error:
--- a/fuchsiahaven/routing/delegation_plans.py
+++ b/fuchsiahaven/routing/delegation_plans.py
@@ -1,4 +1,4 @@
-"""Plan which parts of a query other hosts gather, and which ones."""
+"""Plan which parts of a query are delegated, and to which hosts."""
 
 import collections
 import itertools
@@ -17,16 +17,16 @@
     target_selection,
 )
 
-#: Fewer parts than this are asked for directly: the detour costs about as
-#: many bytes as it saves, and a hop more.
+#: Fewer parts than this are sent directly: delegating them costs about as
+#: many bytes as it saves, and one more hop.
 MIN_DELEGATED_PARTS: Final = 4
-#: Data centres that hold this share of the shards of the one with the most
-#: hold about as many: a few targets are always missing somewhere.
+#: Data centres that hold this fraction of the shards of the largest one count
+#: as equally large, because a few targets are always missing somewhere.
 LARGE_CENTRE_FRACTION: Final = 0.8
 
 
 class Plan(NamedTuple):
-    """Name a helper and the parts that it is to gather."""
+    """Assign parts of a query to the helper that gathers them."""
 
     helper: deployments.Host
     services: tuple[str, ...]
@@ -35,7 +35,7 @@
 def plan_delegations(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[Plan]:
-    """Plan which parts of a query go through which helper."""
+    """Return which unsent parts of a query go to which helper."""
     gather = active.route.way
     if not isinstance(gather, configs.Gather):
         return []
@@ -65,7 +65,7 @@
     services: Iterable[str],
     now: float,
 ) -> dict[str, set[str]]:
-    """List in which data centres each part has targets that may be asked."""
+    """List the data centres with candidate targets of each part."""
     centres_by_part: dict[str, set[str]] = {}
     for service in services:
         part = active.parts[service]
@@ -81,7 +81,10 @@
     gather: configs.Gather,
     centres_by_part: dict[str, set[str]],
 ) -> dict[chunk_assignments.ChunkKey, list[str]]:
-    """Share parts out among duties; near ones of a narrow query are not."""
+    """Group the parts to be delegated by chunk and data centre.
+
+    A narrow query sends the parts with near targets itself.
+    """
     if configs.is_wide(gather):
         return _group_wide_parts(router.host, gather, centres_by_part)
     sizes = collections.Counter(
@@ -102,7 +105,7 @@
     gather: configs.Gather,
     centres_by_part: dict[str, set[str]],
 ) -> dict[chunk_assignments.ChunkKey, list[str]]:
-    """Share all parts out; a few far ones go with the near ones."""
+    """Group all parts; small remote groups are merged into near ones."""
     chunks = chunk_assignments.find_chunks(gather)
     order = rank_centres(host, centres_by_part)
     groups: dict[chunk_assignments.ChunkKey, list[str]] = {}
@@ -128,11 +131,12 @@
 ) -> tuple[str, ...]:
     """Order data centres so that the first few have targets of all parts.
 
-    `centres` maps each part to the data centres that have targets of it. The
-    own one comes first, then always the one that adds most parts. Where two of
-    five data centres hold each shard, parts taken by name alone spread over all
-    four others in groups too small for a helper, and a third of all parts
-    crossed one by one.
+    `centres_by_part` maps each part to the data centres that have targets of
+    it. The own data centre comes first, then repeatedly the one that covers
+    most of the remaining parts. A choice by name alone fails where two of five
+    data centres hold each shard: the parts spread over all four others in
+    groups too small for a helper, and a third of all parts crosses data
+    centres in single requests.
     """
     uncovered = [
         part_centres
@@ -159,9 +163,9 @@
 def _choose_best_centre(
     host: deployments.Host, uncovered: Iterable[Collection[str]]
 ) -> str:
-    """Find the data centre that has targets of most parts.
+    """Return the data centre that has targets of most parts.
 
-    Hosts choose differently among equals, so that these share the load.
+    Hosts break ties differently, which spreads the load over equal ones.
     """
     counts = collections.Counter(
         centre for part_centres in uncovered for centre in part_centres
@@ -176,11 +180,12 @@
     candidates: Collection[str],
     sizes: Mapping[str, int],
 ) -> str:
-    """Choose the data centre that parts are gathered in, the own one if it can.
+    """Choose the data centre to gather a part in, if possible the own one.
 
-    Hosts without near targets spread over those that hold about as many
-    shards as any (`sizes`). Were all of them to ask the same one, its hosts and
-    targets would carry the queries of each data centre that has none.
+    `sizes` counts the shards of each data centre. Hosts without near targets
+    spread over the data centres that are about as large as the largest. If all
+    of them chose the same one, its hosts and targets would carry the queries of
+    every data centre without targets.
     """
     if not candidates or host.data_centre in candidates:
         return host.data_centre
@@ -211,12 +216,12 @@
     silent_centre: str,
     now: float,
 ) -> str:
-    """Find the data centre whose hosts are to send a part a second time.
+    """Choose the data centre whose hosts send a hedge or a retry of a part.
 
-    Those where a target is that was not tried know it and have connections to
-    it; from elsewhere a second sending would open one first, which takes 6 ms
-    of 72. `silent` is the data centre of a host that was asked for the part
-    and has told nothing.
+    Hosts beside an untried target already have connections to it. From
+    elsewhere the sending would have to open one first, which takes 6 ms of an
+    objective of 72 ms. `silent_centre` is the data centre of a helper that was
+    asked for the part and has not reported on it.
     """
     part = active.parts[service]
     candidates = target_selection.list_candidates(router, service, part, now)
@@ -239,10 +244,11 @@
     excluded: deployments.Host | None = None,
     silent_centre: str = '',
 ) -> deployments.Host | None:
-    """Find the host that is to send a part again; None for this one.
+    """Find the host that sends a hedge or a retry; None for this host.
 
-    It is on duty where a target is that was not tried, and not the one that is
-    `passed` over. `silent` is the data centre of a host that has told nothing.
+    It is assigned to the chunk in a data centre with an untried target, and is
+    not `excluded`. `silent_centre` is the data centre of a helper that has not
+    reported.
     """
     assert isinstance(active.route.way, configs.Gather)
     centre = find_second_centre(router, active, service, silent_centre, now)
@@ -259,7 +265,7 @@
     wide: bool,
     excluded: deployments.Host | None = None,
 ) -> deployments.Host | None:
-    """Find the host to ask; None where this one is to send for itself."""
+    """Find the helper to ask; None if this host has to send the parts."""
     if wide:
         excluded_name = excluded.name if excluded else ''
         assigned = [
@@ -283,10 +289,10 @@
 def _list_assigned(
     router: states.Router, chunk_key: chunk_assignments.ChunkKey, now: float
 ) -> list[deployments.Host]:
-    """List the hosts on duty; those after them take the place of the dead.
+    """List the hosts assigned to a chunk; dead ones are replaced by the next.
 
-    All hosts are ranked, whoever of them is alive: that is known already, and
-    only the first few have to be looked at.
+    All hosts are ranked whether alive or not, because that ranking is cached
+    and only the first few hosts have to be checked.
     """
     ranked = chunk_assignments.rank_hosts(
         chunk_key, router.centre_health.list_hosts(chunk_key.data_centre)
@@ -312,7 +318,7 @@
 def _choose_by_lag(
     router: states.Router, assigned: Sequence[deployments.Host], now: float
 ) -> deployments.Host:
-    """Leave some work of a host that is behind to the next one on duty."""
+    """Choose a host, moving some work of a lagging one to the next."""
     first, *others = assigned
     lag = router.controls.lags.get_lag(first.name, now)
     if not lag or not others or others[0].name == router.host.name:
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -1,8 +1,8 @@
-"""Have other hosts gather parts whose targets are near to them.
+"""Delegate parts of a query to helpers near the targets.
 
 A query sends one request to a helper in place of one to each target, and the
-helper sends back the greatest records of all parts instead of each part's.
-Between data centres that is a tenth of the bytes.
+helper returns the greatest records of all parts in place of the records of
+each part. Between data centres this takes a tenth of the bytes.
 """
 
 from collections.abc import Iterable
@@ -28,17 +28,18 @@
 
 Actions = list[events.Action]
 
-#: A helper that refused, because it stops, or broke off is left out for this
-#: long, in seconds; a stop takes longer, but the detour is no more than that.
+#: How long a helper that refused because it is stopping, or whose request
+#: failed, is not asked again. A stop takes longer, but asking such a helper
+#: once more costs no more than a detour.
 REFUSED_HELPER_PAUSE_S: Final = 2.0
-#: The same for one that has just started and is about to know enough.
+#: The same for a helper that is starting and lacks state for a moment.
 STARTING_HELPER_PAUSE_S: Final = 0.2
-#: How often a part is sent or handed on before this host sends it itself, or
-#: gives it up: several hosts may be stopping, starting or gone at once. One
-#: that may not repeat any more says so at once, and without a bound the two
-#: would go on asking and refusing for as long as the query lasts.
+#: How often a part is sent or delegated before this host sends it itself or
+#: gives it up, since several hosts may be stopping, starting or dead at once. A
+#: helper without budget for retries refuses at once, so without a bound two
+#: hosts would ask and refuse each other for as long as the query lasts.
 MAX_PART_SENDINGS: Final = 3
-#: When a part counts as sent that has to be sent elsewhere at once.
+#: Time of sending that marks a part to be hedged at once.
 OVERDUE_SENT_AT: Final = float('-inf')
 
 
@@ -48,10 +49,10 @@
     slow_services: list[str],
     now: float,
 ) -> Actions:
-    """Have slow parts of a wide query sent to another target by helpers.
+    """Delegate hedges of slow parts of a wide query to helpers.
 
-    Only the hosts on duty hold connections to a chunk's targets, and they
-    know best which of them answer just now.
+    Only the assigned hosts hold connections to the targets of a chunk, and they
+    know best which of these targets answer at the moment.
     """
     if (
         trials.get_permission(router, active, now)
@@ -81,7 +82,7 @@
         router, active, selected.pop(router.host, []), now
     )
     for helper, services in selected.items():
-        # The helper sees to the shared bound on repeats.
+        # The helper applies the shared bound on extra load.
         plan = delegation_plans.Plan(helper, tuple(services))
         actions.append(delegate_parts(router, active, plan, now))
     return actions
@@ -90,7 +91,7 @@
 def _find_silent_helper(
     router: states.Router, active: active_requests.ActiveRequest, service: str
 ) -> deployments.Host | None:
-    """Find the host that was asked for a part and has told nothing of it."""
+    """Find the helper that was asked for a part and has not reported on it."""
     attempt = active.parts[service].in_flight[0]
     if attempt.instance or attempt.sent_at == OVERDUE_SENT_AT:
         return None
@@ -109,7 +110,7 @@
     plan: delegation_plans.Plan,
     now: float,
 ) -> events.Delegate:
-    """Ask a helper for parts."""
+    """Return a request to a helper for parts, and record that it is sent."""
     assert isinstance(active.route.way, configs.Gather)
     key = events.DelegationKey(active.number, router.next_number())
     max_sent = max(active.parts[it].sent_count for it in plan.services)
@@ -136,9 +137,10 @@
     )
     router.delegations[key] = delegation
     if not delegation.is_retry:
-        # Parts that are sent again are often not in when the answer goes out.
-        # Waited for like others, three of them make their data centre look
-        # cut off, and a host that is asked for few searches refuses the next.
+        # Hedges and retries are often still pending when the caller gets its
+        # answer. If they counted as unanswered, three of them would make their
+        # data centre look cut off, and a host with few queries would refuse the
+        # next one.
         router.helper_health.record_sent(
             helper.name, _make_attempt_key(key), now
         )
@@ -149,7 +151,7 @@
 def handle_report(
     router: states.Router, event: events.DelegationReportReceived, now: float
 ) -> Actions:
-    """Take in what a helper has gathered."""
+    """Handle a report of a helper."""
     delegation = router.delegations.get(event.key)
     if delegation is None:
         return []
@@ -186,7 +188,7 @@
 def handle_failure(
     router: states.Router, event: events.DelegationFailed, now: float
 ) -> Actions:
-    """Send for the parts directly that a helper will not bring."""
+    """Handle a helper that failed or refused; send its parts again."""
     delegation = router.delegations.pop(event.key, None)
     if delegation is None:
         return []
@@ -235,8 +237,9 @@
     if active.open_parts.issuperset(services):
         _record_answers(active, report)
     else:
-        # The records of parts that came from elsewhere meanwhile cannot be
-        # told from the others; those parts are sent for again.
+        # Some of these parts have been answered elsewhere. Their records cannot
+        # be separated from the other records of this report, so the remaining
+        # parts are sent again.
         missing_parts = _make_missing_parts(services, arrived=True)
         actions.extend(
             _handle_missing_parts(
@@ -251,7 +254,7 @@
     for pending_part in report.pending:
         _mark_overdue(active, delegation, pending_part)
     if report.pending:
-        # They are looked at as soon as this is done with.
+        # The timer fires as soon as this event is handled.
         router.set_timer(now, states.HedgeTimer(request_number, recurs=False))
     return actions
 
@@ -259,7 +262,7 @@
 def _update_suspect(
     router: states.Router, report: events.DelegationReport, now: float
 ) -> Actions:
-    """Take in what a helper knows against a request, before its parts."""
+    """Merge a helper's report on a suspect request, before its parts."""
     if report.suspect is None:
         return []
     return crashes.handle_suspect_reports(
@@ -305,7 +308,7 @@
         old_part = active.parts[part.service]
         active.parts[part.service] = old_part._replace(answer=answer)
         active.open_parts.discard(part.service)
-        # The records of all of them stand in the body of the first.
+        # The body of the first answer holds the records of all parts.
         body = b''
 
 
@@ -314,7 +317,7 @@
     delegation: states.Delegation,
     pending_part: events.MissingPart,
 ) -> None:
-    """Have a part that the helper still waits for sent elsewhere as well."""
+    """Mark a part that is pending at a helper to be hedged at once."""
     part = active.parts[pending_part.service]
     number = delegation.attempt_numbers[pending_part.service]
     active.parts[pending_part.service] = part._replace(
@@ -378,7 +381,10 @@
 def _find_excluded_host(
     router: states.Router, delegation: states.Delegation
 ) -> deployments.Host | None:
-    """Find the host that is not asked again: one that is behind."""
+    """Return the helper that returned parts unsent, if customers compete.
+
+    It lags behind its work, so it is not asked again for these parts.
+    """
     return delegation.helper if contention.is_contended(router.index) else None
 
 
@@ -389,17 +395,17 @@
     now: float,
     excluded: deployments.Host | None = None,
 ) -> Actions:
-    """Have parts that failed sent again, not by the host that is `passed`.
+    """Retry parts that failed, though not through the `excluded` host.
 
-    Those of wide queries go to the hosts on duty. They share the bound on
-    repeats among a few and use little of it; this host's share of what is left
-    for all hosts is less than one repeat in a large fleet, so that a part would
-    be given up that targets stand ready for.
+    Retries of wide queries go to the assigned hosts. These share the bound on
+    extra load among a few and use little of it. In a large fleet the share of
+    any other host is less than one retry, so it would give up parts that
+    targets could answer.
 
-    What a host did not send, because it stops or has just started, goes to the
-    next one on duty. Were each host to send it itself, all of a fleet that has
-    just started would open connections to all targets, which take as long to
-    accept them as to answer, and more than they accept.
+    Parts that a helper did not send because it is stopping or starting go to
+    the next assigned host. If each host sent them itself, all hosts of a fleet
+    that has just started would open connections to all targets. That is more
+    than the targets accept, and accepting one takes as long as an answer.
     """
     if (
         trials.get_permission(router, active, now)
@@ -434,7 +440,7 @@
     failed_services: Iterable[str],
     now: float,
 ) -> Actions:
-    """Have one part of a suspect request sent again, by whoever is to."""
+    """Retry the one part of a suspect request that is allowed a trial."""
     actions: Actions = []
     for service in failed_services:
         helper = None
@@ -456,7 +462,7 @@
 
 
 def _delegates_retries(active: active_requests.ActiveRequest) -> bool:
-    """Tell whether hosts on duty send what failed; a helper asks nobody."""
+    """Return whether retries go to assigned hosts; a helper delegates none."""
     return configs.is_wide_action(active.route.way) and not active.is_delegated
 
 
@@ -466,7 +472,7 @@
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether another host may send a part that one host did not bring."""
+    """Return whether another host may send a part that failed at a helper."""
     part = active.parts[service]
     if part.in_flight or part.sent_count >= active.route.attempts:
         return False
--- a/fuchsiahaven/routing/merges.py
+++ b/fuchsiahaven/routing/merges.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 from typing import Final
 
-#: Bytes of a record; records are compared byte by byte.
+#: Records are compared byte by byte.
 RECORD_BYTES: Final = 16
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Cut a body into records; a shorter rest at its end is none."""
+    """Split a body into records, without an incomplete one at the end."""
     whole = len(body) - len(body) % RECORD_BYTES
     return [
         body[start : start + RECORD_BYTES]
@@ -19,6 +19,6 @@
 
 
 def merge_records(bodies: Iterable[bytes], limit: int) -> bytes:
-    """Join the greatest records, greatest first; equal ones all count."""
+    """Join the greatest records in descending order, including duplicates."""
     records = itertools.chain.from_iterable(map(split_records, bodies))
     return b''.join(heapq.nlargest(limit, records))
--- a/tests/bench/test_trial.py
+++ b/tests/bench/test_trial.py
@@ -68,13 +68,13 @@
     """A way is constants with other values."""
     usual = delegations.MAX_PART_SENDINGS
     with contextlib.ExitStack() as stack:
-        trial.apply_way(f'delegations.MOST_HANDINGS={usual + 4}', stack)
+        trial.apply_way(f'delegations.MAX_PART_SENDINGS={usual + 4}', stack)
         assert delegations.MAX_PART_SENDINGS == usual + 4
     assert usual == delegations.MAX_PART_SENDINGS
 
 
 @pytest.mark.parametrize(
-    'way', ['nonsense', 'delegations.MOST_HANDINGS', 'a=1']
+    'way', ['nonsense', 'delegations.MAX_PART_SENDINGS', 'a=1']
 )
 def test_refuses_what_is_no_way(way: str) -> None:
     """A slip is told, and not played as what stands."""
--- a/tests/routing/test_chunk_assignments.py
+++ b/tests/routing/test_chunk_assignments.py
@@ -31,7 +31,7 @@
 
 
 def make_rig(hosts: tuple[deployments.Host, ...] = NORTH) -> router_rig.Rig:
-    """Make a host among others, with a near and a far target for each shard."""
+    """Make one of several hosts with a near and a far target of each shard."""
     near = router_rig.make_instances(SHARDS, 1)
     both = router_rig.make_instances(SHARDS, 2, 'south')
     far = [one for one in both if one.name.endswith('-1')]
@@ -42,7 +42,7 @@
 
 
 def pop_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
-    """Return the requests for assistance since the last time."""
+    """Remove and return the delegated requests since the last call."""
     delegates = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
@@ -51,10 +51,10 @@
 
 
 def test_delegates_a_wide_query_to_the_assigned_hosts() -> None:
-    """Symptom: one host of half a core takes 65 ms for a query of 90 shards.
+    """Guard against a host of half a core that takes 65 ms for 90 shards.
 
-    Six chunks of fifteen go to the hosts on duty; what this host is on duty
-    for it sends itself.
+    Six chunks of fifteen shards go to the assigned hosts. The host sends the
+    chunks that are assigned to it itself.
     """
     rig = make_rig()
     rig.send_request()
@@ -67,7 +67,7 @@
 
 
 def test_all_hosts_compute_the_same_assignment() -> None:
-    """Few hosts hold connections to a target: two of each data centre."""
+    """Only two hosts of each data centre hold connections to a target."""
     chunk_key = chunk_assignments.ChunkKey('north', SHARDS[0])
     ranked = chunk_assignments.rank_hosts(chunk_key, [*NORTH, *SOUTH])
     assert {host.data_centre for host in ranked} == {'north'}
@@ -82,10 +82,10 @@
 
 
 def test_hedges_through_the_second_host_when_the_first_is_silent() -> None:
-    """Symptom: each query waits for a paused host.
+    """Guard against queries that each wait for a paused host.
 
-    The host on duty has said nothing for half the objective: the parts go to
-    the one that takes over, which has not been asked yet.
+    The first assigned host has not reported after half of the objective. The
+    parts go to the second one, which has not been asked yet.
     """
     rig = make_rig()
     rig.send_request()
@@ -100,7 +100,7 @@
 
 
 def test_reassigns_only_the_chunks_of_a_removed_host() -> None:
-    """Only the chunks of the host that goes get another one."""
+    """The ranking of the other hosts stays the same."""
     for shard in SHARDS[::15]:
         chunk_key = chunk_assignments.ChunkKey('north', shard)
         before = chunk_assignments.rank_hosts(chunk_key, NORTH)
@@ -112,7 +112,7 @@
 def test_shares_of_the_slack_add_up_to_at_most_one(
     total: int, centres: int
 ) -> None:
-    """All hosts together stay within the slack, on duty or not."""
+    """All hosts together stay within the slack, assigned or not."""
     centre_count = min(total, centres)
     assigned = chunk_assignments.count_slack_sharers(
         centre_count, total, assigned=True
@@ -128,7 +128,7 @@
 
 
 def make_far_rig(name: str = 'far-1') -> router_rig.Rig:
-    """Make a host of a data centre that has no targets, two others have."""
+    """Make a host without near targets; two other data centres have some."""
     targets = [
         *router_rig.make_instances(SHARDS, 1),
         *[
@@ -146,11 +146,10 @@
 
 
 def test_hosts_without_targets_spread_over_the_data_centres_with_them() -> None:
-    """Symptom: one of two data centres with targets does most of the work.
+    """Guard against one of two data centres with targets doing most work.
 
-    All hosts of the others had their queries gathered there, because it was
-    the last by name of those that hold the most shards: its targets queued
-    while the second replica of each shard idled.
+    If all other hosts choose the largest data centre with the last name, its
+    targets queue requests while the second replica of each shard is idle.
     """
     chosen = collections.Counter[str]()
     for number in range(40):
@@ -163,11 +162,12 @@
 
 
 def test_gathers_far_parts_in_few_data_centres() -> None:
-    """Symptom: a third of all parts cross data centres one by one.
+    """Guard against a third of all parts crossing data centres one by one.
 
-    Each shard has its two targets in two of five data centres in turn, as on
-    the users' largest sheet. The own one holds two fifths of the shards; what
-    the others are asked for came in groups of three, too few for a helper.
+    Each shard has its two targets in two of five data centres in turn, as in
+    the largest deployment. The own data centre holds two fifths of the shards.
+    Parts spread evenly over the others form groups of three, too small for a
+    helper.
     """
     for number in range(8):
         rig = make_scattered_rig(f'north-{number}')
@@ -176,12 +176,12 @@
             it for it in pop_delegates(rig) if it.helper.data_centre != 'north'
         ]
         assert len({it.helper.data_centre for it in far}) <= 2
-        # Of 54 far shards the data centre that adds most holds 36.
+        # Of 54 far shards the data centre that covers most holds 36.
         assert sum(len(it.assist.services) for it in far) >= 36
 
 
 def make_scattered_rig(name: str) -> router_rig.Rig:
-    """Make a host among five data centres, each with two fifths of shards."""
+    """Make a host in one of five data centres with two fifths of the shards."""
     targets = [
         one._replace(data_centre=CENTRES[(position + number) % len(CENTRES)])
         for position, shard in enumerate(SHARDS)
@@ -201,11 +201,11 @@
 
 
 def test_hedges_go_to_the_data_centre_of_the_other_target() -> None:
-    """Symptom: second sendings from far away come too late to count.
+    """Guard against hedges that are sent from far away and return too late.
 
-    They went to the hosts on duty of the own data centre, which has no
-    targets: those hold no connection, and opening one takes 6 ms of the 30
-    that are left of a quick search.
+    The assigned hosts of the own data centre, which has no targets, hold no
+    connections to targets. Opening one takes 6 ms of the 30 ms that remain of a
+    quick query.
     """
     rig = make_far_rig()
     rig.send_request()
@@ -232,17 +232,17 @@
 
 
 class HelperRig:
-    """Own a host on duty for a chunk, all of whose targets are slow."""
+    """Own a host that is assigned to a chunk with slow targets."""
 
     def __init__(self) -> None:
-        """Know the other hosts."""
+        """Start a host that knows the other hosts."""
         self.rig = make_rig()
         self._last_number = 100
 
     def handle_request(
         self, avoid: tuple[str, ...] = ()
     ) -> list[events.SendAttempt]:
-        """Take a request for one part; return what is sent."""
+        """Handle a delegated request for one part; return what is sent."""
         self._last_number += 1
         now = self.rig.now
         request = events.Request(
@@ -265,7 +265,7 @@
         return self.rig.pop_sent()
 
     def pop_reports(self) -> list[events.DelegationReport]:
-        """Return what was given to the other host."""
+        """Remove and return the reports to the delegating host."""
         actions = [
             it
             for it in self.rig.other_actions
@@ -276,7 +276,7 @@
 
 
 def test_sends_a_retry_to_another_target_and_its_answer_at_once() -> None:
-    """The other host is short of time: nothing is held to be merged."""
+    """The delegating host has little time left, so no report is held back."""
     helper_rig = HelperRig()
     (first,) = helper_rig.handle_request()
     (second,) = helper_rig.handle_request((first.instance.name,))
@@ -286,11 +286,11 @@
 
 
 def test_refuses_retries_beyond_its_share_of_the_slack() -> None:
-    """Symptom: a slow shard gets so many repeats that it never recovers.
+    """Guard against a slow shard that never recovers from its extra load.
 
-    Of a slack of 40 for all, a host on duty of two in one data centre has
-    0.3, with a margin; beyond that, and a fifth of its requests, nothing is
-    sent, and the host that asked is told that nothing arrived.
+    Of a slack of 40 for all hosts, one of two assigned hosts in one data centre
+    has a fraction of 0.3, less a margin. Beyond that and a fifth of its
+    requests it sends nothing and reports that nothing arrived.
     """
     helper_rig = HelperRig()
     (first,) = helper_rig.handle_request()
@@ -303,12 +303,12 @@
 
 
 def test_a_pending_retry_makes_no_data_centre_silent() -> None:
-    """Symptom: on a day without trouble hosts refuse one request in 200.
+    """Guard against one refusal in 200 requests on a deployment without faults.
 
-    A search was answered while parts that had been sent again were still out.
-    Nothing came from their data centre any more, as nothing else was asked
-    there; after 0.3 s it was taken for cut off, and the next search refused.
-    Its hosts on duty were left out as silent, too.
+    A query is answered while retried parts are still pending. Their data centre
+    sends nothing more, because nothing else is requested there. If it counts as
+    cut off after 0.3 s, the next query is refused, and its assigned hosts are
+    left out as silent.
     """
     rig = make_far_rig()
     rig.send_request()
@@ -338,10 +338,10 @@
 
 
 def test_measures_the_latency_of_a_helper_by_its_first_report() -> None:
-    """Symptom: hosts on duty are passed over while they are as quick as ever.
+    """Guard against assigned hosts that are skipped although they are fast.
 
-    Each later share of a request counted as an answer that took no time, so
-    that the host looked silent after 25 ms of the 30 that it usually takes.
+    If each later report of a request counts as an answer that took no time, the
+    host looks silent after 25 ms of the 30 ms that it usually takes.
     """
     rig = make_far_rig()
     rig.send_request()
@@ -365,7 +365,7 @@
 def test_ranks_data_centres_until_all_parts_are_covered(
     holders: dict[str, set[str]],
 ) -> None:
-    """The own one comes first, none twice, and none that adds nothing."""
+    """The own data centre is first; each later one covers more parts."""
     host = deployments.Host('host-1', '10.0.0.1:1', CENTRES[0])
     order = delegation_plans.rank_centres(host, holders)
     assert order[0] == host.data_centre
--- a/tests/routing/test_delegations.py
+++ b/tests/routing/test_delegations.py
@@ -1,4 +1,4 @@
-"""Test how hosts gather parts for each other."""
+"""Test delegated requests, on the delegating host and on the helper."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 def make_rig() -> router_rig.Rig:
-    """Make a host whose shards all have their targets in the south."""
+    """Make a host in the north whose shards have all targets in the south."""
     targets = router_rig.make_instances(SHARDS, 2, 'south')
     rig = router_rig.Rig([SEARCH], targets)
     rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
@@ -31,7 +31,7 @@
 
 
 def pop_delegate(rig: router_rig.Rig) -> events.Delegate:
-    """Return the one request for assistance."""
+    """Remove and return the one delegated request."""
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
@@ -42,13 +42,13 @@
 def make_report(
     services: tuple[str, ...], body: bytes = b'', *, last: bool = False
 ) -> events.DelegationReport:
-    """Make a share of parts that are in."""
+    """Make a report of answered parts."""
     parts = tuple(events.ReceivedPart(it, f'signed {it}') for it in services)
     return events.DelegationReport(parts, body, (), (), last)
 
 
 def test_sends_one_request_for_all_remote_parts() -> None:
-    """Nothing crosses but the request and the merged records."""
+    """Only one request and the merged records cross data centres."""
     rig = make_rig()
     rig.send_request()
     delegate = pop_delegate(rig)
@@ -64,7 +64,7 @@
 
 
 def test_hedges_parts_that_are_pending_at_a_helper() -> None:
-    """The helper waits for one target, which is not asked a second time."""
+    """The hedge goes to another target than the one the helper waits for."""
     rig = make_rig()
     rig.send_request()
     delegate = pop_delegate(rig)
@@ -86,10 +86,10 @@
 def test_sends_parts_directly_when_a_helper_fails(
     asked: bool, more: int
 ) -> None:
-    """Symptom: queries fail for as long as a dead host is asked for help.
+    """Guard against queries that fail while a dead host is asked for help.
 
-    The parts go to targets directly, as the second sending where the helper
-    may have sent them, and no third one follows.
+    The parts are sent to targets directly. If the helper may have sent them,
+    this is their second attempt, and no third one follows.
     """
     rig = make_rig()
     rig.send_request()
@@ -100,16 +100,16 @@
     for send in sent:
         rig.break_attempt(send)
     assert len(rig.pop_sent()) == more
-    # A helper that broke off is left out for a while.
+    # A helper that failed is left out for a while.
     rig.send_request()
     assert not any(isinstance(it, events.Delegate) for it in rig.other_actions)
 
 
 def test_logs_why_a_helper_is_left_out() -> None:
-    """Symptom: the log says that a host did not help, and not why.
+    """Guard against a log without the reason why a helper failed.
 
-    One that is stopping, one that is cut off and one that answers nonsense
-    looked alike.
+    A helper that is stopping, one that is cut off and one with malformed
+    answers cannot be told apart without it.
     """
     rig = make_rig()
     rig.send_request()
@@ -124,10 +124,10 @@
 
 
 def test_sends_parts_directly_when_a_helper_is_silent() -> None:
-    """Symptom: queries wait for a host that is paused or cut off.
+    """Guard against queries that wait for a paused or unreachable helper.
 
-    At half of the objective nothing has come: all parts are sent to targets,
-    and what the helper brings in the end is not mixed with their answers.
+    Without a report at half of the objective, all parts are sent to targets. A
+    later report of the helper is not merged with their answers.
     """
     rig = make_rig()
     rig.send_request()
@@ -148,12 +148,12 @@
 
 
 def test_waits_for_helpers_on_small_hosts() -> None:
-    """Symptom: of 90 parts with an objective of 59 ms all are sent twice.
+    """Guard against hedges of all 90 parts at an objective of 59 ms.
 
-    Two busy hosts of a third of a core take 10 ms and more to read, send and
-    write what they do for a query; 6 ms after the helper was to tell what is
-    in, it was taken for lost, and second sendings of all of its parts kept
-    the host that asked from reading the first answers.
+    Two busy hosts with a third of a core take 10 ms and more to process their
+    share of a query. A helper that counts as lost 6 ms after its report is due
+    causes hedges of all its parts, which delay the reading of the first answers
+    on the delegating host.
     """
     route = SEARCH._replace(objective=0.059)
     targets = router_rig.make_instances(SHARDS, 2, 'south')
@@ -167,7 +167,7 @@
 
 
 def test_dismisses_a_helper_when_the_caller_leaves() -> None:
-    """Work for nobody ends at the targets of the helper as well."""
+    """Guard against work at a helper and its targets for an absent caller."""
     rig = make_rig()
     number = rig.send_request()
     delegate = pop_delegate(rig)
@@ -176,10 +176,10 @@
 
 
 def test_does_not_leave_out_a_dismissed_helper() -> None:
-    """Symptom: while callers leave, far parts cross one by one for seconds.
+    """Guard against parts that cross data centres one by one as callers leave.
 
-    The end of the connection to the dismissed helper looked like a helper
-    that breaks off, which is left out for two seconds.
+    The closed connection to a dismissed helper looks like one of a failed
+    helper, which is left out for two seconds.
     """
     rig = make_rig()
     number = rig.send_request()
@@ -192,7 +192,7 @@
 
 
 def test_does_not_delegate_few_parts() -> None:
-    """The detour pays only for many parts."""
+    """Delegating costs more than it saves for few parts."""
     few_parts = delegation_plans.MIN_DELEGATED_PARTS - 1
     near = router_rig.make_instances(SHARDS[few_parts:])
     far = router_rig.make_instances(SHARDS[:few_parts], 2, 'south')
@@ -203,10 +203,10 @@
 
 
 class HelperRig:
-    """Own a host that gathers parts for another one."""
+    """Own a helper that gathers parts for another host."""
 
     def __init__(self) -> None:
-        """Take a request for assistance."""
+        """Start one delegated request."""
         self.rig = router_rig.Rig([], router_rig.make_instances(SHARDS))
         now = self.rig.now
         request = events.Request(
@@ -219,7 +219,7 @@
         self.sent = self.rig.pop_sent()
 
     def pop_reports(self) -> list[events.DelegationReport]:
-        """Return what was given to the other host."""
+        """Remove and return the reports to the delegating host."""
         actions = [
             it
             for it in self.rig.other_actions
@@ -230,7 +230,7 @@
 
 
 def test_sends_all_parts_merged_once_all_are_in() -> None:
-    """One share holds the greatest records of all parts."""
+    """One report holds the greatest records of all parts."""
     helper_rig = HelperRig()
     for position, send in enumerate(helper_rig.sent):
         helper_rig.rig.answer(send, make_record('abcdefghij'[position]))
@@ -241,7 +241,7 @@
 
 
 def test_sends_a_partial_report_when_most_parts_should_be_in() -> None:
-    """What is slow is told of, and goes out by itself when it comes."""
+    """Slow parts are listed as pending and later reported one by one."""
     helper_rig = HelperRig()
     for send in helper_rig.sent[2:]:
         helper_rig.rig.answer(send)
@@ -260,7 +260,7 @@
 
 
 def test_marks_the_report_of_the_last_part_as_last() -> None:
-    """A message for that alone costs the host that asked as much as a part."""
+    """A separate end message would cost the receiver as much as a part."""
     helper_rig = HelperRig()
     for send in helper_rig.sent[2:]:
         helper_rig.rig.answer(send)
@@ -273,7 +273,7 @@
 
 
 def test_sends_each_part_once_and_reports_lost_parts() -> None:
-    """The host that asked decides whether a part is sent again."""
+    """The delegating host decides on retries."""
     helper_rig = HelperRig()
     helper_rig.rig.break_attempt(helper_rig.sent[0])
     helper_rig.rig.refuse(helper_rig.sent[1])
@@ -288,7 +288,7 @@
 
 
 def test_ends_a_delegated_request_at_its_deadline() -> None:
-    """A helper keeps nothing for longer than the caller waits."""
+    """Guard against state on a helper after the caller's deadline."""
     helper_rig = HelperRig()
     helper_rig.rig.advance_time(0.9)
     reports = helper_rig.pop_reports()
@@ -298,7 +298,7 @@
 
 
 def test_decodes_what_it_encodes() -> None:
-    """Requests for assistance and shares survive the way."""
+    """Delegated requests and reports are equal after encoding."""
     helper_rig = HelperRig()
     now = helper_rig.rig.now
     text = delegation_codecs.encode_request(helper_rig.delegated, now)
@@ -313,10 +313,10 @@
 
 
 def test_dismisses_a_helper_without_any_report_at_the_end() -> None:
-    """Symptom: targets get parts of searches that were answered long ago.
+    """Guard against targets that get parts of queries answered long ago.
 
-    A helper that stood still comes to its questions when all of them have
-    been answered without it, and sends their parts.
+    A helper that was paused resumes its delegated requests after the queries
+    have been answered without it, and sends their parts.
     """
     rig = make_rig()
     rig.send_request()
@@ -341,7 +341,7 @@
 def make_wide_rig(
     coverage: float = 0.95, objective: float = 0.1
 ) -> router_rig.Rig:
-    """Make one of 63 hosts, with two near targets of each shard."""
+    """Make one of 63 hosts with two near targets of each shard."""
     route = router_rig.make_route(configs.Gather(WIDE, 2, coverage))
     route = route._replace(objective=objective)
     rig = router_rig.Rig([route], router_rig.make_instances(WIDE, 2))
@@ -350,18 +350,18 @@
 
 
 def pop_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
-    """Return what was asked of other hosts since the last time."""
+    """Remove and return the delegated requests since the last call."""
     taken = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
     rig.other_actions = []
     return taken
 
 
 def test_delegates_retries_to_the_assigned_hosts() -> None:
-    """Symptom: queries fail while targets stand ready for what they lack.
+    """Guard against queries that fail although targets could answer them.
 
-    Half of the targets lose two in five answers. Each host may repeat less
-    than once in ten seconds, for its share of the bound is that of one in 63,
-    and gave the parts up. Those on duty may repeat several times.
+    Half of the targets lose two in five answers. A single host has one 63rd of
+    the bound on extra load, which allows less than one retry in ten seconds, so
+    it would give up the parts. The assigned hosts may retry several times.
     """
     rig = make_wide_rig()
     rig.send_request()
@@ -394,7 +394,7 @@
 def make_partial_report(
     delegate: events.Delegate, waiting: int
 ) -> events.DelegationReport:
-    """Make a share without the first so many parts, which are still out."""
+    """Make a report in which the first `waiting` parts are pending."""
     services = delegate.assist.services
     pending = tuple(
         events.MissingPart(it, f'{it}-0', may_have_arrived=True)
@@ -410,11 +410,11 @@
 def test_hedges_late_parts_only_as_coverage_needs(
     when: float, waiting: int, again: int
 ) -> None:
-    """Symptom: small hosts answer late for parts that coverage lets go.
+    """Guard against late answers of small hosts due to needless hedges.
 
-    Of 45 parts 9 may be missing. What is sent a second time some milliseconds
-    before the answer is decided is not in by then, and reading what comes of
-    it makes the answer late. Without enough parts there is no answer at all.
+    Of 45 parts 9 may be missing. Hedges sent a few milliseconds before the
+    answer is decided do not return in time, and reading their results delays
+    the answer. Hedges are still needed if too few parts are in for any answer.
     """
     rig = make_wide_rig(0.8, 0.059)
     rig.send_request()
@@ -432,7 +432,7 @@
 
 
 def test_gives_a_part_up_after_its_last_attempt() -> None:
-    """A route allows two attempts: what fails at both is sent no more."""
+    """The route allows two attempts."""
     rig = make_wide_rig()
     rig.send_request()
     for attempt in range(2):
@@ -451,7 +451,10 @@
 
 
 def return_chunk(rig: router_rig.Rig) -> tuple[str, list[events.Delegate]]:
-    """Hand the parts of one chunk back; return by whom, and who is asked."""
+    """Return the parts of a chunk unsent.
+
+    The result is the name of the helper and the requests that follow.
+    """
     rig.send_request()
     first = pop_delegates(rig)[0]
     lost = tuple(
@@ -464,7 +467,7 @@
 
 
 def test_returned_parts_go_to_the_other_assigned_host() -> None:
-    """Symptom: parts go back and forth with a host that has no time."""
+    """Guard against parts that go back and forth with an overloaded host."""
     rig = make_wide_rig()
     (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
@@ -477,13 +480,13 @@
 
 
 def test_returned_parts_go_to_the_same_host_without_customers() -> None:
-    """Deployments without customers are served as before."""
+    """Without customers a helper that returns parts is not left out."""
     helper, again = return_chunk(make_wide_rig())
     assert [it.helper.name for it in again] == [helper]
 
 
 def make_customer_rig() -> router_rig.Rig:
-    """Make one of 63 hosts whose callers are of customers."""
+    """Make one of 63 hosts in a deployment with customers."""
     rig = make_wide_rig()
     (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
@@ -492,7 +495,7 @@
 
 
 def test_parts_queued_at_a_host_that_dies_are_retried_at_once() -> None:
-    """Symptom: parts in the queue of a dead host are lost with it."""
+    """Guard against the loss of parts in the queue of a dead host."""
     rig = make_customer_rig()
     rig.send_request()
     first = pop_delegates(rig)[0]
@@ -510,7 +513,7 @@
 
 
 def test_answers_while_hosts_return_all_parts_unsent() -> None:
-    """Symptom: a query goes round among hosts that take none of its parts."""
+    """Guard against queries passed between hosts that send no parts."""
     rig = make_customer_rig()
     for _ in range(20):
         rig.send_request()
@@ -538,14 +541,14 @@
     delegate: events.Delegate,
     absence: events.HelperFault = events.HelperFault.STARTING,
 ) -> events.DelegationFailed:
-    """Refuse assistance."""
+    """Make the failure of a delegated request."""
     return events.DelegationFailed(delegate.key, False, 'status', absence)
 
 
 def count_hosts_asked(
     rig: router_rig.Rig, delegates: list[events.Delegate]
 ) -> int:
-    """Refuse assistance as a host that has just started; count who is asked."""
+    """Refuse delegated requests as starting hosts; count the hosts asked."""
     asked = set()
     while delegates:
         delegate = delegates.pop()
@@ -556,10 +559,10 @@
 
 
 def test_asks_the_next_assigned_hosts_while_a_fleet_starts() -> None:
-    """Symptom: for two seconds after all hosts lost power answers are late.
+    """Guard against late answers for two seconds after a restart of all hosts.
 
-    The hosts on duty have just started and know no target yet. Each asker sent
-    all 45 parts itself; 63 hosts opened connections to targets that take 54.
+    The assigned hosts have just started and know no targets. If each host sends
+    all 45 parts itself, 63 hosts open connections to targets that accept 54.
     """
     rig = make_wide_rig()
     rig.send_request()
@@ -572,14 +575,14 @@
     assert again[0].helper != first[0].helper
     assert not again[0].assist.is_retry
     assert not rig.pop_sent()
-    # In the end it sends the parts itself: somebody has to.
+    # In the end it has to send the parts itself.
     asked = count_hosts_asked(rig, [*first[1:], *again])
     assert asked <= chunks * delegations.MAX_PART_SENDINGS
     assert {send.key.service for send in rig.pop_sent()} == set(WIDE)
 
 
 def test_soon_asks_a_host_again_that_has_just_started() -> None:
-    """One that starts is ready in a moment, one that stops is not."""
+    """A starting host is ready in a moment, a stopping one is not."""
     absences = events.HelperFault
     for absence, left_out in (
         (absences.STARTING, False),
@@ -597,10 +600,10 @@
 
 
 def test_refusals_show_that_a_data_centre_is_reachable() -> None:
-    """Symptom: a data centre is left out because its hosts are restarted.
+    """Guard against a data centre that is left out while its hosts restart.
 
-    Three hosts of the south say one after the other that they stop. Counted
-    as connections that could not be had, they made the south look cut off.
+    Three hosts of the south refuse one after the other because they stop. If
+    their refusals count as failed connections, the south looks cut off.
     """
     south = [
         deployments.Host(f'far-{number}', f'10.0.9.{number}:7000', 'south')
@@ -624,10 +627,10 @@
 
 
 def test_bounds_delegations_of_parts_that_may_not_be_retried() -> None:
-    """Symptom: hosts do nothing but ask each other while targets are slow.
+    """Guard against hosts that only ask each other while targets are slow.
 
-    A part has failed once. The hosts on duty have used up their share of the
-    bound on repeats, and each says at once that it has not sent the part.
+    A part has failed once. The assigned hosts have used up their share of the
+    bound on extra load, and each returns the part unsent at once.
     """
     rig = make_wide_rig()
     rig.send_request()
--- a/tests/routing/test_merges.py
+++ b/tests/routing/test_merges.py
@@ -10,7 +10,7 @@
     strategies.integers(1, 10),
 )
 def test_merges_the_greatest_records(bodies: list[bytes], limit: int) -> None:
-    """The greatest records come first, a rest that is no record not at all."""
+    """The result is descending and ignores incomplete records."""
     records = [
         body[start : start + 16]
         for body in bodies
