--- a/fuchsiahaven/routing/quota_buckets.py
+++ b/fuchsiahaven/routing/quota_buckets.py
@@ -1,26 +1,26 @@
-"""Give out the tokens of the slots that this host holds."""
+"""Grant the tokens of the slots that this host holds."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
 from fuchsiahaven.routing import quota_slots
 
-#: Part of a bucket that one ask gets beyond the token that it needs now.
+#: Fraction of a bucket that a request gets beyond the one token it needs now.
 PREFETCH_FRACTION: Final = 0.25
 MAX_LISTED_SLOTS: Final = 20
 
 
 class SlotKey(NamedTuple):
-    """Name a slot of a customer."""
+    """Identify a slot of a customer."""
 
     customer: str
     slot: int
 
 
 class Bucket(NamedTuple):
-    """Hold the tokens of a slot at a time.
+    """Hold the tokens of a slot at the time `updated`.
 
-    `free_at` is when there is room for the next caller that is turned away.
+    `free_at` is when there is a token for the last caller that was refused.
     """
 
     level: float
@@ -29,14 +29,17 @@
 
 
 class Grant(NamedTuple):
-    """Hold how many tokens were given; if none, in how many seconds to come."""
+    """Hold the tokens granted; if none, in how many seconds to ask again."""
 
     tokens: int
     wait: float
 
 
 class SlotState(NamedTuple):
-    """Describe a slot that this host holds, for people."""
+    """Describe a slot that this host holds, for operators.
+
+    `most` is the capacity of its bucket.
+    """
 
     customer: str
     slot: int
@@ -45,10 +48,10 @@
 
 
 class Buckets:
-    """Own the buckets of this host."""
+    """Own the buckets of the slots that this host holds."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without buckets."""
         self._buckets: dict[SlotKey, Bucket] = {}
         self._shares: dict[SlotKey, quota_slots.SlotShare] = {}
         self._known_since: dict[str, float] = {}
@@ -57,9 +60,10 @@
     def update_holders(
         self, now: float, is_held: Callable[[str, int], bool]
     ) -> None:
-        """Take note that other hosts may hold slots than did until now.
+        """Discard the buckets of slots that this host no longer holds.
 
-        Whoever holds a slot that was this host's gives its tokens meanwhile.
+        The new holder grants their tokens, so a bucket does not go on filling
+        here until the slot comes back.
         """
         self._holders_changed = now
         lost = [key for key in self._buckets if not is_held(*key)]
@@ -74,14 +78,15 @@
         wanted: int,
         now: float,
     ) -> Grant:
-        """Give tokens of a slot, at least one or none."""
+        """Grant one or more tokens of a slot, or none."""
         key = SlotKey(limit.customer, slot)
         bucket = self._refill(key, share, now)
         self._shares[key] = share
         if bucket.level < 1:
             wait = (1 - bucket.level) / share.rate
-            # Who is turned away asks all holders, so each of them leaves as
-            # much time between two callers as the whole quota does.
+            # A caller that is refused was refused by all holders. So each
+            # holder spaces callers by the rate of the whole quota, not by the
+            # rate of its slot.
             free_at = max(now + wait, bucket.free_at + 1 / limit.rate)
             self._buckets[key] = bucket._replace(free_at=free_at)
             return Grant(0, free_at - now)
@@ -93,7 +98,7 @@
         return Grant(count, 0.0)
 
     def list_slots(self) -> list[SlotState]:
-        """List the slots with the fewest tokens."""
+        """List the slots with the smallest fraction of their tokens left."""
         states = [
             SlotState(
                 *key,
@@ -107,9 +112,10 @@
         ]
 
     def update_customers(self, customers: frozenset[str], now: float) -> None:
-        """Take in which customers there are; forget the others.
+        """Update the customers; discard the buckets of removed ones.
 
-        One that is back may have spent its tokens before it went.
+        A customer that is added again starts anew, as it may have spent its
+        tokens before it was removed.
         """
         for added in customers - self._known_since.keys():
             self._known_since[added] = now
@@ -123,9 +129,11 @@
     def _refill(
         self, key: SlotKey, share: quota_slots.SlotShare, now: float
     ) -> Bucket:
-        """Fill a bucket by the time that has passed.
+        """Return a bucket with the tokens added since its last update.
 
-        One that is new may have been another host's until just now.
+        A new bucket has its start tokens and those added since the hosts or
+        the customer last changed, as another host may have held its slot until
+        then.
         """
         bucket = self._buckets.get(key)
         if bucket is None:
--- a/fuchsiahaven/routing/quota_codecs.py
+++ b/fuchsiahaven/routing/quota_codecs.py
@@ -1,4 +1,4 @@
-"""Write and read the datagrams about customers' quotas."""
+"""Encode and decode the datagrams about customers' quotas."""
 
 import json
 import math
@@ -6,17 +6,17 @@
 
 from fuchsiahaven.routing import quota_messages, report_codecs
 
-#: The first item of a datagram says what it holds.
+#: The first item of a datagram is the type of its message.
 REQUEST_TYPE: Final = 'ask'
 REPLY_TYPE: Final = 'verdict'
-#: JSON readers agree on whole numbers up to here.
+#: JSON parsers agree on integers up to this one.
 MAX_EXACT_INTEGER: Final = 9_007_199_254_740_991
 MS_PER_S: Final = 1000
 DECODE_ERRORS: Final = (ValueError, TypeError, RecursionError)
 
 
 def encode_message(message: quota_messages.Message) -> bytes:
-    """Write a word as one datagram; waits are in milliseconds."""
+    """Encode a message as one datagram; waits are in milliseconds."""
     match message:
         case quota_messages.TokenRequest():
             row = [REQUEST_TYPE, *message]
@@ -27,7 +27,7 @@
 
 
 def decode_message(datagram: bytes) -> quota_messages.Message:
-    """Read a datagram; raises codecs.Malformed."""
+    """Decode a datagram; raises report_codecs.MalformedReport."""
     try:
         return _decode_row(json.loads(datagram))
     except DECODE_ERRORS as error:
@@ -50,11 +50,11 @@
             return quota_messages.TokenReply(
                 number, start_id, granted, wait / MS_PER_S
             )
-    raise ValueError('no word')
+    raise ValueError('not a quota message')
 
 
 def _decode_integer(value: object) -> int:
     if isinstance(value, int) and not isinstance(value, bool):
         if 0 <= value <= MAX_EXACT_INTEGER:
             return value
-    raise ValueError('no whole number')
+    raise ValueError('not an integer in range')
--- a/fuchsiahaven/routing/quota_holders.py
+++ b/fuchsiahaven/routing/quota_holders.py
@@ -1,4 +1,4 @@
-"""Know which hosts hold the slots of quotas, and in which order to ask them."""
+"""Find the hosts that hold the slots of quotas, and the order to ask them."""
 
 from collections.abc import Mapping
 from typing import Final, NamedTuple
@@ -6,26 +6,26 @@
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.routing import deployments, quota_slots
 
-#: How long a holder that did not answer is asked last, in seconds.
+#: How long a holder that did not reply in time is asked after all others.
 SILENT_HOLDER_PAUSE_S: Final = 1.0
-#: How long a slot without a token is not asked for again, at most.
+#: How long a slot without a token is skipped at most.
 MAX_EMPTY_SLOT_PAUSE_S: Final = 0.1
-#: Customers whose holders are remembered at most.
+#: Customers whose holders are cached at most.
 MAX_CACHED_CUSTOMERS: Final = 100_000
 
 
 class EmptySlot(NamedTuple):
-    """Hold until when a slot is not asked again, and when it has room."""
+    """Hold until when a slot is skipped, and when it next has a token."""
 
     skip_until: float
     free_at: float
 
 
 class Holders:
-    """Own what this host knows of the holders."""
+    """Own the state of the holders as this host knows it."""
 
     def __init__(self, host: deployments.Host) -> None:
-        """Start with no host known."""
+        """Start with no hosts."""
         self._host = host
         self._hosts: Mapping[str, tuple[deployments.Host, ...]] = {}
         self._names_by_address: dict[str, str] = {}
@@ -36,10 +36,10 @@
         self._empty_slots: dict[tuple[str, int], EmptySlot] = {}
 
     def update_hosts(self, hosts: tuple[deployments.Host, ...]) -> bool:
-        """Take in which hosts there are; tell whether that has changed."""
+        """Update the hosts that hold slots; return whether they changed."""
         hosts_by_centre: dict[str, list[deployments.Host]] = {}
-        # A host that is not on the list is nobody's holder, this one neither:
-        # others would take another one for it.
+        # A host that is not listed holds no slot, not even this host: other
+        # hosts would ask another host for its slot.
         for listed in sorted(set(hosts)):
             hosts_by_centre.setdefault(listed.data_centre, []).append(listed)
         host_tuples = {
@@ -57,20 +57,20 @@
     def holds_slot(
         self, limit: quota_slots.Limit, slots: quota_slots.Slots, slot: int
     ) -> bool:
-        """Tell whether this host holds a slot."""
+        """Return whether this host holds a slot."""
         if slot >= len(slots.shares):
             return False
         holder = self.find_holder(limit, slots, slot)
         return holder is not None and holder.name == self._host.name
 
     def find_host_name(self, address: str) -> str:
-        """Name the host at an address; empty where none is known."""
+        """Return the name of the host at an address, or ''."""
         return self._names_by_address.get(address, '')
 
     def find_holder(
         self, limit: quota_slots.Limit, slots: quota_slots.Slots, slot: int
     ) -> deployments.Host | None:
-        """Find which host holds a slot; None if none does."""
+        """Find the host that holds a slot; None if there is none."""
         key = (limit.customer, slots.data_centres)
         holders = self._holder_cache.get(key)
         if holders is None:
@@ -85,9 +85,9 @@
     def order_slots(
         self, limit: quota_slots.Limit, slots: quota_slots.Slots, now: float
     ) -> tuple[int, ...]:
-        """Order the slots: near ones first, those of silent holders last."""
+        """Order the slots, near ones first and those of silent holders last."""
         names = [str(slot) for slot in range(len(slots.shares))]
-        # Each host begins elsewhere, so that all slots are used alike.
+        # Hosts start at different slots, so that all slots are used alike.
         spread = [int(it) for it in rendezvous.rank(self._host.name, names)]
 
         def rank(slot: int) -> tuple[bool, bool]:
@@ -100,31 +100,31 @@
         return tuple(sorted(spread, key=rank))
 
     def record_silence(self, name: str, now: float) -> None:
-        """Take in that a holder did not answer in time."""
+        """Record that a holder did not reply in time."""
         self._silent_until[name] = now + SILENT_HOLDER_PAUSE_S
 
     def record_reply(self, name: str) -> None:
-        """Take in that a holder has answered."""
+        """Record that a holder has replied."""
         self._silent_until.pop(name, None)
 
     def record_empty(
         self, customer: str, slot: int, wait: float, now: float
     ) -> None:
-        """Take in that a slot has no token for so many seconds."""
+        """Record that a slot has no token for `wait` seconds."""
         skip_until = now + min(MAX_EMPTY_SLOT_PAUSE_S, wait)
         self._empty_slots[customer, slot] = EmptySlot(skip_until, now + wait)
 
     def is_empty(self, customer: str, slot: int, now: float) -> bool:
-        """Tell whether a slot is known to have no token."""
+        """Return whether a slot is known to have no token."""
         empty_slot = self._empty_slots.get((customer, slot))
         return empty_slot is not None and now < empty_slot.skip_until
 
     def reserve_wait(
         self, limit: quota_slots.Limit, slot: int, now: float
     ) -> float:
-        """Count the seconds until an empty slot has room for one more.
+        """Return in how many seconds an empty slot has a token for a caller.
 
-        Whoever is told so next is to come after that.
+        The next caller gets a later time.
         """
         key = (limit.customer, slot)
         empty_slot = self._empty_slots[key]
--- a/fuchsiahaven/routing/quota_messages.py
+++ b/fuchsiahaven/routing/quota_messages.py
@@ -1,4 +1,4 @@
-"""Define what hosts tell each other about customers' quotas."""
+"""Define the messages between hosts about customers' quotas."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,9 @@
 class TokenRequest(NamedTuple):
     """Ask the holder of a slot for tokens of a customer.
 
-    `number` is the asker's own, of the start of its process that `start` names;
-    one of the `wanted` tokens is needed now.
+    `number` is unique within the start of the sender's process that `start_id`
+    identifies. One of the `wanted` tokens is needed at once, the others are
+    prefetched.
     """
 
     customer: str
@@ -18,7 +19,7 @@
 
 
 class TokenReply(NamedTuple):
-    """Answer an ask: how many tokens, or in how many seconds to come back."""
+    """Reply with the tokens granted, or in how many seconds to ask again."""
 
     number: int
     start_id: int
@@ -30,14 +31,14 @@
 
 
 class MessageReceived(NamedTuple):
-    """Bring a word of the host at an address (`ip:port`)."""
+    """A message of the host at an address (`ip:port`) has been received."""
 
     message: Message
     sender: str
 
 
 class SendMessage(NamedTuple):
-    """Ask for a word to be sent to the host at an address (`ip:port`)."""
+    """Send a message to the host at an address (`ip:port`)."""
 
     message: Message
     address: str
--- a/fuchsiahaven/routing/quota_slots.py
+++ b/fuchsiahaven/routing/quota_slots.py
@@ -1,7 +1,7 @@
-"""Split a customer's quota into slots, and say which host holds each.
+"""Split a customer's quota into slots, and assign each slot to a host.
 
-Every host works the same slots out from the configuration and the settings, so
-their shares add up whatever the hosts know of each other.
+Every host computes the same slots from the configuration and the settings, so
+the shares add up to the quota whatever the hosts know of each other.
 """
 
 import collections
@@ -13,11 +13,11 @@
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.routing import configs, deployments
 
-#: Holders in each data centre, so that one may fail.
+#: Two, so that one of them may fail.
 HOLDERS_PER_DATA_CENTRE: Final = 2
-#: Parts of what is tolerated beyond a quota: what all slots together hold
-#: beyond its burst, what they give beyond its rate in a window, and what they
-#: have after a start of their holders, when nobody knows what was spent.
+#: Fractions of the tolerated excess of a quota: what all slots together hold
+#: beyond its burst, what they grant beyond its rate in a window, and what they
+#: hold after a start of their holders, when it is unknown what was spent.
 BURST_FRACTION: Final = 0.3
 RATE_FRACTION: Final = 0.3
 START_FRACTION: Final = 0.25
@@ -25,7 +25,7 @@
 
 
 class Limit(NamedTuple):
-    """Hold a customer's rate in requests a second, and its burst."""
+    """Hold a customer's rate (requests a second) and its burst (requests)."""
 
     customer: str
     rate: float
@@ -33,7 +33,11 @@
 
 
 class SlotShare(NamedTuple):
-    """Bound what one slot gives: tokens a second, at once, and at a start."""
+    """Bound what one slot grants.
+
+    It gains `rate` tokens a second up to `capacity`, and has `start_tokens`
+    when its holder starts.
+    """
 
     rate: float
     capacity: float
@@ -41,19 +45,19 @@
 
 
 class Slots(NamedTuple):
-    """Hold the data centre of each slot of a customer, and its share."""
+    """Hold the data centre and the share of each slot of a customer."""
 
     data_centres: tuple[str, ...]
     shares: tuple[SlotShare, ...]
 
 
 def make_limit(customer: configs.Customer) -> Limit:
-    """Find the limit of a customer; a rate of 0 is none."""
+    """Return the limit of a customer; a rate of 0 means no limit."""
     return Limit(customer.name, customer.rate, customer.burst)
 
 
 def compute_excess(limit: Limit, quota: deployments.QuotaTolerance) -> float:
-    """Count the requests that are tolerated beyond a quota in a window."""
+    """Return how many requests beyond a quota are tolerated in a window."""
     allowed = limit.rate * quota.window_s + limit.burst
     return quota.overage * allowed + quota.slack
 
@@ -66,8 +70,9 @@
 ) -> Slots:
     """Split a quota into slots over the data centres of a deployment.
 
-    No slot gives a part of a token, so that up to one of each is out of reach;
-    there are no more of them than the burst goes without.
+    A slot only grants whole tokens, so up to one token of each slot is out of
+    reach. The number of slots is at most the capacity beyond the burst, so that
+    the burst stays within reach.
     """
     excess = compute_excess(limit, quota)
     burst_excess = BURST_FRACTION * excess
@@ -93,9 +98,9 @@
 def _compute_totals(
     limit: Limit, quota: deployments.QuotaTolerance
 ) -> tuple[float, float]:
-    """Find the rate of all slots together, and the most that they hold.
+    """Return the total rate and the total capacity of all slots.
 
-    At least one token has to fit, or there would never be any.
+    The capacity is at least one token, as otherwise none would ever be granted.
     """
     excess = compute_excess(limit, quota)
     capacity = limit.burst + BURST_FRACTION * excess
@@ -109,7 +114,7 @@
     slots: Slots,
     hosts: Mapping[str, Sequence[deployments.Host]],
 ) -> tuple[deployments.Host | None, ...]:
-    """List the holder of each slot among hosts by data centre, None if none."""
+    """List the holder of each slot, None where a data centre lacks hosts."""
     ranked = {
         centre: collections.deque(_rank_hosts(customer, hosts.get(centre, ())))
         for centre in set(slots.data_centres)
--- a/fuchsiahaven/routing/quota_tokens.py
+++ b/fuchsiahaven/routing/quota_tokens.py
@@ -1,36 +1,33 @@
-"""Keep tokens that were given and not spent, and foresee the next ones."""
+"""Hold granted tokens that are not spent, and estimate future demand."""
 
 import collections
 import itertools
 from typing import Final
 
-#: How long a token may be spent after it was given, in seconds. A holder does
-#: not get it back, as it may have fallen silent meanwhile.
+#: How long a token may be spent after it was granted. It is not returned to its
+#: holder, which may have become unreachable.
 TOKEN_LIFETIME_S: Final = 1.0
-#: Requests of so many seconds are counted as wanted ahead.
+#: Requests of the last moments stand for those of the next ones.
 DEMAND_WINDOW_S: Final = 0.2
 MAX_WANTED_TOKENS: Final = 16
 
 
 class SpareTokens:
-    """Own the tokens that this host may spend, each until its own time."""
+    """Own the tokens that this host may spend, each until its expiry."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without tokens."""
         self._expiries: dict[str, list[float]] = {}
         self._request_times: dict[str, collections.deque[float]] = {}
 
     def add(self, customer: str, tokens: int, expires: float) -> None:
-        """Keep tokens of a customer until a time."""
+        """Add tokens of a customer that expire at a time."""
         if tokens > 0:
             expiries = self._expiries.setdefault(customer, [])
             expiries.extend(itertools.repeat(expires, tokens))
 
     def spend(self, customer: str, now: float) -> float | None:
-        """Spend a token of a customer; return until when it was kept.
-
-        None where there is none.
-        """
+        """Spend a token of a customer; return its expiry, None without one."""
         request_times = self._request_times.get(customer)
         if request_times is None:
             request_times = collections.deque(maxlen=MAX_WANTED_TOKENS)
@@ -39,7 +36,7 @@
         expiries = [it for it in self._expiries.pop(customer, ()) if it > now]
         if not expiries:
             return None
-        # The one that lasts longest is left for whoever comes next.
+        # The tokens that expire last remain for later requests.
         expiries.sort(reverse=True)
         expires = expiries.pop()
         if expiries:
@@ -47,14 +44,14 @@
         return expires
 
     def count_wanted(self, customer: str, now: float) -> int:
-        """Count the requests of a customer here in the last moment."""
+        """Return how many tokens recent demand suggests, at least one."""
         request_times = self._request_times.get(customer, ())
         return max(
             1, sum(1 for it in request_times if it >= now - DEMAND_WINDOW_S)
         )
 
     def retain_customers(self, customers: frozenset[str]) -> None:
-        """Forget the customers that there are no more."""
+        """Discard the tokens of all other customers."""
         for removed in self._request_times.keys() - customers:
             self._request_times.pop(removed)
             self._expiries.pop(removed, None)
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -1,9 +1,9 @@
-"""Keep each customer's requests within its quota, over all hosts.
+"""Limit each customer's requests to its quota, over all hosts.
 
-A customer's quota is a bucket of tokens, split into slots that hosts of all
-data centres hold. A request is taken in against one token of any of them.
-Tokens are only ever given once, so their sum bounds what all hosts take in,
-whatever is lost or late between them.
+A customer's quota is a token bucket that is split into slots, which hosts of
+all data centres hold. A request is admitted for one token of any slot. Each
+token is granted once, so their sum bounds what all hosts admit even if messages
+between hosts are lost or late.
 """
 
 import functools
@@ -25,22 +25,25 @@
 )
 
 SOURCE: Final = 'quotas'
-#: How long a holder has to answer, and all of them together.
+#: Time limits for the reply of one holder, and for those of all holders.
 REPLY_TIMEOUT_S: Final = 0.015
 TOTAL_TIMEOUT_S: Final = 0.06
-#: What a caller is told to wait where no holder could be asked, in seconds.
+#: Retry-After where no holder replied or knew the customer's limit.
 NO_HOLDER_RETRY_S: Final = 0.3
-#: Part of a wait by which callers are spread.
+#: Fraction of a wait over which callers are spread.
 SPREAD_FRACTION: Final = 0.25
 WAIT_DIGITS: Final = 2
 MIN_RETRY_AFTER_S: Final = 0.01
-#: Who comes back later than this has mostly given up.
+#: Most callers give up rather than wait longer than this.
 MAX_RETRY_AFTER_S: Final = 5.0
 MAX_CRC32: Final = 0xFFFF_FFFF
 
 
 class Settings(NamedTuple):
-    """Hold what the deployment tells, and a number that names this start."""
+    """Hold the deployment's settings and the id of this process start.
+
+    Nothing is limited while `quota` is None.
+    """
 
     quota: deployments.QuotaTolerance | None
     data_centres: tuple[str, ...]
@@ -50,8 +53,9 @@
 class PendingRequest(NamedTuple):
     """Hold a request that waits for a token.
 
-    `left` are the slots to be asked yet, `asked` the holder that was asked last
-    and `due` until when it may answer; `ends` is when to give up.
+    `remaining_slots` have not been asked yet. `slot` was asked last, at
+    `holder`, which may reply until `reply_deadline`. `slot_waits` are the waits
+    of the empty slots, in seconds. The request is refused at `deadline`.
     """
 
     admitted: active_requests.RoutedRequest
@@ -65,21 +69,21 @@
 
 
 class SpentToken(NamedTuple):
-    """Hold whose token a request has, and until when that may be spent."""
+    """Hold the customer and the expiry of the token that a request spent."""
 
     customer: str
     expires: float
 
 
 class Decision(NamedTuple):
-    """Hold a request that has its token, or the failure to refuse it with."""
+    """Admit a request that has its token, or refuse it with a failure."""
 
     admitted: active_requests.RoutedRequest
     failure: errors.Failure | None
 
 
 class Output(NamedTuple):
-    """Hold what came of a call; `due` is when to call `check` next."""
+    """Hold new decisions and messages, and when to expire pending replies."""
 
     decisions: tuple[Decision, ...]
     messages: tuple[quota_messages.SendMessage, ...]
@@ -94,24 +98,25 @@
 
 
 class Quotas:
-    """Own the tokens of this host, and the requests that wait for some."""
+    """Charge requests for tokens; own the pending ones and spare tokens."""
 
     def __init__(
         self,
         host: deployments.Host,
         find_wait: Callable[[], float] = _find_no_wait,
     ) -> None:
-        """Start with nothing bounded.
+        """Start without limits.
 
-        `find_wait` tells for how long this host takes no customers' requests,
-        as it is out of touch: others may hold its slots by then.
+        `find_wait` returns for how many seconds this host refuses customers'
+        requests because its configuration is not known to be current. It grants
+        no tokens either, as other hosts may hold its slots by then.
         """
         self.host = host
         self._find_wait = find_wait
         self.settings = Settings(None, (host.data_centre,), 0)
         self.buckets = quota_buckets.Buckets()
-        #: Whether anything was decided or is to be told or waited for: looked
-        #: at by far more often than it happens.
+        #: Whether there may be new output. It is checked far more often than it
+        #: becomes true.
         self.has_output = False
         self._messages: list[quota_messages.SendMessage] = []
         self._decisions: list[Decision] = []
@@ -125,7 +130,7 @@
     def update_hosts(
         self, hosts: tuple[deployments.Host, ...], now: float
     ) -> None:
-        """Take in which hosts there are."""
+        """Update the hosts among which slots are distributed."""
         if self._holders.update_hosts(hosts):
             is_held = functools.partial(
                 _is_holder, self._holders, self._customers, self.settings
@@ -135,7 +140,7 @@
     def update_customers(
         self, customers: tuple[configs.Customer, ...], now: float
     ) -> None:
-        """Take in the customers of the configuration in force."""
+        """Update the customers from the configuration in force."""
         self._customers = {it.name: it for it in customers}
         self.buckets.update_customers(frozenset(self._customers), now)
         self._spare_tokens.retain_customers(frozenset(self._customers))
@@ -146,10 +151,9 @@
         admitted: active_requests.RoutedRequest,
         now: float,
     ) -> ChargeResult:
-        """Charge a request to its customer, or say why it is refused.
+        """Charge a request to its customer, or return why it is refused.
 
-        Where it has to wait for a word, it is among those that are `decided`
-        then.
+        If it has to wait for a reply, its decision is part of a later output.
         """
         if self.settings.quota is None or customer.rate <= 0:
             return admitted
@@ -167,7 +171,7 @@
         return self._ask_next_holder(pending, now)
 
     def record_end(self, number: int, now: float, *, ran: bool) -> None:
-        """Take in that a request is over; what has not run costs nothing."""
+        """Record the end of a request; one that has not run costs no token."""
         self._pending = {
             key: it
             for key, it in self._pending.items()
@@ -180,10 +184,10 @@
     def handle_message(
         self, event: quota_messages.MessageReceived, now: float
     ) -> None:
-        """Take in a word of another host."""
+        """Handle a message of another host."""
         if self.settings.quota is None:
             return
-        # What was waited for while this host stood still is over.
+        # Replies that were awaited while this host was paused are overdue.
         self.expire_pending(now)
         match event.message:
             case quota_messages.TokenRequest():
@@ -192,7 +196,7 @@
                 self._handle_token_reply(event.message, event.sender, now)
 
     def expire_pending(self, now: float) -> None:
-        """Go on with what was not answered in time."""
+        """Ask the next holders for requests whose reply is overdue."""
         self.has_output = True
         overdue = [
             it for it in self._pending.items() if it[1].reply_deadline <= now
@@ -204,7 +208,7 @@
             self._decisions.extend(_list_decisions(result, pending))
 
     def pop_output(self) -> Output:
-        """Take what was decided, what is to be told, and when to check."""
+        """Return and clear the decisions and messages since the last call."""
         check_at = min(
             (it.reply_deadline for it in self._pending.values()), default=None
         )
@@ -217,7 +221,7 @@
     def _ask_next_holder(
         self, pending: PendingRequest, now: float
     ) -> ChargeResult:
-        """Ask the next holder, as long as there are any and time is left."""
+        """Ask the next holder while slots and time remain."""
         if self.settings.quota is None:
             return pending.admitted
         slots = _split_quota(pending.limit, self.settings)
@@ -240,7 +244,7 @@
         share: quota_slots.SlotShare,
         now: float,
     ) -> ChargeResult | None:
-        """Ask one holder; None where it has no token or there is none."""
+        """Ask the holder of one slot; None if it has no token or no holder."""
         limit = pending.limit
         is_empty = self._holders.is_empty(limit.customer, pending.slot, now)
         if holder is None or is_empty:
@@ -275,7 +279,7 @@
     def _handle_token_request(
         self, request: quota_messages.TokenRequest, sender: str, now: float
     ) -> None:
-        """Give tokens of a slot that this host holds; else say nothing."""
+        """Grant tokens of a slot that this host holds, else send no reply."""
         if not self._holders.find_host_name(sender) or self._find_wait():
             return
         grant = self._grant_tokens(request, now)
@@ -294,7 +298,7 @@
             or customer.rate <= 0
             or self.settings.quota is None
         ):
-            # One of the two hosts has an earlier configuration.
+            # One of the two hosts has an older configuration.
             return quota_buckets.Grant(0, NO_HOLDER_RETRY_S)
         limit = quota_slots.make_limit(customer)
         slots = _split_quota(limit, self.settings)
@@ -324,7 +328,7 @@
     def _record_grant(
         self, pending: PendingRequest, grant: quota_buckets.Grant, now: float
     ) -> active_requests.RoutedRequest | None:
-        """Take what a holder gave; None if that is nothing."""
+        """Record tokens of a holder; None if it granted none."""
         customer = pending.limit.customer
         if not grant.tokens:
             self._holders.record_empty(customer, pending.slot, grant.wait, now)
@@ -343,7 +347,7 @@
     name: str,
     slot: int,
 ) -> bool:
-    """Tell whether this host holds a slot of a customer by its name."""
+    """Return whether this host holds a slot of the named customer."""
     customer = customers.get(name)
     if customer is None or settings.quota is None:
         return False
@@ -361,7 +365,7 @@
 def _add_slot_wait(
     pending: PendingRequest, holders: quota_holders.Holders, now: float
 ) -> PendingRequest:
-    """Note for how long the slot that was tried has no token, if known."""
+    """Add the wait of the slot that was tried, if it is known to be empty."""
     if not holders.is_empty(pending.limit.customer, pending.slot, now):
         return pending
     wait = holders.reserve_wait(pending.limit, pending.slot, now)
@@ -380,7 +384,7 @@
 
 
 def _make_refusal(pending: PendingRequest) -> errors.Failure:
-    """Refuse a request that no holder has a token for."""
+    """Return the failure for a request that no holder has a token for."""
     limit = pending.limit
     detail = f'{limit.customer}: {limit.rate:g}/s, burst {limit.burst:g}'
     if not pending.slot_waits:
@@ -403,5 +407,5 @@
 
 
 def _hash_fraction(name: str) -> float:
-    """Draw a number from 0 to 1 that is another for each request."""
+    """Hash a request id to a number from 0 to 1."""
     return zlib.crc32(name.encode()) / MAX_CRC32
--- a/tests/routing/quota_simulation.py
+++ b/tests/routing/quota_simulation.py
@@ -1,4 +1,4 @@
-"""Play the quotas of many hosts over a network that loses and delays."""
+"""Simulate the quotas of many hosts over an unreliable network."""
 
 import heapq
 import itertools
@@ -31,20 +31,20 @@
     1,
     configs.Single('records'),
 )
-#: One way between hosts, in seconds: at least, and how much more at most.
+#: Delay of a message: the least, and how much may be added to it at random.
 MIN_NETWORK_DELAY_S: Final = 0.0005
 MAX_EXTRA_DELAY_S: Final = 0.001
 
 
 class Admitted(NamedTuple):
-    """Hold when a request of a customer was taken in."""
+    """Hold when a request of a customer was admitted."""
 
     when: float
     customer: str
 
 
 class Refused(NamedTuple):
-    """Hold when and how a request of a customer was refused."""
+    """Hold when, why and after how many seconds a request was refused."""
 
     when: float
     customer: str
@@ -53,7 +53,7 @@
 
 
 class Simulation:
-    """Own hosts, the network between them, and what became of requests."""
+    """Own hosts, the network between them, and the decisions on requests."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         quota: deployments.QuotaTolerance = QUOTA,
         customers: tuple[configs.Customer, ...] = (LARGE, SMALL),
     ) -> None:
-        """Start hosts that have run for longer than a window."""
+        """Start hosts and let them run for longer than a window."""
         self.now = 100.0
         self.random = random.Random(seed)
         self.admitted: list[Admitted] = []
@@ -99,7 +99,7 @@
         self.now += 2 * quota.window_s
 
     def start(self, host: deployments.Host) -> None:
-        """Start a host anew: it knows nothing of before."""
+        """Start a host without any state."""
         host_quotas = quotas.Quotas(host)
         host_quotas.settings = quotas.Settings(
             self._quota, CENTRES, next(self._start_ids)
@@ -110,7 +110,7 @@
         self._frozen.pop(host.name, None)
 
     def kill_all(self) -> None:
-        """Kill and start all hosts; what was under way is lost."""
+        """Kill and restart all hosts; messages in flight are lost."""
         self._events.clear()
         for host in self.hosts:
             self.start(host)
@@ -118,17 +118,17 @@
     def set_known_hosts(
         self, host: deployments.Host, hosts: tuple[deployments.Host, ...]
     ) -> None:
-        """Have a host know of these hosts only."""
+        """Set the hosts that a host knows."""
         self._quotas[host.name].update_hosts(hosts, self.now)
 
     def configure(self, customers: tuple[configs.Customer, ...]) -> None:
-        """Bring a configuration to all hosts."""
+        """Send the customers of a new configuration to all hosts."""
         self.customers = customers
         for host_quotas in self._quotas.values():
             host_quotas.update_customers(customers, self.now)
 
     def cut_off(self, *centres: str) -> None:
-        """Cut these data centres off from all others, and no others."""
+        """Cut off these data centres from all others; reconnect the rest."""
         self._cut_pairs = {
             frozenset((one, other))
             for one in centres
@@ -137,23 +137,23 @@
         }
 
     def isolate(self, hosts: list[deployments.Host]) -> None:
-        """Cut these hosts off from all others."""
+        """Cut off these hosts from all others; reconnect the rest."""
         self._isolated = {host.name for host in hosts}
 
     def freeze(self, host: deployments.Host) -> None:
-        """Have a host stand still; what comes waits in its socket."""
+        """Pause a host; messages to it wait in its socket."""
         if host.name not in self._frozen:
             self._frozen[host.name] = []
 
     def thaw(self, host: deployments.Host) -> None:
-        """Have a host go on."""
+        """Resume a paused host."""
         for event in self._frozen.pop(host.name, []):
             self._handle_message(host.name, event)
 
     def request(
         self, customer: configs.Customer, host: deployments.Host
     ) -> None:
-        """Bring a request of a customer to a host."""
+        """Send a request of a customer to a host."""
         if host.name in self._frozen:
             return
         number = next(self._numbers)
@@ -176,7 +176,7 @@
     def run_load(
         self, seconds: float, rates: dict[configs.Customer, float]
     ) -> None:
-        """Bring requests at random hosts at these rates for so long."""
+        """Send requests to random hosts at these rates (per second)."""
         ends = self.now + seconds
         total = sum(rates.values())
         while total:
@@ -189,7 +189,7 @@
         self.run_until(ends)
 
     def run_until(self, when: float) -> None:
-        """Let time pass."""
+        """Process all events up to a time."""
         while self._events and self._events[0][0] <= when:
             event_time, _, name, event = heapq.heappop(self._events)
             self.now = max(self.now, event_time)
@@ -202,7 +202,7 @@
         self.now = when
 
     def count_max_admitted(self, customer: configs.Customer) -> int:
-        """Count the most requests of a customer in any window."""
+        """Return the most admitted requests of a customer in any window."""
         times = sorted(
             it.when for it in self.admitted if it.customer == customer.name
         )
@@ -215,14 +215,14 @@
         return max_count
 
     def compute_bound(self, customer: configs.Customer) -> float:
-        """Count the requests that are tolerated in any window."""
+        """Return how many requests are tolerated in any window."""
         allowance = customer.rate * self._quota.window_s + customer.burst
         return allowance * (1 + self._quota.overage) + self._quota.slack
 
     def count_admitted(
         self, customer: configs.Customer, since: float = 0.0
     ) -> int:
-        """Count the requests of a customer that were taken in since."""
+        """Count the requests of a customer that were admitted since a time."""
         return sum(
             it.customer == customer.name and it.when >= since
             for it in self.admitted
--- a/tests/routing/test_quota_buckets.py
+++ b/tests/routing/test_quota_buckets.py
@@ -1,4 +1,4 @@
-"""Test how the tokens of a slot are given out."""
+"""Test how the tokens of a slot are granted."""
 
 from typing import Final
 
@@ -12,12 +12,12 @@
 
 
 def hold_all(customer: str, slot: int) -> bool:
-    """Hold every slot."""
+    """Return that this host holds the slot."""
     return True
 
 
 def make_buckets() -> quota_buckets.Buckets:
-    """Make the buckets of a host that holds its slots for long."""
+    """Make the buckets of a host that has held its slots for a minute."""
     buckets = quota_buckets.Buckets()
     buckets.update_holders(NOW - 60, hold_all)
     buckets.update_customers(frozenset(('shop', 'other')), NOW - 60)
@@ -27,7 +27,7 @@
 def grant(
     buckets: quota_buckets.Buckets, now: float = NOW, wanted: int = 1
 ) -> quota_buckets.Grant:
-    """Ask for tokens of the one slot."""
+    """Request tokens of the one slot."""
     return buckets.grant(LIMIT, 0, SHARE, wanted, now)
 
 
@@ -36,13 +36,13 @@
     assert [grant(buckets).tokens for _ in range(5)] == [1, 1, 1, 1, 0]
     late = grant(buckets)
     assert late.tokens == 0
-    # One that was turned away before comes first.
+    # The caller that was refused before comes first.
     assert late.wait == pytest.approx(0.5 + 1 / LIMIT.rate)
     assert grant(buckets, NOW + 0.5).tokens == 1
 
 
 def test_a_new_holder_has_only_its_start_tokens() -> None:
-    """Guard against tokens that the holder before may have given already."""
+    """Guard against tokens that the previous holder may have granted."""
     buckets = quota_buckets.Buckets()
     buckets.update_holders(NOW, hold_all)
     assert grant(buckets).tokens == 1
@@ -50,7 +50,7 @@
 
 
 def test_prefetches_where_many_tokens_are_wanted() -> None:
-    """Guard against a question for each of very many requests."""
+    """Guard against one message for each request of a busy customer."""
     buckets = make_buckets()
     share = quota_slots.SlotShare(100.0, 100.0, 1)
     granted = buckets.grant(LIMIT, 0, share, 16, NOW)
@@ -59,7 +59,7 @@
 
 
 def test_applies_a_lower_limit_at_once() -> None:
-    """Guard against tokens that were saved under a higher limit."""
+    """Guard against tokens that were added under a higher limit."""
     buckets = make_buckets()
     grant(buckets)
     lower = quota_slots.SlotShare(0.5, 1.0, 0)
@@ -79,7 +79,7 @@
 
 
 def test_discards_the_tokens_of_a_slot_that_another_host_held() -> None:
-    """Guard against a holder that was none for a while, and has saved up."""
+    """Guard against a bucket that fills while another host holds its slot."""
     buckets = make_buckets()
     grant(buckets)
     buckets.update_holders(NOW, lambda customer, slot: False)
@@ -89,7 +89,7 @@
 
 
 def test_a_customer_that_was_removed_and_added_starts_anew() -> None:
-    """Guard against tokens for each time that a customer comes back."""
+    """Guard against a full bucket each time that a customer is added again."""
     buckets = make_buckets()
     assert [grant(buckets).tokens for _ in range(5)] == [1, 1, 1, 1, 0]
     buckets.update_customers(frozenset(), NOW)
--- a/tests/routing/test_quota_codecs.py
+++ b/tests/routing/test_quota_codecs.py
@@ -38,14 +38,14 @@
     ],
 )
 def test_refuses_malformed_datagrams(datagram: bytes) -> None:
-    """Guard against bytes of something else that end a host's loop."""
+    """Guard against foreign datagrams that end the loop of a host."""
     with pytest.raises(report_codecs.MalformedReport):
         quota_codecs.decode_message(datagram)
 
 
 @hypothesis.given(some.binary(max_size=200))
 def test_any_bytes_are_a_message_or_malformed(datagram: bytes) -> None:
-    """Guard against an error that nobody expects."""
+    """Guard against an exception that the caller does not handle."""
     try:
         quota_codecs.decode_message(datagram)
     except report_codecs.MalformedReport:
--- a/tests/routing/test_quota_slots.py
+++ b/tests/routing/test_quota_slots.py
@@ -1,4 +1,4 @@
-"""Test how quotas are split into slots, and who holds them."""
+"""Test how quotas are split into slots, and which hosts hold them."""
 
 from typing import Final
 
@@ -23,7 +23,7 @@
 def test_slot_shares_stay_within_the_tolerated_excess(
     rate: float, burst: float, centre_count: int, overage: float, slack: float
 ) -> None:
-    """Guard against slots that give more together than is tolerated."""
+    """Guard against slots that together grant more than is tolerated."""
     quota = deployments.QuotaTolerance(5.0, overage, slack)
     limit = quota_slots.Limit('shop', rate, burst)
     names = tuple(f'centre-{number}' for number in range(centre_count))
@@ -35,13 +35,13 @@
     refilled = sum(it.rate for it in shares) * quota.window_s
     allowed = rate * quota.window_s + burst + excess
     assert capacity + refilled + starts <= max(allowed, 1 + refilled) + 0.001
-    # What is out of reach, as no slot gives a part of a token.
+    # Out of reach, as a slot only grants whole tokens.
     stranded = len(shares) if len(shares) > 1 else 0
     assert capacity - stranded >= burst - 0.001
 
 
 def test_two_hosts_of_each_data_centre_hold_slots() -> None:
-    """Guard against a data centre that is cut off without any tokens."""
+    """Guard against a data centre without tokens when it is cut off."""
     large = quota_slots.Limit('shop', 100.0, 10.0)
     slots = quota_slots.split_quota(large, QUOTA, CENTRES)
     assert sorted(slots.data_centres) == sorted(
@@ -60,7 +60,7 @@
 
 
 def test_a_slot_without_a_host_has_no_holder() -> None:
-    """Guard against an error where a data centre has lost its hosts."""
+    """Guard against an exception when a data centre has lost its hosts."""
     slots = quota_slots.split_quota(LIMIT, QUOTA, CENTRES)
     holders = quota_slots.list_holders('shop', slots, {})
     assert set(holders) == {None}
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize('rate', [0.1, 0.3, 2.0, 5.0])
 def test_a_slot_holds_at_least_one_token(rate: float) -> None:
-    """Guard against a customer that is refused for ever."""
+    """Guard against a customer that is always refused."""
     limit = quota_slots.Limit('shop', rate, 0.0)
     quota = deployments.QuotaTolerance(5.0, 0.0, 0.0)
     (share,) = quota_slots.split_quota(limit, quota, CENTRES).shares
--- a/tests/routing/test_quota_tokens.py
+++ b/tests/routing/test_quota_tokens.py
@@ -1,10 +1,10 @@
-"""Test the tokens that a host keeps."""
+"""Test the tokens that a host has been granted."""
 
 from fuchsiahaven.routing import quota_tokens
 
 
 def test_spends_each_token_once_before_it_expires() -> None:
-    """Guard against tokens that are spent twice or long after."""
+    """Guard against tokens that are spent twice or after they expire."""
     tokens = quota_tokens.SpareTokens()
     tokens.add('shop', 2, 101.0)
     assert tokens.spend('shop', 100.1) == 101.0
@@ -15,7 +15,7 @@
 
 
 def test_a_returned_token_keeps_its_expiry() -> None:
-    """Guard against tokens of long ago that are spent after an outage."""
+    """Guard against expired tokens that are spent after an outage."""
     tokens = quota_tokens.SpareTokens()
     tokens.add('shop', 1, 101.0)
     expires = tokens.spend('shop', 100.9)
--- a/tests/routing/test_quotas.py
+++ b/tests/routing/test_quotas.py
@@ -1,4 +1,4 @@
-"""Test that customers keep to their quotas, over all hosts."""
+"""Test that customers are limited to their quotas, over all hosts."""
 
 from typing import Final
 
@@ -12,13 +12,13 @@
 
 LARGE: Final = quota_simulation.LARGE
 SMALL: Final = quota_simulation.SMALL
-#: Beyond its quota, as many times as a hot customer asks for.
+#: Request rates of several times the quota.
 HOT: Final = {LARGE: 45.0, SMALL: 3.0}
 CALM: Final = {LARGE: 6.0, SMALL: 0.15}
 
 
 def check_bounds(simulation: quota_simulation.Simulation) -> None:
-    """Check that no customer had more than is tolerated in any window."""
+    """Check that no customer exceeds what is tolerated in any window."""
     for customer in simulation.customers:
         max_count = simulation.count_max_admitted(customer)
         assert max_count <= simulation.compute_bound(customer), (
@@ -28,14 +28,14 @@
 
 
 def test_refuses_nothing_below_the_quota() -> None:
-    """Guard against refusals that cost a customer what it has paid for."""
+    """Guard against refusals of requests within a customer's quota."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(60.0, CALM)
     assert not simulation.refused
 
 
 def test_limits_a_hot_customer_and_no_other() -> None:
-    """Guard against one customer that takes what others are to have."""
+    """Guard against one customer that uses the capacity of others."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(20.0, {LARGE: 45.0, SMALL: 0.15})
     check_bounds(simulation)
@@ -50,14 +50,14 @@
 
 
 def test_retry_after_covers_the_wait_and_spreads_callers() -> None:
-    """Guard against callers that all come back at one moment, or too soon."""
+    """Guard against callers that all come back at once or too soon."""
     simulation = quota_simulation.Simulation(16)
     simulation.run_load(10.0, HOT)
     waits = [it.failure.retry_after for it in simulation.refused]
     assert all(waits)
     late = [it for it in waits[len(waits) // 2 :] if it is not None]
     assert len(set(late)) > len(late) / 2
-    # Some 35 a second are turned away and 10 a second have room.
+    # About 35 requests a second are refused and 10 are admitted.
     assert sum(late) / len(late) > 1
 
 
@@ -65,7 +65,7 @@
 def test_serves_customers_below_the_quota_after_all_hosts_died(
     rate: float,
 ) -> None:
-    """Guard against a window of refusals after each restart of all."""
+    """Guard against refusals for a window after a restart of all hosts."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(10.0, HOT)
     simulation.kill_all()
@@ -77,7 +77,7 @@
 
 
 def test_holds_when_all_hosts_are_killed_within_a_window() -> None:
-    """Guard against tokens that count anew for each life of the hosts."""
+    """Guard against a full set of tokens after each restart of the hosts."""
     simulation = quota_simulation.Simulation(73)
     for _ in range(2):
         simulation.run_load(2.0, HOT)
@@ -87,7 +87,7 @@
 
 
 def test_serves_both_sides_of_a_cut() -> None:
-    """Guard against a data centre without holders while it is cut off."""
+    """Guard against a data centre that has no holders while it is cut off."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(10.0, CALM)
     simulation.cut_off('north')
@@ -96,7 +96,7 @@
 
 
 def test_holds_over_a_cut_while_a_customer_is_hot() -> None:
-    """Guard against two sides that both give the whole quota."""
+    """Guard against a whole quota on each side of a network partition."""
     simulation = quota_simulation.Simulation(73)
     for centres in (['north'], [], ['east', 'west'], []):
         simulation.cut_off(*centres)
@@ -105,7 +105,7 @@
 
 
 def test_holds_when_each_host_is_isolated() -> None:
-    """Guard against hosts that give what they cannot ask for."""
+    """Guard against hosts that admit requests without a reply of a holder."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(5.0, HOT)
     simulation.isolate(simulation.hosts)
@@ -116,7 +116,7 @@
 
 
 def test_holds_when_all_hosts_are_asked_at_once() -> None:
-    """Guard against one request at each host that nobody has counted."""
+    """Guard against one uncounted request at each host."""
     simulation = quota_simulation.Simulation(73)
     for host in simulation.hosts:
         simulation.request(SMALL, host)
@@ -125,7 +125,7 @@
 
 
 def test_an_unreachable_holder_causes_no_refusal() -> None:
-    """Guard against a customer that depends on one host."""
+    """Guard against a customer that depends on a single host."""
     simulation = quota_simulation.Simulation(16)
     for host in simulation.hosts[:2]:
         simulation.freeze(host)
@@ -134,7 +134,7 @@
 
 
 def test_holds_when_a_holder_pauses_and_resumes() -> None:
-    """Guard against questions of long ago that are answered at once."""
+    """Guard against requests that waited in a socket and are all granted."""
     simulation = quota_simulation.Simulation(16)
     for host in simulation.hosts[:4]:
         simulation.freeze(host)
@@ -146,14 +146,14 @@
 
 
 def test_refuses_little_over_a_lossy_network() -> None:
-    """Guard against refusals for words that were lost or overtaken."""
+    """Guard against refusals due to lost or reordered messages."""
     simulation = quota_simulation.Simulation(73, loss=0.05, extra_delay=0.004)
     simulation.run_load(30.0, CALM)
     assert len(simulation.refused) <= 0.01 * simulation.count_admitted(LARGE)
 
 
 def test_a_lower_limit_holds_after_one_window() -> None:
-    """Guard against tokens of a higher limit that are given later."""
+    """Guard against tokens of a higher limit that are granted later."""
     simulation = quota_simulation.Simulation(16)
     simulation.run_load(5.0, HOT)
     lower = LARGE._replace(rate=2.0, burst=1.0)
@@ -167,7 +167,7 @@
 
 
 def test_returns_the_token_of_a_request_that_did_not_run() -> None:
-    """Guard against a customer that pays for what was refused."""
+    """Guard against tokens spent on requests that were refused later."""
     simulation = quota_simulation.Simulation(16, customers=(SMALL,))
     host = simulation.hosts[0]
     host_quotas = simulation._quotas[host.name]
@@ -181,7 +181,7 @@
 
 
 def test_discards_a_pending_request_whose_caller_left() -> None:
-    """Guard against requests that begin after their caller has left."""
+    """Guard against requests that start after their caller has left."""
     simulation = quota_simulation.Simulation(16, customers=(SMALL,))
     for host in simulation.hosts:
         simulation.request(SMALL, host)
@@ -195,7 +195,7 @@
 
 
 def test_sends_no_messages_without_limits() -> None:
-    """Guard against messages where no customer has a limit."""
+    """Guard against messages in deployments without limits."""
     free = configs.Customer('free')
     simulation = quota_simulation.Simulation(16, customers=(free,))
     simulation.run_load(5.0, {free: 20.0})
@@ -204,7 +204,7 @@
 
 
 def test_prefetches_tokens_for_a_busy_customer() -> None:
-    """Guard against one question a request where there are very many."""
+    """Guard against one message for each request of a busy customer."""
     huge = configs.Customer('huge', (), None, 4000.0, 1000.0)
     simulation = quota_simulation.Simulation(8, customers=(huge,))
     simulation.run_load(2.0, {huge: 2000.0})
@@ -213,15 +213,15 @@
 
 
 class Faults:
-    """Own a world, and how many more restarts of all may come in it."""
+    """Inject faults, with a bounded number of restarts of all hosts."""
 
     def __init__(self, simulation: quota_simulation.Simulation) -> None:
-        """Take a world in which all is well."""
+        """Start with a simulation without faults."""
         self.simulation = simulation
         self.restarts_left = 1
 
     def inject(self, step: str) -> None:
-        """Let one thing happen."""
+        """Inject one fault, or end one."""
         steps = {
             'cut north': lambda: self.simulation.cut_off('north'),
             'cut two': lambda: self.simulation.cut_off('east', 'south'),
@@ -244,7 +244,7 @@
         return self.simulation.hosts[:: self.simulation.random.randint(2, 5)]
 
     def _kill_all(self) -> None:
-        # A further restart of all within a window may add as much again.
+        # Each restart of all hosts within a window adds its start tokens.
         if self.restarts_left:
             self.restarts_left -= 1
             self.simulation.kill_all()
@@ -268,7 +268,7 @@
 
 
 def test_holds_over_an_outage_in_which_nothing_runs() -> None:
-    """Guard against tokens that are given back for as long as nothing runs."""
+    """Guard against returned tokens that add up while no request runs."""
     simulation = quota_simulation.Simulation(16)
     ends = simulation.now + 8
     while simulation.now < ends:
@@ -283,7 +283,7 @@
 
 
 def test_holds_when_a_holder_leaves_and_comes_back_twice() -> None:
-    """Guard against a former holder that has saved tokens up meanwhile."""
+    """Guard against a former holder that goes on filling its bucket."""
     large = LARGE._replace(burst=100.0)
     simulation = quota_simulation.Simulation(16, customers=(large,))
     slots = quota_slots.split_quota(
@@ -313,7 +313,7 @@
 
 
 def test_a_host_without_a_host_list_grants_nothing() -> None:
-    """Guard against hosts that all take themselves for holders at a start."""
+    """Guard against hosts that all consider themselves holders at a start."""
     simulation = quota_simulation.Simulation(73)
     for host in simulation.hosts:
         simulation.set_known_hosts(host, ())
@@ -350,7 +350,7 @@
 def test_holds_in_any_order_of_failures(
     steps: list[str], seed: int, hosts: int, loss: float
 ) -> None:
-    """Guard against any order of cuts, kills, freezes and views that differ."""
+    """Cover any order of partitions, kills, pauses and differing host lists."""
     simulation = quota_simulation.Simulation(hosts, seed, loss=loss)
     faults = Faults(simulation)
     for step in steps:
