--- a/fuchsiahaven/routing/admission.py
+++ b/fuchsiahaven/routing/admission.py
@@ -1,4 +1,4 @@
-"""Decide whether a request is taken in, before anything of it is sent."""
+"""Decide whether a request is admitted, before any part of it is sent."""
 
 from typing import Final
 
@@ -16,8 +16,8 @@
 )
 
 SOURCE: Final = 'admission'
-#: How soon a host that has just started may have its configuration: a read of
-#: the store, and a second one if the first was turned away.
+#: How soon a host that has just started usually has its configuration: it reads
+#: the store, and once more if the first read was refused.
 START_RETRY_AFTER_S: Final = 0.5
 
 spread_retry_after = retry_times.spread_retry_after
@@ -26,7 +26,7 @@
 def admit(
     router: states.Router, event: events.RequestReceived, now: float
 ) -> quotas.ChargeResult:
-    """Take a request in, have it wait, or say why it is refused."""
+    """Admit a request, let it wait for a token, or return why it is refused."""
     route = _find_route(router, event.request)
     if isinstance(route, errors.Failure):
         return route
@@ -54,11 +54,11 @@
 def refuse_stale(
     router: states.Router, active: active_requests.ActiveRequest, now: float
 ) -> list[events.Action] | None:
-    """Refuse what has waited here too long; None where it may go on.
+    """Refuse a request whose key check is out of date; None if it is not.
 
-    The check of its key bounds when a request was sent. One that waited for a
-    trial or for a connection, maybe while the host stood still, is checked
-    again, as long as it can be refused as one that has not run.
+    A request has to be sent within a bounded time of the check of its key. One
+    that has waited for a trial or a connection, perhaps while the host was
+    paused, is checked again as long as it can be refused as not run.
     """
     if any(part.sent_count or part.in_flight for part in active.parts.values()):
         return None
@@ -71,9 +71,10 @@
 
 
 def may_send(router: states.Router, key: events.AttemptKey) -> bool:
-    """Tell whether a sending that has waited for a connection may leave.
+    """Return whether an attempt that waited for a connection may be sent.
 
-    Of a query over several parts others have left by then.
+    Of a query with several parts, other parts have been sent by then, so it
+    goes on.
     """
     active = router.active_requests.get(key.request_number)
     if (
@@ -88,7 +89,10 @@
 def find_names(
     router: states.Router, request: events.Request
 ) -> customers.RequestNames:
-    """Find what a refused request asked for; nothing without customers."""
+    """Find the route and customer of a refused request.
+
+    Both are empty in a deployment without customers.
+    """
     index = router.index
     if index.configuration.customers is None:
         return customers.NO_NAMES
@@ -104,7 +108,7 @@
 def select_services(
     router: states.Router, route: configs.Route
 ) -> tuple[str, ...]:
-    """List the services that a request reaches, one of a split in turn."""
+    """Select the services that a request reaches; a split takes turns."""
     action = route.way
     if not isinstance(action, configs.Split):
         return configs.list_services(action)
@@ -150,7 +154,7 @@
 def _check_quarantine(
     router: states.Router, request: events.Request, now: float
 ) -> errors.Failure | None:
-    """Refuse a request that is not to be sent now."""
+    """Return the failure for a quarantined request, None for any other."""
     wait = router.suspects.compute_wait(request.identity, now)
     if not wait:
         return None
--- a/fuchsiahaven/routing/contention.py
+++ b/fuchsiahaven/routing/contention.py
@@ -1,14 +1,13 @@
-"""Tell whether callers compete for the room that targets have."""
+"""Determine whether customers compete for the capacity of targets."""
 
 from fuchsiahaven.routing import centre_health, configs
 
 
 def is_contended(index: configs.Index) -> bool:
-    """Tell whether customers compete for the targets.
+    """Return whether customers may compete for the targets.
 
-    The load that this answers: requests of several customers, some of them
-    more urgent than others, reach the same targets, which do not suffice at
-    times.
+    Several customers, some more urgent than others, send requests to the same
+    targets, whose capacity does not always suffice.
     """
     return index.configuration.customers is not None
 
@@ -16,8 +15,8 @@
 def list_unreported(
     index: configs.Index, health: centre_health.CentreHealth, now: float
 ) -> frozenset[str]:
-    """List the silent data centres of which to tell the hosts beside this one.
+    """List the silent data centres to report to the hosts near this one.
 
-    Where nobody competes, nothing is told.
+    Without customers that compete there are none.
     """
     return health.list_unreported(now) if is_contended(index) else frozenset()
--- a/fuchsiahaven/routing/controls.py
+++ b/fuchsiahaven/routing/controls.py
@@ -1,4 +1,4 @@
-"""Join what decides whether a request may be taken in, and by whom."""
+"""Join the parts that decide whether and by whom a request is admitted."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Controls(NamedTuple):
-    """Hold the parts, each of which owns its state."""
+    """Hold the parts of admission control, each of which owns its state."""
 
     freshness: freshness.Freshness
     quotas: quotas.Quotas
@@ -14,6 +14,6 @@
 
 
 def make_controls(host: deployments.Host) -> Controls:
-    """Make the parts of a host that has just started."""
+    """Return the controls of a host that has just started."""
     keys = freshness.Freshness()
     return Controls(keys, quotas.Quotas(host, keys.compute_wait), lags.Lags())
--- a/fuchsiahaven/routing/customers.py
+++ b/fuchsiahaven/routing/customers.py
@@ -1,4 +1,4 @@
-"""Tell whose request it is, by the key that its caller shows."""
+"""Identify the customer of a request by the key that its caller sends."""
 
 from typing import Final, NamedTuple
 
@@ -13,14 +13,14 @@
 
 
 class AuthenticatedRequest(NamedTuple):
-    """Hold a request and the customer that it is of, if any."""
+    """Hold a request and its customer, if any."""
 
     request: events.Request
     customer: configs.Customer | None
 
 
 class RequestNames(NamedTuple):
-    """Name the route and the customer of a request, empty where unknown."""
+    """Hold the names of the route and the customer, empty where unknown."""
 
     route: str
     customer: str
@@ -35,10 +35,10 @@
     route: configs.Route,
     request: events.Request,
 ) -> AuthenticatedRequest | errors.Failure:
-    """Name the customer of a request, or say why it is refused.
+    """Identify the customer of a request, or return why it is refused.
 
-    Its key goes no further. A public route asks for none, and does not turn
-    away whoever shows one that is unknown.
+    The key is removed from the request. A public route requires no key, and
+    accepts requests with an unknown one.
     """
     if index.configuration.customers is None:
         return AuthenticatedRequest(request, None)
@@ -59,9 +59,9 @@
 def _set_customer(
     request: events.Request, customer: configs.Customer | None
 ) -> events.Request:
-    """Name whose request it is, in place of what its caller shows.
+    """Replace the credentials of a request by the name of its customer.
 
-    A host that helps with it gets no key, and must know it by the same name.
+    A helper gets no key, and has to compute the same identity.
     """
     owner = customer.name if customer is not None else request.host
     identity = request_identities.identify(
@@ -80,5 +80,5 @@
 def find_priority(
     customer: configs.Customer | None, route: configs.Route
 ) -> int:
-    """Return how urgent a request is, 0 for the most urgent."""
+    """Return the priority of a request; 0 is the most urgent."""
     return authentication.get_priority(customer, route.priority)
--- a/fuchsiahaven/routing/fair_queues.py
+++ b/fuchsiahaven/routing/fair_queues.py
@@ -1,39 +1,37 @@
-"""Decide which of the new work that waits at a busy host is done next.
-
-The load that this answers: more new work, callers' requests and calls for
-help of other hosts, reaches a host than it gets done at once, and one customer
-asks for most of it.
-
-Priorities share the host's time by weight, the customers of one priority
-share theirs evenly, both by virtual times that start as in start-time fair
-queueing (Goyal, Vin and Cheng): who has had least of its share is next, and
-what nobody uses is not saved up. Of priorities that have had as much, the one
-is next whose work ends first, which is the more urgent. Of one customer the
-earliest deadline is next. Nothing here looks at a clock.
+"""Schedule the new work of a busy host by priority and customer.
+
+It is needed where callers' requests and delegated requests arrive faster than
+the host can process them, and most of them are of one customer.
+
+Priorities share the host's time by weight, and the customers of one priority
+share theirs evenly. Both use virtual times as in start-time fair queueing
+(Goyal, Vin and Cheng), and unused time is not saved up. Customers are served by
+the smallest start tag, and priorities by the smallest finish tag of their next
+work, so of two with equal start tags the more urgent one is first. The work of
+one customer is served by earliest deadline. No function reads a clock.
 """
 
 import heapq
 from collections.abc import Callable
 from typing import Final, Generic, NamedTuple, TypeVar
 
-#: How much more of a busy host's time one priority gets than the next less
-#: urgent one, where both want more than there is.
+#: How much more time one priority gets than the next less urgent one while both
+#: have work queued.
 PRIORITY_WEIGHT_RATIO: Final = 4.0
-#: Priorities beyond this count as this one.
+#: Less urgent priorities than this one count as this one.
 LOWEST_PRIORITY: Final = 16
-#: What waits at the most. A host gets through far less than this within the
-#: longest timeout that routes have, so that whatever is beyond it is refused
-#: in any case, and sooner.
+#: A host processes far less work than this within the longest timeout of a
+#: route. Work beyond the bound would be refused later in any case.
 MAX_QUEUED_WORK: Final = 512
 
 Payload = TypeVar('Payload')
 
 
 class Work(NamedTuple, Generic[Payload]):
-    """Hold what waits for its turn.
+    """Hold queued work.
 
-    `priority` is 0 for the most urgent, `cost` counts parts. It is wanted by
-    `due` and worth nothing if it is begun after `latest`.
+    `priority` is 0 for the most urgent work, `cost` counts its parts. The work
+    is wanted by `deadline` and useless if it starts after `latest_start`.
     """
 
     number: int
@@ -47,49 +45,49 @@
 
 
 class _CustomerQueue(Generic[Payload]):
-    """Own the work of one customer at one priority, and its tag."""
+    """Own the work of one customer at one priority, and its start tag."""
 
     def __init__(self, tag: float) -> None:
-        """Start with nothing, at a virtual time."""
+        """Start without work at a virtual time."""
         self.tag = tag
         self.works: list[tuple[float, int, Work[Payload]]] = []
 
     def sum_cost(self) -> int:
-        """Sum what all that waits costs."""
+        """Sum the cost of the queued work."""
         return sum(work.cost for _, _, work in self.works)
 
 
 class _PriorityLevel(Generic[Payload]):
-    """Own the customers of one priority; `now` is its virtual time."""
+    """Own the customers of one priority, and its virtual time."""
 
     def __init__(self, tag: float, weight: float) -> None:
-        """Start with nothing, at a virtual time of the whole."""
+        """Start without customers at a virtual time of the queue."""
         self.tag = tag
         self.weight = weight
         self.virtual_time = 0.0
         self.customers: dict[str, _CustomerQueue[Payload]] = {}
 
     def list_backlogged(self) -> list[tuple[str, _CustomerQueue[Payload]]]:
-        """List the customers that have work."""
+        """List the customers that have queued work."""
         return [it for it in self.customers.items() if it[1].works]
 
     def choose_customer(self) -> _CustomerQueue[Payload]:
-        """Find the customer that is next; there has to be one."""
+        """Return the customer to serve next; there has to be one."""
         return min(
             (it for _, it in self.list_backlogged()),
             key=lambda it: (it.tag, it.works[0][:2]),
         )
 
     def compute_finish_tag(self) -> float:
-        """Count the virtual time at which what is next would be done."""
+        """Return the finish tag of the work that is next."""
         return self.tag + self.choose_customer().works[0][2].cost / self.weight
 
     def sum_cost(self) -> int:
-        """Sum what all that waits costs."""
+        """Sum the cost of the queued work."""
         return sum(it.sum_cost() for it in self.customers.values())
 
     def discard_idle(self) -> None:
-        """Forget who has no work and has had no more than its share."""
+        """Discard customers without work that are not ahead of their share."""
         self.customers = {
             name: customer
             for name, customer in self.customers.items()
@@ -98,10 +96,10 @@
 
 
 class FairQueue(Generic[Payload]):
-    """Own the new work that waits at one host."""
+    """Own the queued work of one host."""
 
     def __init__(self, max_queued: int = MAX_QUEUED_WORK) -> None:
-        """Start with nothing that waits."""
+        """Start without work."""
         self._max_queued = max_queued
         self._virtual_time = 0.0
         self._levels: dict[int, _PriorityLevel[Payload]] = {}
@@ -109,14 +107,15 @@
         self._latest_starts: list[tuple[float, int]] = []
 
     def __len__(self) -> int:
-        """Count what waits."""
+        """Return the number of queued work items."""
         return len(self._works)
 
     def push(self, work: Work[Payload]) -> Work[Payload] | None:
-        """Have work wait; return what has to leave for it, maybe itself.
+        """Add work; return the work evicted for it, which may be itself.
 
-        Where too much waits, the priority that has most of it for its weight
-        loses what its customer with most there wants last.
+        If the queue is full, the priority with the highest cost for its weight
+        evicts work of its customer with the highest cost: the work with the
+        latest deadline.
         """
         self._add(work)
         if len(self._works) <= self._max_queued:
@@ -124,7 +123,7 @@
         return self.remove(self._choose_evicted().number)
 
     def pop(self) -> Work[Payload] | None:
-        """Take the work whose turn it is."""
+        """Remove and return the next work, None if the queue is empty."""
         levels = self._list_backlogged()
         if not levels:
             return None
@@ -133,7 +132,7 @@
         )
         customer = level.choose_customer()
         work = customer.works[0][2]
-        # What has lagged behind must not take the time of the whole back.
+        # A lagging level must not set the virtual time of the queue back.
         self._virtual_time = max(self._virtual_time, level.tag)
         level.virtual_time = customer.tag
         level.tag += work.cost / level.weight
@@ -143,7 +142,7 @@
         return work
 
     def pop_expired(self, now: float) -> tuple[Work[Payload], ...]:
-        """Take all that is not worth beginning any more."""
+        """Remove and return the work past its latest start."""
         expired = []
         while self._latest_starts and self._latest_starts[0][0] < now:
             work = self.remove(heapq.heappop(self._latest_starts)[1])
@@ -152,13 +151,13 @@
         return tuple(expired)
 
     def pop_all(self) -> tuple[Work[Payload], ...]:
-        """Take all that waits."""
+        """Remove and return all work."""
         works = tuple(self._works.values())
         self._clear()
         return works
 
     def remove(self, number: int) -> Work[Payload] | None:
-        """Take out what nobody waits for any more; None if it is not here."""
+        """Remove and return the work of a number, None if it is not queued."""
         work = self._works.get(number)
         if work is not None:
             self._remove(work)
@@ -167,12 +166,12 @@
     def update_priorities(
         self, find_priority: Callable[[Work[Payload]], int]
     ) -> None:
-        """Have all that waits go by the priorities that hold from now on."""
+        """Queue all work again under new priorities."""
         for work in self.pop_all():
             self._add(work._replace(priority=find_priority(work)))
 
     def count_by_priority(self) -> dict[int, int]:
-        """Count what waits of each priority."""
+        """Count the queued work items of each priority."""
         return {
             priority: sum(len(it.works) for it in level.customers.values())
             for priority, level in sorted(self._list_backlogged())
@@ -198,14 +197,14 @@
             level = _PriorityLevel(self._virtual_time, weight)
             self._levels[priority] = level
         if not level.list_backlogged():
-            # What it did not use while it had nothing is not saved up.
+            # Time that it did not use while it had no work is not saved up.
             level.tag = max(level.tag, self._virtual_time)
         return level
 
     def _remove(self, work: Work[Payload]) -> None:
         self._works.pop(work.number)
         if not self._works:
-            # Nobody is owed anything once all is done.
+            # An empty queue owes no customer any time.
             self._clear()
             return
         works = self._levels[work.priority].customers[work.customer].works
--- a/fuchsiahaven/routing/queued_work.py
+++ b/fuchsiahaven/routing/queued_work.py
@@ -1,7 +1,7 @@
-"""Weigh the new work that waits for its turn, and refuse what cannot be done.
+"""Build the new work of a host for its queue, and refuse queued work.
 
-What is refused here has sent nothing: a caller's request has not run, and the
-parts that another host asked for go back to it as not sent.
+Refused work has sent nothing: a caller's request has not run, and delegated
+parts are returned to the delegating host as not sent.
 """
 
 import enum
@@ -23,15 +23,15 @@
 
 SOURCE: Final = 'turns'
 HANDED_BACK: Final = 'handed back'
-#: Share of the objective after which parts that wait here are handed back, so
-#: that the other host on duty can still bring them in time.
+#: Fraction of the objective after which queued parts are returned unsent, so
+#: that the other assigned host can still gather them in time.
 MAX_WAIT_FRACTION: Final = 0.05
-#: Work of a route that is not known goes after all other.
+#: Work of an unknown route comes last.
 UNKNOWN_ROUTE_PRIORITY: Final = fair_queues.LOWEST_PRIORITY
 
 
 class QueueRefusal(enum.StrEnum):
-    """Say why work is refused that waits."""
+    """Say why queued work is refused."""
 
     LATE = 'cannot be done in time'
     FULL = 'too much waits'
@@ -45,7 +45,7 @@
 def make_work(
     router: states.Router, event: NewEvent, now: float
 ) -> Work | None:
-    """Weigh new work; None if it is refused in less time than that takes."""
+    """Return the work of an event; None if refusing it takes less time."""
     match event:
         case events.RequestReceived():
             return _make_request_work(router, event, now)
@@ -64,7 +64,7 @@
 
 
 def find_priority(router: states.Router, work: Work) -> int:
-    """Find the priority of work by the configuration in force."""
+    """Find the priority of work in the configuration in force."""
     match work.payload:
         case events.RequestReceived():
             new_work = _make_request_work(router, work.payload, work.arrived)
@@ -76,7 +76,7 @@
 def refuse(
     router: states.Router, work: Work, refusal: QueueRefusal, now: float
 ) -> list[events.Action]:
-    """Refuse work as not begun."""
+    """Refuse work as not started."""
     match work.payload:
         case events.RequestReceived(number, request):
             failure = errors.make_failure(
@@ -110,7 +110,7 @@
 def _summarize(
     router: states.Router, work: Work, refusal: QueueRefusal, now: float
 ) -> events.RequestSummary:
-    """Tell that parts go back unsent."""
+    """Return the log record of parts that are returned unsent."""
     assert isinstance(work.payload, events.DelegatedRequestReceived)
     delegated = work.payload.assist
     return events.RequestSummary(
@@ -154,17 +154,17 @@
 
 
 def _count_parts(action: configs.RouteAction) -> int:
-    """Count what is sent at the least; of a split it is one part."""
+    """Count the parts that are sent at least; a split sends one."""
     return len(action.shards) if isinstance(action, configs.Gather) else 1
 
 
 def _compute_latest_start(
     router: states.Router, delegated: events.DelegatedRequest, now: float
 ) -> float:
-    """Find until when parts may wait; handed back, others may send them.
+    """Return until when delegated parts may wait before they are returned.
 
-    The most urgent ones wait here: where all hosts are behind, the way to
-    another one would cost them more than their turn.
+    The most urgent parts are not returned early: if all hosts lag, delegating
+    them to another one would take longer than their turn here.
     """
     latest_start = delegated.deadline - _estimate_min_time(
         router, delegated.route_name
@@ -182,14 +182,14 @@
 
 
 def _find_priority(router: states.Router, customer: str, route: str) -> int:
-    """Find how urgent work for another host is, by the names it tells."""
+    """Find the priority of a delegated request by its customer and route."""
     priorities = router.index.priorities
     route_priority = priorities.routes.get(route, UNKNOWN_ROUTE_PRIORITY)
     return priorities.customers.get(customer, route_priority)
 
 
 def _estimate_min_time(router: states.Router, route: str) -> float:
-    """Find how long targets take at the least, 0 where nothing is known."""
+    """Estimate the least time that targets take, 0 without measurements."""
     return (
         router.latency_windows.get(route, hedges.EMPTY).delay_s
         / attempts.MAX_HEDGE_MEDIANS
--- a/fuchsiahaven/routing/retry_times.py
+++ b/fuchsiahaven/routing/retry_times.py
@@ -1,7 +1,7 @@
-"""Work out when callers that are refused in numbers are to come back.
+"""Spread the Retry-After of callers that are refused in large numbers.
 
-Told the same time, all of them would come back at one moment and be refused
-once more. So each is told a time of its own, the more urgent the sooner.
+With one time for all, they would come back at the same moment and be refused
+again. So each caller gets a time of its own, an earlier one if it is urgent.
 """
 
 import math
@@ -10,18 +10,18 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import configs, contention, customers, events, states
 
-#: How soon there may be room again, in seconds, and over how long callers of
-#: one priority are spread: a busy host gets through what it has by then.
+#: How soon there may be room again, and over how long callers of one priority
+#: are spread: a busy host has processed its queue by then.
 RETRY_AFTER_S: Final = 0.1
 PRIORITY_SPREAD_S: Final = 0.2
-#: Less urgent ones come after all that are more urgent, up to so many steps.
+#: Each less urgent priority comes back one step later, up to this many steps.
 MAX_PRIORITY_STEPS: Final = 4
-#: Digits after the point of the seconds that a caller is told.
+#: Decimal places of the seconds in an answer.
 RETRY_AFTER_DIGITS: Final = 2
-#: Share of the time that a caller has left up to which it waits as it is told.
+#: Fraction of its remaining time that a caller is expected to wait.
 MAX_WAIT_FRACTION: Final = 1 / 3
-#: Refusals that many callers get at once. What else says when to come back
-#: knows the moment by what was asked: a quota's, or a request's own.
+#: Failures that many callers get at once. Other failures with a Retry-After
+#: know an exact time, that of a quota or of one request.
 SPREAD_KINDS: Final = frozenset(
     (
         errors.Kind.STALE_KEYS,
@@ -39,10 +39,11 @@
     min_retry_after: float = RETRY_AFTER_S,
     spread_s: float = PRIORITY_SPREAD_S,
 ) -> float:
-    """Return in how many seconds a refused caller is to come back.
+    """Return in how many seconds a refused caller should come back.
 
-    `soon` is when there may be room again, `drawn` a number from 0 to 1; each
-    step of priority comes back in a window of its own, `over` seconds long.
+    There may be room again after `min_retry_after` seconds. Each priority has a
+    window of its own, `spread_s` long, in which `fraction` (0 to 1) selects the
+    time.
     """
     step = min(max(0, priority), MAX_PRIORITY_STEPS)
     return round(
@@ -56,10 +57,11 @@
     request: events.Request,
     now: float,
 ) -> errors.Failure:
-    """Spread when callers come back, where customers compete.
+    """Spread the Retry-After of a failure if customers compete.
 
-    `failure` says when there may be room again. A caller that would not wait
-    for that long is told so; the spread alone makes none come back unasked.
+    The failure says when there may be room again. It is returned unchanged if
+    the caller would not wait that long. The spread never exceeds the time that
+    the caller waits, because beyond that it would not follow the advice.
     """
     min_retry_after = failure.retry_after
     if min_retry_after is None or failure.kind not in SPREAD_KINDS:
@@ -78,7 +80,7 @@
     retry_after = compute_retry_after(
         step, router.draw(), min_retry_after, spread_s
     )
-    # Rounding may not take it beyond what is waited for.
+    # Rounding must not exceed what the caller waits.
     retry_after = min(
         retry_after,
         math.floor(max_wait * 10**RETRY_AFTER_DIGITS) / 10**RETRY_AFTER_DIGITS,
@@ -87,7 +89,7 @@
 
 
 def _count_more_urgent(levels: tuple[int, ...], priority: int) -> int:
-    """Count the priorities in force that come first, but for the last."""
+    """Count the priorities in force that are more urgent, except the last."""
     more_urgent = sum(1 for it in levels if it < priority)
     return min(more_urgent, len(levels) - 1)
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Test requests that wait here before they first leave."""
+"""Test requests that wait on a host before they are first sent."""
 
 from typing import Final
 
@@ -23,10 +23,10 @@
 
 
 class Rig(router_rig.Rig):
-    """Own the decisions of a host whose knowledge of keys is fresh."""
+    """Own a host that knows the current keys."""
 
     def __init__(self, *, public: bool = False) -> None:
-        """Put routes with customers in force."""
+        """Configure routes and customers."""
         routes = (SINGLE._replace(public=public), WIDE)
         targets = router_rig.make_instances(('records', 'one', 'two'))
         super().__init__(routes, targets)
@@ -37,7 +37,7 @@
         keys.record_read(keys.read_clock(), facts.NO_ERA)
 
     def send_with_key(self, target: str = '/search/1') -> int:
-        """Bring a request with a key."""
+        """Send a request with a key."""
         request = events.Request(
             f'id {target}',
             'GET',
@@ -52,12 +52,12 @@
         return self.submit(request)
 
     def pause_host(self) -> None:
-        """Have the host be frozen for longer than keys may live."""
+        """Pause the host for longer than a revoked key may be accepted."""
         self.router.controls.freshness.confirmed_at -= REVOKE_S
 
 
 def test_refuses_unsent_requests_after_the_host_was_paused() -> None:
-    """Symptom: a frozen host sends on what it had taken in before."""
+    """Guard against a paused host that sends requests with revoked keys."""
     rig = Rig()
     rig.send_with_key()
     send = rig.sent[0]
@@ -74,7 +74,7 @@
 
 
 def test_goes_on_with_requests_sent_before_the_host_was_paused() -> None:
-    """It was sent in time, and another target may answer it."""
+    """The first attempt was sent in time, so another target may answer."""
     rig = Rig()
     rig.send_with_key('/wide/1')
     rig.pause_host()
@@ -85,7 +85,7 @@
 
 
 def test_sends_requests_of_public_routes_after_a_pause() -> None:
-    """They need no key, so nothing is known too late of it."""
+    """They need no key, so no check is out of date."""
     rig = Rig(public=True)
     rig.send_with_key()
     rig.pause_host()
@@ -95,7 +95,7 @@
 
 
 def test_is_not_ready_while_it_has_to_refuse_keys() -> None:
-    """Symptom: callers are sent to a host that refuses nearly all of them."""
+    """Guard against load on a host that refuses nearly all requests."""
     rig = Rig()
     assert not dispatch.find_obstacle(rig.router, rig.now)
     rig.pause_host()
--- a/tests/routing/test_contention.py
+++ b/tests/routing/test_contention.py
@@ -1,4 +1,4 @@
-"""Test what a host does only where customers compete."""
+"""Test what a host does only if customers compete."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 def test_reports_silence_only_with_customers(
     index: configs.Index, told: set[str]
 ) -> None:
-    """Deployments without customers send no message more."""
+    """Guard against additional messages in deployments without customers."""
     health = centre_health.CentreHealth('north')
     health.review(4.9)
     for name in ('a', 'b', 'c'):
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -1,4 +1,4 @@
-"""Test that requests are known as their customers', and keys go nowhere."""
+"""Test that requests carry their customer's name and never its key."""
 
 from typing import Final
 
@@ -37,7 +37,7 @@
     known_customers: tuple[configs.Customer, ...] | None = (SHOP, BANK),
     data_centre: str = 'north',
 ) -> router_rig.Rig:
-    """Make a host with two customers."""
+    """Make a host with two customers by default."""
     targets = router_rig.make_instances((*SHARDS, *RECORDS), 3, data_centre)
     rig = router_rig.Rig((), targets)
     rig.configure(2, ROUTES, known_customers)
@@ -47,7 +47,7 @@
 def make_request(
     rig: router_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
 ) -> events.Request:
-    """Read a request with the keys that are shown."""
+    """Make a request whose caller sends these keys."""
     fields = [
         ('host', 'shop.example'),
         (headers.REQUEST_ID, request_id),
@@ -60,7 +60,7 @@
 
 
 def pop_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
-    """Return the status and the line of the one refusal."""
+    """Return the status and the summary of the one refusal."""
     outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert not rig.pop_sent()
@@ -68,7 +68,7 @@
 
 
 def check_sent_customer(rig: router_rig.Rig, send: events.SendAttempt) -> str:
-    """Return the customer that a target is shown, and that it sees no key."""
+    """Return the customer that a target gets; check that it gets no key."""
     fields = exchanges.write_request(send, rig.now)
     assert KEY not in str(fields)
     assert headers.KEY not in dict(fields)
@@ -77,7 +77,7 @@
 
 
 def test_sends_targets_the_name_in_place_of_the_key() -> None:
-    """Symptom: whoever reads a target's log can ask as the customer."""
+    """Guard against keys in the logs of targets."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
@@ -87,7 +87,7 @@
 
 
 def test_names_the_customer_on_hedges_and_retries() -> None:
-    """Each way to a second target is a copy of the first request."""
+    """Each hedge and each retry is a copy of the first request."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', KEY))
     rig.advance_time(0.09)
@@ -107,7 +107,7 @@
 
 
 def test_names_the_customer_at_each_shard() -> None:
-    """Parts are requests of the same customer."""
+    """All parts of a query are requests of its customer."""
     rig = make_rig()
     rig.submit(make_request(rig, '/search/1', KEY))
     sent = rig.pop_sent()
@@ -129,10 +129,10 @@
 def test_a_helper_gets_the_name_and_no_key(
     path: str, shown: tuple[str, ...], public: bool, wanted: str
 ) -> None:
-    """Symptom: a quarantine that one host begins means nothing to another.
+    """Guard against a quarantine that other hosts cannot apply.
 
-    Asker and helper have to know a request by the same name, though only one
-    of them has seen the key.
+    The delegating host and its helper have to compute the same identity of a
+    request, though only one of them has the key.
     """
     rig = make_rig(data_centre='south')
     routes = (SEARCH._replace(public=public),)
@@ -170,7 +170,7 @@
 def test_refuses_requests_without_a_customer(
     shown: tuple[str, ...], why: str
 ) -> None:
-    """The line tells the route and why, and the answer only that it is so."""
+    """The log holds the route and the reason, the answer only the status."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', *shown))
     status, summary = pop_refusal(rig)
@@ -181,7 +181,7 @@
 
 
 def test_refuses_a_key_that_a_configuration_removed() -> None:
-    """Given again, it is valid again."""
+    """A key that is added again is valid again."""
     rig = make_rig()
     rig.configure(3, ROUTES, (SHOP._replace(keys=()), BANK))
     rig.submit(make_request(rig, '/one/1', KEY))
@@ -194,7 +194,7 @@
 
 
 def test_requires_keys_after_the_last_customer_is_removed() -> None:
-    """Symptom: the last customer is removed, and everybody is served."""
+    """Guard against a host that serves all callers without customers."""
     rig = make_rig(())
     rig.submit(make_request(rig, '/one/1', KEY))
     assert pop_refusal(rig)[0] == 401
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize('shown', [(), ('strange',), (KEY, KEY)])
 def test_a_public_route_requires_no_key(shown: tuple[str, ...]) -> None:
-    """A strange key turns nobody away, and names nobody."""
+    """An unknown key is neither refused nor forwarded."""
     rig = make_rig()
     rig.submit(make_request(rig, '/public/1', *shown))
     (send,) = rig.pop_sent()
@@ -210,9 +210,9 @@
 
 
 def test_is_not_ready_without_a_configuration() -> None:
-    """Symptom: callers with good keys are told for good that they have none.
+    """Guard against permanent refusals of valid keys.
 
-    A host that has just started says when to come back.
+    A host that has just started answers with a Retry-After.
     """
     rig = router_rig.Rig((), ())
     rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
@@ -222,14 +222,14 @@
 
 
 def test_reports_a_missing_route_before_a_missing_key() -> None:
-    """A path that leads nowhere is no matter of keys."""
+    """A request without a route is refused without a check of its key."""
     rig = make_rig()
     rig.submit(make_request(rig, '/none/1'))
     assert pop_refusal(rig)[0] == 404
 
 
 def test_identities_of_requests_differ_by_customer() -> None:
-    """Symptom: what one customer asks is quarantined for all others."""
+    """Guard against a request of one customer that is quarantined for all."""
     rig = make_rig()
     identities = set()
     for key in (KEY, OTHER_KEY):
@@ -244,7 +244,7 @@
 def test_puts_a_customers_priority_before_the_routes(
     priority: int | None, wanted: int
 ) -> None:
-    """A customer that has none is as urgent as its route."""
+    """A customer without a priority has that of its route."""
     rig = make_rig((SHOP._replace(priority=priority),))
     event = events.RequestReceived(7, make_request(rig, '/one/1', KEY))
     admitted = admission.admit(rig.router, event, rig.now)
@@ -253,7 +253,7 @@
 
 
 def test_forwards_the_key_without_customers() -> None:
-    """Whatever a caller shows is between it and the target."""
+    """Without customers the key is a matter between caller and target."""
     rig = make_rig(None)
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
--- a/tests/routing/test_fair_queues.py
+++ b/tests/routing/test_fair_queues.py
@@ -1,4 +1,4 @@
-"""Test which of the new work that waits at a busy host comes next."""
+"""Test the order in which a busy host processes its queued work."""
 
 from collections import Counter
 
@@ -17,7 +17,7 @@
     deadline: float = 1.0,
     latest_start: float = NEVER,
 ) -> fair_queues.Work[str]:
-    """Make work that came at 0."""
+    """Make work that arrived at time 0."""
     return fair_queues.Work(
         number, customer, priority, cost, deadline, latest_start, 0.0, 'what'
     )
@@ -26,13 +26,13 @@
 def pop_up_to(
     queue: fair_queues.FairQueue[str], count: int
 ) -> list[fair_queues.Work[str]]:
-    """Take so many at the most."""
+    """Remove and return at most `count` works."""
     popped = (queue.pop() for _ in range(count))
     return [work for work in popped if work is not None]
 
 
 def test_customers_of_one_priority_share_by_cost() -> None:
-    """Symptom: who asks for most gets most, and wide queries count as one."""
+    """Guard against shares by the number of requests or queries."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(100):
         queue.push(make_work(number, 'hot'))
@@ -44,7 +44,7 @@
 
 
 def test_a_customer_with_little_work_is_served_next() -> None:
-    """Symptom: one request waits behind all of a hot customer's."""
+    """Guard against one request that waits behind all of a hot customer."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(50):
         queue.push(make_work(number, 'hot'))
@@ -54,7 +54,7 @@
 
 
 def test_urgent_work_gets_more_and_starves_nobody() -> None:
-    """Symptom: less urgent work gets nothing while urgent work keeps on."""
+    """Guard against starvation of less urgent work by urgent work."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(100):
         queue.push(make_work(number, 'calm'))
@@ -67,9 +67,10 @@
 
 
 def test_a_lagging_priority_does_not_set_the_virtual_time_back() -> None:
-    """Symptom: urgent work waits behind dozens of pieces of less urgent work.
+    """Guard against urgent work that waits behind dozens of less urgent works.
 
-    One piece of the least urgent was done, and then others begin to ask.
+    This happens if the virtual time follows the least urgent priority, one of
+    whose works is done just before work of a third priority arrives.
     """
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     queue.push(make_work(0, 'last', priority=4))
@@ -85,7 +86,7 @@
 
 
 def test_unused_time_is_not_saved_up() -> None:
-    """Symptom: a customer that was idle keeps others away when it comes."""
+    """Guard against a formerly idle customer that blocks all others."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(100):
         queue.push(make_work(number, 'calm'))
@@ -97,7 +98,7 @@
 
 
 def test_the_earliest_deadline_of_a_customer_is_next() -> None:
-    """Symptom: what came first is done first, and both are late."""
+    """Guard against work in order of arrival, which delays urgent deadlines."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     queue.push(make_work(1, 'calm', deadline=2.0))
     queue.push(make_work(2, 'calm', deadline=1.0))
@@ -105,7 +106,7 @@
 
 
 def test_removes_work_past_its_latest_start() -> None:
-    """Symptom: parts are sent a moment before their end, for nobody."""
+    """Guard against parts that are sent too late to be of use."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     queue.push(make_work(1, 'calm', latest_start=0.5))
     queue.push(make_work(2, 'calm', latest_start=1.5))
@@ -114,7 +115,7 @@
 
 
 def test_a_full_queue_evicts_from_the_largest_customer() -> None:
-    """Symptom: memory grows, or a hot customer pushes the others out."""
+    """Guard against unbounded memory and against eviction by a hot customer."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue(max_queued=20)
     queue.push(make_work(1, 'calm'))
     evicted = [queue.push(make_work(number, 'hot')) for number in range(2, 60)]
@@ -124,7 +125,7 @@
 
 
 def test_applies_new_priorities_to_queued_work() -> None:
-    """Symptom: what waited when a version came goes by the one before."""
+    """Guard against queued work that keeps the priorities of an old version."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(10):
         queue.push(make_work(number, 'hot', priority=0))
@@ -137,7 +138,7 @@
 
 
 def test_each_work_is_removed_once() -> None:
-    """Symptom: work whose caller has left is begun, or begun twice."""
+    """Guard against work that starts after its removal, or twice."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(9):
         queue.push(make_work(number, f'customer {number % 3}', number % 2))
--- a/tests/routing/test_queued_work.py
+++ b/tests/routing/test_queued_work.py
@@ -1,4 +1,4 @@
-"""Test how new work that waits is weighed, and what becomes of refused work."""
+"""Test how queued work is built, and how it is refused."""
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import configs, events, queued_work
@@ -23,7 +23,7 @@
 def make_request(
     rig: router_rig.Rig, key: str, target: str
 ) -> events.RequestReceived:
-    """Make a request that shows a key."""
+    """Make a request with a key."""
     request = events.Request(
         'id', 'GET', target, 'shop.example', (), b'', rig.now, rig.now + 0.8
     )
@@ -33,7 +33,7 @@
 def make_delegated(
     rig: router_rig.Rig, customer: str
 ) -> events.DelegatedRequestReceived:
-    """Make another host's call for some parts."""
+    """Make a delegated request for some parts."""
     request = make_request(rig, '', '/search/1').request
     delegated = events.DelegatedRequest(
         request._replace(customer=customer),
@@ -47,7 +47,7 @@
 
 
 def test_a_wide_query_costs_its_parts() -> None:
-    """Symptom: a customer of wide queries takes many times its share."""
+    """Guard against wide queries that get many times a customer's share."""
     rig = make_rig()
     event = make_request(rig, 'hot-key', '/search/1')
     work = queued_work.make_work(rig.router, event, rig.now)
@@ -65,7 +65,7 @@
 
 
 def test_a_split_costs_one_part() -> None:
-    """Symptom: a request that goes to one service is charged for all."""
+    """Guard against a cost of all services of a split for one request."""
     rig = make_rig()
     parts = tuple(configs.Weighted(it, 1.0) for it in ('records', 'trial'))
     split = router_rig.make_route(configs.Split(parts), prefix='/split/')
@@ -77,14 +77,14 @@
 
 
 def test_does_not_queue_what_is_refused_at_once() -> None:
-    """Symptom: a caller without a key waits among customers."""
+    """Guard against callers without a key that wait in the queue."""
     rig = make_rig()
     event = make_request(rig, 'nobody', '/search/1')
     assert queued_work.make_work(rig.router, event, rig.now) is None
 
 
 def test_uses_the_priority_in_force() -> None:
-    """Symptom: queued work keeps a priority that was taken away."""
+    """Guard against queued work that keeps a priority after its removal."""
     rig = make_rig()
     works = [
         queued_work.make_work(rig.router, event, rig.now)
@@ -101,7 +101,7 @@
 
 
 def test_a_refused_request_has_not_run() -> None:
-    """Symptom: a request that runs at most once runs after its refusal."""
+    """Guard against an at-most-once request that runs after its refusal."""
     rig = make_rig()
     event = make_request(rig, 'hot-key', '/one/1')
     work = queued_work.make_work(rig.router, event, rig.now)
@@ -120,7 +120,7 @@
 
 
 def test_returns_parts_as_not_sent() -> None:
-    """Symptom: parts that wait too long spend an attempt of their query."""
+    """Guard against parts that use an attempt without being sent."""
     rig = make_rig()
     work = queued_work.make_work(
         rig.router, make_delegated(rig, 'hot'), rig.now
@@ -138,7 +138,7 @@
 
 
 def test_returns_only_less_urgent_parts_early() -> None:
-    """Symptom: urgent parts go from one busy host to the next."""
+    """Guard against urgent parts passed from one busy host to the next."""
     rig = make_rig()
     hot = queued_work.make_work(rig.router, make_delegated(rig, 'hot'), rig.now)
     urgent = queued_work.make_work(
--- a/tests/routing/test_retry_times.py
+++ b/tests/routing/test_retry_times.py
@@ -1,4 +1,4 @@
-"""Test when callers that are refused in numbers are told to come back."""
+"""Test the Retry-After of callers that are refused in large numbers."""
 
 import random
 from collections import Counter
@@ -23,7 +23,7 @@
 
 
 def test_retry_times_of_one_priority_are_spread() -> None:
-    """Symptom: all that were refused come back at once and are refused."""
+    """Guard against refused callers that all come back at once."""
     generator = random.Random(1)
     retry_afters = [
         retry_times.compute_retry_after(1, generator.random())
@@ -34,7 +34,7 @@
 
 
 def test_urgent_callers_retry_first() -> None:
-    """Symptom: urgent callers find the room taken by those less urgent."""
+    """Guard against less urgent callers that use the capacity first."""
     generator = random.Random(1)
     urgent = [
         retry_times.compute_retry_after(0, generator.random())
@@ -49,7 +49,7 @@
 
 
 def make_rig(customers: tuple[configs.Customer, ...] | None) -> router_rig.Rig:
-    """Make a host whose draws are random, and targets of which none answers."""
+    """Make a host with seeded random numbers."""
     rig = router_rig.Rig([], router_rig.make_instances(['records']))
     rig.configure(2, [ROUTE], customers)
     rig.router.draw = random.Random(1).random
@@ -59,7 +59,7 @@
 def make_request(
     rig: router_rig.Rig, key: str, remaining_s: float
 ) -> events.Request:
-    """Make a request whose caller has so many seconds left."""
+    """Make a request whose caller waits for `remaining_s` more."""
     request = events.Request(
         'id', 'GET', '/search/1', 'shop.example', (), b'', rig.now, 0.0
     )
@@ -69,7 +69,7 @@
 def get_retry_after(
     rig: router_rig.Rig, key: str, remaining_s: float, failure: errors.Failure
 ) -> float:
-    """Return when a caller that is refused now is to come back."""
+    """Return the Retry-After of a caller that is refused now, in seconds."""
     request = make_request(rig, key, remaining_s)
     retry_after = retry_times.spread_retry_after(
         rig.router, failure, request, rig.now
@@ -79,7 +79,7 @@
 
 
 def list_retry_times(key: str, remaining_s: float) -> list[float]:
-    """Refuse many callers at one moment; list when they come back."""
+    """Refuse many callers at once; list their Retry-After."""
     rig = make_rig(CUSTOMERS)
     return [
         get_retry_after(rig, key, remaining_s, INCOMPLETE) for _ in range(1000)
@@ -87,7 +87,7 @@
 
 
 def test_retry_times_after_an_outage_are_spread() -> None:
-    """Symptom: a data centre that is reached again is asked by all at once."""
+    """Guard against simultaneous requests to a data centre after an outage."""
     for left in (1.5, 2.5):
         retry_afters = sorted(
             it for key in KEYS for it in list_retry_times(key, left)
@@ -100,7 +100,7 @@
 
 
 def test_retry_times_stay_within_what_callers_wait() -> None:
-    """Symptom: a spread time lies beyond what callers wait for."""
+    """Guard against a spread beyond the time that callers wait."""
     for left in (0.4, 0.8, 1.5, 2.5):
         urgent, calm = (list_retry_times(key, left) for key in KEYS)
         assert max(urgent) <= min(calm)
@@ -110,14 +110,14 @@
 
 
 def test_keeps_a_retry_after_beyond_what_the_caller_waits() -> None:
-    """Symptom: a caller is told to come back before there is room."""
+    """Guard against a Retry-After before there is room."""
     rig = make_rig(CUSTOMERS)
     late = INCOMPLETE._replace(retry_after=1.0)
     assert get_retry_after(rig, 'calm-key', 0.8, late) == 1.0
 
 
 def test_keeps_retry_after_without_customers() -> None:
-    """Symptom: deployments without customers answer in another way."""
+    """Guard against changed answers in deployments without customers."""
     rig = make_rig(None)
     for kind in errors.Kind:
         failure = errors.make_failure(kind, 'test', retry_after=RETRY_AFTER_S)
@@ -131,7 +131,7 @@
 
 
 def test_does_not_spread_exact_retry_times() -> None:
-    """Symptom: a customer within its quota again is kept waiting."""
+    """Guard against needless waits of customers within their quota."""
     rig = make_rig(CUSTOMERS)
     for kind in (errors.Kind.OVER_QUOTA, errors.Kind.QUARANTINED):
         failure = errors.make_failure(kind, 'test', retry_after=RETRY_AFTER_S)
@@ -139,7 +139,7 @@
 
 
 def test_spreads_refusals_for_stale_keys() -> None:
-    """Symptom: all callers come back at once after keys were withdrawn."""
+    """Guard against callers that all come back at once after stale keys."""
     rig = make_rig(CUSTOMERS)
     rig.router.controls.freshness.revoke_s = 5.0
     rig.router.controls.freshness.update_configuration(
