--- a/fuchsiahaven/routing/admission.py
+++ b/fuchsiahaven/routing/admission.py
@@ -36,7 +36,7 @@
     if isinstance(authenticated, errors.Failure):
         return authenticated
     request, customer = authenticated
-    admitted_request = active_requests.RoutedRequest(
+    routed = active_requests.RoutedRequest(
         event.number,
         request,
         route,
@@ -47,8 +47,8 @@
     if failure is not None:
         return failure
     if customer is None:
-        return admitted_request
-    return router.controls.quotas.charge(customer, admitted_request, now)
+        return routed
+    return router.controls.quotas.charge(customer, routed, now)
 
 
 def refuse_stale(
--- a/fuchsiahaven/routing/customers.py
+++ b/fuchsiahaven/routing/customers.py
@@ -42,12 +42,12 @@
     """
     if index.configuration.customers is None:
         return AuthenticatedRequest(request, None)
-    shown = authentication.Credentials(
+    credentials = authentication.Credentials(
         request.key_digest, bool(request.credentials)
     )
     result = authentication.authenticate(
         index.customers,
-        shown,
+        credentials,
         freshness_state.compute_wait(),
         public=route.public,
     )
--- a/fuchsiahaven/routing/delegated_requests.py
+++ b/fuchsiahaven/routing/delegated_requests.py
@@ -81,12 +81,12 @@
     )
     silent_centres = tuple(sorted(router.centre_health.list_observed()))
     suspect = router.suspects.make_report(active.request.identity, now)
-    lag = router.controls.lags.get_own(now)
+    lag_s = router.controls.lags.get_own(now)
     actions: Actions = [
         events.SendDelegationReport(
             active.number,
             report._replace(
-                silent_centres=silent_centres, suspect=suspect, lag_s=lag
+                silent_centres=silent_centres, suspect=suspect, lag_s=lag_s
             ),
         )
         for report in reports
--- a/fuchsiahaven/routing/delegation_codecs.py
+++ b/fuchsiahaven/routing/delegation_codecs.py
@@ -93,9 +93,9 @@
         encoded['silent'] = list(report.silent_centres)
     if report.suspect is not None:
         encoded['suspect'] = suspect_codecs.encode_report(report.suspect)
-    lag = int(report.lag_s * MS_PER_S)
-    if lag:
-        encoded['lag'] = lag
+    lag_ms = int(report.lag_s * MS_PER_S)
+    if lag_ms:
+        encoded['lag'] = lag_ms
     return b'%s\n' % _encode_json(encoded)
 
 
@@ -154,5 +154,7 @@
 
 
 def _decode_missing_part(row: list[str | bool]) -> events.MissingPart:
-    service, instance, arrived = row
-    return events.MissingPart(str(service), str(instance), bool(arrived))
+    service, instance, may_have_arrived = row
+    return events.MissingPart(
+        str(service), str(instance), bool(may_have_arrived)
+    )
--- a/fuchsiahaven/routing/delegation_plans.py
+++ b/fuchsiahaven/routing/delegation_plans.py
@@ -324,8 +324,8 @@
     if not lag or not others or others[0].name == router.host.name:
         return first
     other_lag = router.controls.lags.get_lag(others[0].name, now)
-    is_moved = router.draw() < lags.compute_handover(lag, other_lag)
-    return others[0] if is_moved else first
+    is_handed_over = router.draw() < lags.compute_handover(lag, other_lag)
+    return others[0] if is_handed_over else first
 
 
 def _is_silent(
--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -173,7 +173,9 @@
         _record_parts(router, request_number, delegation, event.share, now)
     )
     if event.share.is_last:
-        missing_parts = _make_missing_parts(delegation.unreported, arrived=True)
+        missing_parts = _make_missing_parts(
+            delegation.unreported, may_have_arrived=True
+        )
         actions.extend(
             _handle_missing_parts(
                 router, request_number, delegation, missing_parts, now
@@ -208,7 +210,7 @@
         delegation.helper.name, attempt_key, now + pause_s, event.cause
     )
     missing_parts = _make_missing_parts(
-        delegation.unreported, arrived=event.may_have_arrived
+        delegation.unreported, may_have_arrived=event.may_have_arrived
     )
     return _handle_missing_parts(
         router, event.key.request_number, delegation, missing_parts, now
@@ -240,7 +242,7 @@
         # Some of these parts have been answered elsewhere. Their records cannot
         # be separated from the other records of this report, so the remaining
         # parts are sent again.
-        missing_parts = _make_missing_parts(services, arrived=True)
+        missing_parts = _make_missing_parts(services, may_have_arrived=True)
         actions.extend(
             _handle_missing_parts(
                 router, request_number, delegation, missing_parts, now
@@ -332,9 +334,12 @@
 
 
 def _make_missing_parts(
-    services: Iterable[str], *, arrived: bool
+    services: Iterable[str], *, may_have_arrived: bool
 ) -> list[events.MissingPart]:
-    return [events.MissingPart(service, '', arrived) for service in services]
+    return [
+        events.MissingPart(service, '', may_have_arrived)
+        for service in services
+    ]
 
 
 def _handle_missing_parts(
@@ -444,8 +449,11 @@
     actions: Actions = []
     for service in failed_services:
         helper = None
-        gate = trials.get_permission(router, active, now)
-        if _delegates_retries(active) and gate is suspects.SendPermission.TRIAL:
+        permission = trials.get_permission(router, active, now)
+        if (
+            _delegates_retries(active)
+            and permission is suspects.SendPermission.TRIAL
+        ):
             if _may_delegate_retry(router, active, service, now):
                 helper = delegation_plans.find_second_helper(
                     router, active, service, now
--- a/fuchsiahaven/routing/quota_holders.py
+++ b/fuchsiahaven/routing/quota_holders.py
@@ -88,7 +88,7 @@
         """Order the slots, near ones first and those of silent holders last."""
         names = [str(slot) for slot in range(len(slots.shares))]
         # Hosts start at different slots, so that all slots are used alike.
-        spread = [int(it) for it in rendezvous.rank(self._host.name, names)]
+        order = [int(it) for it in rendezvous.rank(self._host.name, names)]
 
         def rank(slot: int) -> tuple[bool, bool]:
             holder = self.find_holder(limit, slots, slot)
@@ -97,7 +97,7 @@
             )
             return is_silent, slots.data_centres[slot] != self._host.data_centre
 
-        return tuple(sorted(spread, key=rank))
+        return tuple(sorted(order, key=rank))
 
     def record_silence(self, name: str, now: float) -> None:
         """Record that a holder did not reply in time."""
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -58,7 +58,7 @@
     of the empty slots, in seconds. The request is refused at `deadline`.
     """
 
-    admitted: active_requests.RoutedRequest
+    routed: active_requests.RoutedRequest
     limit: quota_slots.Limit
     remaining_slots: tuple[int, ...]
     deadline: float
@@ -78,7 +78,7 @@
 class Decision(NamedTuple):
     """Admit a request that has its token, or refuse it with a failure."""
 
-    admitted: active_requests.RoutedRequest
+    routed: active_requests.RoutedRequest
     failure: errors.Failure | None
 
 
@@ -148,7 +148,7 @@
     def charge(
         self,
         customer: configs.Customer,
-        admitted: active_requests.RoutedRequest,
+        routed: active_requests.RoutedRequest,
         now: float,
     ) -> ChargeResult:
         """Charge a request to its customer, or return why it is refused.
@@ -156,17 +156,17 @@
         If it has to wait for a reply, its decision is part of a later output.
         """
         if self.settings.quota is None or customer.rate <= 0:
-            return admitted
+            return routed
         limit = quota_slots.make_limit(customer)
         expires = self._spare_tokens.spend(limit.customer, now)
         if expires is not None:
-            self._spent[admitted.number] = SpentToken(limit.customer, expires)
-            return admitted
+            self._spent[routed.number] = SpentToken(limit.customer, expires)
+            return routed
         self.has_output = True
         slots = _split_quota(limit, self.settings)
         remaining_slots = self._holders.order_slots(limit, slots, now)
         pending = PendingRequest(
-            admitted, limit, remaining_slots, now + TOTAL_TIMEOUT_S
+            routed, limit, remaining_slots, now + TOTAL_TIMEOUT_S
         )
         return self._ask_next_holder(pending, now)
 
@@ -175,7 +175,7 @@
         self._pending = {
             key: it
             for key, it in self._pending.items()
-            if it.admitted.number != number
+            if it.routed.number != number
         }
         spent = self._spent.pop(number, None)
         if spent is not None and not ran:
@@ -223,7 +223,7 @@
     ) -> ChargeResult:
         """Ask the next holder while slots and time remain."""
         if self.settings.quota is None:
-            return pending.admitted
+            return pending.routed
         slots = _split_quota(pending.limit, self.settings)
         while pending.remaining_slots and now < pending.deadline:
             slot, *remaining_slots = pending.remaining_slots
@@ -334,10 +334,10 @@
             self._holders.record_empty(customer, pending.slot, grant.wait, now)
             return None
         expires = now + quota_tokens.TOKEN_LIFETIME_S
-        self._spent[pending.admitted.number] = SpentToken(customer, expires)
+        self._spent[pending.routed.number] = SpentToken(customer, expires)
         spare_count = min(grant.tokens, quota_tokens.MAX_WANTED_TOKENS) - 1
         self._spare_tokens.add(customer, spare_count, expires)
-        return pending.admitted
+        return pending.routed
 
 
 def _is_holder(
@@ -379,7 +379,7 @@
         case active_requests.RoutedRequest():
             return [Decision(result, None)]
         case errors.Failure():
-            return [Decision(pending.admitted, result)]
+            return [Decision(pending.routed, result)]
     return []
 
 
@@ -395,7 +395,7 @@
             retry_after=NO_HOLDER_RETRY_S,
         )
     spread = 1 + SPREAD_FRACTION * _hash_fraction(
-        pending.admitted.request.request_id
+        pending.routed.request.request_id
     )
     wait = min(MAX_RETRY_AFTER_S, min(pending.slot_waits)) * spread
     return errors.make_failure(
--- a/tests/routing/quota_simulation.py
+++ b/tests/routing/quota_simulation.py
@@ -160,16 +160,16 @@
         request = events.Request(
             f'id-{number}', 'GET', '/', 'shop.example', (), b'', 0, 0
         )
-        admitted = active_requests.RoutedRequest(number, request, ROUTE, 1, 1)
+        routed = active_requests.RoutedRequest(number, request, ROUTE, 1, 1)
         self._requests[host.name, number] = (self.now, customer.name)
         host_quotas = self._quotas[host.name]
-        result = host_quotas.charge(customer, admitted, self.now)
+        result = host_quotas.charge(customer, routed, self.now)
         match result:
             case active_requests.RoutedRequest():
                 self._record_decision(host.name, quotas.Decision(result, None))
             case errors.Failure():
                 self._record_decision(
-                    host.name, quotas.Decision(admitted, result)
+                    host.name, quotas.Decision(routed, result)
                 )
         self._process_output(host.name)
 
@@ -177,16 +177,16 @@
         self, seconds: float, rates: dict[configs.Customer, float]
     ) -> None:
         """Send requests to random hosts at these rates (per second)."""
-        ends = self.now + seconds
+        end_time = self.now + seconds
         total = sum(rates.values())
         while total:
             when = self.now + self.random.expovariate(total)
-            if when > ends:
+            if when > end_time:
                 break
             self.run_until(when)
             customer = self.random.choices(list(rates), list(rates.values()))[0]
             self.request(customer, self.random.choice(self.hosts))
-        self.run_until(ends)
+        self.run_until(end_time)
 
     def run_until(self, when: float) -> None:
         """Process all events up to a time."""
@@ -253,7 +253,7 @@
             self._schedule(output.check_at, name, None)
 
     def _record_decision(self, name: str, decision: quotas.Decision) -> None:
-        started, customer = self._requests.pop((name, decision.admitted.number))
+        started, customer = self._requests.pop((name, decision.routed.number))
         if decision.failure is None:
             self.admitted.append(Admitted(self.now, customer))
             return
--- a/tests/routing/test_chunk_assignments.py
+++ b/tests/routing/test_chunk_assignments.py
@@ -33,11 +33,11 @@
 def make_rig(hosts: tuple[deployments.Host, ...] = NORTH) -> router_rig.Rig:
     """Make one of several hosts with a near and a far target of each shard."""
     near = router_rig.make_instances(SHARDS, 1)
-    both = router_rig.make_instances(SHARDS, 2, 'south')
-    far = [one for one in both if one.name.endswith('-1')]
+    far_pairs = router_rig.make_instances(SHARDS, 2, 'south')
+    far = [one for one in far_pairs if one.name.endswith('-1')]
     rig = router_rig.Rig([SEARCH], [*near, *far])
-    total = len(hosts) + 1
-    rig.post(events.HostsChanged(total, (router_rig.HOST, *hosts)))
+    host_count = len(hosts) + 1
+    rig.post(events.HostsChanged(host_count, (router_rig.HOST, *hosts)))
     return rig
 
 
@@ -59,9 +59,9 @@
     rig = make_rig()
     rig.send_request()
     delegates = pop_delegates(rig)
-    asked = [it for one in delegates for it in one.assist.services]
-    asked.extend(send.key.service for send in rig.pop_sent())
-    assert sorted(asked) == list(SHARDS)
+    services = [it for one in delegates for it in one.assist.services]
+    services.extend(send.key.service for send in rig.pop_sent())
+    assert sorted(services) == list(SHARDS)
     assert all(len(one.assist.services) == 15 for one in delegates)
     assert len(delegates) >= 4
 
@@ -71,14 +71,19 @@
     chunk_key = chunk_assignments.ChunkKey('north', SHARDS[0])
     ranked = chunk_assignments.rank_hosts(chunk_key, [*NORTH, *SOUTH])
     assert {host.data_centre for host in ranked} == {'north'}
-    again = chunk_assignments.rank_hosts(
+    reranked = chunk_assignments.rank_hosts(
         chunk_key, list(reversed([*NORTH, *SOUTH]))
     )
-    assert ranked == again
-    wide = frozenset(SHARDS)
+    assert ranked == reranked
+    wide_services = frozenset(SHARDS)
     hosts = [*NORTH, *SOUTH]
-    assert chunk_assignments.count_sharers(SHARDS[0], wide, hosts, 16) == 4
-    assert chunk_assignments.count_sharers('other', wide, hosts, 16) == 16
+    assert (
+        chunk_assignments.count_sharers(SHARDS[0], wide_services, hosts, 16)
+        == 4
+    )
+    assert (
+        chunk_assignments.count_sharers('other', wide_services, hosts, 16) == 16
+    )
 
 
 def test_hedges_through_the_second_host_when_the_first_is_silent() -> None:
@@ -110,19 +115,19 @@
 
 @given(strategies.integers(1, 120), strategies.integers(1, 6))
 def test_shares_of_the_slack_add_up_to_at_most_one(
-    total: int, centres: int
+    host_count: int, centres: int
 ) -> None:
     """All hosts together stay within the slack, assigned or not."""
-    centre_count = min(total, centres)
+    centre_count = min(host_count, centres)
     assigned = chunk_assignments.count_slack_sharers(
-        centre_count, total, assigned=True
+        centre_count, host_count, assigned=True
     )
     others = chunk_assignments.count_slack_sharers(
-        centre_count, total, assigned=False
+        centre_count, host_count, assigned=False
     )
     assert (
         chunk_assignments.HOSTS_PER_CHUNK * centre_count / assigned
-        + total / others
+        + host_count / others
         <= 1.000001
     )
 
@@ -151,14 +156,14 @@
     If all other hosts choose the largest data centre with the last name, its
     targets queue requests while the second replica of each shard is idle.
     """
-    chosen = collections.Counter[str]()
+    centre_counts = collections.Counter[str]()
     for number in range(40):
         rig = make_far_rig(f'far-{number}')
         rig.send_request()
         helpers = {one.helper.data_centre for one in pop_delegates(rig)}
         assert len(helpers) == 1
-        chosen.update(helpers)
-    assert min(chosen['north'], chosen['south']) >= 10
+        centre_counts.update(helpers)
+    assert min(centre_counts['north'], centre_counts['south']) >= 10
 
 
 def test_gathers_far_parts_in_few_data_centres() -> None:
@@ -210,11 +215,11 @@
     rig = make_far_rig()
     rig.send_request()
     first = pop_delegates(rig)[0]
-    waiting = tuple(
+    pending_parts = tuple(
         events.MissingPart(service, _find_target(rig, service, first), True)
         for service in first.assist.services[:2]
     )
-    report = events.DelegationReport((), b'', waiting, (), is_last=False)
+    report = events.DelegationReport((), b'', pending_parts, (), is_last=False)
     rig.post(events.DelegationReportReceived(first.key, report))
     rig.advance_time(0)
     (second,) = pop_delegates(rig)
@@ -240,7 +245,7 @@
         self._last_number = 100
 
     def handle_request(
-        self, avoid: tuple[str, ...] = ()
+        self, avoided_targets: tuple[str, ...] = ()
     ) -> list[events.SendAttempt]:
         """Handle a delegated request for one part; return what is sent."""
         self._last_number += 1
@@ -255,9 +260,9 @@
             2,
             SHARDS[:1],
             now + 0.8,
-            avoid,
+            avoided_targets,
             counts_load=True,
-            is_retry=bool(avoid),
+            is_retry=bool(avoided_targets),
         )
         self.rig.post(
             events.DelegatedRequestReceived(self._last_number, delegated)
@@ -272,7 +277,7 @@
             if isinstance(it, events.SendDelegationReport)
         ]
         self.rig.other_actions = []
-        return [give.share for give in actions]
+        return [action.share for action in actions]
 
 
 def test_sends_a_retry_to_another_target_and_its_answer_at_once() -> None:
@@ -298,8 +303,8 @@
         helper_rig.handle_request((first.instance.name,)) for _ in range(30)
     ]
     assert sum(1 for it in sent if it) == 10
-    lost = helper_rig.pop_reports()[-1].lost
-    assert not any(part.may_have_arrived for part in lost)
+    missing_parts = helper_rig.pop_reports()[-1].lost
+    assert not any(part.may_have_arrived for part in missing_parts)
 
 
 def test_a_pending_retry_makes_no_data_centre_silent() -> None:
@@ -314,7 +319,7 @@
     rig.send_request()
     first = pop_delegates(rig)
     for one in first:
-        waiting = tuple(
+        pending_parts = tuple(
             events.MissingPart(service, _find_target(rig, service, one), True)
             for service in one.assist.services[:1]
         )
@@ -322,7 +327,9 @@
             events.ReceivedPart(service, f'signed {service}')
             for service in one.assist.services[1:]
         )
-        report = events.DelegationReport(parts, b'', waiting, (), is_last=False)
+        report = events.DelegationReport(
+            parts, b'', pending_parts, (), is_last=False
+        )
         rig.post(events.DelegationReportReceived(one.key, report))
     rig.advance_time(0)
     assert len(pop_delegates(rig)) >= centre_health.MIN_SILENT_PEERS
@@ -363,20 +370,22 @@
     )
 )
 def test_ranks_data_centres_until_all_parts_are_covered(
-    holders: dict[str, set[str]],
+    centres_by_part: dict[str, set[str]],
 ) -> None:
     """The own data centre is first; each later one covers more parts."""
     host = deployments.Host('host-1', '10.0.0.1:1', CENTRES[0])
-    order = delegation_plans.rank_centres(host, holders)
+    order = delegation_plans.rank_centres(host, centres_by_part)
     assert order[0] == host.data_centre
     assert len(set(order)) == len(order)
     assert all(
         set(order) & part_centres
-        for part_centres in holders.values()
+        for part_centres in centres_by_part.values()
         if part_centres
     )
     uncovered = [
-        part_centres for part_centres in holders.values() if part_centres
+        part_centres
+        for part_centres in centres_by_part.values()
+        if part_centres
     ]
     for position, centre in enumerate(order):
         rest = [
--- a/tests/routing/test_contention.py
+++ b/tests/routing/test_contention.py
@@ -11,10 +11,11 @@
 
 
 @pytest.mark.parametrize(
-    ('index', 'told'), [(WITHOUT_CUSTOMERS, set()), (WITH_CUSTOMERS, {'south'})]
+    ('index', 'expected'),
+    [(WITHOUT_CUSTOMERS, set()), (WITH_CUSTOMERS, {'south'})],
 )
 def test_reports_silence_only_with_customers(
-    index: configs.Index, told: set[str]
+    index: configs.Index, expected: set[str]
 ) -> None:
     """Guard against additional messages in deployments without customers."""
     health = centre_health.CentreHealth('north')
@@ -23,4 +24,4 @@
         health.record_sent('south', name, 4.9)
     for tenth in range(50, 56):
         health.review(tenth / 10)
-    assert contention.list_unreported(index, health, 5.6) == told
+    assert contention.list_unreported(index, health, 5.6) == expected
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -45,7 +45,7 @@
 
 
 def make_request(
-    rig: router_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
+    rig: router_rig.Rig, path: str, *keys: str, request_id: str = 'id-1'
 ) -> events.Request:
     """Make a request whose caller sends these keys."""
     fields = [
@@ -53,7 +53,7 @@
         (headers.REQUEST_ID, request_id),
         (headers.DEADLINE, '800'),
         (headers.CUSTOMER, 'forged'),
-        *[(headers.KEY, f'Token {key}') for key in shown],
+        *[(headers.KEY, f'Token {key}') for key in keys],
     ]
     message = exchanges.Message(path, 0, tuple(fields), b'', 'GET')
     return exchanges.read_request(message, rig.now)
@@ -99,11 +99,11 @@
     rig.submit(make_request(rig, '/one/2', KEY, request_id='id-2'))
     (send,) = rig.pop_sent()
     rig.refuse(send)
-    (again,) = rig.pop_sent()
-    assert check_sent_customer(rig, again) == 'shop'
-    rig.break_attempt(again, messages.Fault.MALFORMED)
-    for repeat in rig.pop_sent():
-        assert check_sent_customer(rig, repeat) == 'shop'
+    (first_retry,) = rig.pop_sent()
+    assert check_sent_customer(rig, first_retry) == 'shop'
+    rig.break_attempt(first_retry, messages.Fault.MALFORMED)
+    for retry in rig.pop_sent():
+        assert check_sent_customer(rig, retry) == 'shop'
 
 
 def test_names_the_customer_at_each_shard() -> None:
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize('path', ['/search/1', '/search/2?a=b'])
 @pytest.mark.parametrize(
-    ('shown', 'public', 'wanted'),
+    ('keys', 'public', 'expected'),
     [
         ((KEY,), False, 'shop'),
         ((KEY,), True, 'shop'),
@@ -127,7 +127,7 @@
     ],
 )
 def test_a_helper_gets_the_name_and_no_key(
-    path: str, shown: tuple[str, ...], public: bool, wanted: str
+    path: str, keys: tuple[str, ...], public: bool, expected: str
 ) -> None:
     """Guard against a quarantine that other hosts cannot apply.
 
@@ -138,7 +138,7 @@
     routes = (SEARCH._replace(public=public),)
     rig.configure(3, routes, (SHOP, BANK))
     rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
-    rig.submit(make_request(rig, path, *shown))
+    rig.submit(make_request(rig, path, *keys))
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
@@ -148,7 +148,7 @@
     assert b'authorization' not in text
     delegated = delegation_codecs.decode_request(text, rig.now)
     request = exchanges.identify(delegated.request)
-    assert request.customer == wanted
+    assert request.customer == expected
     assert request.identity == delegate.assist.request.identity
 
     helper = make_rig()
@@ -156,11 +156,11 @@
         events.DelegatedRequestReceived(1, delegated._replace(request=request))
     )
     sent = helper.pop_sent()
-    assert {check_sent_customer(helper, send) for send in sent} == {wanted}
+    assert {check_sent_customer(helper, send) for send in sent} == {expected}
 
 
 @pytest.mark.parametrize(
-    ('shown', 'why'),
+    ('keys', 'reason'),
     [
         ((), customers.RefusalReason.NONE),
         (('strange',), customers.RefusalReason.UNKNOWN),
@@ -168,14 +168,14 @@
     ],
 )
 def test_refuses_requests_without_a_customer(
-    shown: tuple[str, ...], why: str
+    keys: tuple[str, ...], reason: str
 ) -> None:
     """The log holds the route and the reason, the answer only the status."""
     rig = make_rig()
-    rig.submit(make_request(rig, '/one/1', *shown))
+    rig.submit(make_request(rig, '/one/1', *keys))
     status, summary = pop_refusal(rig)
     assert status == 401
-    assert (summary.route, summary.why) == ('route /one/', why)
+    assert (summary.route, summary.why) == ('route /one/', reason)
     assert KEY not in str(summary)
     assert 'strange' not in str(summary)
 
@@ -200,11 +200,11 @@
     assert pop_refusal(rig)[0] == 401
 
 
-@pytest.mark.parametrize('shown', [(), ('strange',), (KEY, KEY)])
-def test_a_public_route_requires_no_key(shown: tuple[str, ...]) -> None:
+@pytest.mark.parametrize('keys', [(), ('strange',), (KEY, KEY)])
+def test_a_public_route_requires_no_key(keys: tuple[str, ...]) -> None:
     """An unknown key is neither refused nor forwarded."""
     rig = make_rig()
-    rig.submit(make_request(rig, '/public/1', *shown))
+    rig.submit(make_request(rig, '/public/1', *keys))
     (send,) = rig.pop_sent()
     assert check_sent_customer(rig, send) == ''
 
@@ -240,16 +240,16 @@
     assert len(identities) == 2
 
 
-@pytest.mark.parametrize(('priority', 'wanted'), [(None, 1), (0, 0), (5, 5)])
+@pytest.mark.parametrize(('priority', 'expected'), [(None, 1), (0, 0), (5, 5)])
 def test_puts_a_customers_priority_before_the_routes(
-    priority: int | None, wanted: int
+    priority: int | None, expected: int
 ) -> None:
     """A customer without a priority has that of its route."""
     rig = make_rig((SHOP._replace(priority=priority),))
     event = events.RequestReceived(7, make_request(rig, '/one/1', KEY))
-    admitted = admission.admit(rig.router, event, rig.now)
-    assert isinstance(admitted, active_requests.RoutedRequest)
-    assert admitted.priority == wanted
+    routed = admission.admit(rig.router, event, rig.now)
+    assert isinstance(routed, active_requests.RoutedRequest)
+    assert routed.priority == expected
 
 
 def test_forwards_the_key_without_customers() -> None:
--- a/tests/routing/test_delegations.py
+++ b/tests/routing/test_delegations.py
@@ -68,10 +68,10 @@
     rig = make_rig()
     rig.send_request()
     delegate = pop_delegate(rig)
-    waiting = events.MissingPart(
+    pending_part = events.MissingPart(
         SHARDS[0], f'{SHARDS[0]}-0', may_have_arrived=True
     )
-    report = make_report(SHARDS[1:])._replace(pending=(waiting,))
+    report = make_report(SHARDS[1:])._replace(pending=(pending_part,))
     rig.post(events.DelegationReportReceived(delegate.key, report))
     rig.advance_time(0)
     (hedge,) = rig.pop_sent()
@@ -82,9 +82,11 @@
     assert outcome.body == make_record('z')
 
 
-@pytest.mark.parametrize(('asked', 'more'), [(True, 0), (False, 10)])
+@pytest.mark.parametrize(
+    ('may_have_arrived', 'retry_count'), [(True, 0), (False, 10)]
+)
 def test_sends_parts_directly_when_a_helper_fails(
-    asked: bool, more: int
+    may_have_arrived: bool, retry_count: int
 ) -> None:
     """Guard against queries that fail while a dead host is asked for help.
 
@@ -94,12 +96,14 @@
     rig = make_rig()
     rig.send_request()
     delegate = pop_delegate(rig)
-    rig.post(events.DelegationFailed(delegate.key, asked, 'status 503'))
+    rig.post(
+        events.DelegationFailed(delegate.key, may_have_arrived, 'status 503')
+    )
     sent = rig.pop_sent()
     assert {send.key.service for send in sent} == set(SHARDS)
     for send in sent:
         rig.break_attempt(send)
-    assert len(rig.pop_sent()) == more
+    assert len(rig.pop_sent()) == retry_count
     # A helper that failed is left out for a while.
     rig.send_request()
     assert not any(isinstance(it, events.Delegate) for it in rig.other_actions)
@@ -138,8 +142,8 @@
     sent = rig.pop_sent()
     assert len(sent) == 10
     rig.answer(sent[0], make_record('q'))
-    late = make_report(SHARDS, make_record('z') * 2, last=True)
-    rig.post(events.DelegationReportReceived(delegate.key, late))
+    late_report = make_report(SHARDS, make_record('z') * 2, last=True)
+    rig.post(events.DelegationReportReceived(delegate.key, late_report))
     for send in sent[1:]:
         rig.answer(send, make_record('p'))
     outcome = rig.pop_outcome()
@@ -226,7 +230,7 @@
             if isinstance(it, events.SendDelegationReport)
         ]
         self.rig.other_actions = []
-        return [give.share for give in actions]
+        return [action.share for action in actions]
 
 
 def test_sends_all_parts_merged_once_all_are_in() -> None:
@@ -253,8 +257,8 @@
         send.key.service for send in helper_rig.sent[:2]
     }
     helper_rig.rig.answer(helper_rig.sent[0], make_record('x'))
-    (late,) = helper_rig.pop_reports()
-    assert (late.body, late.is_last) == (make_record('x'), False)
+    (late_report,) = helper_rig.pop_reports()
+    assert (late_report.body, late_report.is_last) == (make_record('x'), False)
     helper_rig.rig.answer(helper_rig.sent[1])
     assert helper_rig.pop_reports()[-1].is_last
 
@@ -351,9 +355,11 @@
 
 def pop_delegates(rig: router_rig.Rig) -> list[events.Delegate]:
     """Remove and return the delegated requests since the last call."""
-    taken = [it for it in rig.other_actions if isinstance(it, events.Delegate)]
+    delegates = [
+        it for it in rig.other_actions if isinstance(it, events.Delegate)
+    ]
     rig.other_actions = []
-    return taken
+    return delegates
 
 
 def test_delegates_retries_to_the_assigned_hosts() -> None:
@@ -375,12 +381,14 @@
         report = make_report(services[6:], last=True)._replace(lost=lost)
         rig.post(events.DelegationReportReceived(delegate.key, report))
     assert not rig.replies
-    again = pop_delegates(rig)
-    assert {it.assist.is_retry for it in again} == {True}
-    assert all(it.assist.counts_load for it in again)
-    wanted = {it for one in first for it in one.assist.services[:6]}
-    assert {it for one in again for it in one.assist.services} == wanted
-    for delegate in again:
+    retries = pop_delegates(rig)
+    assert {it.assist.is_retry for it in retries} == {True}
+    assert all(it.assist.counts_load for it in retries)
+    failed_services = {it for one in first for it in one.assist.services[:6]}
+    assert {
+        it for one in retries for it in one.assist.services
+    } == failed_services
+    for delegate in retries:
         assert {f'{it}-0' for it in delegate.assist.services} <= set(
             delegate.assist.avoided_targets
         )
@@ -392,23 +400,23 @@
 
 
 def make_partial_report(
-    delegate: events.Delegate, waiting: int
+    delegate: events.Delegate, pending_count: int
 ) -> events.DelegationReport:
-    """Make a report in which the first `waiting` parts are pending."""
+    """Make a report in which the first `pending_count` parts are pending."""
     services = delegate.assist.services
     pending = tuple(
         events.MissingPart(it, f'{it}-0', may_have_arrived=True)
-        for it in services[:waiting]
+        for it in services[:pending_count]
     )
-    return make_report(services[waiting:])._replace(pending=pending)
+    return make_report(services[pending_count:])._replace(pending=pending)
 
 
 @pytest.mark.parametrize(
-    ('when', 'waiting', 'again'),
+    ('elapsed_s', 'pending_count', 'hedge_count'),
     [(0.03, 12, 12), (0.046, 12, 3), (0.046, 9, 0), (0.07, 12, 3)],
 )
 def test_hedges_late_parts_only_as_coverage_needs(
-    when: float, waiting: int, again: int
+    elapsed_s: float, pending_count: int, hedge_count: int
 ) -> None:
     """Guard against late answers of small hosts due to needless hedges.
 
@@ -419,16 +427,16 @@
     rig = make_wide_rig(0.8, 0.059)
     rig.send_request()
     first = pop_delegates(rig)
-    rig.now += when
+    rig.now += elapsed_s
     for delegate in first:
-        report = make_partial_report(delegate, waiting)
-        waiting -= len(report.pending)
+        report = make_partial_report(delegate, pending_count)
+        pending_count -= len(report.pending)
         rig.post(events.DelegationReportReceived(delegate.key, report))
     rig.advance_time(0)
     sent = [it.key.service for it in rig.pop_sent()]
     for second in pop_delegates(rig):
         sent.extend(second.assist.services)
-    assert len(sent) == again
+    assert len(sent) == hedge_count
 
 
 def test_gives_a_part_up_after_its_last_attempt() -> None:
@@ -472,8 +480,8 @@
     (route,) = rig.router.index.configuration.routes
     public = route._replace(public=True)
     rig.configure(2, [public], (configs.Customer('hot', ('key',)),))
-    helper, again = return_chunk(rig)
-    (delegate,) = again
+    helper, retries = return_chunk(rig)
+    (delegate,) = retries
     assert delegate.helper.name != helper
     assert not delegate.assist.is_retry
     assert not rig.pop_sent()
@@ -481,8 +489,8 @@
 
 def test_returned_parts_go_to_the_same_host_without_customers() -> None:
     """Without customers a helper that returns parts is not left out."""
-    helper, again = return_chunk(make_wide_rig())
-    assert [it.helper.name for it in again] == [helper]
+    helper, retries = return_chunk(make_wide_rig())
+    assert [it.helper.name for it in retries] == [helper]
 
 
 def make_customer_rig() -> router_rig.Rig:
@@ -505,11 +513,11 @@
             first.key, may_have_arrived=True, cause='broken'
         )
     )
-    moved = {it.key.service for it in rig.pop_sent()}
+    retried_services = {it.key.service for it in rig.pop_sent()}
     for delegate in pop_delegates(rig):
         assert delegate.helper.name != first.helper.name
-        moved.update(delegate.assist.services)
-    assert moved == set(first.assist.services)
+        retried_services.update(delegate.assist.services)
+    assert retried_services == set(first.assist.services)
 
 
 def test_answers_while_hosts_return_all_parts_unsent() -> None:
@@ -518,10 +526,10 @@
     for _ in range(20):
         rig.send_request()
         rounds = 0
-        while asked := pop_delegates(rig):
+        while delegates := pop_delegates(rig):
             rounds += 1
             assert rounds <= 4
-            for delegate in asked:
+            for delegate in delegates:
                 services = delegate.assist.services
                 lost = tuple(
                     events.MissingPart(it, '', may_have_arrived=False)
@@ -539,23 +547,23 @@
 
 def make_refusal(
     delegate: events.Delegate,
-    absence: events.HelperFault = events.HelperFault.STARTING,
+    fault: events.HelperFault = events.HelperFault.STARTING,
 ) -> events.DelegationFailed:
     """Make the failure of a delegated request."""
-    return events.DelegationFailed(delegate.key, False, 'status', absence)
+    return events.DelegationFailed(delegate.key, False, 'status', fault)
 
 
 def count_hosts_asked(
     rig: router_rig.Rig, delegates: list[events.Delegate]
 ) -> int:
     """Refuse delegated requests as starting hosts; count the hosts asked."""
-    asked = set()
+    asked_hosts = set()
     while delegates:
         delegate = delegates.pop()
-        asked.add(delegate.helper.name)
+        asked_hosts.add(delegate.helper.name)
         rig.post(make_refusal(delegate))
         delegates += pop_delegates(rig)
-    return len(asked)
+    return len(asked_hosts)
 
 
 def test_asks_the_next_assigned_hosts_while_a_fleet_starts() -> None:
@@ -567,36 +575,36 @@
     rig = make_wide_rig()
     rig.send_request()
     first = pop_delegates(rig)
-    chunks = len(first)
+    chunk_count = len(first)
     rig.post(make_refusal(first[0]))
-    again = pop_delegates(rig)
-    (delegated,) = [set(it.assist.services) for it in again]
-    assert delegated == set(first[0].assist.services)
-    assert again[0].helper != first[0].helper
-    assert not again[0].assist.is_retry
+    retries = pop_delegates(rig)
+    (delegated_services,) = [set(it.assist.services) for it in retries]
+    assert delegated_services == set(first[0].assist.services)
+    assert retries[0].helper != first[0].helper
+    assert not retries[0].assist.is_retry
     assert not rig.pop_sent()
     # In the end it has to send the parts itself.
-    asked = count_hosts_asked(rig, [*first[1:], *again])
-    assert asked <= chunks * delegations.MAX_PART_SENDINGS
+    asked_host_count = count_hosts_asked(rig, [*first[1:], *retries])
+    assert asked_host_count <= chunk_count * delegations.MAX_PART_SENDINGS
     assert {send.key.service for send in rig.pop_sent()} == set(WIDE)
 
 
 def test_soon_asks_a_host_again_that_has_just_started() -> None:
     """A starting host is ready in a moment, a stopping one is not."""
-    absences = events.HelperFault
-    for absence, left_out in (
-        (absences.STARTING, False),
-        (absences.REFUSED, True),
+    faults = events.HelperFault
+    for fault, left_out in (
+        (faults.STARTING, False),
+        (faults.REFUSED, True),
     ):
         rig = make_wide_rig()
         rig.send_request()
         delegate = pop_delegates(rig)[0]
-        rig.post(make_refusal(delegate, absence))
+        rig.post(make_refusal(delegate, fault))
         rig.advance_time(delegations.STARTING_HELPER_PAUSE_S + 0.1)
         rig.other_actions = []
         rig.send_request()
-        asked = {it.helper for it in pop_delegates(rig)}
-        assert (delegate.helper not in asked) == left_out
+        asked_hosts = {it.helper for it in pop_delegates(rig)}
+        assert (delegate.helper not in asked_hosts) == left_out
 
 
 def test_refusals_show_that_a_data_centre_is_reachable() -> None:
@@ -635,15 +643,17 @@
     rig = make_wide_rig()
     rig.send_request()
     delegates = pop_delegates(rig)
-    arrived = True
-    asked = 0
-    while delegates and asked < 100 * len(WIDE):
+    may_have_arrived = True
+    asked_count = 0
+    while delegates and asked_count < 100 * len(WIDE):
         delegate = delegates.pop()
         services = delegate.assist.services
-        asked += len(services)
-        lost = tuple(events.MissingPart(it, '', arrived) for it in services)
+        asked_count += len(services)
+        lost = tuple(
+            events.MissingPart(it, '', may_have_arrived) for it in services
+        )
         report = make_report((), last=True)._replace(lost=lost)
-        arrived = False
+        may_have_arrived = False
         rig.post(events.DelegationReportReceived(delegate.key, report))
         delegates += pop_delegates(rig)
-    assert asked <= delegations.MAX_PART_SENDINGS * len(WIDE)
+    assert asked_count <= delegations.MAX_PART_SENDINGS * len(WIDE)
--- a/tests/routing/test_fair_queues.py
+++ b/tests/routing/test_fair_queues.py
@@ -37,10 +37,10 @@
     for number in range(100):
         queue.push(make_work(number, 'hot'))
         queue.push(make_work(100 + number, 'calm', cost=5))
-    done: Counter[str] = Counter()
+    served: Counter[str] = Counter()
     for work in pop_up_to(queue, 80):
-        done[work.customer] += work.cost
-    assert done['hot'] == pytest.approx(done['calm'], abs=15)
+        served[work.customer] += work.cost
+    assert served['hot'] == pytest.approx(served['calm'], abs=15)
 
 
 def test_a_customer_with_little_work_is_served_next() -> None:
@@ -59,11 +59,11 @@
     for number in range(100):
         queue.push(make_work(number, 'calm'))
         queue.push(make_work(100 + number, 'urgent', priority=0))
-    done = Counter(it.customer for it in pop_up_to(queue, 100))
-    assert done['urgent'] == pytest.approx(
-        fair_queues.PRIORITY_WEIGHT_RATIO * done['calm'], rel=0.1
+    served = Counter(it.customer for it in pop_up_to(queue, 100))
+    assert served['urgent'] == pytest.approx(
+        fair_queues.PRIORITY_WEIGHT_RATIO * served['calm'], rel=0.1
     )
-    assert done['calm']
+    assert served['calm']
 
 
 def test_a_lagging_priority_does_not_set_the_virtual_time_back() -> None:
@@ -81,8 +81,8 @@
         assert queue
     for number in range(400, 500):
         queue.push(make_work(number, 'calm'))
-    done = Counter(it.customer for it in pop_up_to(queue, 20))
-    assert done['urgent'] >= 14
+    served = Counter(it.customer for it in pop_up_to(queue, 20))
+    assert served['urgent'] >= 14
 
 
 def test_unused_time_is_not_saved_up() -> None:
@@ -93,8 +93,8 @@
     pop_up_to(queue, 50)
     for number in range(100, 200):
         queue.push(make_work(number, 'late'))
-    done = Counter(it.customer for it in pop_up_to(queue, 20))
-    assert done['calm'] >= 9
+    served = Counter(it.customer for it in pop_up_to(queue, 20))
+    assert served['calm'] >= 9
 
 
 def test_the_earliest_deadline_of_a_customer_is_next() -> None:
--- a/tests/routing/test_quota_buckets.py
+++ b/tests/routing/test_quota_buckets.py
@@ -34,10 +34,10 @@
 def test_grants_all_tokens_and_then_a_wait() -> None:
     buckets = make_buckets()
     assert [grant(buckets).tokens for _ in range(5)] == [1, 1, 1, 1, 0]
-    late = grant(buckets)
-    assert late.tokens == 0
+    refused = grant(buckets)
+    assert refused.tokens == 0
     # The caller that was refused before comes first.
-    assert late.wait == pytest.approx(0.5 + 1 / LIMIT.rate)
+    assert refused.wait == pytest.approx(0.5 + 1 / LIMIT.rate)
     assert grant(buckets, NOW + 0.5).tokens == 1
 
 
--- a/tests/routing/test_quota_codecs.py
+++ b/tests/routing/test_quota_codecs.py
@@ -8,15 +8,15 @@
 
 
 @pytest.mark.parametrize(
-    'word',
+    'message',
     [
         quota_messages.TokenRequest('Café 9', 3, 71, 12, 4),
         quota_messages.TokenReply(71, 12, 0, 0.25),
     ],
 )
-def test_decodes_what_was_encoded(word: quota_messages.Message) -> None:
-    datagram = quota_codecs.encode_message(word)
-    assert quota_codecs.decode_message(datagram) == word
+def test_decodes_what_was_encoded(message: quota_messages.Message) -> None:
+    datagram = quota_codecs.encode_message(message)
+    assert quota_codecs.decode_message(datagram) == message
     assert len(datagram) < 100
 
 
--- a/tests/routing/test_quota_slots.py
+++ b/tests/routing/test_quota_slots.py
@@ -31,13 +31,15 @@
     excess = quota_slots.compute_excess(limit, quota)
     capacity = sum(it.capacity for it in shares)
     assert burst <= capacity * 1.000001
-    starts = sum(it.start_tokens for it in shares)
+    start_tokens = sum(it.start_tokens for it in shares)
     refilled = sum(it.rate for it in shares) * quota.window_s
     allowed = rate * quota.window_s + burst + excess
-    assert capacity + refilled + starts <= max(allowed, 1 + refilled) + 0.001
+    assert (
+        capacity + refilled + start_tokens <= max(allowed, 1 + refilled) + 0.001
+    )
     # Out of reach, as a slot only grants whole tokens.
-    stranded = len(shares) if len(shares) > 1 else 0
-    assert capacity - stranded >= burst - 0.001
+    unreachable_tokens = len(shares) if len(shares) > 1 else 0
+    assert capacity - unreachable_tokens >= burst - 0.001
 
 
 def test_two_hosts_of_each_data_centre_hold_slots() -> None:
--- a/tests/routing/test_quotas.py
+++ b/tests/routing/test_quotas.py
@@ -55,10 +55,10 @@
     simulation.run_load(10.0, HOT)
     waits = [it.failure.retry_after for it in simulation.refused]
     assert all(waits)
-    late = [it for it in waits[len(waits) // 2 :] if it is not None]
-    assert len(set(late)) > len(late) / 2
+    later_waits = [it for it in waits[len(waits) // 2 :] if it is not None]
+    assert len(set(later_waits)) > len(later_waits) / 2
     # About 35 requests a second are refused and 10 are admitted.
-    assert sum(late) / len(late) > 1
+    assert sum(later_waits) / len(later_waits) > 1
 
 
 @pytest.mark.parametrize('rate', [2.0, 6.0])
@@ -189,9 +189,9 @@
         simulation._quotas[host.name].record_end(
             number, simulation.now, ran=False
         )
-    begun = len(simulation.admitted)
+    admitted_count = len(simulation.admitted)
     simulation.run_until(simulation.now + 1)
-    assert len(simulation.admitted) == begun
+    assert len(simulation.admitted) == admitted_count
 
 
 def test_sends_no_messages_without_limits() -> None:
@@ -270,8 +270,8 @@
 def test_holds_over_an_outage_in_which_nothing_runs() -> None:
     """Guard against returned tokens that add up while no request runs."""
     simulation = quota_simulation.Simulation(16)
-    ends = simulation.now + 8
-    while simulation.now < ends:
+    end_time = simulation.now + 8
+    while simulation.now < end_time:
         simulation.run_load(0.05, {LARGE: 300.0})
         for host in simulation.hosts:
             host_quotas = simulation._quotas[host.name]
--- a/tests/routing/test_retry_times.py
+++ b/tests/routing/test_retry_times.py
@@ -88,9 +88,9 @@
 
 def test_retry_times_after_an_outage_are_spread() -> None:
     """Guard against simultaneous requests to a data centre after an outage."""
-    for left in (1.5, 2.5):
+    for remaining_s in (1.5, 2.5):
         retry_afters = sorted(
-            it for key in KEYS for it in list_retry_times(key, left)
+            it for key in KEYS for it in list_retry_times(key, remaining_s)
         )
         max_count = max(
             sum(1 for it in retry_afters if first <= it < first + 0.05)
@@ -101,19 +101,19 @@
 
 def test_retry_times_stay_within_what_callers_wait() -> None:
     """Guard against a spread beyond the time that callers wait."""
-    for left in (0.4, 0.8, 1.5, 2.5):
-        urgent, calm = (list_retry_times(key, left) for key in KEYS)
+    for remaining_s in (0.4, 0.8, 1.5, 2.5):
+        urgent, calm = (list_retry_times(key, remaining_s) for key in KEYS)
         assert max(urgent) <= min(calm)
         assert min(urgent) >= RETRY_AFTER_S
-        assert max(calm) <= left / 3 + ROUNDING_S
+        assert max(calm) <= remaining_s / 3 + ROUNDING_S
         assert max(calm) <= RETRY_AFTER_S + 2 * retry_times.PRIORITY_SPREAD_S
 
 
 def test_keeps_a_retry_after_beyond_what_the_caller_waits() -> None:
     """Guard against a Retry-After before there is room."""
     rig = make_rig(CUSTOMERS)
-    late = INCOMPLETE._replace(retry_after=1.0)
-    assert get_retry_after(rig, 'calm-key', 0.8, late) == 1.0
+    late_failure = INCOMPLETE._replace(retry_after=1.0)
+    assert get_retry_after(rig, 'calm-key', 0.8, late_failure) == 1.0
 
 
 def test_keeps_retry_after_without_customers() -> None:
