--- a/fuchsiahaven/routing/queued_work.py
+++ b/fuchsiahaven/routing/queued_work.py
@@ -50,11 +50,11 @@
         case events.RequestReceived():
             return _make_request_work(router, event, now)
         case events.DelegatedRequestReceived(number, delegated):
-            name = delegated.request.customer
+            customer = delegated.request.customer
             return fair_queues.Work(
                 number,
-                name,
-                _find_priority(router, name, delegated.route_name),
+                customer,
+                _find_priority(router, customer, delegated.route_name),
                 len(delegated.services),
                 delegated.deadline,
                 _compute_latest_start(router, delegated, now),
@@ -181,16 +181,18 @@
     return min(latest_start, now + MAX_WAIT_FRACTION * delegated.objective)
 
 
-def _find_priority(router: states.Router, customer: str, route: str) -> int:
+def _find_priority(
+    router: states.Router, customer: str, route_name: str
+) -> int:
     """Find the priority of a delegated request by its customer and route."""
     priorities = router.index.priorities
-    route_priority = priorities.routes.get(route, UNKNOWN_ROUTE_PRIORITY)
+    route_priority = priorities.routes.get(route_name, UNKNOWN_ROUTE_PRIORITY)
     return priorities.customers.get(customer, route_priority)
 
 
-def _estimate_min_time(router: states.Router, route: str) -> float:
+def _estimate_min_time(router: states.Router, route_name: str) -> float:
     """Estimate the least time that targets take, 0 without measurements."""
     return (
-        router.latency_windows.get(route, hedges.EMPTY).delay_s
+        router.latency_windows.get(route_name, hedges.EMPTY).delay_s
         / attempts.MAX_HEDGE_MEDIANS
     )
--- a/fuchsiahaven/routing/quota_buckets.py
+++ b/fuchsiahaven/routing/quota_buckets.py
@@ -18,13 +18,13 @@
 
 
 class Bucket(NamedTuple):
-    """Hold the tokens of a slot at the time `updated`.
+    """Hold the tokens of a slot at the time `updated_at`.
 
     `free_at` is when there is a token for the last caller that was refused.
     """
 
     level: float
-    updated: float
+    updated_at: float
     free_at: float = 0.0
 
 
@@ -55,7 +55,7 @@
         self._buckets: dict[SlotKey, Bucket] = {}
         self._shares: dict[SlotKey, quota_slots.SlotShare] = {}
         self._known_since: dict[str, float] = {}
-        self._holders_changed = 0.0
+        self._holders_changed_at = 0.0
 
     def update_holders(
         self, now: float, is_held: Callable[[str, int], bool]
@@ -65,7 +65,7 @@
         The new holder grants their tokens, so a bucket does not go on filling
         here until the slot comes back.
         """
-        self._holders_changed = now
+        self._holders_changed_at = now
         lost = [key for key in self._buckets if not is_held(*key)]
         for key in lost:
             self._buckets.pop(key)
@@ -139,8 +139,8 @@
         if bucket is None:
             known_since = self._known_since.get(key.customer, now)
             bucket = Bucket(
-                share.start_tokens, max(self._holders_changed, known_since)
+                share.start_tokens, max(self._holders_changed_at, known_since)
             )
-        elapsed_s = max(0.0, now - bucket.updated)
+        elapsed_s = max(0.0, now - bucket.updated_at)
         level = min(share.capacity, bucket.level + share.rate * elapsed_s)
-        return bucket._replace(level=level, updated=now)
+        return bucket._replace(level=level, updated_at=now)
--- a/fuchsiahaven/routing/quotas.py
+++ b/fuchsiahaven/routing/quotas.py
@@ -72,7 +72,7 @@
     """Hold the customer and the expiry of the token that a request spent."""
 
     customer: str
-    expires: float
+    expires_at: float
 
 
 class Decision(NamedTuple):
@@ -179,7 +179,7 @@
         }
         spent = self._spent.pop(number, None)
         if spent is not None and not ran:
-            self._spare_tokens.add(spent.customer, 1, spent.expires)
+            self._spare_tokens.add(spent.customer, 1, spent.expires_at)
 
     def handle_message(
         self, event: quota_messages.MessageReceived, now: float
