--- a/tests/routing/quota_simulation.py
+++ b/tests/routing/quota_simulation.py
@@ -85,7 +85,7 @@
         self._extra_delay = extra_delay
         self._cut_pairs: set[frozenset[str]] = set()
         self._isolated: set[str] = set()
-        self._frozen: dict[str, list[quota_messages.MessageReceived]] = {}
+        self._paused: dict[str, list[quota_messages.MessageReceived]] = {}
         self._quotas: dict[str, quotas.Quotas] = {}
         self._start_ids = itertools.count(1)
         self._numbers = itertools.count(1)
@@ -107,7 +107,7 @@
         host_quotas.update_customers(self.customers, self.now)
         host_quotas.update_hosts(tuple(self.hosts), self.now)
         self._quotas[host.name] = host_quotas
-        self._frozen.pop(host.name, None)
+        self._paused.pop(host.name, None)
 
     def kill_all(self) -> None:
         """Kill and restart all hosts; messages in flight are lost."""
@@ -140,21 +140,21 @@
         """Cut off these hosts from all others; reconnect the rest."""
         self._isolated = {host.name for host in hosts}
 
-    def freeze(self, host: deployments.Host) -> None:
+    def pause(self, host: deployments.Host) -> None:
         """Pause a host; messages to it wait in its socket."""
-        if host.name not in self._frozen:
-            self._frozen[host.name] = []
+        if host.name not in self._paused:
+            self._paused[host.name] = []
 
-    def thaw(self, host: deployments.Host) -> None:
+    def resume(self, host: deployments.Host) -> None:
         """Resume a paused host."""
-        for event in self._frozen.pop(host.name, []):
+        for event in self._paused.pop(host.name, []):
             self._handle_message(host.name, event)
 
     def request(
         self, customer: configs.Customer, host: deployments.Host
     ) -> None:
         """Send a request of a customer to a host."""
-        if host.name in self._frozen:
+        if host.name in self._paused:
             return
         number = next(self._numbers)
         request = events.Request(
@@ -194,7 +194,7 @@
             event_time, _, name, event = heapq.heappop(self._events)
             self.now = max(self.now, event_time)
             if event is None:
-                if name not in self._frozen:
+                if name not in self._paused:
                     self._quotas[name].expire_pending(self.now)
                     self._process_output(name)
             else:
@@ -231,7 +231,7 @@
     def _deliver(
         self, name: str, event: quota_messages.MessageReceived
     ) -> None:
-        held = self._frozen.get(name)
+        held = self._paused.get(name)
         if held is None:
             self._handle_message(name, event)
         else:
--- a/tests/routing/test_quotas.py
+++ b/tests/routing/test_quotas.py
@@ -86,7 +86,7 @@
     check_bounds(simulation)
 
 
-def test_serves_both_sides_of_a_cut() -> None:
+def test_serves_both_sides_of_a_partition() -> None:
     """Guard against a data centre that has no holders while it is cut off."""
     simulation = quota_simulation.Simulation(73)
     simulation.run_load(10.0, CALM)
@@ -95,7 +95,7 @@
     assert not simulation.refused
 
 
-def test_holds_over_a_cut_while_a_customer_is_hot() -> None:
+def test_holds_over_a_partition_while_a_customer_is_hot() -> None:
     """Guard against a whole quota on each side of a network partition."""
     simulation = quota_simulation.Simulation(73)
     for centres in (['north'], [], ['east', 'west'], []):
@@ -128,7 +128,7 @@
     """Guard against a customer that depends on a single host."""
     simulation = quota_simulation.Simulation(16)
     for host in simulation.hosts[:2]:
-        simulation.freeze(host)
+        simulation.pause(host)
     simulation.run_load(10.0, CALM)
     assert not simulation.refused
 
@@ -137,10 +137,10 @@
     """Guard against requests that waited in a socket and are all granted."""
     simulation = quota_simulation.Simulation(16)
     for host in simulation.hosts[:4]:
-        simulation.freeze(host)
+        simulation.pause(host)
     simulation.run_load(5.0, HOT)
     for host in simulation.hosts[:4]:
-        simulation.thaw(host)
+        simulation.resume(host)
     simulation.run_load(5.0, HOT)
     check_bounds(simulation)
 
@@ -225,15 +225,15 @@
         steps = {
             'cut north': lambda: self.simulation.cut_off('north'),
             'cut two': lambda: self.simulation.cut_off('east', 'south'),
-            'heal': self.simulation.cut_off,
-            'alone': lambda: self.simulation.isolate(self._choose_hosts()),
-            'together': lambda: self.simulation.isolate([]),
+            'reconnect': self.simulation.cut_off,
+            'isolate': lambda: self.simulation.isolate(self._choose_hosts()),
+            'rejoin': lambda: self.simulation.isolate([]),
             'kill all': self._kill_all,
             'kill one': lambda: self.simulation.start(self._choose_host()),
-            'freeze': self._freeze,
-            'thaw': self._thaw,
-            'views differ': self._make_views_differ,
-            'views agree': self._make_views_agree,
+            'pause': self._pause_hosts,
+            'resume': self._resume_hosts,
+            'host lists differ': self._make_host_lists_differ,
+            'host lists agree': self._make_host_lists_agree,
         }
         steps[step]()
 
@@ -249,25 +249,25 @@
             self.restarts_left -= 1
             self.simulation.kill_all()
 
-    def _freeze(self) -> None:
+    def _pause_hosts(self) -> None:
         for host in self._choose_hosts():
-            self.simulation.freeze(host)
+            self.simulation.pause(host)
 
-    def _thaw(self) -> None:
+    def _resume_hosts(self) -> None:
         for host in self.simulation.hosts:
-            self.simulation.thaw(host)
+            self.simulation.resume(host)
 
-    def _make_views_differ(self) -> None:
+    def _make_host_lists_differ(self) -> None:
         removed = self._choose_host()
         remaining = tuple(it for it in self.simulation.hosts if it != removed)
         self.simulation.set_known_hosts(self._choose_host(), remaining)
 
-    def _make_views_agree(self) -> None:
+    def _make_host_lists_agree(self) -> None:
         for host in self.simulation.hosts:
             self.simulation.set_known_hosts(host, tuple(self.simulation.hosts))
 
 
-def test_holds_over_an_outage_in_which_nothing_runs() -> None:
+def test_holds_while_no_admitted_request_runs() -> None:
     """Guard against returned tokens that add up while no request runs."""
     simulation = quota_simulation.Simulation(16)
     end_time = simulation.now + 8
@@ -324,15 +324,15 @@
 STEPS: Final = (
     'cut north',
     'cut two',
-    'heal',
-    'alone',
-    'together',
+    'reconnect',
+    'isolate',
+    'rejoin',
     'kill all',
     'kill one',
-    'freeze',
-    'thaw',
-    'views differ',
-    'views agree',
+    'pause',
+    'resume',
+    'host lists differ',
+    'host lists agree',
 )
 
 
