--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -95,7 +95,7 @@
 
 
 def test_is_not_ready_while_it_has_to_refuse_keys() -> None:
-    """Guard against load on a host that refuses nearly all requests."""
+    """Guard against callers sent to a host that refuses nearly all of them."""
     rig = Rig()
     assert not dispatch.find_obstacle(rig.router, rig.now)
     rig.pause_host()
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -77,7 +77,7 @@
 
 
 def test_sends_targets_the_name_in_place_of_the_key() -> None:
-    """Guard against keys in the logs of targets."""
+    """Guard against keys that readers of a target's log could use."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
@@ -194,7 +194,7 @@
 
 
 def test_requires_keys_after_the_last_customer_is_removed() -> None:
-    """Guard against a host that serves all callers without customers."""
+    """Guard against open access after the last customer is removed."""
     rig = make_rig(())
     rig.submit(make_request(rig, '/one/1', KEY))
     assert pop_refusal(rig)[0] == 401
--- a/tests/routing/test_fair_queues.py
+++ b/tests/routing/test_fair_queues.py
@@ -32,7 +32,7 @@
 
 
 def test_customers_of_one_priority_share_by_cost() -> None:
-    """Guard against shares by the number of requests or queries."""
+    """Guard against shares by demand, and wide queries that count as one."""
     queue: fair_queues.FairQueue[str] = fair_queues.FairQueue()
     for number in range(100):
         queue.push(make_work(number, 'hot'))
