--- a/fuchsiahaven/routing/delegations.py
+++ b/fuchsiahaven/routing/delegations.py
@@ -30,7 +30,7 @@
 
 #: How long a helper that refused because it is stopping, or whose request
 #: failed, is not asked again. A stop takes longer, but asking such a helper
-#: once more costs no more than a detour.
+#: again only costs one more detour.
 REFUSED_HELPER_PAUSE_S: Final = 2.0
 #: The same for a helper that is starting and lacks state for a moment.
 STARTING_HELPER_PAUSE_S: Final = 0.2
--- a/fuchsiahaven/routing/quota_slots.py
+++ b/fuchsiahaven/routing/quota_slots.py
@@ -36,7 +36,7 @@
     """Bound what one slot grants.
 
     It gains `rate` tokens a second up to `capacity`, and has `start_tokens`
-    when its holder starts.
+    when a host starts to hold it.
     """
 
     rate: float
