--- a/tests/routing/test_contention.py
+++ b/tests/routing/test_contention.py
@@ -1,4 +1,4 @@
-"""Test what a host does only where customers compete."""
+"""Test what a host does only if customers compete."""
 
 import pytest
 
@@ -11,16 +11,17 @@
 
 
 @pytest.mark.parametrize(
-    ('index', 'told'), [(WITHOUT_CUSTOMERS, set()), (WITH_CUSTOMERS, {'south'})]
+    ('index', 'expected'),
+    [(WITHOUT_CUSTOMERS, set()), (WITH_CUSTOMERS, {'south'})],
 )
 def test_reports_silence_only_with_customers(
-    index: configs.Index, told: set[str]
+    index: configs.Index, expected: set[str]
 ) -> None:
-    """Deployments without customers send no message more."""
+    """Guard against additional messages in deployments without customers."""
     health = centre_health.CentreHealth('north')
     health.review(4.9)
     for name in ('a', 'b', 'c'):
         health.record_sent('south', name, 4.9)
     for tenth in range(50, 56):
         health.review(tenth / 10)
-    assert contention.list_unreported(index, health, 5.6) == told
+    assert contention.list_unreported(index, health, 5.6) == expected
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -1,4 +1,4 @@
-"""Test that requests are known as their customers', and keys go nowhere."""
+"""Test that requests carry their customer's name and never its key."""
 
 from typing import Final
 
@@ -37,7 +37,7 @@
     known_customers: tuple[configs.Customer, ...] | None = (SHOP, BANK),
     data_centre: str = 'north',
 ) -> router_rig.Rig:
-    """Make a host with two customers."""
+    """Make a host with two customers by default."""
     targets = router_rig.make_instances((*SHARDS, *RECORDS), 3, data_centre)
     rig = router_rig.Rig((), targets)
     rig.configure(2, ROUTES, known_customers)
@@ -45,22 +45,22 @@
 
 
 def make_request(
-    rig: router_rig.Rig, path: str, *shown: str, request_id: str = 'id-1'
+    rig: router_rig.Rig, path: str, *keys: str, request_id: str = 'id-1'
 ) -> events.Request:
-    """Read a request with the keys that are shown."""
+    """Make a request whose caller sends these keys."""
     fields = [
         ('host', 'shop.example'),
         (headers.REQUEST_ID, request_id),
         (headers.DEADLINE, '800'),
         (headers.CUSTOMER, 'forged'),
-        *[(headers.KEY, f'Token {key}') for key in shown],
+        *[(headers.KEY, f'Token {key}') for key in keys],
     ]
     message = exchanges.Message(path, 0, tuple(fields), b'', 'GET')
     return exchanges.read_request(message, rig.now)
 
 
 def pop_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
-    """Return the status and the line of the one refusal."""
+    """Return the status and the summary of the one refusal."""
     outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert not rig.pop_sent()
@@ -68,7 +68,7 @@
 
 
 def check_sent_customer(rig: router_rig.Rig, send: events.SendAttempt) -> str:
-    """Return the customer that a target is shown, and that it sees no key."""
+    """Return the customer that a target gets; check that it gets no key."""
     fields = exchanges.write_request(send, rig.now)
     assert KEY not in str(fields)
     assert headers.KEY not in dict(fields)
@@ -77,7 +77,7 @@
 
 
 def test_sends_targets_the_name_in_place_of_the_key() -> None:
-    """Symptom: whoever reads a target's log can ask as the customer."""
+    """Guard against keys that readers of a target's log could use."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
@@ -87,7 +87,7 @@
 
 
 def test_names_the_customer_on_hedges_and_retries() -> None:
-    """Each way to a second target is a copy of the first request."""
+    """Each hedge and each retry is a copy of the first request."""
     rig = make_rig()
     rig.submit(make_request(rig, '/one/1', KEY))
     rig.advance_time(0.09)
@@ -99,15 +99,15 @@
     rig.submit(make_request(rig, '/one/2', KEY, request_id='id-2'))
     (send,) = rig.pop_sent()
     rig.refuse(send)
-    (again,) = rig.pop_sent()
-    assert check_sent_customer(rig, again) == 'shop'
-    rig.break_attempt(again, messages.Fault.MALFORMED)
-    for repeat in rig.pop_sent():
-        assert check_sent_customer(rig, repeat) == 'shop'
+    (first_retry,) = rig.pop_sent()
+    assert check_sent_customer(rig, first_retry) == 'shop'
+    rig.break_attempt(first_retry, messages.Fault.MALFORMED)
+    for retry in rig.pop_sent():
+        assert check_sent_customer(rig, retry) == 'shop'
 
 
 def test_names_the_customer_at_each_shard() -> None:
-    """Parts are requests of the same customer."""
+    """All parts of a query are requests of its customer."""
     rig = make_rig()
     rig.submit(make_request(rig, '/search/1', KEY))
     sent = rig.pop_sent()
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize('path', ['/search/1', '/search/2?a=b'])
 @pytest.mark.parametrize(
-    ('shown', 'public', 'wanted'),
+    ('keys', 'public', 'expected'),
     [
         ((KEY,), False, 'shop'),
         ((KEY,), True, 'shop'),
@@ -127,18 +127,18 @@
     ],
 )
 def test_a_helper_gets_the_name_and_no_key(
-    path: str, shown: tuple[str, ...], public: bool, wanted: str
+    path: str, keys: tuple[str, ...], public: bool, expected: str
 ) -> None:
-    """Symptom: a quarantine that one host begins means nothing to another.
+    """Guard against a quarantine that other hosts cannot apply.
 
-    Asker and helper have to know a request by the same name, though only one
-    of them has seen the key.
+    The delegating host and its helper have to compute the same identity of a
+    request, though only one of them has the key.
     """
     rig = make_rig(data_centre='south')
     routes = (SEARCH._replace(public=public),)
     rig.configure(3, routes, (SHOP, BANK))
     rig.post(events.HostsChanged(2, (router_rig.HOST, HELPER)))
-    rig.submit(make_request(rig, path, *shown))
+    rig.submit(make_request(rig, path, *keys))
     (delegate,) = [
         it for it in rig.other_actions if isinstance(it, events.Delegate)
     ]
@@ -148,7 +148,7 @@
     assert b'authorization' not in text
     delegated = delegation_codecs.decode_request(text, rig.now)
     request = exchanges.identify(delegated.request)
-    assert request.customer == wanted
+    assert request.customer == expected
     assert request.identity == delegate.assist.request.identity
 
     helper = make_rig()
@@ -156,11 +156,11 @@
         events.DelegatedRequestReceived(1, delegated._replace(request=request))
     )
     sent = helper.pop_sent()
-    assert {check_sent_customer(helper, send) for send in sent} == {wanted}
+    assert {check_sent_customer(helper, send) for send in sent} == {expected}
 
 
 @pytest.mark.parametrize(
-    ('shown', 'why'),
+    ('keys', 'reason'),
     [
         ((), customers.RefusalReason.NONE),
         (('strange',), customers.RefusalReason.UNKNOWN),
@@ -168,20 +168,20 @@
     ],
 )
 def test_refuses_requests_without_a_customer(
-    shown: tuple[str, ...], why: str
+    keys: tuple[str, ...], reason: str
 ) -> None:
-    """The line tells the route and why, and the answer only that it is so."""
+    """The log holds the route and the reason, the answer only the status."""
     rig = make_rig()
-    rig.submit(make_request(rig, '/one/1', *shown))
+    rig.submit(make_request(rig, '/one/1', *keys))
     status, summary = pop_refusal(rig)
     assert status == 401
-    assert (summary.route, summary.why) == ('route /one/', why)
+    assert (summary.route, summary.why) == ('route /one/', reason)
     assert KEY not in str(summary)
     assert 'strange' not in str(summary)
 
 
 def test_refuses_a_key_that_a_configuration_removed() -> None:
-    """Given again, it is valid again."""
+    """A key that is added again is valid again."""
     rig = make_rig()
     rig.configure(3, ROUTES, (SHOP._replace(keys=()), BANK))
     rig.submit(make_request(rig, '/one/1', KEY))
@@ -194,25 +194,25 @@
 
 
 def test_requires_keys_after_the_last_customer_is_removed() -> None:
-    """Symptom: the last customer is removed, and everybody is served."""
+    """Guard against open access after the last customer is removed."""
     rig = make_rig(())
     rig.submit(make_request(rig, '/one/1', KEY))
     assert pop_refusal(rig)[0] == 401
 
 
-@pytest.mark.parametrize('shown', [(), ('strange',), (KEY, KEY)])
-def test_a_public_route_requires_no_key(shown: tuple[str, ...]) -> None:
-    """A strange key turns nobody away, and names nobody."""
+@pytest.mark.parametrize('keys', [(), ('strange',), (KEY, KEY)])
+def test_a_public_route_requires_no_key(keys: tuple[str, ...]) -> None:
+    """An unknown key is neither refused nor forwarded."""
     rig = make_rig()
-    rig.submit(make_request(rig, '/public/1', *shown))
+    rig.submit(make_request(rig, '/public/1', *keys))
     (send,) = rig.pop_sent()
     assert check_sent_customer(rig, send) == ''
 
 
 def test_is_not_ready_without_a_configuration() -> None:
-    """Symptom: callers with good keys are told for good that they have none.
+    """Guard against permanent refusals of valid keys.
 
-    A host that has just started says when to come back.
+    A host that has just started answers with a Retry-After.
     """
     rig = router_rig.Rig((), ())
     rig.router.index = configs.build_index(configs.EMPTY_CONFIGURATION)
@@ -222,14 +222,14 @@
 
 
 def test_reports_a_missing_route_before_a_missing_key() -> None:
-    """A path that leads nowhere is no matter of keys."""
+    """A request without a route is refused without a check of its key."""
     rig = make_rig()
     rig.submit(make_request(rig, '/none/1'))
     assert pop_refusal(rig)[0] == 404
 
 
 def test_identities_of_requests_differ_by_customer() -> None:
-    """Symptom: what one customer asks is quarantined for all others."""
+    """Guard against a request of one customer that is quarantined for all."""
     rig = make_rig()
     identities = set()
     for key in (KEY, OTHER_KEY):
@@ -240,20 +240,20 @@
     assert len(identities) == 2
 
 
-@pytest.mark.parametrize(('priority', 'wanted'), [(None, 1), (0, 0), (5, 5)])
+@pytest.mark.parametrize(('priority', 'expected'), [(None, 1), (0, 0), (5, 5)])
 def test_puts_a_customers_priority_before_the_routes(
-    priority: int | None, wanted: int
+    priority: int | None, expected: int
 ) -> None:
-    """A customer that has none is as urgent as its route."""
+    """A customer without a priority has that of its route."""
     rig = make_rig((SHOP._replace(priority=priority),))
     event = events.RequestReceived(7, make_request(rig, '/one/1', KEY))
-    admitted = admission.admit(rig.router, event, rig.now)
-    assert isinstance(admitted, active_requests.RoutedRequest)
-    assert admitted.priority == wanted
+    routed = admission.admit(rig.router, event, rig.now)
+    assert isinstance(routed, active_requests.RoutedRequest)
+    assert routed.priority == expected
 
 
 def test_forwards_the_key_without_customers() -> None:
-    """Whatever a caller shows is between it and the target."""
+    """Without customers the key is a matter between caller and target."""
     rig = make_rig(None)
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
--- a/tests/routing/test_quota_codecs.py
+++ b/tests/routing/test_quota_codecs.py
@@ -8,15 +8,15 @@
 
 
 @pytest.mark.parametrize(
-    'word',
+    'message',
     [
         quota_messages.TokenRequest('Café 9', 3, 71, 12, 4),
         quota_messages.TokenReply(71, 12, 0, 0.25),
     ],
 )
-def test_decodes_what_was_encoded(word: quota_messages.Message) -> None:
-    datagram = quota_codecs.encode_message(word)
-    assert quota_codecs.decode_message(datagram) == word
+def test_decodes_what_was_encoded(message: quota_messages.Message) -> None:
+    datagram = quota_codecs.encode_message(message)
+    assert quota_codecs.decode_message(datagram) == message
     assert len(datagram) < 100
 
 
@@ -38,14 +38,14 @@
     ],
 )
 def test_refuses_malformed_datagrams(datagram: bytes) -> None:
-    """Guard against bytes of something else that end a host's loop."""
+    """Guard against foreign datagrams that end the loop of a host."""
     with pytest.raises(report_codecs.MalformedReport):
         quota_codecs.decode_message(datagram)
 
 
 @hypothesis.given(some.binary(max_size=200))
 def test_any_bytes_are_a_message_or_malformed(datagram: bytes) -> None:
-    """Guard against an error that nobody expects."""
+    """Guard against an exception that the caller does not handle."""
     try:
         quota_codecs.decode_message(datagram)
     except report_codecs.MalformedReport:
