--- a/bench/demo.py
+++ b/bench/demo.py
@@ -14,7 +14,7 @@
 
 from bench import worlds
 from fuchsiahaven.core import addresses
-from fuchsiahaven.operate import command_query, exchanges
+from fuchsiahaven.operate import command_query, host_client
 from standins import wire
 
 HTTP_OK: Final = 200
@@ -26,7 +26,7 @@
     """Hold one question, and the deployment that it is put to."""
 
     deployment: str
-    body: exchanges.Body
+    body: host_client.JsonObject
 
 
 VISITS: Final = (
@@ -71,12 +71,12 @@
     if not _wait_ready(host):
         print(f'{visit.deployment}: the host did not get ready')
         return False
-    told = exchanges.ask(host, 'POST', '/v1/search', body=visit.body)
-    if isinstance(told, exchanges.Silent):
+    told = host_client.send_request(host, 'POST', '/v1/search', body=visit.body)
+    if isinstance(told, host_client.NoResponse):
         print(f'{visit.deployment}: no answer: {told.reason}')
         return False
     print(json.dumps(told.body, ensure_ascii=False))
-    lines = command_query.describe(told)
+    lines = command_query.format_response(told)
     print(f'{visit.deployment}, {visit.body["class"]}: {lines[-1]}')
     return told.body.get('status') == 'complete'
 
--- a/fuchsiahaven/edge/meters.py
+++ b/fuchsiahaven/edge/meters.py
@@ -57,7 +57,7 @@
             self._metrics.queued.set(sample.queued)
             self._metrics.connections.set(sample.connections)
             self._metrics.revision.set(sample.revision)
-            return metrics.write_metrics(self._metrics)
+            return metrics.encode_metrics(self._metrics)
 
     def _note_coverage(
         self, class_name: str, stated: coverage.Coverage
--- a/fuchsiahaven/operate/command_apply.py
+++ b/fuchsiahaven/operate/command_apply.py
@@ -3,7 +3,7 @@
 import argparse
 from typing import Final
 
-from fuchsiahaven.operate import command_plan, exits, submissions
+from fuchsiahaven.operate import command_plan, exit_codes, submissions
 
 EPILOG: Final = f"""examples:
   fuchsiahaven apply santiago.ini --dry-run
@@ -28,7 +28,7 @@
     """Submit the description as one change."""
     change = command_plan.read_change(arguments.file)
     if change is None:
-        return exits.USAGE
+        return exit_codes.USAGE
     if arguments.dry_run:
         return command_plan.show_plan(arguments, change)
     return submissions.submit(arguments, change)
--- a/fuchsiahaven/operate/command_check.py
+++ b/fuchsiahaven/operate/command_check.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from fuchsiahaven.operate import exits, settings_reader
+from fuchsiahaven.operate import exit_codes, settings_reader
 from fuchsiahaven.platform import records, settings
 
 EPILOG = """examples:
@@ -43,36 +43,38 @@
 
 def run(arguments: argparse.Namespace) -> int:
     """Print every fault; succeed if there is none."""
-    found = _find(arguments)
+    finding = _check_file(arguments)
     if arguments.json:
-        told = {'file': str(arguments.file), 'faults': found.rows}
-        print(json.dumps(told))
+        report = {'file': str(arguments.file), 'faults': finding.rows}
+        print(json.dumps(report))
     else:
-        count = f'{arguments.file}: {len(found.rows)} faults'
-        print('\n'.join([*found.lines, count]))
-    return exits.FAILED if found.rows else exits.DONE
+        count = f'{arguments.file}: {len(finding.rows)} faults'
+        print('\n'.join([*finding.lines, count]))
+    return exit_codes.FAILED if finding.rows else exit_codes.SUCCESS
 
 
-def _find(arguments: argparse.Namespace) -> Finding:
+def _check_file(arguments: argparse.Namespace) -> Finding:
     if arguments.configuration:
         return _check_configuration(arguments.file)
     if arguments.platform:
-        named = settings.read_file(arguments.file).faults
-        lines = [f'{fault.name} {fault.text}' for fault in named]
-        return Finding([fault._asdict() for fault in named], lines)
-    faults = settings_reader.read_file(arguments.file).faults
-    lines = [settings_reader.describe(fault) for fault in faults]
-    return Finding([fault._asdict() for fault in faults], lines)
+        faults = settings.read_file(arguments.file).faults
+        lines = [f'{fault.name} {fault.text}' for fault in faults]
+        return Finding([fault._asdict() for fault in faults], lines)
+    settings_faults = settings_reader.read_file(arguments.file).faults
+    lines = [settings_reader.describe_fault(fault) for fault in settings_faults]
+    return Finding([fault._asdict() for fault in settings_faults], lines)
 
 
 def _check_configuration(path: Path) -> Finding:
     """Find the first fault, by which hosts refuse the whole version."""
     try:
-        read = records.read_configuration(path.read_bytes())
-    except (OSError, records.Malformed) as error:
+        decoded = records.decode_configuration(path.read_bytes())
+    except (OSError, records.MalformedError) as error:
         return Finding([{'text': str(error)}], [str(error)])
     customers = 'no customers'
-    if read.customers is not None:
-        customers = f'{len(read.customers)} customers'
-    told = f'version {read.version}: {len(read.routes)} routes, {customers}'
-    return Finding([], [told])
+    if decoded.customers is not None:
+        customers = f'{len(decoded.customers)} customers'
+    summary = (
+        f'version {decoded.version}: {len(decoded.routes)} routes, {customers}'
+    )
+    return Finding([], [summary])
--- a/fuchsiahaven/operate/command_class.py
+++ b/fuchsiahaven/operate/command_class.py
@@ -5,7 +5,13 @@
 from typing import Final
 
 from fuchsiahaven.core.configuration import changes, configurations, trees
-from fuchsiahaven.operate import exits, lookups, submissions, verbs, words
+from fuchsiahaven.operate import (
+    exit_codes,
+    lookups,
+    submissions,
+    value_parsing,
+    verbs,
+)
 
 EPILOG: Final = f"""examples:
   fuchsiahaven class set price-check deadline_ms=800 needs=partial
@@ -13,34 +19,41 @@
       repeat=at_most_once fan_out=keyed hedge_share=0
   fuchsiahaven class list --json
 
-fields: {', '.join(words.POLICY)}
+fields: {', '.join(value_parsing.CLASS_FIELDS)}
 
 {submissions.EXIT_CODES}"""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
-    found = verbs.add_reading(parser, EPILOG)
-    setting = verbs.add_change(found, 'set', 'create one, or set some fields')
-    setting.add_argument(
-        'fields', nargs='+', type=words.split_pair, metavar='FIELD=VALUE'
+    subparsers = verbs.add_read_verbs(parser, EPILOG)
+    set_parser = verbs.add_change_verb(
+        subparsers, 'set', 'create one, or set some fields'
     )
-    verbs.add_change(found, 'delete', 'delete one')
+    set_parser.add_argument(
+        'fields',
+        nargs='+',
+        type=value_parsing.parse_pair,
+        metavar='FIELD=VALUE',
+    )
+    verbs.add_change_verb(subparsers, 'delete', 'delete one')
 
 
 def run(arguments: argparse.Namespace) -> int:
     """Run the verb."""
-    read = verbs.read(arguments, _list, _show)
-    if read is not None:
-        return read
+    exit_code = verbs.run_read_verb(arguments, _list, _show)
+    if exit_code is not None:
+        return exit_code
     if arguments.verb == 'delete':
-        deleting = changes.DeleteClass(arguments.name)
-        return submissions.submit(arguments, deleting)
+        deletion = changes.DeleteClass(arguments.name)
+        return submissions.submit(arguments, deletion)
     try:
-        fields = words.read_fields(arguments.fields, words.POLICY)
+        fields = value_parsing.parse_fields(
+            arguments.fields, value_parsing.CLASS_FIELDS
+        )
     except argparse.ArgumentTypeError as error:
         print(error, file=sys.stderr)
-        return exits.USAGE
+        return exit_codes.USAGE
     change = changes.SetClass(arguments.name, fields)
     return submissions.submit(arguments, change)
 
--- a/fuchsiahaven/operate/command_customer.py
+++ b/fuchsiahaven/operate/command_customer.py
@@ -7,12 +7,12 @@
 from fuchsiahaven.core.configuration import changes, configurations
 from fuchsiahaven.core.customers import customers
 from fuchsiahaven.operate import (
-    exits,
+    exit_codes,
+    key_files,
     lookups,
-    secret_files,
     submissions,
+    value_parsing,
     verbs,
-    words,
 )
 
 EPILOG: Final = f"""examples:
@@ -21,7 +21,7 @@
   fuchsiahaven customer remove-keys shop --digest 9f02...
   fuchsiahaven customer digest --keys key.txt
 
-fields: {', '.join(words.CUSTOMER)}; a rate of 0 is no limit, priority=none
+fields: {', '.join(value_parsing.CUSTOMER_FIELDS)}; a rate of 0 is no limit, priority=none
 leaves it to the class. Keys are read from a file, one a line; only their
 digests are stored or shown.
 
@@ -30,34 +30,47 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
-    found = verbs.add_reading(parser, EPILOG)
-    setting = verbs.add_change(found, 'set', 'create one, or set some fields')
-    setting.add_argument(
-        'fields', nargs='*', type=words.split_pair, metavar='FIELD=VALUE'
+    subparsers = verbs.add_read_verbs(parser, EPILOG)
+    set_parser = verbs.add_change_verb(
+        subparsers, 'set', 'create one, or set some fields'
+    )
+    set_parser.add_argument(
+        'fields',
+        nargs='*',
+        type=value_parsing.parse_pair,
+        metavar='FIELD=VALUE',
+    )
+    verbs.add_change_verb(subparsers, 'delete', 'delete one with its keys')
+    _add_key_arguments(
+        verbs.add_change_verb(subparsers, 'add-keys', 'give keys to one')
+    )
+    _add_key_arguments(
+        verbs.add_change_verb(
+            subparsers, 'remove-keys', 'take keys away from one'
+        )
+    )
+    _add_key_arguments(
+        subparsers.add_parser('digest', help='print the digests of keys')
     )
-    verbs.add_change(found, 'delete', 'delete one with its keys')
-    _add_keys(verbs.add_change(found, 'add-keys', 'give keys to one'))
-    _add_keys(verbs.add_change(found, 'remove-keys', 'take keys away from one'))
-    _add_keys(found.add_parser('digest', help='print the digests of keys'))
 
 
 def run(arguments: argparse.Namespace) -> int:
     """Run the verb."""
-    read = verbs.read(arguments, _list, _show)
-    if read is not None:
-        return read
+    exit_code = verbs.run_read_verb(arguments, _list, _show)
+    if exit_code is not None:
+        return exit_code
     try:
         if arguments.verb == 'digest':
             print('\n'.join(_read_digests(arguments)))
-            return exits.DONE
+            return exit_codes.SUCCESS
         change = _build_change(arguments)
     except argparse.ArgumentTypeError as error:
         print(error, file=sys.stderr)
-        return exits.USAGE
+        return exit_codes.USAGE
     return submissions.submit(arguments, change)
 
 
-def _add_keys(parser: argparse.ArgumentParser) -> None:
+def _add_key_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         '--keys',
         metavar='FILE',
@@ -76,16 +89,18 @@
             return changes.RemoveKeys(arguments.name, _read_digests(arguments))
         case 'delete':
             return changes.DeleteCustomer(arguments.name)
-    fields = words.read_customer(arguments.fields)
+    fields = value_parsing.parse_customer_fields(arguments.fields)
     return changes.SetCustomer(arguments.name, fields)
 
 
 def _read_digests(arguments: argparse.Namespace) -> tuple[str, ...]:
-    read = secret_files.read_digests(arguments.keys) if arguments.keys else ()
-    digests = (*arguments.digest, *read)
-    if not all(secret_files.is_digest(it) for it in digests):
+    file_digests = (
+        key_files.read_digests(arguments.keys) if arguments.keys else ()
+    )
+    digests = (*arguments.digest, *file_digests)
+    if not all(key_files.is_digest(it) for it in digests):
         # Told what was typed, a key given by mistake would be on the screen.
-        raise argparse.ArgumentTypeError(secret_files.DIGEST_HELP)
+        raise argparse.ArgumentTypeError(key_files.DIGEST_FORMAT)
     if not digests:
         raise argparse.ArgumentTypeError('expected --keys FILE or --digest')
     if len(set(digests)) < len(digests):
@@ -122,7 +137,7 @@
 
 
 def _summarize(customer: customers.Customer) -> dict[str, object]:
-    priority = words.NO_PRIORITY
+    priority = value_parsing.NO_PRIORITY
     return {
         'customer': customer.name,
         'keys': len(customer.keys),
--- a/fuchsiahaven/operate/command_group.py
+++ b/fuchsiahaven/operate/command_group.py
@@ -8,12 +8,12 @@
 
 from fuchsiahaven.core.configuration import changes, configurations
 from fuchsiahaven.operate import (
-    exits,
+    exit_codes,
     lookups,
     submissions,
     tables,
+    value_parsing,
     verbs,
-    words,
 )
 
 EPILOG: Final = f"""examples:
@@ -29,51 +29,57 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
-    found = verbs.add_reading(parser, EPILOG)
-    _add_create(verbs.add_change(found, 'create', 'create a group'))
-    labelling = verbs.add_change(found, 'label', 'set and remove labels')
-    labelling.add_argument('labels', nargs='+', metavar='KEY=VALUE|KEY-')
-    setting = verbs.add_change(
-        found, 'set', 'set slots, connections, connect_ms'
+    subparsers = verbs.add_read_verbs(parser, EPILOG)
+    _add_create_arguments(
+        verbs.add_change_verb(subparsers, 'create', 'create a group')
+    )
+    label_parser = verbs.add_change_verb(
+        subparsers, 'label', 'set and remove labels'
+    )
+    label_parser.add_argument('labels', nargs='+', metavar='KEY=VALUE|KEY-')
+    set_parser = verbs.add_change_verb(
+        subparsers, 'set', 'set slots, connections, connect_ms'
+    )
+    set_parser.add_argument('fields', nargs='+', type=value_parsing.parse_pair)
+    verbs.add_change_verb(
+        subparsers, 'delete', 'delete a group with its targets'
     )
-    setting.add_argument('fields', nargs='+', type=words.split_pair)
-    verbs.add_change(found, 'delete', 'delete a group with its targets')
 
 
 def run(arguments: argparse.Namespace) -> int:
     """Run the verb."""
-    read = verbs.read(arguments, _list, _show)
-    if read is not None:
-        return read
+    exit_code = verbs.run_read_verb(arguments, _list, _show)
+    if exit_code is not None:
+        return exit_code
     try:
         change = _build_change(arguments)
     except argparse.ArgumentTypeError as error:
         print(error, file=sys.stderr)
-        return exits.USAGE
+        return exit_codes.USAGE
     return submissions.submit(arguments, change)
 
 
-def _add_create(parser: argparse.ArgumentParser) -> None:
+def _add_create_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         '--label',
-        type=words.split_pair,
+        type=value_parsing.parse_pair,
         action='append',
         default=[],
         metavar='KEY=VALUE',
     )
     parser.add_argument(
         '--target',
-        type=words.split_pair,
+        type=value_parsing.parse_pair,
         action='append',
         default=[],
         metavar='DATA_CENTRE/NAME=IP:PORT',
         help='a target, or several by ranges such as {01..20}',
     )
-    plain = configurations.Group('', (), ())
-    for name, kind in words.CAPS.items():
+    defaults = configurations.Group('', (), ())
+    for name, value_type in value_parsing.CAP_FIELDS.items():
         option = name.replace('_', '-')
-        default = getattr(plain, name)
-        parser.add_argument(f'--{option}', type=kind, default=default)
+        default = getattr(defaults, name)
+        parser.add_argument(f'--{option}', type=value_type, default=default)
 
 
 def _build_change(arguments: argparse.Namespace) -> changes.Change:
@@ -81,17 +87,19 @@
     match arguments.verb:
         case 'label':
             return changes.LabelGroup(
-                name, *words.split_labels(arguments.labels)
+                name, *value_parsing.parse_labels(arguments.labels)
             )
         case 'set':
-            caps = words.read_fields(arguments.fields, words.CAPS)
+            caps = value_parsing.parse_fields(
+                arguments.fields, value_parsing.CAP_FIELDS
+            )
             return changes.SetCaps(name, caps)
         case 'delete':
             return changes.DeleteGroup(name)
     group = configurations.Group(
         name,
         tuple(arguments.label),
-        tuple(_read_targets(arguments.target)),
+        tuple(_parse_targets(arguments.target)),
         arguments.slots,
         arguments.connections,
         arguments.connect_ms,
@@ -99,16 +107,18 @@
     return changes.CreateGroup(group)
 
 
-def _read_targets(
+def _parse_targets(
     pairs: list[tuple[str, str]],
 ) -> Iterator[configurations.Target]:
-    for place, found in pairs:
-        centre, slash, names = place.partition('/')
+    for location, addresses in pairs:
+        data_centre, slash, names = location.partition('/')
         if not slash:
             raise argparse.ArgumentTypeError(
-                f'expected DATA_CENTRE/NAME=IP:PORT, not {place}'
+                f'expected DATA_CENTRE/NAME=IP:PORT, not {location}'
             )
-        yield from words.make_targets([(names, found)], centre)
+        yield from value_parsing.parse_targets(
+            [(names, addresses)], data_centre
+        )
 
 
 def _list(
@@ -124,21 +134,23 @@
 
 
 def _summarize(group: configurations.Group) -> dict[str, object]:
-    centres = collections.Counter(it.data_centre for it in group.targets)
+    target_counts = collections.Counter(it.data_centre for it in group.targets)
     return {
         'group': group.name,
-        'labels': ','.join(f'{key}={text}' for key, text in group.labels),
-        'targets': ' '.join(f'{name}:{n}' for name, n in centres.items()),
+        'labels': ','.join(f'{key}={label}' for key, label in group.labels),
+        'targets': ' '.join(
+            f'{name}:{count}' for name, count in target_counts.items()
+        ),
         'leaving': len(group.leaving),
-        **{name: getattr(group, name) for name in words.CAPS},
+        **{name: getattr(group, name) for name in value_parsing.CAP_FIELDS},
     }
 
 
 def _show(
     arguments: argparse.Namespace, configuration: configurations.Configuration
 ) -> int:
-    named = {group.name: group for group in configuration.groups}
-    group = named.get(arguments.name)
+    groups = {group.name: group for group in configuration.groups}
+    group = groups.get(arguments.name)
     if group is None:
         return lookups.print_missing('group', arguments.name)
     targets = [
@@ -153,7 +165,7 @@
     columns = ('target', 'address', 'data_centre', 'state')
     revision = configuration.revision
     if not arguments.json:
-        print('\n'.join(tables.lay_out([_summarize(group)])))
+        print('\n'.join(tables.format_table([_summarize(group)])))
         return lookups.print_rows(
             targets, columns, as_json=False, revision=revision
         )
@@ -163,6 +175,6 @@
         as_json=True,
         group=group.name,
         labels=dict(group.labels),
-        caps={name: getattr(group, name) for name in words.CAPS},
+        caps={name: getattr(group, name) for name in value_parsing.CAP_FIELDS},
         revision=revision,
     )
--- a/fuchsiahaven/operate/command_history.py
+++ b/fuchsiahaven/operate/command_history.py
@@ -10,11 +10,11 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import audit_log
-from fuchsiahaven.operate import connections, exits, lookups, submissions
+from fuchsiahaven.operate import connections, exit_codes, lookups, submissions
 
-Found = Iterable[audit_log.Entry | errors.Failure]
+EntryResults = Iterable[audit_log.Entry | errors.Failure]
 
-LAST: Final = 20
+DEFAULT_COUNT: Final = 20
 EPILOG: Final = """examples:
   fuchsiahaven history --last 50
   fuchsiahaven history show 31
@@ -35,74 +35,80 @@
         help='show one change whole, by its id or its revision',
     )
     parser.add_argument(
-        '--last', type=int, default=LAST, metavar='N', help='how many to list'
+        '--last',
+        type=int,
+        default=DEFAULT_COUNT,
+        metavar='N',
+        help='how many to list',
     )
     connections.add_arguments(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
     """List the last changes, or show one."""
-    words = arguments.show
-    if words and (words[0] != 'show' or len(words) != 2):
+    operands = arguments.show
+    if operands and (operands[0] != 'show' or len(operands) != 2):
         print('expected: history [--last N], or history show CHANGE|REVISION')
-        return exits.USAGE
+        return exit_codes.USAGE
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
-        if words:
-            entry = lookups.find_entry(platform, words[1], place.patience)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
+        if operands:
+            entry = lookups.find_entry(
+                opened_store, operands[1], endpoints.patience
+            )
             return _show(entry, as_json=arguments.json)
-        entries = lookups.iterate_entries(platform, place.patience)
+        entries = lookups.iterate_entries(opened_store, endpoints.patience)
         return _list(entries, arguments.last, as_json=arguments.json)
 
 
-def _list(found: Found, last: int, *, as_json: bool) -> int:
+def _list(results: EntryResults, limit: int, *, as_json: bool) -> int:
     entries: list[audit_log.Entry] = []
-    code = exits.DONE
-    for each in itertools.islice(found, last):
-        if isinstance(each, errors.Failure):
+    exit_code = exit_codes.SUCCESS
+    for result in itertools.islice(results, limit):
+        if isinstance(result, errors.Failure):
             # What was found is shown all the same; the hole is named.
-            submissions.show_failure(each, as_json=False)
-            code = submissions.choose_exit(each)
+            submissions.print_failure(result, as_json=False)
+            exit_code = submissions.choose_exit_code(result)
         else:
-            entries.append(each)
+            entries.append(result)
     if as_json:
-        rows = [audit_log.encode_entry(entry) for entry in entries]
-        lookups.print_rows(rows, (), as_json=True)
-        return code
-    told = [
+        encoded = [audit_log.encode_entry(entry) for entry in entries]
+        lookups.print_rows(encoded, (), as_json=True)
+        return exit_code
+    rows = [
         {
             'revision': entry.revision,
-            'time': write_time(entry.epoch_s),
+            'time': format_time(entry.epoch_s),
             'operator': entry.operator,
             'what': entry.description,
             'change': entry.change_id,
         }
         for entry in entries
     ]
-    lookups.print_rows(told, ('revision', 'time'), as_json=False)
-    return code
+    lookups.print_rows(rows, ('revision', 'time'), as_json=False)
+    return exit_code
 
 
 def _show(entry: audit_log.Entry | errors.Failure, *, as_json: bool) -> int:
     if isinstance(entry, errors.Failure):
-        submissions.show_failure(entry, as_json=as_json)
-        return submissions.choose_exit(entry)
+        submissions.print_failure(entry, as_json=as_json)
+        return submissions.choose_exit_code(entry)
     if as_json:
         print(json.dumps(audit_log.encode_entry(entry), ensure_ascii=False))
-        return exits.DONE
+        return exit_codes.SUCCESS
     print(f'revision {entry.revision}, made from {entry.previous_revision}')
     print(f'change   {entry.change_id}')
     print(f'operator {entry.operator}')
-    print(f'time     {write_time(entry.epoch_s)}')
+    print(f'time     {format_time(entry.epoch_s)}')
     print(f'what     {entry.description}')
-    print('\n'.join(submissions.write_edit(edit) for edit in entry.edits))
-    return exits.DONE
+    print('\n'.join(submissions.format_edit(edit) for edit in entry.edits))
+    return exit_codes.SUCCESS
 
 
-def write_time(epoch: float) -> str:
+def format_time(epoch_s: float) -> str:
     """Write a wall-clock time for a person, in UTC."""
-    moment = datetime.datetime.fromtimestamp(epoch, datetime.UTC)
+    moment = datetime.datetime.fromtimestamp(epoch_s, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%SZ')
--- a/fuchsiahaven/operate/command_inspect.py
+++ b/fuchsiahaven/operate/command_inspect.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Final
 
-from fuchsiahaven.operate import exits
+from fuchsiahaven.operate import exit_codes
 
 EPILOG = """examples:
   fuchsiahaven inspect --at 10.1.0.9:8106
   fuchsiahaven inspect --at 10.1.0.9:8106 --json
 """
 TIMEOUT_S: Final = 3.0
-SHOWN: Final = (
+SHOWN_FIELDS: Final = (
     'ready',
     'version',
     'news_age',
@@ -21,7 +21,7 @@
     'store_era',
     'source',
 )
-NOT_TOLD: Final = 'not told'
+NOT_REPORTED: Final = 'not told'
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -45,32 +45,36 @@
     pool = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
     try:
         answer = pool.request('GET', f'http://{arguments.at}/v1/state')
-        told = answer.json()
+        state = answer.json()
     except (urllib3.exceptions.HTTPError, ValueError) as error:
         print(f'{arguments.at}: {error}', file=sys.stderr)
-        return exits.UNREACHABLE
+        return exit_codes.UNREACHABLE
     if arguments.json:
-        print(json.dumps(told))
+        print(json.dumps(state))
     else:
-        print('\n'.join(list_lines(told)))
-    return exits.DONE
+        print('\n'.join(format_state(state)))
+    return exit_codes.SUCCESS
 
 
-def list_lines(told: dict[str, Any]) -> list[str]:
+def format_state(state: dict[str, Any]) -> list[str]:
     """List what a host believes, a line for each thing."""
     # A host of the version before tells no era.
-    lines = [f'{name}: {told.get(name, NOT_TOLD)}' for name in SHOWN]
-    lines.append(f'hosts: {", ".join(sorted(told["hosts"]))}')
-    lines.extend(list_quarantined(told.get('quarantined', ())))
-    lines.extend(list_customers(told.get('customers')))
-    for service, targets in sorted(told['targets'].items()):
-        stands = ', '.join(f'{name} {how}' for name, how in targets.items())
-        left = told['budgets'][service]
-        lines.append(f'{service}: {stands}; {left} repeats left')
+    lines = [
+        f'{name}: {state.get(name, NOT_REPORTED)}' for name in SHOWN_FIELDS
+    ]
+    lines.append(f'hosts: {", ".join(sorted(state["hosts"]))}')
+    lines.extend(format_quarantined(state.get('quarantined', ())))
+    lines.extend(format_customers(state.get('customers')))
+    for service, targets in sorted(state['targets'].items()):
+        descriptions = ', '.join(
+            f'{name} {description}' for name, description in targets.items()
+        )
+        budget = state['budgets'][service]
+        lines.append(f'{service}: {descriptions}; {budget} repeats left')
     return lines
 
 
-def list_quarantined(rows: Iterable[Mapping[str, Any]]) -> list[str]:
+def format_quarantined(rows: Iterable[Mapping[str, Any]]) -> list[str]:
     """List the requests that are refused as they end their targets."""
     return [
         f'quarantined: {row["digest"]} for {row["wait"]:.0f} s, targets ended '
@@ -79,16 +83,16 @@
     ]
 
 
-def list_customers(told: Mapping[str, Any] | None) -> list[str]:
+def format_customers(report: Mapping[str, Any] | None) -> list[str]:
     """List how customers' requests ended, where there are customers."""
-    if told is None:
+    if report is None:
         return []
     rows = {
-        **{f'customer {name}': it for name, it in told['largest'].items()},
-        'other customers': told['others'],
-        'unknown keys': told['unknown_keys'],
+        **{f'customer {name}': it for name, it in report['largest'].items()},
+        'other customers': report['others'],
+        'unknown keys': report['unknown_keys'],
     }
-    lines = [f'customers: {told["known"]}']
+    lines = [f'customers: {report["known"]}']
     for name, results in rows.items():
         counts = ', '.join(f'{it} {count}' for it, count in results.items())
         lines.append(f'{name}: {counts or "none"}')
--- a/fuchsiahaven/operate/command_plan.py
+++ b/fuchsiahaven/operate/command_plan.py
@@ -9,7 +9,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import changes, manifests, proposals
-from fuchsiahaven.operate import descriptions, exits, lookups, submissions
+from fuchsiahaven.operate import descriptions, exit_codes, lookups, submissions
 
 EPILOG: Final = """examples:
   fuchsiahaven plan santiago.ini
@@ -40,7 +40,7 @@
     """Print the difference, then every problem."""
     change = read_change(arguments.file)
     if change is None:
-        return exits.USAGE
+        return exit_codes.USAGE
     return show_plan(arguments, change)
 
 
@@ -48,7 +48,7 @@
     """Read a description; print every fault and return None if it has any."""
     reading = descriptions.read_file(path)
     for fault in reading.faults:
-        print(descriptions.describe(fault), file=sys.stderr)
+        print(descriptions.describe_fault(fault), file=sys.stderr)
     return (
         None
         if reading.faults
@@ -70,26 +70,28 @@
 ) -> int:
     request = submissions.build_request(arguments, change)
     # What has problems is shown too: they are easier to see in the difference.
-    told = proposals.prepare_change(
+    forced = proposals.prepare_change(
         manifest, request._replace(force=True), time.time()
     )
-    refused = proposals.prepare_change(manifest, request, time.time())
+    checked = proposals.prepare_change(manifest, request, time.time())
     revision = manifest.configuration.revision
-    if isinstance(told, errors.Failure):
-        submissions.show_failure(told, as_json=arguments.json)
-        return submissions.choose_exit(told)
+    if isinstance(forced, errors.Failure):
+        submissions.print_failure(forced, as_json=arguments.json)
+        return submissions.choose_exit_code(forced)
     edits = (
-        () if isinstance(told, proposals.NothingChanged) else told.entry.edits
+        ()
+        if isinstance(forced, proposals.NothingChanged)
+        else forced.entry.edits
     )
-    problem = refused.detail if isinstance(refused, errors.Failure) else ''
+    problem = checked.detail if isinstance(checked, errors.Failure) else ''
     if arguments.json:
         rows = [[list(it.field), it.before, it.after] for it in edits]
         row = {'from': revision, 'edits': rows, 'problem': problem}
         print(json.dumps(row, ensure_ascii=False))
     else:
         for edit in edits:
-            print(submissions.write_edit(edit))
+            print(submissions.format_edit(edit))
         print(f'{len(edits)} changes to revision {revision}')
         if problem:
             print(f'refused: {problem}')
-    return exits.FAILED if edits else exits.DONE
+    return exit_codes.FAILED if edits else exit_codes.SUCCESS
--- a/fuchsiahaven/operate/command_query.py
+++ b/fuchsiahaven/operate/command_query.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from fuchsiahaven.core import addresses, request_ids
-from fuchsiahaven.operate import exchanges, exits, secret_files, tables
+from fuchsiahaven.operate import exit_codes, host_client, key_files, tables
 
 EPILOG: Final = """examples:
   fuchsiahaven query --at 10.0.0.1:8101 price-check 'text=combi oven' limit=5
@@ -19,9 +19,9 @@
 """
 FIRST_COLUMNS: Final = ('rank', 'id')
 HTTP_OK: Final = 200
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 #: Waited for beyond the deadline, for an answer that is on its way.
-GRACE_S: Final = 2.0
+ANSWER_GRACE_S: Final = 2.0
 DEFAULT_WAIT_S: Final = 60.0
 
 
@@ -61,17 +61,17 @@
     terms = dict(term.partition('=')[::2] for term in arguments.terms)
     if address is None or '' in terms:
         print('expected --at IP:PORT and terms as NAME=VALUE')
-        return exits.USAGE
+        return exit_codes.USAGE
     try:
-        fields = _write_fields(arguments.customer_key)
+        fields = _build_fields(arguments.customer_key)
     except argparse.ArgumentTypeError as error:
         print(error)
-        return exits.USAGE
+        return exit_codes.USAGE
     body = _build_body(arguments, terms)
     wait_s = DEFAULT_WAIT_S
     if arguments.deadline_ms:
-        wait_s = arguments.deadline_ms / MILLISECONDS + GRACE_S
-    told = exchanges.ask(
+        wait_s = arguments.deadline_ms / MS_PER_S + ANSWER_GRACE_S
+    response = host_client.send_request(
         address,
         'POST',
         '/v1/search',
@@ -79,53 +79,59 @@
         timeout_s=wait_s,
         fields=fields,
     )
-    if isinstance(told, exchanges.Silent):
-        print(f'no answer to {body["request_id"]}: {told.reason}')
-        return exits.UNKNOWN if told.sent else exits.UNREACHABLE
+    if isinstance(response, host_client.NoResponse):
+        print(f'no answer to {body["request_id"]}: {response.reason}')
+        return (
+            exit_codes.UNKNOWN
+            if response.may_have_run
+            else exit_codes.UNREACHABLE
+        )
     if arguments.json:
-        print(json.dumps(told.body))
+        print(json.dumps(response.body))
     else:
-        print('\n'.join(describe(told)))
-    return _choose_exit(told)
+        print('\n'.join(format_response(response)))
+    return _choose_exit_code(response)
 
 
-def describe(told: exchanges.Told) -> list[str]:
+def format_response(response: host_client.Response) -> list[str]:
     """Write an answer or a refusal as lines for a person."""
-    body: Mapping[str, Any] = told.body
-    if told.status != HTTP_OK:
+    body: Mapping[str, Any] = response.body
+    if response.status != HTTP_OK:
         error = body.get('error', {})
-        head = f'{error.get("kind")}: {error.get("text")}'
-        return [f'{head} ({error.get("detail")}); ran: {error.get("ran")}']
+        message = f'{error.get("kind")}: {error.get("text")}'
+        return [f'{message} ({error.get("detail")}); ran: {error.get("ran")}']
     missing = body['coverage']['missing']
-    lines = tables.lay_out(body['rows'], FIRST_COLUMNS)
+    lines = tables.format_table(body['rows'], FIRST_COLUMNS)
     lines.append(_summarize(body))
     if missing:
         lines.append('missing:')
-        lines.extend(tables.lay_out(missing, ('group', 'shard', 'reason')))
+        lines.extend(tables.format_table(missing, ('group', 'shard', 'reason')))
     return lines
 
 
 def _summarize(body: Mapping[str, Any]) -> str:
     total = body['coverage']['shards']
     covered = total - len(body['coverage']['missing'])
-    pins = ', '.join(f'{name} {it}' for name, it in body['snapshots'].items())
+    snapshots = ', '.join(
+        f'{name} {it}' for name, it in body['snapshots'].items()
+    )
     return (
         f'{body["status"]}: {len(body["rows"])} rows, '
-        f'{covered} of {total} shards; snapshots: {pins}'
+        f'{covered} of {total} shards; snapshots: {snapshots}'
     )
 
 
-def _write_fields(key_file: str | None) -> dict[str, str]:
+def _build_fields(key_file: str | None) -> dict[str, str]:
     """Write the header fields, with a key where one is to be shown.
 
     Raises argparse.ArgumentTypeError.
     """
     if key_file is None:
-        return {**exchanges.JSON_TYPE}
-    found = secret_files.read_keys(key_file)
-    if len(found) != 1:
+        return {**host_client.JSON_TYPE}
+    keys = key_files.read_keys(key_file)
+    if len(keys) != 1:
         raise argparse.ArgumentTypeError(f'{key_file}: expected one key')
-    return {**exchanges.JSON_TYPE, 'Authorization': f'Bearer {found[0]}'}
+    return {**host_client.JSON_TYPE, 'Authorization': f'Bearer {keys[0]}'}
 
 
 def _build_body(
@@ -133,28 +139,28 @@
     terms: Mapping[str, str],
 ) -> dict[str, object]:
     bits = secrets.randbits(request_ids.RANDOM_BITS)
-    minted = request_ids.make_request_id(time.time(), bits)
+    new_id = request_ids.make_request_id(time.time(), bits)
     body = {
         'class': arguments.request_class,
-        'request_id': arguments.request_id or minted,
+        'request_id': arguments.request_id or new_id,
         'deadline_ms': arguments.deadline_ms,
         'key': arguments.key,
-        'query': {name: _read_term(text) for name, text in terms.items()},
+        'query': {name: _parse_term(text) for name, text in terms.items()},
     }
     return {name: it for name, it in body.items() if it is not None}
 
 
-def _read_term(text: str) -> object:
+def _parse_term(text: str) -> object:
     try:
         return json.loads(text)
     except ValueError:
         return text
 
 
-def _choose_exit(told: exchanges.Told) -> int:
-    body: Mapping[str, Any] = told.body
-    if told.status == HTTP_OK:
+def _choose_exit_code(response: host_client.Response) -> int:
+    body: Mapping[str, Any] = response.body
+    if response.status == HTTP_OK:
         complete = body.get('status') == 'complete'
-        return exits.DONE if complete else exits.FAILED
+        return exit_codes.SUCCESS if complete else exit_codes.FAILED
     ran = body.get('error', {}).get('ran')
-    return exits.UNKNOWN if ran == 'unknown' else exits.FAILED
+    return exit_codes.UNKNOWN if ran == 'unknown' else exit_codes.FAILED
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -18,14 +18,14 @@
 from fuchsiahaven.edge import editor
 from fuchsiahaven.operate import (
     connections,
-    exchanges,
-    exits,
+    exit_codes,
+    host_client,
     statuses,
     submissions,
 )
 
-TIMEOUT_S: Final = 10.0
-PATH: Final = '/v1/configuration?above=0'
+FETCH_TIMEOUT_S: Final = 10.0
+CONFIGURATION_PATH: Final = '/v1/configuration?above=0'
 EPILOG: Final = f"""examples:
   fuchsiahaven status
   fuchsiahaven recover --hosts 10.0.1.7:8201,10.0.2.7:8201 --wait
@@ -38,7 +38,7 @@
 {submissions.EXIT_CODES}"""
 
 #: What was found to be in force, by data centre.
-Held = Mapping[str, configurations.Configuration]
+HeldConfigurations = Mapping[str, configurations.Configuration]
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -50,38 +50,50 @@
 def run(arguments: argparse.Namespace) -> int:
     """Collect the configuration from hosts and submit it as one change."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
-        loaded = editor.read_configuration(platform, place.patience)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
+        loaded = editor.read_configuration(opened_store, endpoints.patience)
         if isinstance(loaded, errors.Failure):
-            submissions.show_failure(loaded, as_json=arguments.json)
-            return submissions.choose_exit(loaded)
-        older = loaded.manifest.configuration
-        held = collect(place, statuses.survey(place, platform).hosts)
-        missing = list_centres(older) - held.keys()
+            submissions.print_failure(loaded, as_json=arguments.json)
+            return submissions.choose_exit_code(loaded)
+        platform_copy = loaded.manifest.configuration
+        held = collect_configurations(
+            endpoints, statuses.survey_hosts(endpoints, opened_store).hosts
+        )
+        missing = list_data_centres(platform_copy) - held.keys()
         if not held or (missing and not arguments.force):
             names = ', '.join(sorted(missing)) or 'any data centre'
             print(f'no host gave what is in force in {names}', file=sys.stderr)
-            return exits.UNREACHABLE
-        whole = join({**held, **dict.fromkeys(missing, older)})
-        change = changes.RecoverConfiguration(whole)
-        return submissions.submit_at(arguments, change, place, platform)
+            return exit_codes.UNREACHABLE
+        merged = merge_configurations(
+            {**held, **dict.fromkeys(missing, platform_copy)}
+        )
+        change = changes.RecoverConfiguration(merged)
+        return submissions.submit_to_store(
+            arguments, change, endpoints, opened_store
+        )
 
 
-def collect(place: connections.Place, hosts: tuple[statuses.Seen, ...]) -> Held:
+def collect_configurations(
+    endpoints: connections.Endpoints, hosts: tuple[statuses.HostStatus, ...]
+) -> HeldConfigurations:
     """Fetch what is in force from one host of each data centre."""
-    newest = max((seen.revision or 0 for seen in hosts), default=0)
+    newest = max((status.revision or 0 for status in hosts), default=0)
     held: dict[str, configurations.Configuration] = {}
-    for each in hosts:
-        if each.revision == newest and each.data_centre not in held:
-            found = _fetch(place, each.address, newest)
-            held.update({each.data_centre: found} if found else {})
+    for host in hosts:
+        if host.revision == newest and host.data_centre not in held:
+            configuration = _fetch_configuration(
+                endpoints, host.address, newest
+            )
+            held.update(
+                {host.data_centre: configuration} if configuration else {}
+            )
     return held
 
 
-def list_centres(configuration: configurations.Configuration) -> set[str]:
+def list_data_centres(configuration: configurations.Configuration) -> set[str]:
     """List the data centres that have targets."""
     return {
         target.data_centre
@@ -90,15 +102,17 @@
     }
 
 
-def join(held: Held) -> configurations.Configuration:
+def merge_configurations(
+    held: HeldConfigurations,
+) -> configurations.Configuration:
     """Take each data centre's targets from what that data centre gave."""
     first = next(iter(held.values()))
     groups = [
-        _join_group(
+        _merge_group(
             group,
             [
-                (centre, other)
-                for centre, configuration in held.items()
+                (data_centre, other)
+                for data_centre, configuration in held.items()
                 for other in configuration.groups
                 if other.name == group.name
             ],
@@ -108,14 +122,14 @@
     return first._replace(groups=tuple(groups))
 
 
-def _join_group(
+def _merge_group(
     group: configurations.Group,
     others: Iterable[tuple[str, configurations.Group]],
 ) -> configurations.Group:
     targets: list[configurations.Target] = []
     leaving: set[str] = set()
-    for centre, other in others:
-        own = [it for it in other.targets if it.data_centre == centre]
+    for data_centre, other in others:
+        own = [it for it in other.targets if it.data_centre == data_centre]
         targets += own
         leaving.update(other.leaving.intersection(it.name for it in own))
     return group._replace(
@@ -123,13 +137,15 @@
     )
 
 
-def _fetch(
-    place: connections.Place, address: str, revision: int
+def _fetch_configuration(
+    endpoints: connections.Endpoints, address: str, revision: int
 ) -> configurations.Configuration | None:
-    told = statuses.ask(place, address, PATH, TIMEOUT_S)
-    if isinstance(told, exchanges.Silent):
+    response = statuses.send_get(
+        endpoints, address, CONFIGURATION_PATH, FETCH_TIMEOUT_S
+    )
+    if isinstance(response, host_client.NoResponse):
         return None
-    parcel = patch_rows.read(json.dumps(told.body).encode())
+    parcel = patch_rows.read(json.dumps(response.body).encode())
     held: patches.StampedConfiguration | None = patches.EMPTY
     for patch in parcel.patches if parcel else ():
         held = patches.apply_patch(patch, held) if held else None
--- a/fuchsiahaven/operate/command_selector.py
+++ b/fuchsiahaven/operate/command_selector.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from fuchsiahaven.core.configuration import changes, configurations, selectors
-from fuchsiahaven.operate import lookups, submissions, verbs, words
+from fuchsiahaven.operate import lookups, submissions, value_parsing, verbs
 
 EPILOG: Final = f"""examples:
   fuchsiahaven selector set price-check --class price-check \\
@@ -17,42 +17,44 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
-    found = verbs.add_reading(parser, EPILOG)
-    setting = verbs.add_change(found, 'set', 'create one, or set some fields')
-    setting.add_argument('--class', dest='request_class', metavar='CLASS')
-    setting.add_argument('--expression', help='over labels of groups')
-    setting.add_argument(
+    subparsers = verbs.add_read_verbs(parser, EPILOG)
+    set_parser = verbs.add_change_verb(
+        subparsers, 'set', 'create one, or set some fields'
+    )
+    set_parser.add_argument('--class', dest='request_class', metavar='CLASS')
+    set_parser.add_argument('--expression', help='over labels of groups')
+    set_parser.add_argument(
         '--data-centres',
-        type=words.split_names,
+        type=value_parsing.parse_names,
         metavar='A,B',
         help='others that may serve when the own one cannot; empty for none',
     )
-    verbs.add_change(found, 'delete', 'delete one')
+    verbs.add_change_verb(subparsers, 'delete', 'delete one')
 
 
 def run(arguments: argparse.Namespace) -> int:
     """Run the verb."""
-    read = verbs.read(arguments, _list, _show)
-    if read is not None:
-        return read
+    exit_code = verbs.run_read_verb(arguments, _list, _show)
+    if exit_code is not None:
+        return exit_code
     if arguments.verb == 'delete':
-        deleting = changes.DeleteSelector(arguments.name)
-        return submissions.submit(arguments, deleting)
-    centres = arguments.data_centres
+        deletion = changes.DeleteSelector(arguments.name)
+        return submissions.submit(arguments, deletion)
+    data_centres = arguments.data_centres
     fields = {
         'class': arguments.request_class,
         'expression': arguments.expression,
-        'data_centres': None if centres is None else list(centres),
+        'data_centres': None if data_centres is None else list(data_centres),
     }
-    given = tuple(it for it in fields.items() if it[1] is not None)
-    change = changes.SetSelector(arguments.name, given)
+    given_fields = tuple(it for it in fields.items() if it[1] is not None)
+    change = changes.SetSelector(arguments.name, given_fields)
     return submissions.submit(arguments, change)
 
 
 def _list(
     arguments: argparse.Namespace, configuration: configurations.Configuration
 ) -> int:
-    rows = [_write_row(selector) for selector in configuration.selectors]
+    rows = [_build_row(selector) for selector in configuration.selectors]
     return lookups.print_rows(
         rows,
         ('selector', 'class', 'expression', 'data_centres'),
@@ -64,27 +66,29 @@
 def _show(
     arguments: argparse.Namespace, configuration: configurations.Configuration
 ) -> int:
-    named = {each.name: each for each in configuration.selectors}
-    selector = named.get(arguments.name)
+    by_name = {
+        candidate.name: candidate for candidate in configuration.selectors
+    }
+    selector = by_name.get(arguments.name)
     if selector is None:
         return lookups.print_missing('selector', arguments.name)
     expression = selectors.parse(selector.expression)
-    reached = [
+    group_names = [
         group.name
         for group in configuration.groups
         if isinstance(expression, selectors.Expression)
         and selectors.matches(expression, dict(group.labels))
     ]
     return lookups.print_rows(
-        [_write_row(selector)],
+        [_build_row(selector)],
         ('selector', 'class', 'expression', 'data_centres'),
         as_json=arguments.json,
-        reaches=reached,
+        reaches=group_names,
         revision=configuration.revision,
     )
 
 
-def _write_row(selector: configurations.Selector) -> dict[str, object]:
+def _build_row(selector: configurations.Selector) -> dict[str, object]:
     return {
         'selector': selector.name,
         'class': selector.request_class,
--- a/fuchsiahaven/operate/command_serve.py
+++ b/fuchsiahaven/operate/command_serve.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from fuchsiahaven.operate import exits
+from fuchsiahaven.operate import exit_codes
 
 EPILOG = """examples:
   fuchsiahaven serve --settings host.ini
@@ -15,9 +15,9 @@
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
     parser.epilog = EPILOG
-    where = parser.add_mutually_exclusive_group(required=True)
-    where.add_argument('--settings', type=Path, help='the settings file (INI)')
-    where.add_argument(
+    source = parser.add_mutually_exclusive_group(required=True)
+    source.add_argument('--settings', type=Path, help='the settings file (INI)')
+    source.add_argument(
         '--platform',
         action='store_true',
         help='run on the platform, with the settings file that it names',
@@ -39,12 +39,12 @@
     reading = settings_reader.read_file(path)
     if reading.settings is None:
         for fault in reading.faults:
-            print(settings_reader.describe(fault), file=sys.stderr)
-        return exits.FAILED
+            print(settings_reader.describe_fault(fault), file=sys.stderr)
+        return exit_codes.FAILED
     # The check of a settings file must not cost the imports of a server.
     from fuchsiahaven.edge import server
     from fuchsiahaven.operate import logs
 
     logs.set_up(reading.settings.logs)
-    stopped = server.serve(reading.settings)
-    return exits.DONE if stopped else exits.FAILED
+    stopped_cleanly = server.serve(reading.settings)
+    return exit_codes.SUCCESS if stopped_cleanly else exit_codes.FAILED
--- a/fuchsiahaven/operate/command_status.py
+++ b/fuchsiahaven/operate/command_status.py
@@ -8,7 +8,7 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import store_reads
 from fuchsiahaven.edge import editor
-from fuchsiahaven.operate import connections, exits, statuses, tables
+from fuchsiahaven.operate import connections, exit_codes, statuses, tables
 
 EPILOG: Final = (
     """examples:
@@ -19,7 +19,7 @@
 1 some host has another one; 3 something was not reached, so it is not known
 
 """
-    + connections.HELP
+    + connections.CONNECTION_HELP
 )
 
 
@@ -32,97 +32,102 @@
 def run(arguments: argparse.Namespace) -> int:
     """Ask everybody and print what is known and what is not."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
         loaded = editor.read_configuration(
-            platform, place.patience, store_reads.select_no_parts
+            opened_store, endpoints.patience, store_reads.select_no_parts
         )
-        found = statuses.survey(place, platform)
-    accepted: int | None = None
-    faults = [found.list_fault] if found.list_fault else []
+        survey = statuses.survey_hosts(endpoints, opened_store)
+    accepted_revision: int | None = None
+    faults = [survey.list_fault] if survey.list_fault else []
     if isinstance(loaded, errors.Failure):
         faults.insert(0, f'the platform: {loaded.kind}: {loaded.detail}')
     else:
-        accepted = loaded.manifest.configuration.revision
-    faults += find_remarks(accepted, found.hosts)
+        accepted_revision = loaded.manifest.configuration.revision
+    faults += find_anomalies(accepted_revision, survey.hosts)
     if arguments.json:
-        _print_json(accepted, found.hosts, faults)
+        _print_json(accepted_revision, survey.hosts, faults)
     else:
-        _print_tables(accepted, found.hosts, faults)
-    return _choose_exit(accepted, found)
+        _print_tables(accepted_revision, survey.hosts, faults)
+    return _choose_exit_code(accepted_revision, survey)
 
 
-def find_remarks(
-    accepted: int | None, hosts: tuple[statuses.Seen, ...]
+def find_anomalies(
+    accepted_revision: int | None, hosts: tuple[statuses.HostStatus, ...]
 ) -> list[str]:
     """Name what should not be: a newer revision on hosts, or two of one."""
-    known = [seen for seen in hosts if seen.revision is not None]
-    newest = max((seen.revision or 0 for seen in known), default=0)
-    remarks: list[str] = []
-    if accepted is not None and newest > accepted:
-        remarks.append(
-            f'the platform has revision {accepted}, but hosts have {newest} '
+    reporting = [status for status in hosts if status.revision is not None]
+    newest = max((status.revision or 0 for status in reporting), default=0)
+    anomalies: list[str] = []
+    if accepted_revision is not None and newest > accepted_revision:
+        anomalies.append(
+            f'the platform has revision {accepted_revision}, but hosts have {newest} '
             'in force: its copy is older and is not followed'
         )
     if not hosts:
-        remarks.append('no host is known')
-    return remarks
+        anomalies.append('no host is known')
+    return anomalies
 
 
 def _print_json(
-    accepted: int | None,
-    hosts: tuple[statuses.Seen, ...],
+    accepted_revision: int | None,
+    hosts: tuple[statuses.HostStatus, ...],
     faults: list[str],
 ) -> None:
     row = {
-        'accepted': accepted,
+        'accepted': accepted_revision,
         'data_centres': statuses.count_revisions(hosts),
-        'hosts': [seen._asdict() for seen in hosts],
+        'hosts': [status._asdict() for status in hosts],
         'faults': faults,
     }
     print(json.dumps(row, ensure_ascii=False))
 
 
 def _print_tables(
-    accepted: int | None,
-    hosts: tuple[statuses.Seen, ...],
+    accepted_revision: int | None,
+    hosts: tuple[statuses.HostStatus, ...],
     faults: list[str],
 ) -> None:
-    shown = 'not known' if accepted is None else accepted
+    shown = 'not known' if accepted_revision is None else accepted_revision
     print(f'accepted by the platform: {shown}')
     counts = [
         {
-            'data centre': centre,
+            'data centre': data_centre,
             'in force': ', '.join(
-                f'{revision} on {count}' for revision, count in found.items()
+                f'{revision} on {count}'
+                for revision, count in revisions.items()
             ),
         }
-        for centre, found in statuses.count_revisions(hosts).items()
+        for data_centre, revisions in statuses.count_revisions(hosts).items()
     ]
     rows = [
         {
-            'host': seen.name or '?',
-            'address': seen.address,
-            'data centre': seen.data_centre or '?',
-            'state': seen.state or '?',
-            'revision': 'unknown' if seen.revision is None else seen.revision,
-            'remark': seen.remark,
+            'host': status.name or '?',
+            'address': status.address,
+            'data centre': status.data_centre or '?',
+            'state': status.state or '?',
+            'revision': 'unknown'
+            if status.revision is None
+            else status.revision,
+            'remark': status.remark,
         }
-        for seen in hosts
+        for status in hosts
     ]
     for table in (counts, rows, statuses.list_quarantined(hosts)):
         if table:
-            print('\n'.join(tables.lay_out(table)))
+            print('\n'.join(tables.format_table(table)))
     for fault in faults:
         print(f'! {fault}')
 
 
-def _choose_exit(accepted: int | None, found: statuses.Survey) -> int:
-    revisions = {seen.revision for seen in found.hosts}
-    if revisions - {None, accepted} and accepted is not None:
-        return exits.FAILED
-    if accepted is None or None in revisions or found.list_fault:
-        return exits.UNREACHABLE
-    return exits.DONE if revisions else exits.UNREACHABLE
+def _choose_exit_code(
+    accepted_revision: int | None, survey: statuses.Survey
+) -> int:
+    revisions = {status.revision for status in survey.hosts}
+    if revisions - {None, accepted_revision} and accepted_revision is not None:
+        return exit_codes.FAILED
+    if accepted_revision is None or None in revisions or survey.list_fault:
+        return exit_codes.UNREACHABLE
+    return exit_codes.SUCCESS if revisions else exit_codes.UNREACHABLE
--- a/fuchsiahaven/operate/command_undo.py
+++ b/fuchsiahaven/operate/command_undo.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import changes
-from fuchsiahaven.operate import connections, exits, lookups, submissions
+from fuchsiahaven.operate import connections, exit_codes, lookups, submissions
 
 EPILOG: Final = f"""examples:
   fuchsiahaven undo 0193b2c4-...
@@ -30,13 +30,17 @@
 def run(arguments: argparse.Namespace) -> int:
     """Find the change and submit its opposite."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
-        entry = lookups.find_entry(platform, arguments.change, place.patience)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
+        entry = lookups.find_entry(
+            opened_store, arguments.change, endpoints.patience
+        )
         if isinstance(entry, errors.Failure):
-            submissions.show_failure(entry, as_json=arguments.json)
-            return submissions.choose_exit(entry)
+            submissions.print_failure(entry, as_json=arguments.json)
+            return submissions.choose_exit_code(entry)
         change = changes.UndoChange(entry.change_id, entry.edits)
-        return submissions.submit_at(arguments, change, place, platform)
+        return submissions.submit_to_store(
+            arguments, change, endpoints, opened_store
+        )
--- a/fuchsiahaven/operate/command_watch.py
+++ b/fuchsiahaven/operate/command_watch.py
@@ -13,12 +13,12 @@
 from fuchsiahaven.operate import (
     command_history,
     connections,
-    exits,
+    exit_codes,
     submissions,
 )
 
-WAIT_S: Final = 20.0
-PAUSE_S: Final = 1.0
+WATCH_S: Final = 20.0
+RETRY_DELAY_S: Final = 1.0
 EPILOG: Final = """examples:
   fuchsiahaven watch
   fuchsiahaven watch --seconds 60 --json
@@ -28,11 +28,11 @@
 """
 
 
-class Seen(NamedTuple):
+class WatchPosition(NamedTuple):
     """Hold the last revision that was printed, and the store's of then."""
 
-    last: int
-    above: int
+    printed_revision: int
+    store_revision: int
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -45,81 +45,100 @@
 def run(arguments: argparse.Namespace) -> int:
     """Follow the manifest until the time is over."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
         loaded = editor.read_configuration(
-            platform, place.patience, store_reads.select_no_parts
+            opened_store, endpoints.patience, store_reads.select_no_parts
         )
         if isinstance(loaded, errors.Failure):
-            submissions.show_failure(loaded, as_json=arguments.json)
-            return submissions.choose_exit(loaded)
+            submissions.print_failure(loaded, as_json=arguments.json)
+            return submissions.choose_exit_code(loaded)
         stack.enter_context(contextlib.suppress(KeyboardInterrupt))
-        end = time.monotonic() + (arguments.seconds or float('inf'))
-        _follow(platform, loaded, end, as_json=arguments.json)
-    return exits.DONE
+        deadline = time.monotonic() + (arguments.seconds or float('inf'))
+        _watch_until(opened_store, loaded, deadline, as_json=arguments.json)
+    return exit_codes.SUCCESS
 
 
-def _follow(
-    platform: store.Store,
+def _watch_until(
+    opened_store: store.Store,
     loaded: store_reads.LoadedManifest,
-    end: float,
+    deadline: float,
     *,
     as_json: bool,
 ) -> None:
-    seen = Seen(loaded.manifest.configuration.revision, loaded.store_revision)
-    print(f'revision {seen.last}', file=sys.stderr, flush=True)
-    while (left := end - time.monotonic()) > 0:
+    position = WatchPosition(
+        loaded.manifest.configuration.revision, loaded.store_revision
+    )
+    print(f'revision {position.printed_revision}', file=sys.stderr, flush=True)
+    while (remaining_s := deadline - time.monotonic()) > 0:
         try:
-            seen = look(platform, seen, min(left, WAIT_S), as_json=as_json)
+            position = print_next_changes(
+                opened_store,
+                position,
+                min(remaining_s, WATCH_S),
+                as_json=as_json,
+            )
         except store.StoreError as error:
             print(f'! not watching: {error}', file=sys.stderr, flush=True)
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_DELAY_S)
 
 
-def look(
-    platform: store.Store, seen: Seen, seconds: float, *, as_json: bool
-) -> Seen:
+def print_next_changes(
+    opened_store: store.Store,
+    position: WatchPosition,
+    wait_s: float,
+    *,
+    as_json: bool,
+) -> WatchPosition:
     """Print what is accepted in so many seconds; return what was seen.
 
     Raises store.StoreError.
     """
     key = manifests.MANIFEST_KEY
-    entry = platform.watch(key, seen.above, seconds)
+    entry = opened_store.watch(key, position.store_revision, wait_s)
     if entry is None:
         # A platform that came back from an older copy counts from below.
-        entry = platform.read(key)
-        if entry is None or entry.revision >= seen.above:
-            return seen
-    last = show_news(platform, entry.value, seen.last, as_json=as_json)
-    return Seen(last, entry.revision)
-
-
-def show_news(
-    platform: store.Store, text: str, last: int, *, as_json: bool
+        entry = opened_store.read(key)
+        if entry is None or entry.revision >= position.store_revision:
+            return position
+    printed_revision = print_changes_after(
+        opened_store, entry.value, position.printed_revision, as_json=as_json
+    )
+    return WatchPosition(printed_revision, entry.revision)
+
+
+def print_changes_after(
+    opened_store: store.Store,
+    manifest_text: str,
+    printed_revision: int,
+    *,
+    as_json: bool,
 ) -> int:
     """Print what was accepted above a revision; return the newest."""
-    head = manifests.decode_head(text)
+    head = manifests.decode_head(manifest_text)
     if isinstance(head, errors.Failure):
-        submissions.show_failure(head, as_json=False)
-        return last
-    if head.revision < last:
-        print(f'! the platform went back from {last} to {head.revision}')
+        submissions.print_failure(head, as_json=False)
+        return printed_revision
+    if head.revision < printed_revision:
+        print(
+            f'! the platform went back from {printed_revision} to {head.revision}'
+        )
         return head.revision
-    steps = store_reads.read_archived_entries(head.entries, last)
-    older = editor.run_steps(steps, platform)
-    if isinstance(older, errors.Failure):
-        submissions.show_failure(older, as_json=False)
-        older = ()
-    for entry in (*older, *head.entries):
-        if entry.revision > last:
-            print(_write(entry, as_json=as_json), flush=True)
+    steps = store_reads.read_archived_entries(head.entries, printed_revision)
+    archived = editor.run_steps(steps, opened_store)
+    if isinstance(archived, errors.Failure):
+        submissions.print_failure(archived, as_json=False)
+        archived = ()
+    for entry in (*archived, *head.entries):
+        if entry.revision > printed_revision:
+            print(_format_entry(entry, as_json=as_json), flush=True)
     return head.revision
 
 
-def _write(entry: audit_log.Entry, *, as_json: bool) -> str:
+def _format_entry(entry: audit_log.Entry, *, as_json: bool) -> str:
     if as_json:
         return json.dumps(audit_log.encode_entry(entry), ensure_ascii=False)
-    moment = command_history.write_time(entry.epoch_s)
+    moment = command_history.format_time(entry.epoch_s)
     return f'{entry.revision}  {moment}  {entry.operator}  {entry.description}'
--- a/fuchsiahaven/operate/commands.py
+++ b/fuchsiahaven/operate/commands.py
@@ -13,7 +13,7 @@
 import fuchsiahaven
 
 
-class Entry(NamedTuple):
+class Command(NamedTuple):
     """Name a command, the module that runs it and its line of help."""
 
     name: str
@@ -33,82 +33,82 @@
 
 #: Add a command here: one line, sorted as an operator would look for it.
 COMMANDS: Final = (
-    Entry(
+    Command(
         'serve',
         'fuchsiahaven.operate.command_serve',
         'serve callers until a signal asks for a planned stop',
     ),
-    Entry(
+    Command(
         'query',
         'fuchsiahaven.operate.command_query',
         'ask a running host a query and show the answer',
     ),
-    Entry(
+    Command(
         'check',
         'fuchsiahaven.operate.command_check',
         'check a settings file and tell every fault in it',
     ),
-    Entry(
+    Command(
         'group',
         'fuchsiahaven.operate.command_group',
         'list, show, create, label, set and delete groups',
     ),
-    Entry(
+    Command(
         'target',
         'fuchsiahaven.operate.command_target',
         'add, remove, drain and return targets',
     ),
-    Entry(
+    Command(
         'selector',
         'fuchsiahaven.operate.command_selector',
         'list, show, set and delete selectors',
     ),
-    Entry(
+    Command(
         'class',
         'fuchsiahaven.operate.command_class',
         'list, show, set and delete classes of request',
     ),
-    Entry(
+    Command(
         'customer',
         'fuchsiahaven.operate.command_customer',
         'list, show, set and delete customers; add and remove their keys',
     ),
-    Entry(
+    Command(
         'plan',
         'fuchsiahaven.operate.command_plan',
         'show what a description would change',
     ),
-    Entry(
+    Command(
         'apply',
         'fuchsiahaven.operate.command_apply',
         'put a whole description in force as one change',
     ),
-    Entry(
+    Command(
         'history',
         'fuchsiahaven.operate.command_history',
         'show the audit trail',
     ),
-    Entry(
+    Command(
         'undo',
         'fuchsiahaven.operate.command_undo',
         'take back an accepted change by a new one',
     ),
-    Entry(
+    Command(
         'status',
         'fuchsiahaven.operate.command_status',
         'say which revision is in force where',
     ),
-    Entry(
+    Command(
         'inspect',
         'fuchsiahaven.operate.command_inspect',
         'show what a host on the platform believes',
     ),
-    Entry(
+    Command(
         'recover',
         'fuchsiahaven.operate.command_recover',
         'put what hosts have in force back into an older platform',
     ),
-    Entry(
+    Command(
         'watch',
         'fuchsiahaven.operate.command_watch',
         'print each change as it is accepted',
@@ -118,18 +118,22 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run the command that the arguments name and return its exit code."""
-    words = sys.argv[1:] if argv is None else argv
-    name = next((word for word in words if not word.startswith('-')), None)
+    tokens = sys.argv[1:] if argv is None else argv
+    name = next((token for token in tokens if not token.startswith('-')), None)
     parser = _build_parser(name)
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(tokens)
     if arguments.command is None:
         parser.print_help()
         return 0
-    entry = next(e for e in COMMANDS if e.name == arguments.command)
-    return _load(entry).run(arguments)
+    command = next(
+        candidate
+        for candidate in COMMANDS
+        if candidate.name == arguments.command
+    )
+    return _load_module(command).run(arguments)
 
 
-def _build_parser(chosen: str | None) -> argparse.ArgumentParser:
+def _build_parser(chosen_name: str | None) -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog='fuchsiahaven',
         description='A query tier between callers and many shards.',
@@ -139,18 +143,18 @@
         action='version',
         version=f'fuchsiahaven {fuchsiahaven.__version__}',
     )
-    group = parser.add_subparsers(dest='command', metavar='command')
-    for entry in COMMANDS:
-        subparser = group.add_parser(
-            entry.name,
-            help=entry.help,
-            description=entry.help,
+    subparsers = parser.add_subparsers(dest='command', metavar='command')
+    for command in COMMANDS:
+        subparser = subparsers.add_parser(
+            command.name,
+            help=command.help,
+            description=command.help,
             formatter_class=argparse.RawDescriptionHelpFormatter,
         )
-        if entry.name == chosen:
-            _load(entry).add_arguments(subparser)
+        if command.name == chosen_name:
+            _load_module(command).add_arguments(subparser)
     return parser
 
 
-def _load(entry: Entry) -> CommandModule:
-    return cast(CommandModule, importlib.import_module(entry.module))
+def _load_module(command: Command) -> CommandModule:
+    return cast(CommandModule, importlib.import_module(command.module))
--- a/fuchsiahaven/operate/connections.py
+++ b/fuchsiahaven/operate/connections.py
@@ -14,8 +14,8 @@
 
 PLATFORM_VARIABLE: Final = 'FUCHSIAHAVEN_PLATFORM'
 HOSTS_VARIABLE: Final = 'FUCHSIAHAVEN_HOSTS'
-EXPECTED: Final = 'expected IP:PORT, or several separated by commas'
-HELP: Final = f"""where:
+ADDRESSES_EXPECTED: Final = 'expected IP:PORT, or several separated by commas'
+CONNECTION_HELP: Final = f"""where:
   --platform or {PLATFORM_VARIABLE} names the platform's service; --hosts or
   {HOSTS_VARIABLE} names peer ports of hosts, besides those that the platform
   lists; --settings takes both, and the TLS files, from a settings file of the
@@ -25,7 +25,7 @@
 Addresses = tuple[addresses.Address, ...]
 
 
-class Place(NamedTuple):
+class Endpoints(NamedTuple):
     """Say where the platform's service and some hosts answer.
 
     `patience` bounds how long the platform is asked again. Without an
@@ -69,62 +69,72 @@
     parser.add_argument('--json', action='store_true', help='print JSON')
 
 
-def find_place(arguments: argparse.Namespace) -> Place | None:
+def find_endpoints(arguments: argparse.Namespace) -> Endpoints | None:
     """Read where to go; print what is wrong and return None."""
-    platform = _parse(arguments.platform)
-    hosts = _parse(arguments.hosts)
+    platform = _parse_addresses(arguments.platform)
+    hosts = _parse_addresses(arguments.hosts)
     if platform is None or hosts is None:
-        print(EXPECTED, file=sys.stderr)
+        print(ADDRESSES_EXPECTED, file=sys.stderr)
         return None
     patience = editor.Patience(arguments.timeout)
-    place: Place | None = Place(platform, hosts, patience)
+    endpoints: Endpoints | None = Endpoints(platform, hosts, patience)
     if arguments.settings is not None:
-        place = _read_settings(arguments.settings, Place(platform, hosts))
-    if place is not None and not place.platform:
-        print(f'--platform or {PLATFORM_VARIABLE}: {EXPECTED}', file=sys.stderr)
+        endpoints = _read_settings(
+            arguments.settings, Endpoints(platform, hosts)
+        )
+    if endpoints is not None and not endpoints.platform:
+        print(
+            f'--platform or {PLATFORM_VARIABLE}: {ADDRESSES_EXPECTED}',
+            file=sys.stderr,
+        )
         return None
-    return place and place._replace(patience=patience)
+    return endpoints and endpoints._replace(patience=patience)
 
 
-def open_store(place: Place, stack: contextlib.ExitStack) -> store.Store:
+def open_store(
+    endpoints: Endpoints, stack: contextlib.ExitStack
+) -> store.Store:
     """Open the platform's service; the stack closes it."""
-    scheme = 'https' if place.platform_identity else 'http'
+    scheme = 'https' if endpoints.platform_identity else 'http'
     urls = tuple(
         f'{scheme}://{addresses.format_address(address)}'
-        for address in place.platform
+        for address in endpoints.platform
     )
-    opened = store.Store(urls, identity=place.platform_identity)
+    opened = store.Store(urls, identity=endpoints.platform_identity)
     stack.callback(opened.close)
     return opened
 
 
-def _read_settings(path: Path, place: Place) -> Place | None:
+def _read_settings(path: Path, endpoints: Endpoints) -> Endpoints | None:
     reading = settings_reader.read_file(path)
     for fault in reading.faults:
-        print(settings_reader.describe(fault), file=sys.stderr)
-    found = reading.settings
-    if found is None:
+        print(settings_reader.describe_fault(fault), file=sys.stderr)
+    host_settings = reading.settings
+    if host_settings is None:
         return None
     # What opens keys is imported only where there may be some.
     from fuchsiahaven.edge import openings
 
-    side = ssl.Purpose.SERVER_AUTH
+    purpose = ssl.Purpose.SERVER_AUTH
     try:
-        platform_identity = openings.open_identity(found.platform, side)
-        peer_identity = openings.open_identity(found.peers, side)
+        platform_identity = openings.open_identity(
+            host_settings.platform, purpose
+        )
+        peer_identity = openings.open_identity(host_settings.peers, purpose)
     except OSError as error:
         print(f'{path}: a TLS file cannot be used: {error}', file=sys.stderr)
         return None
-    return place._replace(
-        platform=place.platform or found.platform.addresses,
-        hosts=place.hosts or (found.peers.address, *found.peers.seeds),
+    return endpoints._replace(
+        platform=endpoints.platform or host_settings.platform.addresses,
+        hosts=endpoints.hosts
+        or (host_settings.peers.address, *host_settings.peers.seeds),
         platform_identity=platform_identity,
         peer_identity=peer_identity,
     )
 
 
-def _parse(text: str) -> Addresses | None:
+def _parse_addresses(text: str) -> Addresses | None:
     words = text.replace(',', ' ').split()
-    found = [addresses.parse(word) for word in words]
-    known = tuple(address for address in found if address is not None)
-    return known if len(known) == len(found) else None
+    parsed = [addresses.parse(word) for word in words]
+    valid = tuple(address for address in parsed if address is not None)
+    return valid if len(valid) == len(parsed) else None
--- a/fuchsiahaven/operate/descriptions.py
+++ b/fuchsiahaven/operate/descriptions.py
@@ -37,7 +37,7 @@
     trees,
 )
 from fuchsiahaven.core.customers import customers
-from fuchsiahaven.operate import secret_files, settings_reader, words
+from fuchsiahaven.operate import key_files, settings_reader, value_parsing
 
 SECTION_HELP: Final = (
     '[group NAME], [targets GROUP DATA_CENTRE], [selector NAME], '
@@ -48,10 +48,16 @@
     'expression': str,
     'data_centres': str,
 }
-GROUP_FIELDS: Final[Mapping[str, type]] = {'labels': str, **words.CAPS}
-CUSTOMER_FIELDS: Final[Mapping[str, type]] = {'keys': str, **words.CUSTOMER}
+GROUP_FIELDS: Final[Mapping[str, type]] = {
+    'labels': str,
+    **value_parsing.CAP_FIELDS,
+}
+CUSTOMER_FIELDS: Final[Mapping[str, type]] = {
+    'keys': str,
+    **value_parsing.CUSTOMER_FIELDS,
+}
 #: The word that begins the sections of each kind.
-KINDS: Final[Mapping[str, str]] = {
+KIND_WORDS: Final[Mapping[str, str]] = {
     'groups': 'group',
     'selectors': 'selector',
     'classes': 'class',
@@ -59,7 +65,7 @@
 }
 
 Fault = settings_reader.Fault
-describe = settings_reader.describe
+describe_fault = settings_reader.describe_fault
 Section = Mapping[str, str]
 Rows = dict[str, dict[str, Any]]
 
@@ -74,119 +80,123 @@
 def read_file(path: Path) -> Reading:
     """Read a description; a file that cannot be read is a fault too."""
     try:
-        return read_text(path.read_text(encoding='utf-8'))
+        return parse_text(path.read_text(encoding='utf-8'))
     except (OSError, UnicodeDecodeError) as error:
         fault = Fault('', str(path), str(error), 'a readable UTF-8 file')
         return Reading(configurations.EMPTY, (fault,))
 
 
-def read_text(text: str) -> Reading:
+def parse_text(text: str) -> Reading:
     """Read the text of a description and find every fault in it."""
-    sections, faults = settings_reader.split(text)
-    rows: Rows = {kind: {} for kind in KINDS}
+    sections, faults = settings_reader.split_sections(text)
+    rows: Rows = {kind: {} for kind in KIND_WORDS}
     # Groups come before their targets, wherever they stand in the file.
-    for head in sorted(sections, key=_order):
-        faults.extend(_read_section(head, sections[head], rows))
+    for header in sorted(sections, key=_sort_key):
+        faults.extend(_parse_section(header, sections[header], rows))
     if not faults:
-        faults.extend(_check_shapes(rows))
+        faults.extend(_validate_rows(rows))
     if faults:
         return Reading(configurations.EMPTY, tuple(faults))
     return Reading(trees.build_configuration(rows, 0), ())
 
 
-def _order(head: str) -> tuple[bool, str]:
-    return head.startswith('targets'), head
+def _sort_key(header: str) -> tuple[bool, str]:
+    return header.startswith('targets'), header
 
 
-def _read_section(head: str, section: Section, rows: Rows) -> list[Fault]:
-    match head.split():
+def _parse_section(header: str, section: Section, rows: Rows) -> list[Fault]:
+    match header.split():
         case ['group', name]:
-            return _read_group(head, section, rows['groups'], name)
-        case ['targets', group, centre] if group in rows['groups']:
+            return _parse_group(header, section, rows['groups'], name)
+        case ['targets', group, data_centre] if group in rows['groups']:
             targets = rows['groups'][group]['targets']
-            return _read_targets(head, section, targets, centre)
+            return _parse_targets(header, section, targets, data_centre)
         case ['targets', group, _]:
-            return [Fault(head, '', '', f'a section [group {group}] too')]
+            return [Fault(header, '', '', f'a section [group {group}] too')]
         case ['selector', name]:
-            fields, faults = _read_fields(head, section, SELECTOR_FIELDS)
-            centres = words.split_names(fields.get('data_centres', ''))
-            row = {**fields, 'data_centres': list(centres)}
+            fields, faults = _parse_fields(header, section, SELECTOR_FIELDS)
+            data_centres = value_parsing.parse_names(
+                fields.get('data_centres', '')
+            )
+            row = {**fields, 'data_centres': list(data_centres)}
             rows['selectors'][name] = row
             return faults
         case ['class', name]:
-            plain = trees.encode_class(configurations.RequestClass(name))
-            fields, faults = _read_fields(head, section, words.POLICY)
-            rows['classes'][name] = {**plain, **fields}
+            defaults = trees.encode_class(configurations.RequestClass(name))
+            fields, faults = _parse_fields(
+                header, section, value_parsing.CLASS_FIELDS
+            )
+            rows['classes'][name] = {**defaults, **fields}
             return faults
         case ['customer', name]:
-            return _read_customer(head, section, rows['customers'], name)
-    return [Fault(head, '', '', SECTION_HELP)]
+            return _parse_customer(header, section, rows['customers'], name)
+    return [Fault(header, '', '', SECTION_HELP)]
 
 
-def _read_customer(
-    head: str, section: Section, found: dict[str, Any], name: str
+def _parse_customer(
+    header: str, section: Section, rows: dict[str, Any], name: str
 ) -> list[Fault]:
-    plain = trees.encode_customer(customers.Customer(name))
-    fields, found_faults = _read_fields(head, section, CUSTOMER_FIELDS)
+    defaults = trees.encode_customer(customers.Customer(name))
+    fields, field_faults = _parse_fields(header, section, CUSTOMER_FIELDS)
     # What stands under a name that is misspelt may be a key.
-    faults = [it._replace(value='') for it in found_faults]
-    digests = words.split_names(fields.pop('keys', ''))
+    faults = [it._replace(value='') for it in field_faults]
+    digests = value_parsing.parse_names(fields.pop('keys', ''))
     if len(set(digests)) < len(digests):
-        faults.append(Fault(head, 'keys', '', 'each key once'))
-    if not all(secret_files.is_digest(it) for it in digests):
-        faults.append(Fault(head, 'keys', '', secret_files.DIGEST_HELP))
-    found[name] = {**plain, **fields, 'keys': dict.fromkeys(digests, True)}
+        faults.append(Fault(header, 'keys', '', 'each key once'))
+    if not all(key_files.is_digest(it) for it in digests):
+        faults.append(Fault(header, 'keys', '', key_files.DIGEST_FORMAT))
+    rows[name] = {**defaults, **fields, 'keys': dict.fromkeys(digests, True)}
     return faults
 
 
-def _read_group(
-    head: str, section: Section, groups: dict[str, Any], name: str
+def _parse_group(
+    header: str, section: Section, groups: dict[str, Any], name: str
 ) -> list[Fault]:
-    plain = trees.encode_group(configurations.Group(name, (), ()))
-    fields, faults = _read_fields(head, section, GROUP_FIELDS)
-    texts = words.split_names(fields.pop('labels', ''))
+    defaults = trees.encode_group(configurations.Group(name, (), ()))
+    fields, faults = _parse_fields(header, section, GROUP_FIELDS)
+    texts = value_parsing.parse_names(fields.pop('labels', ''))
     labels: dict[str, str] = {}
     for text in texts:
         try:
-            labels.update([words.split_pair(text)])
+            labels.update([value_parsing.parse_pair(text)])
         except argparse.ArgumentTypeError as error:
-            faults.append(Fault(head, 'labels', text, str(error)))
-    groups[name] = {**plain, **fields, 'labels': labels}
+            faults.append(Fault(header, 'labels', text, str(error)))
+    groups[name] = {**defaults, **fields, 'labels': labels}
     return faults
 
 
-def _read_fields(
-    head: str, section: Section, known: Mapping[str, type]
+def _parse_fields(
+    header: str, section: Section, field_types: Mapping[str, type]
 ) -> tuple[dict[str, Any], list[Fault]]:
     fields: dict[str, Any] = {}
     faults: list[Fault] = []
     for key, text in section.items():
         try:
-            fields[key] = words.read_field(key, text, known)
+            fields[key] = value_parsing.parse_field(key, text, field_types)
         except argparse.ArgumentTypeError as error:
-            faults.append(Fault(head, key, text, str(error)))
+            faults.append(Fault(header, key, text, str(error)))
     return fields, faults
 
 
-def _read_targets(
-    head: str, section: Section, targets: dict[str, Any], centre: str
+def _parse_targets(
+    header: str, section: Section, targets: dict[str, Any], data_centre: str
 ) -> list[Fault]:
     faults: list[Fault] = []
-    for names, found in section.items():
+    for names, addresses in section.items():
         try:
-            pairs = words.expand_pair(names, found)
+            pairs = value_parsing.expand_pair(names, addresses)
         except argparse.ArgumentTypeError as error:
-            faults.append(Fault(head, names, found, str(error)))
+            faults.append(Fault(header, names, addresses, str(error)))
             continue
         for name, address in pairs:
             if name in targets:
-                faults.append(Fault(head, names, name, 'each target once'))
-            targets[name] = [centre, address]
+                faults.append(Fault(header, names, name, 'each target once'))
+            targets[name] = [data_centre, address]
     return faults
 
 
-def _check_shapes(rows: Rows) -> Iterator[Fault]:
-    for kind, word in KINDS.items():
+def _validate_rows(rows: Rows) -> Iterator[Fault]:
+    for kind, word in KIND_WORDS.items():
         for name in rows[kind]:
             fault = tree_validation.find_fault(rows, [(kind, name)])
             if fault is not None:
--- a/fuchsiahaven/operate/exits.py
+++ b/fuchsiahaven/operate/exit_codes.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 #: The command did what was asked.
-DONE: Final = 0
+SUCCESS: Final = 0
 #: The command ran and the answer is no: faults found, partial, refused.
 FAILED: Final = 1
 #: The command line itself is wrong (argparse uses the same code).
--- a/fuchsiahaven/operate/exchanges.py
+++ b/fuchsiahaven/operate/host_client.py
@@ -12,33 +12,33 @@
 CONNECT_TIMEOUT_S: Final = 2.0
 JSON_TYPE: Final = {'Content-Type': 'application/json'}
 
-Body = Mapping[str, object]
+JsonObject = Mapping[str, object]
 
 
-class Told(NamedTuple):
+class Response(NamedTuple):
     """Hold what the host answered."""
 
     status: int
-    body: Body
+    body: JsonObject
 
 
-class Silent(NamedTuple):
+class NoResponse(NamedTuple):
     """Say that no answer came, and whether the host may have acted."""
 
     reason: str
-    sent: bool
+    may_have_run: bool
 
 
-def ask(
+def send_request(
     address: addresses.Address,
     method: str,
     path: str,
     *,
-    body: Body | None = None,
+    body: JsonObject | None = None,
     timeout_s: float = 10.0,
     context: ssl.SSLContext | None = None,
     fields: Mapping[str, str] = JSON_TYPE,
-) -> Told | Silent:
+) -> Response | NoResponse:
     """Ask once, never twice, and tell what came back; by TLS if asked to."""
     scheme = 'https' if context else 'http'
     url = f'{scheme}://{addresses.format_address(address)}{path}'
@@ -52,14 +52,14 @@
                 url,
                 body=None if body is None else json.dumps(body),
                 headers=fields,
-                timeout=limit_time(timeout_s),
+                timeout=build_timeout(timeout_s),
             )
         except urllib3.exceptions.HTTPError as error:
-            return Silent(str(error), sent=not _is_unsent(error))
-    return _read(response)
+            return NoResponse(str(error), may_have_run=not _is_unsent(error))
+    return _decode_response(response)
 
 
-def limit_time(timeout_s: float) -> urllib3.Timeout:
+def build_timeout(timeout_s: float) -> urllib3.Timeout:
     """Bound the whole exchange, and the connecting more tightly."""
     connect_s = min(CONNECT_TIMEOUT_S, timeout_s)
     return urllib3.Timeout(total=timeout_s, connect=connect_s)
@@ -75,11 +75,15 @@
     )
 
 
-def _read(response: urllib3.BaseHTTPResponse) -> Told | Silent:
+def _decode_response(
+    response: urllib3.BaseHTTPResponse,
+) -> Response | NoResponse:
     try:
         body = json_texts.load(response.data or b'{}')
     except ValueError:
         body = None
     if not isinstance(body, dict):
-        return Silent(f'status {response.status} without JSON', sent=True)
-    return Told(response.status, cast(Body, body))
+        return NoResponse(
+            f'status {response.status} without JSON', may_have_run=True
+        )
+    return Response(response.status, cast(JsonObject, body))
--- a/fuchsiahaven/operate/secret_files.py
+++ b/fuchsiahaven/operate/key_files.py
@@ -9,7 +9,7 @@
 from fuchsiahaven.core.configuration import manifest_schemas
 from fuchsiahaven.core.customers import keys
 
-DIGEST_HELP: Final = 'a digest is 32 of the digits 0-9 and a-f'
+DIGEST_FORMAT: Final = 'a digest is 32 of the digits 0-9 and a-f'
 STANDARD_INPUT: Final = '-'
 
 
@@ -22,8 +22,8 @@
         text = _read_text(name)
     except (OSError, UnicodeDecodeError) as error:
         # The text of an error of decoding would tell what was read.
-        what = type(error).__name__
-        raise argparse.ArgumentTypeError(f'{name}: {what}') from None
+        reason = type(error).__name__
+        raise argparse.ArgumentTypeError(f'{name}: {reason}') from None
     lines = text.splitlines()
     for number, line in enumerate(lines, 1):
         if not _is_key(line):
--- a/fuchsiahaven/operate/logs.py
+++ b/fuchsiahaven/operate/logs.py
@@ -17,20 +17,20 @@
 from fuchsiahaven.operate import settings
 
 #: A value made of other letters is quoted.
-PLAIN: Final = frozenset(
+UNQUOTED_CHARACTERS: Final = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@,[]',
 )
-LEVELS: Final[Mapping[settings.Verbosity, int]] = {
+LEVEL_BY_VERBOSITY: Final[Mapping[settings.Verbosity, int]] = {
     settings.Verbosity.DEBUG: logging.DEBUG,
     settings.Verbosity.INFO: logging.INFO,
     settings.Verbosity.WARNING: logging.WARNING,
     settings.Verbosity.ERROR: logging.ERROR,
 }
 #: The attribute of a log record that carries the part and the fields.
-ATTRIBUTE: Final = 'line'
+LINE_ATTRIBUTE: Final = 'line'
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """Hold what one line tells."""
 
     part: str
@@ -43,12 +43,12 @@
 
     def format(self, record: standard.LogRecord) -> str:
         """Write one record."""
-        line = _read_line(record)
-        told = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
-        stamp = told.isoformat(timespec='milliseconds')
-        head = f'{stamp} {record.levelname}'
-        words = [f'{name}={_quote(it)}' for name, it in line.fields.items()]
-        return ' '.join((head, f'{line.part}:', line.text, *words))
+        line = _get_line(record)
+        moment = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
+        timestamp = moment.isoformat(timespec='milliseconds')
+        head = f'{timestamp} {record.levelname}'
+        fields = [f'{name}={_quote(it)}' for name, it in line.fields.items()]
+        return ' '.join((head, f'{line.part}:', line.text, *fields))
 
 
 class JsonFormatter(standard.Formatter):
@@ -56,7 +56,7 @@
 
     def format(self, record: standard.LogRecord) -> str:
         """Write one record."""
-        line = _read_line(record)
+        line = _get_line(record)
         head = {
             'time_epoch': round(record.created, 3),
             'level': record.levelname.lower(),
@@ -66,17 +66,17 @@
         return json.dumps({**head, **line.fields, **head}, default=str)
 
 
-def set_up(chosen: settings.Logs) -> None:
+def set_up(options: settings.Logs) -> None:
     """Send the log to standard error as the settings say."""
     # absl warns on its first line until its flags are read; argparse reads
     # the command line here, so there is nothing to read.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
-    logging.set_verbosity(LEVELS[chosen.verbosity])
+    logging.set_verbosity(LEVEL_BY_VERBOSITY[options.verbosity])
     # At debug urllib3 tells every call in several lines, which would bury
     # what this program tells.
     standard.getLogger('urllib3').setLevel(standard.WARNING)
-    formatter = JsonFormatter() if chosen.json else TextFormatter()
+    formatter = JsonFormatter() if options.json else TextFormatter()
     handler = logging.get_absl_handler()
     handler.setFormatter(formatter)
     handler.python_handler.setStream(sys.stderr)
@@ -86,36 +86,36 @@
 
 def debug(part: str, text: str, **fields: object) -> None:
     """Log what only someone who reads the code will want."""
-    _write(logging.DEBUG, Line(part, text, fields))
+    _log_line(logging.DEBUG, LogLine(part, text, fields))
 
 
 def info(part: str, text: str, **fields: object) -> None:
     """Log an ordinary change of state."""
-    _write(logging.INFO, Line(part, text, fields))
+    _log_line(logging.INFO, LogLine(part, text, fields))
 
 
 def warning(part: str, text: str, **fields: object) -> None:
     """Log what an operator may have to look at."""
-    _write(logging.WARNING, Line(part, text, fields))
+    _log_line(logging.WARNING, LogLine(part, text, fields))
 
 
 def error(part: str, text: str, **fields: object) -> None:
     """Log what an operator has to look at."""
-    _write(logging.ERROR, Line(part, text, fields))
+    _log_line(logging.ERROR, LogLine(part, text, fields))
 
 
-def _write(level: int, line: Line) -> None:
+def _log_line(level: int, line: LogLine) -> None:
     if level <= logging.get_verbosity():
-        logging.log(level, '%s', line.text, extra={ATTRIBUTE: line})
+        logging.log(level, '%s', line.text, extra={LINE_ATTRIBUTE: line})
 
 
-def _read_line(record: standard.LogRecord) -> Line:
+def _get_line(record: standard.LogRecord) -> LogLine:
     """Find what a record tells; a library's own records carry no line."""
-    line = getattr(record, ATTRIBUTE, None)
-    if isinstance(line, Line):
+    line = getattr(record, LINE_ATTRIBUTE, None)
+    if isinstance(line, LogLine):
         fields = line.fields
     else:
-        line = Line(record.name, record.getMessage(), {})
+        line = LogLine(record.name, record.getMessage(), {})
         fields = {}
     if record.exc_info:
         trace = standard.Formatter().formatException(record.exc_info)
@@ -123,11 +123,15 @@
     return line._replace(fields=fields)
 
 
-def _quote(told: object) -> str:
+def _quote(value: object) -> str:
     """Write a value so that it stays one word on one line.
 
     Values can come from callers. A line break in one would forge a log line,
     and a space would forge a field; JSON's quoting escapes both.
     """
-    text = str(told)
-    return text if text and PLAIN.issuperset(text) else json.dumps(text)
+    text = str(value)
+    return (
+        text
+        if text and UNQUOTED_CHARACTERS.issuperset(text)
+        else json.dumps(text)
+    )
--- a/fuchsiahaven/operate/lookups.py
+++ b/fuchsiahaven/operate/lookups.py
@@ -14,37 +14,43 @@
     store_reads,
 )
 from fuchsiahaven.edge import editor, store
-from fuchsiahaven.operate import connections, exits, submissions, tables
+from fuchsiahaven.operate import connections, exit_codes, submissions, tables
 
 #: Archived entries read one by one when looking for a change by its id.
-MAX_LOOKED: Final = 2000
+MAX_SEARCHED_ENTRIES: Final = 2000
 
-Show = Callable[[configurations.Configuration], int]
-ShowManifest = Callable[[manifests.Manifest], int]
+PrintConfiguration = Callable[[configurations.Configuration], int]
+PrintManifest = Callable[[manifests.Manifest], int]
 
 
-def show(arguments: argparse.Namespace, print_it: Show) -> int:
+def show_configuration(
+    arguments: argparse.Namespace, print_configuration: PrintConfiguration
+) -> int:
     """Read the configuration and show some of it."""
-    return show_manifest(arguments, lambda it: print_it(it.configuration))
+    return show_manifest(
+        arguments, lambda it: print_configuration(it.configuration)
+    )
 
 
-def show_manifest(arguments: argparse.Namespace, print_it: ShowManifest) -> int:
+def show_manifest(
+    arguments: argparse.Namespace, print_manifest: PrintManifest
+) -> int:
     """Read the manifest with all its parts and show some of it."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
-        loaded = editor.read_configuration(platform, place.patience)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
+        loaded = editor.read_configuration(opened_store, endpoints.patience)
     if isinstance(loaded, errors.Failure):
-        submissions.show_failure(loaded, as_json=arguments.json)
-        return submissions.choose_exit(loaded)
-    return print_it(loaded.manifest)
+        submissions.print_failure(loaded, as_json=arguments.json)
+        return submissions.choose_exit_code(loaded)
+    return print_manifest(loaded.manifest)
 
 
 def print_rows(
     rows: Sequence[tables.Row],
-    first: Iterable[str],
+    first_columns: Iterable[str],
     *,
     as_json: bool,
     **extra: object,
@@ -52,59 +58,59 @@
     """Print rows as a table for a person or as JSON for a program."""
     if as_json:
         print(json.dumps({'rows': rows, **extra}, ensure_ascii=False))
-        return exits.DONE
-    print('\n'.join(tables.lay_out(rows, first)))
-    for name, told in extra.items():
-        text = ', '.join(told) if isinstance(told, list) else told
+        return exit_codes.SUCCESS
+    print('\n'.join(tables.format_table(rows, first_columns)))
+    for name, value in extra.items():
+        text = ', '.join(value) if isinstance(value, list) else value
         print(f'{name}: {text}')
-    return exits.DONE
+    return exit_codes.SUCCESS
 
 
-def print_missing(what: str, name: str) -> int:
+def print_missing(kind: str, name: str) -> int:
     """Say that there is nothing of this name."""
-    print(f'there is no {what} {name}')
-    return exits.FAILED
+    print(f'there is no {kind} {name}')
+    return exit_codes.FAILED
 
 
 def find_entry(
-    platform: store.Store, wanted: str, patience: editor.Patience
+    opened_store: store.Store, change: str, patience: editor.Patience
 ) -> audit_log.Entry | errors.Failure:
     """Find an accepted change by its id or revision, newest first.
 
     NOT_FOUND where it is not among the last `MAX_LOOKED` changes.
     """
-    looked = 0
-    for entry in iterate_entries(platform, patience):
+    searched = 0
+    for entry in iterate_entries(opened_store, patience):
         if isinstance(entry, errors.Failure):
             return entry
-        if wanted in {entry.change_id, str(entry.revision)}:
+        if change in {entry.change_id, str(entry.revision)}:
             return entry
-        looked += 1
-        if looked == MAX_LOOKED:
+        searched += 1
+        if searched == MAX_SEARCHED_ENTRIES:
             break
     return errors.make_failure(
         errors.Kind.NOT_FOUND,
         'history',
-        f'{wanted} is not among the last {looked} changes',
+        f'{change} is not among the last {searched} changes',
     )
 
 
 def iterate_entries(
-    platform: store.Store, patience: editor.Patience
+    opened_store: store.Store, patience: editor.Patience
 ) -> Iterable[audit_log.Entry | errors.Failure]:
     """Yield audit entries from the newest back, ending after a failure."""
     loaded = editor.read_configuration(
-        platform, patience, store_reads.select_no_parts
+        opened_store, patience, store_reads.select_no_parts
     )
     if isinstance(loaded, errors.Failure):
         yield loaded
         return
-    kept = loaded.manifest.entries
-    yield from reversed(kept)
-    revision = kept[0].previous_revision if kept else 0
+    recent = loaded.manifest.entries
+    yield from reversed(recent)
+    revision = recent[0].previous_revision if recent else 0
     while revision:
         entry = editor.run_steps(
-            store_reads.read_archived_entry(revision), platform, patience
+            store_reads.read_archived_entry(revision), opened_store, patience
         )
         yield entry
         if isinstance(entry, errors.Failure):
--- a/fuchsiahaven/operate/metrics.py
+++ b/fuchsiahaven/operate/metrics.py
@@ -105,23 +105,27 @@
             ('request_class', 'status'),
             registry=registry,
         ),
-        sub_requests=_count(registry, 'sub_requests', 'outcome', Outcome),
-        refusals=_count(registry, 'refusals', 'kind', errors.Kind),
-        connections=_gauge(registry, 'connections', 'Open target connections.'),
-        slots_in_use=_gauge(
+        sub_requests=_build_counters(
+            registry, 'sub_requests', 'outcome', Outcome
+        ),
+        refusals=_build_counters(registry, 'refusals', 'kind', errors.Kind),
+        connections=_build_gauge(
+            registry, 'connections', 'Open target connections.'
+        ),
+        slots_in_use=_build_gauge(
             registry, 'slots_in_use', 'Sub-requests in flight.'
         ),
-        queued=_gauge(registry, 'queued', 'Queries that wait to start.'),
-        revision=_gauge(registry, 'revision', 'Configuration in force.'),
+        queued=_build_gauge(registry, 'queued', 'Queries that wait to start.'),
+        revision=_build_gauge(registry, 'revision', 'Configuration in force.'),
     )
 
 
-def write_metrics(metrics: Metrics) -> bytes:
+def encode_metrics(metrics: Metrics) -> bytes:
     """Write the metrics in the text format of Prometheus."""
     return prometheus_client.generate_latest(metrics.registry)
 
 
-def _gauge(
+def _build_gauge(
     registry: registries.CollectorRegistry,
     name: str,
     text: str,
@@ -133,7 +137,7 @@
     )
 
 
-def _count(
+def _build_counters(
     registry: registries.CollectorRegistry,
     name: str,
     label: str,
--- a/fuchsiahaven/operate/settings_reader.py
+++ b/fuchsiahaven/operate/settings_reader.py
@@ -11,7 +11,7 @@
 from fuchsiahaven.core import addresses
 from fuchsiahaven.operate import settings
 
-MAX_NAME: typing.Final = 63
+MAX_NAME_LENGTH: typing.Final = 63
 BOOLEANS: typing.Final[Mapping[str, bool]] = {
     'yes': True,
     'true': True,
@@ -21,7 +21,7 @@
     'off': False,
 }
 #: A name that configparser would give special meaning to; never in a file.
-NO_SECTION: typing.Final = '\0'
+DEFAULT_SECTION: typing.Final = '\0'
 
 Hints = Mapping[str, object]
 Sections = Mapping[str, Mapping[str, str]]
@@ -54,23 +54,23 @@
     except (OSError, UnicodeDecodeError) as error:
         fault = Fault('', str(path), str(error), 'a readable UTF-8 file')
         return Reading(None, (fault,))
-    reading = read_text(text)
+    reading = parse_text(text)
     if reading.settings is None:
         return reading
     faults = tuple(_find_missing_files(reading.settings))
     return Reading(None if faults else reading.settings, faults)
 
 
-def read_text(text: str) -> Reading:
+def parse_text(text: str) -> Reading:
     """Read the text of a settings file."""
-    sections, faults = split(text)
+    sections, faults = split_sections(text)
     hints = typing.get_type_hints(settings.Settings)
-    faults.extend(_find_unknown(sections, hints))
+    faults.extend(_find_unknown_keys(sections, hints))
     values: dict[str, typing.Any] = {}
     for name, section_type in hints.items():
-        found = _read_section(name, section_type, sections.get(name, {}))
-        values[name] = found[0]
-        faults.extend(found[1])
+        parsed = _parse_section(name, section_type, sections.get(name, {}))
+        values[name] = parsed[0]
+        faults.extend(parsed[1])
     if faults:
         return Reading(None, tuple(faults))
     complete = settings.Settings(**values)
@@ -79,7 +79,7 @@
     return Reading(None if faults else complete, tuple(faults))
 
 
-def describe(fault: Fault) -> str:
+def describe_fault(fault: Fault) -> str:
     """Write a fault as one line for a person."""
     section = f'[{fault.section}]' if fault.section else ''
     value = f'= {fault.value}' if fault.value else ''
@@ -87,7 +87,7 @@
     return '{0}: expected {1}'.format(' '.join(words), fault.expected)
 
 
-def split(text: str) -> tuple[Sections, list[Fault]]:
+def split_sections(text: str) -> tuple[Sections, list[Fault]]:
     """Split the text into sections, blanking each line that cannot be read.
 
     configparser stops at the first such line; going on shows the rest of the
@@ -98,7 +98,7 @@
     while True:
         parser = configparser.ConfigParser(
             interpolation=None,
-            default_section=NO_SECTION,
+            default_section=DEFAULT_SECTION,
             empty_lines_in_values=False,
         )
         # Keys are taken as written: a known key in other case is a fault.
@@ -106,14 +106,14 @@
         try:
             parser.read_string('\n'.join(lines))
         except configparser.Error as error:
-            number, fault = _explain(error, lines)
+            number, fault = _locate_fault(error, lines)
             faults.append(fault)
             lines[number - 1] = ''
         else:
             return {name: parser[name] for name in parser.sections()}, faults
 
 
-def _explain(
+def _locate_fault(
     error: configparser.Error,
     lines: list[str],
 ) -> tuple[int, Fault]:
@@ -136,27 +136,27 @@
     return number, fault
 
 
-def _find_unknown(sections: Sections, hints: Hints) -> Iterator[Fault]:
+def _find_unknown_keys(sections: Sections, hints: Hints) -> Iterator[Fault]:
     for name, section in sections.items():
-        known = hints.get(name)
-        if known is None:
+        section_type = hints.get(name)
+        if section_type is None:
             yield Fault(name, '', '', _suggest('section', name, hints))
             continue
-        fields = typing.get_type_hints(known)
+        fields = typing.get_type_hints(section_type)
         for key, value in section.items():
             if key not in fields:
                 yield Fault(name, key, value, _suggest('key', key, fields))
 
 
-def _suggest(what: str, name: str, known: Mapping[str, object]) -> str:
-    lowered = {key.lower(): key for key in known}
-    close = difflib.get_close_matches(name.lower(), lowered, n=1)
+def _suggest(kind: str, name: str, known: Mapping[str, object]) -> str:
+    by_lower_case = {key.lower(): key for key in known}
+    close = difflib.get_close_matches(name.lower(), by_lower_case, n=1)
     if close:
-        return f'a known {what}; the nearest is {lowered[close[0]]}'
-    return 'a known {0}: {1}'.format(what, ', '.join(known))
+        return f'a known {kind}; the nearest is {by_lower_case[close[0]]}'
+    return 'a known {0}: {1}'.format(kind, ', '.join(known))
 
 
-def _read_section(
+def _parse_section(
     name: str,
     section_type: typing.Any,
     section: Mapping[str, str],
@@ -168,80 +168,82 @@
         text = section.get(key)
         if text is None:
             if key not in section_type._field_defaults:
-                faults.append(Fault(name, key, '', _expect(hint)))
+                faults.append(Fault(name, key, '', _describe_expected(hint)))
             continue
-        value = _convert(text, hint)
+        value = _parse_value(text, hint)
         if isinstance(value, _Rejected):
             faults.append(Fault(name, key, text, value.expected))
         values[key] = value
     return (None if faults else section_type(**values)), faults
 
 
-def _expect(hint: object) -> str:
+def _describe_expected(hint: object) -> str:
     """Say what is expected of a required key."""
-    rejected = _convert('', hint)
+    rejected = _parse_value('', hint)
     return rejected.expected if isinstance(rejected, _Rejected) else 'a value'
 
 
-def _convert(text: str, hint: object) -> object:
+def _parse_value(text: str, hint: object) -> object:
     origin = typing.get_origin(hint)
     if origin is typing.Annotated:
-        plain, bounds = typing.get_args(hint)
-        return _convert_number(text, plain, bounds)
+        number_type, bounds = typing.get_args(hint)
+        return _parse_number(text, number_type, bounds)
     if origin in {types.UnionType, typing.Union}:
-        return _convert(text, typing.get_args(hint)[0])
+        return _parse_value(text, typing.get_args(hint)[0])
     if hint is bool:
-        wanted = 'one of {0}'.format(', '.join(BOOLEANS))
-        return BOOLEANS.get(text.lower(), _Rejected(wanted))
+        expected = 'one of {0}'.format(', '.join(BOOLEANS))
+        return BOOLEANS.get(text.lower(), _Rejected(expected))
     if hint is settings.Verbosity:
-        return _convert_choice(text, settings.Verbosity)
+        return _parse_choice(text, settings.Verbosity)
     if hint is settings.PolicyName:
-        return _convert_choice(text, settings.PolicyName)
+        return _parse_choice(text, settings.PolicyName)
     if hint is addresses.Address:
         return addresses.parse(text) or _Rejected('an IP number and port')
     if hint == settings.Addresses:
-        return _convert_addresses(text)
+        return _parse_addresses(text)
     if hint is Path:
         return Path(text) if text else _Rejected('the path of a file')
-    return _convert_name(text)
+    return _parse_name(text)
 
 
-def _convert_number(
+def _parse_number(
     text: str,
-    plain: type[int] | type[float],
+    number_type: type[int] | type[float],
     bounds: settings.Bounds,
 ) -> object:
-    kind = 'a whole number' if plain is int else 'a number'
+    kind = 'a whole number' if number_type is int else 'a number'
     rejected = _Rejected(f'{kind} from {bounds.low:g} to {bounds.high:g}')
     try:
-        number = plain(text)
+        number = number_type(text)
     except ValueError:
         return rejected
     return number if bounds.low <= number <= bounds.high else rejected
 
 
-def _convert_choice(text: str, choices: type[enum.StrEnum]) -> object:
+def _parse_choice(text: str, choices: type[enum.StrEnum]) -> object:
     try:
         return choices(text.lower())
     except ValueError:
         return _Rejected('one of {0}'.format(', '.join(choices)))
 
 
-def _convert_addresses(text: str) -> object:
-    found = [addresses.parse(word) for word in text.replace(',', ' ').split()]
-    if found and None not in found:
-        return tuple(found)
+def _parse_addresses(text: str) -> object:
+    parsed = [addresses.parse(word) for word in text.replace(',', ' ').split()]
+    if parsed and None not in parsed:
+        return tuple(parsed)
     return _Rejected('IP numbers with ports, separated by commas')
 
 
-def _convert_name(text: str) -> object:
+def _parse_name(text: str) -> object:
     """Take a name that can stand in a log line and in a label unquoted."""
-    plain = text.isprintable() and not any(
-        letter in ' "=,\'' for letter in text
+    is_plain = text.isprintable() and not any(
+        character in ' "=,\'' for character in text
     )
-    if plain and 0 < len(text) <= MAX_NAME:
+    if is_plain and 0 < len(text) <= MAX_NAME_LENGTH:
         return text
-    return _Rejected(f'a name of 1 to {MAX_NAME} characters without spaces')
+    return _Rejected(
+        f'a name of 1 to {MAX_NAME_LENGTH} characters without spaces'
+    )
 
 
 def _find_tls_faults(complete: settings.Settings) -> Iterator[Fault]:
@@ -253,10 +255,10 @@
             missing = (pair - given).pop()
             yield Fault(name, missing, '', 'a file, as the other is given')
     peers = complete.peers
-    wanted = set(settings.FILE_KEYS)
-    given = {key for key in wanted if getattr(peers, key) is not None}
-    if not peers.allow_plain and given != wanted:
-        names = ', '.join(sorted(wanted - given))
+    required = set(settings.FILE_KEYS)
+    given = {key for key in required if getattr(peers, key) is not None}
+    if not peers.allow_plain and given != required:
+        names = ', '.join(sorted(required - given))
         yield Fault('peers', names, '', 'files, or allow_plain = yes')
 
 
@@ -267,16 +269,16 @@
     system would deal it every other connection, and callers would now and
     then reach the peer port.
     """
-    taken: dict[addresses.Address, str] = {}
+    used: dict[addresses.Address, str] = {}
     for name in ('callers', 'peers', 'metrics'):
         address = getattr(complete, name).address
         if address is None:
             continue
-        other = taken.setdefault(address, name)
+        other = used.setdefault(address, name)
         if other != name:
-            wanted = f'another address than that of [{other}]'
+            expected = f'another address than that of [{other}]'
             yield Fault(
-                name, 'address', addresses.format_address(address), wanted
+                name, 'address', addresses.format_address(address), expected
             )
 
 
--- a/fuchsiahaven/operate/submissions.py
+++ b/fuchsiahaven/operate/submissions.py
@@ -20,22 +20,22 @@
     trees,
 )
 from fuchsiahaven.edge import editor, store
-from fuchsiahaven.operate import connections, exits, statuses, waits
+from fuchsiahaven.operate import connections, exit_codes, statuses, waits
 
 OPERATOR_VARIABLE: Final = 'FUCHSIAHAVEN_OPERATOR'
 #: Edits shown to a person; `--json` has all.
-SHOWN_EDITS: Final = 20
+MAX_SHOWN_EDITS: Final = 20
 #: A wait that is asked for without a time ends after this, in seconds.
-WAIT_S: Final = 30.0
+DEFAULT_WAIT_S: Final = 30.0
 EXIT_CODES: Final = """exit codes: 0 done, or nothing to change; 1 refused, or
 --wait ended before all hosts that answer had it in force; 3 the platform was
 not reached, or with --wait some host does not answer; 4 another change took
 hold first; 5 it cannot be told whether the change took effect
 """
-_CODES: Final[Mapping[errors.Kind, int]] = {
-    errors.Kind.CONFLICT: exits.CONFLICT,
-    errors.Kind.OUTCOME_UNKNOWN: exits.UNKNOWN,
-    errors.Kind.PLATFORM_UNAVAILABLE: exits.UNREACHABLE,
+_EXIT_CODE_BY_KIND: Final[Mapping[errors.Kind, int]] = {
+    errors.Kind.CONFLICT: exit_codes.CONFLICT,
+    errors.Kind.OUTCOME_UNKNOWN: exit_codes.UNKNOWN,
+    errors.Kind.PLATFORM_UNAVAILABLE: exit_codes.UNREACHABLE,
 }
 
 
@@ -68,7 +68,7 @@
         '--wait',
         nargs='?',
         type=float,
-        const=WAIT_S,
+        const=DEFAULT_WAIT_S,
         metavar='SECONDS',
         help='wait until it is in force on every host',
     )
@@ -77,34 +77,38 @@
 def submit(arguments: argparse.Namespace, change: changes.Change) -> int:
     """Make a change, wait for it where asked, print, return the exit code."""
     with contextlib.ExitStack() as stack:
-        place = connections.find_place(arguments)
-        if place is None:
-            return exits.USAGE
-        platform = connections.open_store(place, stack)
-        return submit_at(arguments, change, place, platform)
+        endpoints = connections.find_endpoints(arguments)
+        if endpoints is None:
+            return exit_codes.USAGE
+        opened_store = connections.open_store(endpoints, stack)
+        return submit_to_store(arguments, change, endpoints, opened_store)
 
 
-def submit_at(
+def submit_to_store(
     arguments: argparse.Namespace,
     change: changes.Change,
-    place: connections.Place,
-    platform: store.Store,
+    endpoints: connections.Endpoints,
+    opened_store: store.Store,
 ) -> int:
     """Make a change through a store that is open already."""
     if arguments.change_id and arguments.base is None:
         print('--change-id needs --from REVISION', file=sys.stderr)
-        return exits.USAGE
+        return exit_codes.USAGE
     request = build_request(arguments, change)
-    highest = statuses.find_highest(place, platform)
-    request = request._replace(min_revision=highest)
-    outcome = editor.make_change(platform, request, time.time(), place.patience)
-    show(outcome, as_json=arguments.json)
+    min_revision = statuses.find_highest_revision(endpoints, opened_store)
+    request = request._replace(min_revision=min_revision)
+    outcome = editor.make_change(
+        opened_store, request, time.time(), endpoints.patience
+    )
+    print_outcome(outcome, as_json=arguments.json)
     if not isinstance(outcome, proposals.ChangeAccepted):
-        return choose_exit(outcome)
+        return choose_exit_code(outcome)
     if arguments.wait is None:
-        return exits.DONE
+        return exit_codes.SUCCESS
     revision = outcome.entry.revision
-    return waits.wait_for(revision, place, platform, arguments.wait)
+    return waits.wait_for_revision(
+        revision, endpoints, opened_store, arguments.wait
+    )
 
 
 def build_request(
@@ -121,7 +125,7 @@
     )
 
 
-def show(outcome: transactions.Outcome, *, as_json: bool) -> None:
+def print_outcome(outcome: transactions.Outcome, *, as_json: bool) -> None:
     """Print what became of a change."""
     match outcome:
         case proposals.ChangeAccepted(entry):
@@ -130,17 +134,17 @@
                 'change': audit_log.encode_entry(entry),
             }
             head = f'revision {entry.revision} accepted: {entry.description}'
-            lines = [head, f'change {entry.change_id}', *write_edits(entry)]
+            lines = [head, f'change {entry.change_id}', *format_edits(entry)]
         case proposals.NothingChanged(revision):
             row = {'status': 'unchanged', 'revision': revision}
             lines = [f'nothing to change; revision {revision} stands']
         case errors.Failure():
-            show_failure(outcome, as_json=as_json)
+            print_failure(outcome, as_json=as_json)
             return
     print(json.dumps(row, ensure_ascii=False) if as_json else '\n'.join(lines))
 
 
-def show_failure(failure: errors.Failure, *, as_json: bool) -> None:
+def print_failure(failure: errors.Failure, *, as_json: bool) -> None:
     """Print a failure: for a program on the output, else as an error."""
     text = errors.KIND_PROPERTIES[failure.kind].text
     if as_json:
@@ -155,21 +159,21 @@
         print(f'{failure.kind}: {text}: {failure.detail}', file=sys.stderr)
 
 
-def choose_exit(outcome: transactions.Outcome) -> int:
+def choose_exit_code(outcome: transactions.Outcome) -> int:
     """Choose the exit code for what became of a change."""
     if isinstance(outcome, errors.Failure):
-        return _CODES.get(outcome.kind, exits.FAILED)
-    return exits.DONE
+        return _EXIT_CODE_BY_KIND.get(outcome.kind, exit_codes.FAILED)
+    return exit_codes.SUCCESS
 
 
-def write_edits(entry: audit_log.Entry) -> list[str]:
+def format_edits(entry: audit_log.Entry) -> list[str]:
     """Write what a change did as lines for a person."""
-    lines = [write_edit(edit) for edit in entry.edits[:SHOWN_EDITS]]
-    more = len(entry.edits) - len(lines)
-    return [*lines, f'  and {more} more'] if more else lines
+    lines = [format_edit(edit) for edit in entry.edits[:MAX_SHOWN_EDITS]]
+    hidden = len(entry.edits) - len(lines)
+    return [*lines, f'  and {hidden} more'] if hidden else lines
 
 
-def write_edit(edit: trees.Edit) -> str:
+def format_edit(edit: trees.Edit) -> str:
     """Write one edit as a line: + new, - gone, ~ changed."""
     field = ' '.join(edit.field)
     if edit.before is None:
@@ -179,7 +183,7 @@
     return f'  ~ {field}: {_shorten(edit.before)} -> {_shorten(edit.after)}'
 
 
-def _shorten(told: object) -> str:
-    text = json.dumps(told, ensure_ascii=False)
+def _shorten(value: object) -> str:
+    text = json.dumps(value, ensure_ascii=False)
     length = proposals.MAX_SHOWN_LENGTH
     return text if len(text) <= length else f'{text[:length]}...'
--- a/fuchsiahaven/operate/tables.py
+++ b/fuchsiahaven/operate/tables.py
@@ -4,35 +4,37 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final
 
-GAP: Final = '  '
+COLUMN_SEPARATOR: Final = '  '
 #: Longer cells are cut; `--json` shows them whole.
-MAX_WIDTH: Final = 40
+MAX_CELL_WIDTH: Final = 40
 
 Row = Mapping[str, object]
 
 
-def lay_out(rows: Sequence[Row], first: Iterable[str] = ()) -> list[str]:
+def format_table(
+    rows: Sequence[Row], first_columns: Iterable[str] = ()
+) -> list[str]:
     """Lay out rows under their column names, the given ones first."""
-    names = dict.fromkeys(first)
+    names = dict.fromkeys(first_columns)
     for row in rows:
         names.update(dict.fromkeys(row))
     lines = [[name.upper() for name in names]]
     for row in rows:
-        lines.append([write_cell(row.get(name, '')) for name in names])
+        lines.append([format_cell(row.get(name, '')) for name in names])
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return [_join(line, widths) for line in lines]
 
 
-def write_cell(told: object) -> str:
+def format_cell(value: object) -> str:
     """Write one value on one line, cut to the greatest width.
 
     Letters that do not print are replaced: a listing's text could otherwise
     move the cursor and show an operator what no host has answered.
     """
-    text = told if isinstance(told, str) else json.dumps(told, default=str)
+    text = value if isinstance(value, str) else json.dumps(value, default=str)
     printed = ''.join(it if it.isprintable() else '?' for it in text)
-    if len(printed) > MAX_WIDTH:
-        return f'{printed[: MAX_WIDTH - 1]}…'
+    if len(printed) > MAX_CELL_WIDTH:
+        return f'{printed[: MAX_CELL_WIDTH - 1]}…'
     return printed
 
 
@@ -40,4 +42,4 @@
     padded = (
         cell.ljust(width) for cell, width in zip(cells, widths, strict=True)
     )
-    return GAP.join(padded).rstrip()
+    return COLUMN_SEPARATOR.join(padded).rstrip()
--- a/fuchsiahaven/operate/verbs.py
+++ b/fuchsiahaven/operate/verbs.py
@@ -6,10 +6,10 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.operate import connections, lookups, submissions
 
-Verbs: TypeAlias = 'argparse._SubParsersAction[argparse.ArgumentParser]'
+Subparsers: TypeAlias = 'argparse._SubParsersAction[argparse.ArgumentParser]'
 
 
-class Print(Protocol):
+class PrintObjects(Protocol):
     """Print some of a configuration and return the exit code."""
 
     def __call__(
@@ -21,32 +21,44 @@
         """Print it."""
 
 
-def add_reading(parser: argparse.ArgumentParser, epilog: str) -> Verbs:
+def add_read_verbs(parser: argparse.ArgumentParser, epilog: str) -> Subparsers:
     """Declare `list` and `show`; return where more verbs go."""
     parser.epilog = epilog
-    verbs = parser.add_subparsers(dest='verb', required=True, metavar='verb')
-    connections.add_arguments(verbs.add_parser('list', help='list them all'))
-    showing = verbs.add_parser('show', help='show one whole')
-    showing.add_argument('name')
-    connections.add_arguments(showing)
-    return verbs
+    subparsers = parser.add_subparsers(
+        dest='verb', required=True, metavar='verb'
+    )
+    connections.add_arguments(
+        subparsers.add_parser('list', help='list them all')
+    )
+    show_parser = subparsers.add_parser('show', help='show one whole')
+    show_parser.add_argument('name')
+    connections.add_arguments(show_parser)
+    return subparsers
 
 
-def add_change(verbs: Verbs, verb: str, text: str) -> argparse.ArgumentParser:
+def add_change_verb(
+    subparsers: Subparsers, verb: str, help_text: str
+) -> argparse.ArgumentParser:
     """Declare a verb that changes the one named."""
-    parser = verbs.add_parser(verb, help=text)
+    parser = subparsers.add_parser(verb, help=help_text)
     parser.add_argument('name')
     submissions.add_arguments(parser)
     return parser
 
 
-def read(
-    arguments: argparse.Namespace, print_all: Print, print_one: Print
+def run_read_verb(
+    arguments: argparse.Namespace,
+    print_all: PrintObjects,
+    print_one: PrintObjects,
 ) -> int | None:
     """Run `list` or `show`; None where the verb is another."""
     match arguments.verb:
         case 'list':
-            return lookups.show(arguments, lambda it: print_all(arguments, it))
+            return lookups.show_configuration(
+                arguments, lambda it: print_all(arguments, it)
+            )
         case 'show':
-            return lookups.show(arguments, lambda it: print_one(arguments, it))
+            return lookups.show_configuration(
+                arguments, lambda it: print_one(arguments, it)
+            )
     return None
--- a/fuchsiahaven/operate/waits.py
+++ b/fuchsiahaven/operate/waits.py
@@ -5,76 +5,78 @@
 from typing import Final
 
 from fuchsiahaven.edge import store
-from fuchsiahaven.operate import connections, exits, statuses
+from fuchsiahaven.operate import connections, exit_codes, statuses
 
-PAUSE_S: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 #: A host that does not answer holds each round up for this long, in seconds.
-TIMEOUT_S: Final = 1.0
+HOST_TIMEOUT_S: Final = 1.0
 #: Names shown in one line of progress.
-SHOWN: Final = 5
+MAX_SHOWN_HOSTS: Final = 5
 
 
-def wait_for(
+def wait_for_revision(
     revision: int,
-    place: connections.Place,
-    platform: store.Store,
-    wait_s: float,
+    endpoints: connections.Endpoints,
+    opened_store: store.Store,
+    max_wait_s: float,
 ) -> int:
     """Wait for at most `wait_s` seconds; progress goes to the error output.
 
     What is not known is never counted as done: a host that does not answer
     may serve by an older revision, so the wait ends without success.
     """
-    began = time.monotonic()
-    shown = ''
+    started_at = time.monotonic()
+    printed = ''
     while True:
-        found = statuses.survey(place, platform, TIMEOUT_S)
-        behind = list_behind(found.hosts, revision)
-        spent = time.monotonic() - began
-        line = describe(revision, found, behind)
-        if line != shown:
-            print(f'{spent:6.2f} s  {line}', file=sys.stderr)
-            shown = line
-        if found.hosts and not behind and not found.list_fault:
-            return exits.DONE
-        if spent + PAUSE_S > wait_s:
-            return _choose_exit(found, behind)
-        time.sleep(PAUSE_S)
+        survey = statuses.survey_hosts(endpoints, opened_store, HOST_TIMEOUT_S)
+        behind = list_behind(survey.hosts, revision)
+        elapsed_s = time.monotonic() - started_at
+        line = format_progress(revision, survey, behind)
+        if line != printed:
+            print(f'{elapsed_s:6.2f} s  {line}', file=sys.stderr)
+            printed = line
+        if survey.hosts and not behind and not survey.list_fault:
+            return exit_codes.SUCCESS
+        if elapsed_s + POLL_INTERVAL_S > max_wait_s:
+            return _choose_exit_code(survey, behind)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def list_behind(
-    hosts: tuple[statuses.Seen, ...], revision: int
-) -> list[statuses.Seen]:
+    hosts: tuple[statuses.HostStatus, ...], revision: int
+) -> list[statuses.HostStatus]:
     """List the hosts that have a lower revision, or do not say."""
     return [
-        seen
-        for seen in hosts
-        if seen.revision is None or seen.revision < revision
+        status
+        for status in hosts
+        if status.revision is None or status.revision < revision
     ]
 
 
-def describe(
-    revision: int, found: statuses.Survey, behind: list[statuses.Seen]
+def format_progress(
+    revision: int, survey: statuses.Survey, behind: list[statuses.HostStatus]
 ) -> str:
     """Write one line of progress."""
-    total = len(found.hosts)
+    total = len(survey.hosts)
     line = f'revision {revision} in force on {total - len(behind)} of {total}'
-    names = [_name(seen) for seen in behind[:SHOWN]]
-    if len(behind) > SHOWN:
-        names.append(f'{len(behind) - SHOWN} more')
+    names = [_format_host(status) for status in behind[:MAX_SHOWN_HOSTS]]
+    if len(behind) > MAX_SHOWN_HOSTS:
+        names.append(f'{len(behind) - MAX_SHOWN_HOSTS} more')
     if names:
         line = '{0}; not on: {1}'.format(line, ', '.join(names))
-    return f'{line}; {found.list_fault}' if found.list_fault else line
+    return f'{line}; {survey.list_fault}' if survey.list_fault else line
 
 
-def _name(seen: statuses.Seen) -> str:
-    name = seen.name or seen.address
-    if seen.revision is None:
+def _format_host(status: statuses.HostStatus) -> str:
+    name = status.name or status.address
+    if status.revision is None:
         return f'{name} (no answer)'
-    return f'{name} ({seen.revision})'
+    return f'{name} ({status.revision})'
 
 
-def _choose_exit(found: statuses.Survey, behind: list[statuses.Seen]) -> int:
-    if any(seen.revision is not None for seen in behind):
-        return exits.FAILED
-    return exits.UNREACHABLE
+def _choose_exit_code(
+    survey: statuses.Survey, behind: list[statuses.HostStatus]
+) -> int:
+    if any(status.revision is not None for status in behind):
+        return exit_codes.FAILED
+    return exit_codes.UNREACHABLE
--- a/fuchsiahaven/platform/headers.py
+++ b/fuchsiahaven/platform/headers.py
@@ -4,7 +4,7 @@
 
 REQUEST_ID: Final = 'fuchsiahaven-request-id'
 #: How many milliseconds whoever asks will wait.
-DEADLINE: Final = 'fuchsiahaven-deadline-ms'
+DEADLINE_MS: Final = 'fuchsiahaven-deadline-ms'
 #: The identity of the one process that may run a request.
 INSTANCE: Final = 'fuchsiahaven-target-instance'
 #: What a target puts on each answer; a caller checks it.
@@ -14,13 +14,13 @@
 #: Requests running, waiting, and slots; further figures may follow.
 LOAD: Final = 'fuchsiahaven-server-load'
 #: The signatures of the parts that an answer holds.
-PARTS: Final = 'fuchsiahaven-part-signatures'
+PART_SIGNATURES: Final = 'fuchsiahaven-part-signatures'
 #: How many shards an answer lacks.
-MISSING: Final = 'fuchsiahaven-missing-parts'
+MISSING_PARTS: Final = 'fuchsiahaven-missing-parts'
 #: The key of a customer, where callers have to show one.
-KEY: Final = 'authorization'
+AUTHORIZATION: Final = 'authorization'
 #: The name of the customer whose request it is.
 CUSTOMER: Final = 'fuchsiahaven-tenant'
 RETRY_AFTER: Final = 'retry-after'
 #: Rises each time the store comes back from an older copy of itself.
-ERA: Final = 'store-era'
+STORE_ERA: Final = 'store-era'
--- a/fuchsiahaven/platform/records.py
+++ b/fuchsiahaven/platform/records.py
@@ -19,22 +19,22 @@
     suspect_codecs,
 )
 
-CONFIGURATION: Final = 'op/config'
-INSTANCES: Final = 'servers/'
-HOSTS: Final = 'fuchsiahaven/hosts/'
+CONFIGURATION_KEY: Final = 'op/config'
+INSTANCE_PREFIX: Final = 'servers/'
+HOST_PREFIX: Final = 'fuchsiahaven/hosts/'
 #: By the digest of a request that ends the targets that run it.
-QUARANTINES: Final = 'fuchsiahaven/quarantines/'
+QUARANTINE_PREFIX: Final = 'fuchsiahaven/quarantines/'
 #: Keys by which operators have data centres evacuated; removing one takes the
 #: order back.
-EVACUATIONS: Final = 'op/evacuate/'
-MILLISECONDS: Final = 1000
+EVACUATION_PREFIX: Final = 'op/evacuate/'
+MS_PER_S: Final = 1000
 #: What a target says of itself, and whether it is leaving then. Any other
 #: word is not known, and an entry with it names no target to use.
-STATES: Final = {'ready': False, 'draining': True}
-LAST_PORT: Final = 65_535
+LEAVING_BY_STATE: Final = {'ready': False, 'draining': True}
+MAX_PORT: Final = 65_535
 #: What reading a value raises where its bytes or its shape are wrong. Text
 #: nested too deeply ends in the last.
-FAULTS: Final = (
+DECODE_ERRORS: Final = (
     ValueError,
     KeyError,
     TypeError,
@@ -43,33 +43,37 @@
     RecursionError,
 )
 #: Characters of a reason that are kept: it may quote what was written.
-LONGEST_REASON: Final = 200
-REPEATS: Final = {
+MAX_REASON_LENGTH: Final = 200
+REPEAT_BY_TYPE: Final = {
     'idempotent': configurations.Repeat.IDEMPOTENT,
     'non_idempotent': configurations.Repeat.AT_MOST_ONCE,
 }
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """Report a record or an answer that is not as documented."""
 
 
-def name_key(name: str) -> facts.Key | None:
+def parse_key(text: str) -> facts.Key | None:
     """Tell what a key of the store is about; None if it is not ours to read."""
-    if name == CONFIGURATION:
+    if text == CONFIGURATION_KEY:
         return facts.Key(facts.Subject.CONFIGURATION, '')
-    if name.startswith(INSTANCES):
-        return facts.Key(facts.Subject.INSTANCE, name[len(INSTANCES) :])
-    if name.startswith(HOSTS):
-        return facts.Key(facts.Subject.HOST, name[len(HOSTS) :])
-    if name.startswith(QUARANTINES):
-        return facts.Key(facts.Subject.QUARANTINE, name[len(QUARANTINES) :])
-    if name.startswith(EVACUATIONS):
-        return facts.Key(facts.Subject.EVACUATION, name[len(EVACUATIONS) :])
+    if text.startswith(INSTANCE_PREFIX):
+        return facts.Key(facts.Subject.INSTANCE, text[len(INSTANCE_PREFIX) :])
+    if text.startswith(HOST_PREFIX):
+        return facts.Key(facts.Subject.HOST, text[len(HOST_PREFIX) :])
+    if text.startswith(QUARANTINE_PREFIX):
+        return facts.Key(
+            facts.Subject.QUARANTINE, text[len(QUARANTINE_PREFIX) :]
+        )
+    if text.startswith(EVACUATION_PREFIX):
+        return facts.Key(
+            facts.Subject.EVACUATION, text[len(EVACUATION_PREFIX) :]
+        )
     return None
 
 
-def read_value(key: facts.Key, encoded: str) -> facts.Value:
+def decode_value(key: facts.Key, encoded: str) -> facts.Value:
     """Decode the value of a key; raises Malformed."""
     if key.subject is facts.Subject.EVACUATION:
         # The key alone is the order. Were a value that somebody spoilt to
@@ -77,21 +81,21 @@
         return deployments.Evacuation(key.name)
     try:
         row = json.loads(base64.b64decode(encoded, validate=True))
-        return _read_value(key, row)
-    except FAULTS as error:
-        reason = f'{key.subject} {key.name}: {describe(error)}'
-        raise Malformed(reason[:LONGEST_REASON]) from None
+        return _decode_row(key, row)
+    except DECODE_ERRORS as error:
+        reason = f'{key.subject} {key.name}: {describe_error(error)}'
+        raise MalformedError(reason[:MAX_REASON_LENGTH]) from None
 
 
-def read_configuration(text: bytes) -> configs.Configuration:
+def decode_configuration(text: bytes) -> configs.Configuration:
     """Read a configuration as operators write it; raises Malformed."""
     key = facts.Key(facts.Subject.CONFIGURATION, '')
-    read = read_value(key, base64.b64encode(text).decode())
-    assert isinstance(read, configs.Configuration)
-    return read
+    decoded = decode_value(key, base64.b64encode(text).decode())
+    assert isinstance(decoded, configs.Configuration)
+    return decoded
 
 
-def describe(error: Exception) -> str:
+def describe_error(error: Exception) -> str:
     """Describe a fault of what was read, without the text itself.
 
     The error of an encoding holds all that was read, and with it keys.
@@ -101,7 +105,7 @@
     return repr(error)
 
 
-def write_host(host: deployments.Host) -> tuple[str, str]:
+def encode_host(host: deployments.Host) -> tuple[str, str]:
     """Write the key and the value by which other hosts find this one."""
     row: dict[str, str | float] = {
         'address': host.address,
@@ -109,24 +113,24 @@
     }
     row.update(capacities.encode_capacity(host.capacity))
     text = json.dumps(row)
-    return f'{HOSTS}{host.name}', base64.b64encode(text.encode()).decode()
+    return f'{HOST_PREFIX}{host.name}', base64.b64encode(text.encode()).decode()
 
 
-def write_quarantine(news: suspects.News) -> tuple[str, str]:
+def encode_quarantine(report: suspects.News) -> tuple[str, str]:
     """Write the key and the value by which hosts learn of a quarantine."""
-    text = json.dumps(suspect_codecs.encode_report(news))
-    key = f'{QUARANTINES}{news.identity.digest}'
+    text = json.dumps(suspect_codecs.encode_report(report))
+    key = f'{QUARANTINE_PREFIX}{report.identity.digest}'
     return key, base64.b64encode(text.encode()).decode()
 
 
-def _read_value(key: facts.Key, row: Mapping[str, Any]) -> facts.Value:
+def _decode_row(key: facts.Key, row: Mapping[str, Any]) -> facts.Value:
     match key.subject:
         case facts.Subject.CONFIGURATION:
-            return _read_configuration(row)
+            return _decode_configuration(row)
         case facts.Subject.INSTANCE:
-            return _read_instance(key.name, row)
+            return _decode_instance(key.name, row)
         case facts.Subject.QUARANTINE:
-            return _read_quarantine(key.name, row)
+            return _decode_quarantine(key.name, row)
         case _:
             capacity = capacities.decode_capacity(row)
             return deployments.Host(
@@ -134,123 +138,123 @@
             )
 
 
-def _read_configuration(row: Mapping[str, Any]) -> configs.Configuration:
+def _decode_configuration(row: Mapping[str, Any]) -> configs.Configuration:
     return configs.Configuration(
         int(row['version']),
-        tuple(_read_route(route) for route in row['routes']),
+        tuple(_decode_route(route) for route in row['routes']),
         tuple(
             configs.Service(
                 service['name'],
                 int(service['max_connections']),
-                _read_rate(service.get('warmup_per_s', 0)),
+                _decode_rate(service.get('warmup_per_s', 0)),
             )
             for service in row['services']
         ),
-        _read_limits(row.get('limits', {})),
-        tenants.read_customers(row),
+        _decode_limits(row.get('limits', {})),
+        tenants.decode_customers(row),
     )
 
 
-def _read_rate(told: object) -> float:
+def _decode_rate(value: object) -> float:
     """Read a rate strictly: shares of it are counted in whole requests."""
-    if isinstance(told, (int, float)) and not isinstance(told, bool):
-        if math.isfinite(told) and told >= 0:
-            return float(told)
-    raise ValueError(f'no rate: {told!r}')
+    if isinstance(value, (int, float)) and not isinstance(value, bool):
+        if math.isfinite(value) and value >= 0:
+            return float(value)
+    raise ValueError(f'no rate: {value!r}')
 
 
-def _read_limits(row: Mapping[str, Any]) -> configs.Limits:
-    usual = configs.Limits()
-    head_ms = row.get('header_timeout_ms', usual.head * MILLISECONDS)
-    idle_ms = row.get('idle_timeout_ms', usual.idle * MILLISECONDS)
+def _decode_limits(row: Mapping[str, Any]) -> configs.Limits:
+    defaults = configs.Limits()
+    head_ms = row.get('header_timeout_ms', defaults.head * MS_PER_S)
+    idle_ms = row.get('idle_timeout_ms', defaults.idle * MS_PER_S)
     return configs.Limits(
-        int(row.get('max_header_bytes', usual.head_bytes)),
-        int(row.get('max_body_bytes', usual.body_bytes)),
-        head_ms / MILLISECONDS,
-        idle_ms / MILLISECONDS,
+        int(row.get('max_header_bytes', defaults.head_bytes)),
+        int(row.get('max_body_bytes', defaults.body_bytes)),
+        head_ms / MS_PER_S,
+        idle_ms / MS_PER_S,
     )
 
 
-def _read_route(row: Mapping[str, Any]) -> configs.Route:
+def _decode_route(row: Mapping[str, Any]) -> configs.Route:
     return configs.Route(
         row['name'],
         row['host'].lower(),
         row['prefix'],
         # The field is named type; it says only whether a request may repeat.
-        REPEATS[row['type']],
-        row['timeout_ms'] / MILLISECONDS,
+        REPEAT_BY_TYPE[row['type']],
+        row['timeout_ms'] / MS_PER_S,
         # Also the time within which a merged answer is worth most, not the
         # mean latency that its name suggests.
-        row['target_latency_ms'] / MILLISECONDS,
+        row['target_latency_ms'] / MS_PER_S,
         int(row.get('max_attempts', 1)),
         int(row.get('priority', 0)),
-        _read_way(row),
-        tenants.read_public(row),
+        _decode_action(row),
+        tenants.decode_public(row),
     )
 
 
-def _read_way(row: Mapping[str, Any]) -> configs.RouteAction:
+def _decode_action(row: Mapping[str, Any]) -> configs.RouteAction:
     match row:
         case {'gather': shards}:
             return configs.Gather(
                 tuple(shards), int(row['top_k']), float(row['min_coverage'])
             )
         case {'traffic_split': parts}:
-            return configs.Split(tuple(_read_weighted(it) for it in parts))
+            return configs.Split(tuple(_decode_weighted(it) for it in parts))
     return configs.Single(row['service'])
 
 
-def _read_weighted(row: Mapping[str, Any]) -> configs.Weighted:
+def _decode_weighted(row: Mapping[str, Any]) -> configs.Weighted:
     return configs.Weighted(row['service'], float(row['weight']))
 
 
-def _read_instance(name: str, row: Mapping[str, Any]) -> instances.Instance:
+def _decode_instance(name: str, row: Mapping[str, Any]) -> instances.Instance:
     """Read a target's entry strictly: anybody may have written it.
 
     A value of another type that is taken as it comes would fail only when
     the target is chosen, as an error in the middle of a query.
     """
-    born = _read_whole(row.get('born', 0))
-    slots = _read_whole(row['slots'])
+    born_ms = _decode_integer(row.get('born', 0))
+    slots = _decode_integer(row['slots'])
     if not slots:
         raise ValueError('no slots')
     return instances.Instance(
-        instances.make_start_name(name, born),
+        instances.make_start_name(name, born_ms),
         name,
-        _read_text(row['service']),
-        _read_address(row['address']),
-        _read_text(row['zone']),
+        _decode_text(row['service']),
+        _decode_address(row['address']),
+        _decode_text(row['zone']),
         slots,
-        STATES[row['state']],
-        _read_whole(row['warmup_left_ms']) / MILLISECONDS,
-        born,
+        LEAVING_BY_STATE[row['state']],
+        _decode_integer(row['warmup_left_ms']) / MS_PER_S,
+        born_ms,
     )
 
 
-def _read_quarantine(digest: str, row: Mapping[str, Any]) -> suspects.News:
-    news = suspect_codecs.decode_report(row)
-    if news.identity.digest != digest:
+def _decode_quarantine(digest: str, row: Mapping[str, Any]) -> suspects.News:
+    report = suspect_codecs.decode_report(row)
+    if report.identity.digest != digest:
         raise ValueError('the entry of another request')
-    return news
+    return report
 
 
-def _read_text(told: object) -> str:
-    if isinstance(told, str) and told:
-        return told
-    raise ValueError(f'no text: {told!r}')
+def _decode_text(value: object) -> str:
+    if isinstance(value, str) and value:
+        return value
+    raise ValueError(f'no text: {value!r}')
 
 
-def _read_whole(told: object) -> int:
+def _decode_integer(value: object) -> int:
     # A truth value is a number in this language, but not in an entry.
-    if isinstance(told, int) and not isinstance(told, bool):
-        if 0 <= told <= tenants.LARGEST_WHOLE:
-            return told
-    raise ValueError(f'no whole number: {told!r}')
+    if isinstance(value, int) and not isinstance(value, bool):
+        if 0 <= value <= tenants.MAX_EXACT_INTEGER:
+            return value
+    raise ValueError(f'no whole number: {value!r}')
 
 
-def _read_address(told: object) -> str:
-    ip, _, port = _read_text(told).rpartition(':')
+def _decode_address(value: object) -> str:
+    ip, _, port = _decode_text(value).rpartition(':')
     ipaddress.IPv4Address(ip)
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= LAST_PORT):
-        raise ValueError(f'no port: {told!r}')
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
+        raise ValueError(f'no port: {value!r}')
     return f'{ip}:{port}'
--- a/fuchsiahaven/platform/settings.py
+++ b/fuchsiahaven/platform/settings.py
@@ -8,13 +8,13 @@
 
 from fuchsiahaven.routing import capacities, deployments
 
-VARIABLE: Final = 'FUCHSIAHAVEN_SETTINGS'
-MILLISECONDS: Final = 1000
-BYTES_OF_MEGABIT: Final = 125_000
+PATH_VARIABLE: Final = 'FUCHSIAHAVEN_SETTINGS'
+MS_PER_S: Final = 1000
+BYTES_PER_MEGABIT: Final = 125_000
 #: Writes a second that the store takes where that is not told.
-USUAL_WRITES: Final = 400.0
+DEFAULT_WRITES_PER_S: Final = 400.0
 #: Names that every settings file has.
-REQUIRED: Final = (
+REQUIRED_KEYS: Final = (
     'node',
     'zone',
     'ip',
@@ -29,9 +29,9 @@
     'heartbeat_ms',
 )
 #: Names that only files have whose deployments bound cold targets.
-WARM_UP: Final = ('bounds.warmup_overage', 'bounds.warmup_slack')
+WARM_UP_KEYS: Final = ('bounds.warmup_overage', 'bounds.warmup_slack')
 #: Names that only files have whose deployments bound customers' requests.
-QUOTA: Final = (
+QUOTA_KEYS: Final = (
     'bounds.quota_window_s',
     'bounds.quota_overage',
     'bounds.quota_slack',
@@ -54,8 +54,8 @@
 
 def find_path() -> Path | None:
     """Find the settings file that the environment names."""
-    named = os.environ.get(VARIABLE)
-    return Path(named) if named else None
+    path = os.environ.get(PATH_VARIABLE)
+    return Path(path) if path else None
 
 
 def read_file(path: Path) -> Reading:
@@ -64,137 +64,148 @@
         text = path.read_text()
     except OSError as error:
         return Reading(None, (Fault(str(path), str(error)),))
-    return read_text(text)
+    return parse_text(text)
 
 
-def read_text(text: str) -> Reading:
+def parse_text(text: str) -> Reading:
     """Read the lines `a.b=value`; names that are not known are ignored."""
-    lines = dict(
+    values = dict(
         line.strip().split('=', 1) for line in text.splitlines() if '=' in line
     )
     faults = [
-        Fault(name, 'is missing') for name in REQUIRED if not lines.get(name)
+        Fault(name, 'is missing')
+        for name in REQUIRED_KEYS
+        if not values.get(name)
     ]
     if faults:
         return Reading(None, tuple(faults))
-    numbers = _read_numbers(lines, faults)
+    numbers = _parse_numbers(values, faults)
     if faults:
         return Reading(None, tuple(faults))
-    return Reading(_build(lines, numbers), ())
+    return Reading(_build_settings(values, numbers), ())
 
 
-def _read_numbers(
-    lines: Mapping[str, str], faults: list[Fault]
+def _parse_numbers(
+    values: Mapping[str, str], faults: list[Fault]
 ) -> dict[str, float]:
     numbers = {}
-    for name in REQUIRED:
+    for name in REQUIRED_KEYS:
         if not name.startswith('bounds.') and name != 'heartbeat_ms':
             continue
         try:
-            numbers[name] = float(lines[name])
+            numbers[name] = float(values[name])
         except ValueError:
-            faults.append(Fault(name, f'{lines[name]!r} is not a number'))
+            faults.append(Fault(name, f'{values[name]!r} is not a number'))
     return numbers
 
 
-def _build(
-    lines: Mapping[str, str], numbers: Mapping[str, float]
+def _build_settings(
+    values: Mapping[str, str], numbers: Mapping[str, float]
 ) -> deployments.Settings:
-    ports = lines['internal_ports'].split(',')
+    ports = values['internal_ports'].split(',')
     # Other hosts are told the seeds' addresses, so the port that the seeds
     # name is the one where this host answers other hosts.
-    peers = lines.get('listen.control') or f'{lines["ip"]}:{ports[0]}'
+    peer_address = values.get('listen.control') or f'{values["ip"]}:{ports[0]}'
     return deployments.Settings(
         deployments.Host(
-            lines['node'], peers, lines['zone'], _read_capacity(lines)
+            values['node'],
+            peer_address,
+            values['zone'],
+            _parse_capacity(values),
         ),
         tuple(
             name.partition('.')[2]
-            for name in lines
+            for name in values
             if name.startswith('zones.')
         ),
-        lines['listen.front'],
-        lines['listen.ready'],
-        f'{lines["ip"]}:{ports[-1]}',
-        tuple(seed for seed in lines.get('seeds', '').split(',') if seed),
-        lines['platform.address'],
+        values['listen.front'],
+        values['listen.ready'],
+        f'{values["ip"]}:{ports[-1]}',
+        tuple(seed for seed in values.get('seeds', '').split(',') if seed),
+        values['platform.address'],
         deployments.ExtraLoadLimit(
             numbers['bounds.retry_budget_ratio'],
             numbers['bounds.retry_slack'],
             numbers['bounds.retry_window_s'],
         ),
-        numbers['heartbeat_ms'] / MILLISECONDS,
+        numbers['heartbeat_ms'] / MS_PER_S,
         numbers['bounds.grace_s'],
-        _read_link(lines.get('limits.link_mbps', '')),
-        _read_warm_up(lines),
-        lines.get('bootstrap') == 'true',
-        _read_figure(lines.get('platform.writes_per_s', ''), USUAL_WRITES),
-        _read_figure(
-            lines.get('bounds.config_apply_ms', ''),
-            deployments.DEFAULT_APPLY_S * MILLISECONDS,
+        _parse_link_rate(values.get('limits.link_mbps', '')),
+        _parse_warm_up(values),
+        values.get('bootstrap') == 'true',
+        _parse_positive(
+            values.get('platform.writes_per_s', ''), DEFAULT_WRITES_PER_S
+        ),
+        _parse_positive(
+            values.get('bounds.config_apply_ms', ''),
+            deployments.DEFAULT_APPLY_S * MS_PER_S,
         )
-        / MILLISECONDS,
-        _read_quota(lines),
-        _read_revoke(lines),
+        / MS_PER_S,
+        _parse_quota(values),
+        _parse_revoke_s(values),
     )
 
 
-def _read_capacity(lines: Mapping[str, str]) -> float:
+def _parse_capacity(values: Mapping[str, str]) -> float:
     """Read what this host can do, in cores; UNTOLD where it is not told."""
     try:
-        cores = float(lines.get('limits.cores', '1'))
-        capacity = cores * float(lines['limits.cpu_share'])
+        cores = float(values.get('limits.cores', '1'))
+        capacity = cores * float(values['limits.cpu_share'])
     except (KeyError, ValueError):
         return deployments.UNKNOWN_CAPACITY
     return capacities.clamp(capacity)
 
 
-def _read_quota(lines: Mapping[str, str]) -> deployments.QuotaTolerance | None:
+def _parse_quota(
+    values: Mapping[str, str],
+) -> deployments.QuotaTolerance | None:
     """Read by how much quotas may be exceeded; not every deployment has any."""
     try:
-        window, overage, slack = [float(lines.get(it, '')) for it in QUOTA]
+        window_s, overage, slack = [
+            float(values.get(number, '')) for number in QUOTA_KEYS
+        ]
     except ValueError:
         return None
-    if not all(math.isfinite(it) for it in (window, overage, slack)):
+    if not all(math.isfinite(number) for number in (window_s, overage, slack)):
         return None
-    if window <= 0:
+    if window_s <= 0:
         return None
     return deployments.QuotaTolerance(
-        window, max(0.0, overage), max(0.0, slack)
+        window_s, max(0.0, overage), max(0.0, slack)
     )
 
 
-def _read_revoke(lines: Mapping[str, str]) -> float | None:
+def _parse_revoke_s(values: Mapping[str, str]) -> float | None:
     """Read how soon a key is dead everywhere; None where that may take long."""
-    if lines.get('bounds.strict_revoke') != 'true':
+    if values.get('bounds.strict_revoke') != 'true':
         return None
-    revoke = _read_figure(lines.get('bounds.revoke_ms', ''), 0)
-    return revoke / MILLISECONDS or None
+    revoke_ms = _parse_positive(values.get('bounds.revoke_ms', ''), 0)
+    return revoke_ms / MS_PER_S or None
 
 
-def _read_warm_up(lines: Mapping[str, str]) -> deployments.WarmUpLimit | None:
+def _parse_warm_up(values: Mapping[str, str]) -> deployments.WarmUpLimit | None:
     """Read the bound on cold targets; not every deployment has one."""
-    told = [lines.get(name, '') for name in WARM_UP]
+    texts = [values.get(name, '') for name in WARM_UP_KEYS]
     try:
-        overage, slack = [max(0.0, float(it)) for it in told]
+        overage, slack = [max(0.0, float(text)) for text in texts]
     except ValueError:
         return None
-    bounded = math.isfinite(overage) and math.isfinite(slack)
-    return deployments.WarmUpLimit(overage, slack) if bounded else None
+    is_finite = math.isfinite(overage) and math.isfinite(slack)
+    return deployments.WarmUpLimit(overage, slack) if is_finite else None
 
 
-def _read_figure(told: str, usual: float) -> float:
+def _parse_positive(text: str, default: float) -> float:
     """Read a figure above 0; one that is not told is as usual."""
     try:
-        figure = float(told)
+        number = float(text)
     except ValueError:
-        return usual
-    return figure if math.isfinite(figure) and figure > 0 else usual
+        return default
+    return number if math.isfinite(number) and number > 0 else default
 
 
-def _read_link(told: str) -> float:
+def _parse_link_rate(text: str) -> float:
     """Read what a host's link carries; one that is not told is not known."""
     try:
-        return max(0.0, float(told)) * BYTES_OF_MEGABIT
+        return max(0.0, float(text)) * BYTES_PER_MEGABIT
     except ValueError:
         return 0.0
--- a/fuchsiahaven/platform/store.py
+++ b/fuchsiahaven/platform/store.py
@@ -13,20 +13,20 @@
 NOT_FOUND: Final = 404
 CONFLICT: Final = 412
 #: The store has forgotten what has changed since then.
-FORGOTTEN: Final = 410
-MILLISECONDS: Final = 1000
+HISTORY_GONE: Final = 410
+MS_PER_S: Final = 1000
 #: Digits of an era; more are no count.
-LONGEST_ERA: Final = 16
+ERA_DIGITS_LIMIT: Final = 16
 
 #: Decodes a value, or returns it as decoded before.
-Decode = Callable[[facts.Key, facts.Stamp, str], facts.Value | None]
+ValueDecoder = Callable[[facts.Key, facts.Stamp, str], facts.Value | None]
 
 
 class Call(NamedTuple):
     """Hold one call: method, path with its query, and the body to send."""
 
     method: str
-    target: str
+    path: str
     body: bytes = b''
 
 
@@ -39,23 +39,23 @@
 
     revision: int
     items: tuple[facts.Fact, ...]
-    after: str | None
+    next_after: str | None
 
 
-def read_era(fields: events.Fields) -> int | None:
+def decode_era(fields: events.Fields) -> int | None:
     """Read the era that an answer is from; None where none is told.
 
     Raises records.Malformed where it is no number.
     """
-    told = dict(fields).get(headers.ERA)
-    if told is None:
+    text = dict(fields).get(headers.STORE_ERA)
+    if text is None:
         return None
-    if not (told.isascii() and told.isdigit() and len(told) < LONGEST_ERA):
-        raise records.Malformed(f'no era: {told[:LONGEST_ERA]!r}')
-    return int(told)
+    if not (text.isascii() and text.isdigit() and len(text) < ERA_DIGITS_LIMIT):
+        raise records.MalformedError(f'no era: {text[:ERA_DIGITS_LIMIT]!r}')
+    return int(text)
 
 
-def list_everything(after: str) -> Call:
+def build_list_call(after: str) -> Call:
     """Ask for the page after a key of everything that the store holds."""
     query = {'prefix': ''}
     if after:
@@ -63,40 +63,44 @@
     return Call('GET', f'/kv-range?{urllib.parse.urlencode(query)}')
 
 
-def read_configuration() -> Call:
+def build_configuration_call() -> Call:
     """Ask for the configuration alone."""
-    query = urllib.parse.urlencode({'key': records.CONFIGURATION})
+    query = urllib.parse.urlencode({'key': records.CONFIGURATION_KEY})
     return Call('GET', f'/kv-key?{query}')
 
 
-def read_item(body: bytes, era: int, decode: Decode) -> facts.Fact | None:
+def decode_item(
+    body: bytes, era: int, decode: ValueDecoder
+) -> facts.Fact | None:
     """Read one item of an era; raises records.Malformed."""
     try:
-        return _read_item(json.loads(body), era, decode)
+        return _decode_item_row(json.loads(body), era, decode)
     except (ValueError, KeyError, TypeError) as error:
-        raise records.Malformed(repr(error)) from error
+        raise records.MalformedError(repr(error)) from error
 
 
-def read_page(body: bytes, era: int, decode: Decode) -> Page:
+def decode_page(body: bytes, era: int, decode: ValueDecoder) -> Page:
     """Read a page of an era; raises records.Malformed."""
     try:
-        return _read_page(json.loads(body), era, decode)
+        return _decode_page_row(json.loads(body), era, decode)
     except (ValueError, KeyError, TypeError) as error:
-        raise records.Malformed(records.describe(error)) from None
+        raise records.MalformedError(records.describe_error(error)) from None
 
 
-def _read_page(read: Mapping[str, Any], era: int, decode: Decode) -> Page:
-    rows = read['items']
-    found = [_read_item(row, era, decode) for row in rows]
-    after = rows[-1]['key'] if read['has_more'] and rows else None
+def _decode_page_row(
+    row: Mapping[str, Any], era: int, decode: ValueDecoder
+) -> Page:
+    rows = row['items']
+    items = [_decode_item_row(item, era, decode) for item in rows]
+    next_after = rows[-1]['key'] if row['has_more'] and rows else None
     return Page(
-        int(read['store_revision']),
-        tuple(fact for fact in found if fact is not None),
-        after,
+        int(row['store_revision']),
+        tuple(fact for fact in items if fact is not None),
+        next_after,
     )
 
 
-def watch_everything(after: int, wait: float) -> Call:
+def build_watch_call(after: int, wait_s: float) -> Call:
     """Ask for what has changed after a revision, or wait until something has.
 
     `wait` is in seconds.
@@ -104,60 +108,62 @@
     query = {
         'prefix': '',
         'after': after,
-        'wait_ms': int(wait * MILLISECONDS),
+        'wait_ms': int(wait_s * MS_PER_S),
     }
     return Call('GET', f'/kv-watch?{urllib.parse.urlencode(query)}')
 
 
-def read_events(body: bytes, era: int, decode: Decode) -> Page:
+def decode_events(body: bytes, era: int, decode: ValueDecoder) -> Page:
     """Read what has changed in an era; raises records.Malformed."""
     try:
-        read = json.loads(body)
-        found = [_read_event(row, era, decode) for row in read['events']]
-        revision = int(read['store_revision'])
+        answer = json.loads(body)
+        decoded = [
+            _decode_event_row(row, era, decode) for row in answer['events']
+        ]
+        revision = int(answer['store_revision'])
     except (ValueError, KeyError, TypeError) as error:
-        raise records.Malformed(records.describe(error)) from None
-    kept = tuple(fact for fact in found if fact is not None)
-    return Page(revision, kept, None)
+        raise records.MalformedError(records.describe_error(error)) from None
+    items = tuple(fact for fact in decoded if fact is not None)
+    return Page(revision, items, None)
 
 
-def open_lease(seconds: float) -> Call:
+def build_open_lease_call(duration_s: float) -> Call:
     """Ask for a lease."""
-    body = json.dumps({'ttl_ms': int(seconds * MILLISECONDS)})
+    body = json.dumps({'ttl_ms': int(duration_s * MS_PER_S)})
     return Call('POST', '/kv-lease', body.encode())
 
 
-def read_lease(body: bytes) -> int:
+def decode_lease(body: bytes) -> int:
     """Read the number of a lease; raises records.Malformed."""
     try:
         return int(json.loads(body)['lease'])
     except (ValueError, KeyError, TypeError) as error:
-        raise records.Malformed(records.describe(error)) from None
+        raise records.MalformedError(records.describe_error(error)) from None
 
 
-def renew_lease(lease: int) -> Call:
+def build_renew_lease_call(lease: int) -> Call:
     """Ask for a lease to last on."""
     return Call('POST', f'/kv-keep/{lease}', b'{}')
 
 
-def enter_host(host: deployments.Host, lease: int) -> Call:
+def build_put_host_call(host: deployments.Host, lease: int) -> Call:
     """Ask for the entry by which other hosts find this one."""
     # Under no condition: the entry is this host's alone.
-    return _put(records.write_host(host), lease)
+    return _build_put_call(records.encode_host(host), lease)
 
 
-def enter_quarantine(news: suspects.News, lease: int) -> Call:
+def build_put_quarantine_call(report: suspects.News, lease: int) -> Call:
     """Ask for the entry by which all hosts learn of a quarantine."""
     # Under no condition: what is known most ranks first wherever it is read.
-    return _put(records.write_quarantine(news), lease)
+    return _build_put_call(records.encode_quarantine(report), lease)
 
 
-def end_lease(lease: int) -> Call:
+def build_end_lease_call(lease: int) -> Call:
     """Ask for a lease and its keys to go."""
     return Call('DELETE', f'/kv-lease-end/{lease}')
 
 
-def _put(record: tuple[str, str], lease: int) -> Call:
+def _build_put_call(record: tuple[str, str], lease: int) -> Call:
     key, encoded = record
     body: Mapping[str, Any] = {
         'expected_rev': [],
@@ -167,25 +173,25 @@
     return Call('POST', '/kv-txn', json.dumps(body).encode())
 
 
-def _read_event(
-    row: Mapping[str, Any], era: int, decode: Decode
+def _decode_event_row(
+    row: Mapping[str, Any], era: int, decode: ValueDecoder
 ) -> facts.Fact | None:
     if not row.get('deleted'):
-        return _read_item(row, era, decode)
-    key = records.name_key(row['key'])
+        return _decode_item_row(row, era, decode)
+    key = records.parse_key(row['key'])
     if key is None:
         return None
     return facts.Fact(key, int(row['revision']), None, era=era)
 
 
-def _read_item(
-    row: Mapping[str, Any], era: int, decode: Decode
+def _decode_item_row(
+    row: Mapping[str, Any], era: int, decode: ValueDecoder
 ) -> facts.Fact | None:
-    key = records.name_key(row['key'])
+    key = records.parse_key(row['key'])
     if key is None:
         return None
     stamp = facts.Stamp(era, int(row['revision']))
-    found = decode(key, stamp, row['value'])
-    if found is None:
+    decoded = decode(key, stamp, row['value'])
+    if decoded is None:
         return None
-    return facts.Fact(key, stamp.revision, found, era=era)
+    return facts.Fact(key, stamp.revision, decoded, era=era)
--- a/fuchsiahaven/platform/tenants.py
+++ b/fuchsiahaven/platform/tenants.py
@@ -6,11 +6,11 @@
 from fuchsiahaven.core.customers import customers, keys
 from fuchsiahaven.routing import configs
 
-LARGEST_WHOLE: Final = customers.MAX_EXACT_INTEGER
-LONGEST_NAME: Final = customers.MAX_NAME_LENGTH
+MAX_EXACT_INTEGER: Final = customers.MAX_EXACT_INTEGER
+MAX_NAME_LENGTH: Final = customers.MAX_NAME_LENGTH
 
 
-def read_customers(
+def decode_customers(
     row: Mapping[str, Any],
 ) -> tuple[configs.Customer, ...] | None:
     """Read the customers; None where callers need no key.
@@ -22,14 +22,16 @@
     rows = row['tenants']
     if not isinstance(rows, list):
         raise ValueError('customers are no list')
-    read = tuple(_read_customer(told, at) for at, told in enumerate(rows))
-    fault = customers.find_fault(read)
+    decoded = tuple(
+        _decode_customer(value, position) for position, value in enumerate(rows)
+    )
+    fault = customers.find_fault(decoded)
     if fault is not None:
         raise ValueError(fault)
-    return read
+    return decoded
 
 
-def read_public(row: Mapping[str, Any]) -> bool:
+def decode_public(row: Mapping[str, Any]) -> bool:
     """Read whether a route takes requests without a key."""
     public = row.get('public', False)
     if isinstance(public, bool):
@@ -37,34 +39,36 @@
     raise ValueError('a route is neither public nor not')
 
 
-def _read_customer(told: object, place: int) -> configs.Customer:
-    if not isinstance(told, dict):
-        raise ValueError(f'customer {place} is no object')
-    name = told.get('name')
+def _decode_customer(value: object, position: int) -> configs.Customer:
+    if not isinstance(value, dict):
+        raise ValueError(f'customer {position} is no object')
+    name = value.get('name')
     if not customers.is_valid_name(name):
-        raise ValueError(f'customer {place} has no name that can be sent')
+        raise ValueError(f'customer {position} has no name that can be sent')
     try:
         return configs.Customer(
             name,
-            _read_keys(told.get('api_keys', [])),
-            _read_priority(told['priority']) if 'priority' in told else None,
-            _read_figure(told, 'rate_per_s'),
-            _read_figure(told, 'burst'),
+            _decode_keys(value.get('api_keys', [])),
+            _decode_priority(value['priority'])
+            if 'priority' in value
+            else None,
+            _decode_quantity(value, 'rate_per_s'),
+            _decode_quantity(value, 'burst'),
         )
     except ValueError as error:
         raise ValueError(f'customer {name!r}: {error}') from None
 
 
-def _read_keys(told: object) -> tuple[str, ...]:
-    if not isinstance(told, list):
+def _decode_keys(value: object) -> tuple[str, ...]:
+    if not isinstance(value, list):
         raise ValueError('keys are no list')
-    digests = tuple(_digest(key) for key in told)
+    digests = tuple(_compute_digest(key) for key in value)
     if len(set(digests)) < len(digests):
         raise ValueError('a key is there twice')
     return digests
 
 
-def _digest(key: object) -> str:
+def _compute_digest(key: object) -> str:
     if not isinstance(key, str) or not key:
         raise ValueError('a key is no text')
     try:
@@ -74,15 +78,15 @@
         raise ValueError('a key is no text') from None
 
 
-def _read_priority(told: object) -> int:
-    if customers.is_valid_priority(told):
-        return told
+def _decode_priority(value: object) -> int:
+    if customers.is_valid_priority(value):
+        return value
     raise ValueError('the priority is no whole number')
 
 
-def _read_figure(row: Mapping[str, Any], name: str) -> float:
+def _decode_quantity(row: Mapping[str, Any], name: str) -> float:
     """Read a rate or a burst; one that is not told is no limit."""
-    told = row.get(name, 0)
-    if customers.is_valid_quantity(told):
-        return float(told)
+    value = row.get(name, 0)
+    if customers.is_valid_quantity(value):
+        return float(value)
     raise ValueError(f'{name} is no number of 0 or more')
--- a/fuchsiahaven/relay/assistants.py
+++ b/fuchsiahaven/relay/assistants.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import encodings, idles, links, openers, traffic
 from fuchsiahaven.routing import delegation_codecs, events, report_codecs
 
@@ -80,7 +80,7 @@
             link.close(messages.Fault.CONNECTION_LOST)
 
     def take_message(
-        self, link: links.Link, message: exchanges.Message
+        self, link: links.Link, message: http_codecs.Message
     ) -> None:
         """Take the end of an answer, or a refusal to assist."""
         busy = self._busy.pop(link)
--- a/fuchsiahaven/relay/calls.py
+++ b/fuchsiahaven/relay/calls.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges, store
+from fuchsiahaven.platform import http_codecs, store
 from fuchsiahaven.relay import encodings, links, traffic
 from fuchsiahaven.routing import events, report_codecs
 
@@ -36,7 +36,7 @@
         self._tally = tally
         self.calls = 0
         self._link: links.Link | None = None
-        self._waiting: asyncio.Future[exchanges.Message] | None = None
+        self._waiting: asyncio.Future[http_codecs.Message] | None = None
         self._lock = asyncio.Lock()
 
     async def call(
@@ -66,7 +66,7 @@
             link.close(messages.Fault.TIMED_OUT)
 
     def take_message(
-        self, link: links.Link, message: exchanges.Message
+        self, link: links.Link, message: http_codecs.Message
     ) -> None:
         """Take the answer to the call."""
         if self._waiting is not None and not self._waiting.done():
@@ -86,7 +86,7 @@
         if link is None or not link.reusable:
             link = await self._open(connect_seconds)
         self.calls += 1
-        waiting: asyncio.Future[exchanges.Message] = (
+        waiting: asyncio.Future[http_codecs.Message] = (
             asyncio.get_running_loop().create_future()
         )
         self._waiting = waiting
@@ -98,7 +98,7 @@
         )
         link.start(
             links.Exchange(
-                call.method, call.target, fields, call.body, lambda _: True
+                call.method, call.path, fields, call.body, lambda _: True
             )
         )
         message = await waiting
--- a/fuchsiahaven/relay/confirmations.py
+++ b/fuchsiahaven/relay/confirmations.py
@@ -103,7 +103,7 @@
         except (
             calls.CallFailed,
             report_codecs.MalformedReport,
-            records.Malformed,
+            records.MalformedError,
         ) as error:
             self._log.tell_request(
                 PART, 'not confirmed', good=False, error=str(error)
@@ -116,12 +116,12 @@
         Raises calls.CallFailed and records.Malformed.
         """
         left = self._keys.read_clock()
-        done = await self.store.call(store.read_configuration(), ANSWER_S)
+        done = await self.store.call(store.build_configuration_call(), ANSWER_S)
         if done.status != store.OK:
             raise calls.CallFailed(f'the store answers {done.status}')
         told = self._news.eras.read(done.fields)
         era = self._news.ledger.era if told is None else told
-        fact = store.read_item(done.body, era, self._decoder.decode)
+        fact = store.decode_item(done.body, era, self._decoder.decode)
         found = () if fact is None else (fact,)
         report = facts.Report(0, found, False, 0, era=era)
         if not self._news.take_configuration(report):
--- a/fuchsiahaven/relay/decoders.py
+++ b/fuchsiahaven/relay/decoders.py
@@ -42,8 +42,8 @@
             return known.value
         read: facts.Value | None
         try:
-            read = records.read_value(key, encoded)
-        except records.Malformed as error:
+            read = records.decode_value(key, encoded)
+        except records.MalformedError as error:
             self._log.tell_request(
                 PART, 'a record is malformed', good=False, error=str(error)
             )
--- a/fuchsiahaven/relay/entries.py
+++ b/fuchsiahaven/relay/entries.py
@@ -65,7 +65,7 @@
     async def _try_to_enter(self) -> float:
         try:
             await self._enter()
-        except (calls.CallFailed, records.Malformed) as error:
+        except (calls.CallFailed, records.MalformedError) as error:
             self._log.tell(PART, 'not entered', error=str(error))
             pause = count_pause(self._failures)
             self._failures += 1
@@ -78,7 +78,9 @@
             return
         host = self._news.settings.host
         lease = await self._writer.open(LEASE_S)
-        await self._writer.write(store.enter_host(host, lease.number), lease)
+        await self._writer.write(
+            store.build_put_host_call(host, lease.number), lease
+        )
         self._lease = lease
         self._log.tell(
             PART, 'entered', lease=lease.number, era=self._news.eras.heard
--- a/fuchsiahaven/relay/eras.py
+++ b/fuchsiahaven/relay/eras.py
@@ -24,8 +24,8 @@
         used as that of a store without one.
         """
         try:
-            told = store.read_era(fields)
-        except records.Malformed as error:
+            told = store.decode_era(fields)
+        except records.MalformedError as error:
             self._log.tell_request(
                 PART, 'an era is malformed', good=False, error=str(error)
             )
--- a/fuchsiahaven/relay/intakes.py
+++ b/fuchsiahaven/relay/intakes.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.routing import configs, events
 
 GO_ON: Final = h11.InformationalResponse(status_code=100, headers=[])
@@ -39,7 +39,7 @@
         except h11.RemoteProtocolError as error:
             raise Improper(error.error_status_hint) from error
 
-    def take(self) -> exchanges.Message | bytes:
+    def take(self) -> http_codecs.Message | bytes:
         """Take a whole request, or what to send so that more may come.
 
         Raises Improper.
@@ -49,7 +49,7 @@
         except h11.RemoteProtocolError as error:
             raise Improper(error.error_status_hint) from error
 
-    def write(self, written: exchanges.Written, *, ends: bool) -> bytes:
+    def write(self, written: http_codecs.EncodedAnswer, *, ends: bool) -> bytes:
         """Write an answer; `ends` tells that it is the connection's last."""
         if self._machine.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return b''
@@ -99,7 +99,7 @@
         """Tell whether bytes of a next request have come."""
         return bool(self._machine.trailing_data[0])
 
-    def _take(self) -> exchanges.Message | bytes:
+    def _take(self) -> http_codecs.Message | bytes:
         event: object = None
         while not (event is h11.NEED_DATA or event is h11.PAUSED):
             event = self._machine.next_event()
@@ -122,12 +122,12 @@
         if len(self._body) > self.limits.body_bytes:
             raise Improper(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
-    def _build(self) -> exchanges.Message:
+    def _build(self) -> http_codecs.Message:
         assert self._head is not None
-        return exchanges.Message(
+        return http_codecs.Message(
             self._head.target.decode('latin-1'),
             0,
-            exchanges.read_fields(self._head.headers),
+            http_codecs.decode_fields(self._head.headers),
             bytes(self._body),
             self._head.method.decode('latin-1'),
         )
--- a/fuchsiahaven/relay/leases.py
+++ b/fuchsiahaven/relay/leases.py
@@ -38,8 +38,10 @@
 
     async def open(self, seconds: float) -> Lease:
         """Open a lease; raises calls.CallFailed and records.Malformed."""
-        done = await self._call(store.open_lease(seconds))
-        return Lease(store.read_lease(done.body), self._eras.read(done.fields))
+        done = await self._call(store.build_open_lease_call(seconds))
+        return Lease(
+            store.decode_lease(done.body), self._eras.read(done.fields)
+        )
 
     async def write(self, call: store.Call, lease: Lease) -> None:
         """Write an entry under a lease; raises calls.CallFailed."""
@@ -54,7 +56,7 @@
 
         Raises calls.CallFailed.
         """
-        call = store.renew_lease(lease.number)
+        call = store.build_renew_lease_call(lease.number)
         done = await self.store.call(call, readers.STORE_S)
         era = self._eras.read(done.fields)
         return done.status == store.OK and era == lease.era
@@ -62,7 +64,7 @@
     async def _call(self, call: store.Call) -> calls.Done:
         done = await self.store.call(call, readers.STORE_S)
         if done.status != store.OK:
-            raise calls.CallFailed(f'{call.target} is answered {done.status}')
+            raise calls.CallFailed(f'{call.path} is answered {done.status}')
         return done
 
 
--- a/fuchsiahaven/relay/links.py
+++ b/fuchsiahaven/relay/links.py
@@ -9,7 +9,7 @@
 import h11
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import traffic, wires
 from fuchsiahaven.routing import events
 
@@ -48,14 +48,14 @@
     target: str
     fields: events.Fields
     body: bytes
-    belongs: Callable[[exchanges.Message], bool]
+    belongs: Callable[[http_codecs.Message], bool]
     take_chunk: Callable[[bytes], None] | None = None
 
 
 class Owner(Protocol):
     """State what a link tells whoever owns it."""
 
-    def take_message(self, link: 'Link', message: exchanges.Message) -> None:
+    def take_message(self, link: 'Link', message: http_codecs.Message) -> None:
         """Take the answer to the exchange."""
 
     def take_end(self, link: 'Link', fault: messages.Fault) -> None:
@@ -167,7 +167,7 @@
         if self.closed:
             return True
         if pieces.ended:
-            message = exchanges.Message('', OK, stream.fields, b'')
+            message = http_codecs.Message('', OK, stream.fields, b'')
             self._settle(message, whole=not pieces.rest)
         elif pieces.rest:
             self._feed(stream.head + pieces.rest)
@@ -192,7 +192,7 @@
             match event:
                 case h11.Response():
                     self._head = event
-                    self.fields = exchanges.read_fields(event.headers)
+                    self.fields = http_codecs.decode_fields(event.headers)
                 case h11.Data():
                     self._take_data(event.data)
                 case h11.EndOfMessage():
@@ -216,7 +216,7 @@
     def _end_message(self) -> None:
         assert self._head is not None
         assert self.exchange is not None
-        message = exchanges.Message(
+        message = http_codecs.Message(
             '',
             self._head.status_code,
             self.fields,
@@ -229,7 +229,7 @@
         else:
             self._pass_over()
 
-    def _settle(self, message: exchanges.Message, *, whole: bool) -> None:
+    def _settle(self, message: http_codecs.Message, *, whole: bool) -> None:
         self.exchange = None
         self._machine = None
         self._stream = None
--- a/fuchsiahaven/relay/news.py
+++ b/fuchsiahaven/relay/news.py
@@ -164,7 +164,7 @@
     async def _read_store(self) -> bool:
         try:
             report = await self._reader.read(self.ledger)
-        except (calls.CallFailed, records.Malformed) as error:
+        except (calls.CallFailed, records.MalformedError) as error:
             now = time.monotonic()
             self._store_doubted = (
                 now + STORE_DOUBT_S * self.settings.delay_factor
--- a/fuchsiahaven/relay/pools.py
+++ b/fuchsiahaven/relay/pools.py
@@ -8,7 +8,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import idles, links, openers, traffic
 from fuchsiahaven.routing import events, instances
 
@@ -123,7 +123,7 @@
         self.retire()
 
     def take_message(
-        self, link: links.Link, message: exchanges.Message
+        self, link: links.Link, message: http_codecs.Message
     ) -> None:
         """Take an answer, and use the connection again."""
         now = self._clock()
@@ -131,7 +131,7 @@
         self._idle.prove(link, now)
         if link.reusable:
             self._release(link, now + _read_idle(message))
-        self._report(exchanges.read_answer(busy.send, message))
+        self._report(http_codecs.decode_answer(busy.send, message))
 
     def take_end(self, link: links.Link, fault: messages.Fault) -> None:
         """Take the end of a connection."""
@@ -153,9 +153,9 @@
             links.Exchange(
                 request.method,
                 request.uri,
-                exchanges.write_request(send, now),
+                http_codecs.encode_request_fields(send, now),
                 request.body,
-                lambda message: exchanges.is_answer_to(message, request),
+                lambda message: http_codecs.is_answer_to(message, request),
             )
         )
 
@@ -205,7 +205,7 @@
             )
 
 
-def _read_idle(message: exchanges.Message) -> float:
+def _read_idle(message: http_codecs.Message) -> float:
     """Read for how many seconds a target keeps a connection open."""
     told = dict(message.fields).get('keep-alive', '')
     _, found, seconds = told.partition(KEEP_ALIVE)
--- a/fuchsiahaven/relay/ports.py
+++ b/fuchsiahaven/relay/ports.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Final, NamedTuple, Protocol
 
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import intakes, links
 from fuchsiahaven.routing import configs, events
 
@@ -20,7 +20,7 @@
     def inspect(self) -> links.Way:
         """Tell whether it still waits, and how far away it is."""
 
-    def answer(self, written: exchanges.Written) -> None:
+    def answer(self, written: http_codecs.EncodedAnswer) -> None:
         """Send the whole answer."""
 
     def send_piece(
@@ -34,7 +34,7 @@
 
 #: Takes a request and whoever waits for its answer; returns what to call if
 #: the caller leaves before its answer.
-Handler = Callable[[exchanges.Message, Caller], Callable[[], object] | None]
+Handler = Callable[[http_codecs.Message, Caller], Callable[[], object] | None]
 
 
 def _never() -> bool:
@@ -146,7 +146,7 @@
         trips = 2 if self._taken == 1 else 1
         return way._replace(round_trip=trips * way.round_trip)
 
-    def answer(self, written: exchanges.Written) -> None:
+    def answer(self, written: http_codecs.EncodedAnswer) -> None:
         """Send the whole answer."""
         ends = self._port.stopping or self._port.terms.parts()
         _send(self._transport, self._intake.write(written, ends=ends))
@@ -204,7 +204,7 @@
         else:
             self._take_request(taken)
 
-    def _take_request(self, message: exchanges.Message) -> None:
+    def _take_request(self, message: http_codecs.Message) -> None:
         self._set_timer(None)
         self._begun = False
         self._answering = True
@@ -233,7 +233,7 @@
             self._answering = True
             text = f'{status} {HTTPStatus(status).phrase}\n'
             fields = (('content-type', 'text/plain'),)
-            written = exchanges.Written(status, fields, text.encode())
+            written = http_codecs.EncodedAnswer(status, fields, text.encode())
             _send(self._transport, self._intake.write(written, ends=True))
         self.close()
 
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from fuchsiahaven.core import errors, suspects
-from fuchsiahaven.operate import exits
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.operate import exit_codes
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.platform import settings as settings_files
 from fuchsiahaven.relay import (
     confirmations,
@@ -242,9 +242,9 @@
         return self.desk.index.configuration.limits
 
     def _take_request(
-        self, message: exchanges.Message, caller: ports.Caller
+        self, message: http_codecs.Message, caller: ports.Caller
     ) -> Callable[[], None]:
-        request = exchanges.read_request(
+        request = http_codecs.decode_request(
             message, time.monotonic(), caller.inspect().round_trip
         )
 
@@ -255,7 +255,7 @@
                 advised = retry_times.spread_retry_after(
                     self.desk, advised, request, now
                 )
-            caller.answer(exchanges.write_outcome(advised))
+            caller.answer(http_codecs.encode_outcome(advised))
 
         number = self.runner.ask(request, reply)
         return lambda: self.runner.abandon(number)
@@ -319,14 +319,14 @@
     """Serve with the settings file that the platform names."""
     path = settings_files.find_path()
     if path is None:
-        print(f'{settings_files.VARIABLE} names no settings file')
-        return exits.FAILED
+        print(f'{settings_files.PATH_VARIABLE} names no settings file')
+        return exit_codes.FAILED
     reading = settings_files.read_file(path)
     if reading.settings is None:
         for fault in reading.faults:
             print(f'{path}: {fault.name} {fault.text}')
-        return exits.FAILED
+        return exit_codes.FAILED
     log = journal.Journal(reading.settings.host.name)
     with contextlib.closing(log):
         asyncio.run(Process(reading.settings, log).run())
-    return exits.DONE
+    return exit_codes.SUCCESS
--- a/fuchsiahaven/relay/quarantines.py
+++ b/fuchsiahaven/relay/quarantines.py
@@ -125,7 +125,7 @@
     async def _write(self, found: suspects.News) -> bool:
         try:
             await self._write_entry(found)
-        except (calls.CallFailed, records.Malformed) as error:
+        except (calls.CallFailed, records.MalformedError) as error:
             self._log.tell(PART, 'not entered', error=str(error))
             return False
         self._log.tell(PART, 'entered', digest=found.identity.digest)
@@ -133,5 +133,5 @@
 
     async def _write_entry(self, found: suspects.News) -> None:
         lease = await self._writer.open(LEASE_S)
-        call = store.enter_quarantine(found, lease.number)
+        call = store.build_put_quarantine_call(found, lease.number)
         await self._writer.write(call, lease)
--- a/fuchsiahaven/relay/questions.py
+++ b/fuchsiahaven/relay/questions.py
@@ -10,7 +10,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import suspects
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import (
     confirmations,
     encodings,
@@ -70,12 +70,12 @@
         self._note_probe = note_probe
 
     def take(
-        self, message: exchanges.Message, caller: ports.Caller
+        self, message: http_codecs.Message, caller: ports.Caller
     ) -> Callable[[], object] | None:
         """Take a question; return what to call if who asks leaves."""
-        path, _, query = message.first.partition('?')
+        path, _, query = message.uri.partition('?')
         match path:
-            case exchanges.READINESS_PATH:
+            case http_codecs.READINESS_PATH:
                 caller.answer(self._tell_readiness())
             case '/v1/facts':
                 packed = encodings.is_accepted(message.fields)
@@ -98,19 +98,21 @@
                 return self._tell_metrics(caller)
             case _:
                 missing = HTTPStatus.NOT_FOUND
-                caller.answer(exchanges.Written(missing, TEXT, b'not found\n'))
+                caller.answer(
+                    http_codecs.EncodedAnswer(missing, TEXT, b'not found\n')
+                )
         return None
 
     def take_probe(
-        self, message: exchanges.Message, caller: ports.Caller
+        self, message: http_codecs.Message, caller: ports.Caller
     ) -> Callable[[], object] | None:
         """Take a question of the balancer, which decides by the answer."""
-        if message.first == exchanges.READINESS_PATH:
+        if message.uri == http_codecs.READINESS_PATH:
             self._note_probe()
         return self.take(message, caller)
 
     def _assist(
-        self, message: exchanges.Message, caller: ports.Caller
+        self, message: http_codecs.Message, caller: ports.Caller
     ) -> Callable[[], None] | None:
         if self._find_obstacle() == STOPPING:
             caller.answer(_refuse(STOPPING))
@@ -132,7 +134,7 @@
         except report_codecs.MalformedReport as error:
             caller.answer(_refuse(str(error)))
             return None
-        request = exchanges.identify(assist.request)
+        request = http_codecs.add_identity(assist.request)
         assist = assist._replace(request=request)
 
         packer = None
@@ -150,7 +152,9 @@
         number = self._runner.assist(assist, give)
         return lambda: self._runner.abandon(number)
 
-    def _take_notice(self, message: exchanges.Message) -> exchanges.Written:
+    def _take_notice(
+        self, message: http_codecs.Message
+    ) -> http_codecs.EncodedAnswer:
         """Take in what another host knows against requests, or tell it."""
         if message.method == 'GET':
             found = self._runner.desk.suspects.list_reports(time.monotonic())
@@ -158,7 +162,7 @@
             told = suspect_codecs.encode_notice(
                 suspect_codecs.SuspectNotice(rows, 0)
             )
-            return exchanges.Written(HTTPStatus.OK, JSON, told)
+            return http_codecs.EncodedAnswer(HTTPStatus.OK, JSON, told)
         try:
             notice = suspect_codecs.decode_notice(message.body)
         except ValueError as error:
@@ -172,15 +176,15 @@
         if fresh:
             self._runner.post(events.SuspectsReported(fresh))
             self._notices.hand_on(notice._replace(reports=fresh))
-        return exchanges.Written(HTTPStatus.OK, JSON, b'{}')
+        return http_codecs.EncodedAnswer(HTTPStatus.OK, JSON, b'{}')
 
-    def _tell_readiness(self) -> exchanges.Written:
+    def _tell_readiness(self) -> http_codecs.EncodedAnswer:
         obstacle = self._find_obstacle()
         if obstacle:
             return _refuse(obstacle)
-        return exchanges.Written(HTTPStatus.OK, TEXT, b'ready\n')
+        return http_codecs.EncodedAnswer(HTTPStatus.OK, TEXT, b'ready\n')
 
-    def _tell_state(self) -> exchanges.Written:
+    def _tell_state(self) -> http_codecs.EncodedAnswer:
         """Tell what this host believes, for people."""
         now = time.monotonic()
         desk = self._runner.desk
@@ -233,7 +237,7 @@
             duties = desk.controls.quotas.buckets.list_slots()
             told['quotas'] = [duty._asdict() for duty in duties]
         body = json.dumps(told).encode()
-        return exchanges.Written(HTTPStatus.OK, JSON, body)
+        return http_codecs.EncodedAnswer(HTTPStatus.OK, JSON, body)
 
     def _tell_customers(self, known: int) -> Mapping[str, object]:
         counted = self._meters.accounts
@@ -263,31 +267,33 @@
             body = loaded.result().write(
                 self._meters, gauges, self._runner.traffic
             )
-            caller.answer(exchanges.Written(HTTPStatus.OK, TEXT, body))
+            caller.answer(http_codecs.EncodedAnswer(HTTPStatus.OK, TEXT, body))
 
         loading.add_done_callback(write)
         return loading.cancel
 
 
 def _take_word(
-    message: exchanges.Message, take: Callable[[bytes], None]
-) -> exchanges.Written:
+    message: http_codecs.Message, take: Callable[[bytes], None]
+) -> http_codecs.EncodedAnswer:
     """Take in what another host tells of what it sees."""
     try:
         take(message.body)
     except ValueError as error:
         return _refuse(str(error), HTTPStatus.BAD_REQUEST)
-    return exchanges.Written(HTTPStatus.OK, JSON, b'{}')
+    return http_codecs.EncodedAnswer(HTTPStatus.OK, JSON, b'{}')
 
 
-def _write(body: bytes, *, packed: bool) -> exchanges.Written:
+def _write(body: bytes, *, packed: bool) -> http_codecs.EncodedAnswer:
     if packed:
         fields = (*JSON, encodings.CONTENT)
-        return exchanges.Written(HTTPStatus.OK, fields, encodings.pack(body))
-    return exchanges.Written(HTTPStatus.OK, JSON, body)
+        return http_codecs.EncodedAnswer(
+            HTTPStatus.OK, fields, encodings.pack(body)
+        )
+    return http_codecs.EncodedAnswer(HTTPStatus.OK, JSON, body)
 
 
 def _refuse(
     why: str, status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE
-) -> exchanges.Written:
-    return exchanges.Written(status, TEXT, f'{why}\n'.encode())
+) -> http_codecs.EncodedAnswer:
+    return http_codecs.EncodedAnswer(status, TEXT, f'{why}\n'.encode())
--- a/fuchsiahaven/relay/readers.py
+++ b/fuchsiahaven/relay/readers.py
@@ -68,7 +68,7 @@
     async def _watch(self, ledger: facts.StoreView) -> facts.Report | None:
         """Read what has changed; None if only a listing tells."""
         wait = self._keys.limit_time(self._wait, freshness.WATCH_FRACTION)
-        call = store.watch_everything(ledger.revision, wait)
+        call = store.build_watch_call(ledger.revision, wait)
         self.left = self._keys.read_clock()
         done = await self._store.call(call, wait + WATCH_ANSWER_S)
         era = self._find_era(done, ledger)
@@ -76,11 +76,11 @@
             # The revision was of another history. If the store has passed it
             # by now, nothing but the era tells that changes are missing.
             return None
-        if done.status == store.FORGOTTEN:
+        if done.status == store.HISTORY_GONE:
             self._note_forgotten(ledger)
             return None
         _check(done)
-        page = store.read_events(done.body, era, self._decoder.decode)
+        page = store.decode_events(done.body, era, self._decoder.decode)
         return facts.Report(page.revision, page.items, False, 0, era=era)
 
     def _find_era(self, done: calls.Done, ledger: facts.StoreView) -> int:
@@ -123,19 +123,19 @@
         revision = 0
         after: str | None = ''
         while after is not None:
-            call = store.list_everything(after)
+            call = store.build_list_call(after)
             done = await self._store.call(call, STORE_S)
             _check(done)
             era = self._find_era(done, ledger)
             eras_read.add(era)
             if len(eras_read) > 1:
                 return None
-            page = store.read_page(done.body, era, self._decoder.decode)
+            page = store.decode_page(done.body, era, self._decoder.decode)
             found.extend(page.items)
             # Pages are not a snapshot: only the first one's revision holds
             # for all of them.
             revision = revision or page.revision
-            after = page.after
+            after = page.next_after
         age = time.monotonic() - began
         return facts.Report(revision, tuple(found), True, age, era=era)
 
--- a/fuchsiahaven/relay/wires.py
+++ b/fuchsiahaven/relay/wires.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.routing import events
 
 _TOKEN: Final = r"[-!#$%&'*+.^_`|~0-9A-Za-z]+"
@@ -75,7 +75,7 @@
     return not body
 
 
-def read(data: bytes) -> exchanges.Message | None:
+def read(data: bytes) -> http_codecs.Message | None:
     """Read one whole answer; None where the bytes are anything else."""
     found = _ANSWER.match(data, 0, _HEAD_BYTES)
     if found is None:
@@ -90,7 +90,7 @@
         return None
     if not _LENGTH.fullmatch(lengths[0]) or int(lengths[0]) != len(body):
         return None
-    return exchanges.Message('', status, fields, body)
+    return http_codecs.Message('', status, fields, body)
 
 
 class Stream(NamedTuple):
--- a/tests/edge/test_customers_path.py
+++ b/tests/edge/test_customers_path.py
@@ -11,7 +11,7 @@
 import pytest
 import urllib3
 
-from fuchsiahaven.operate import commands, exits
+from fuchsiahaven.operate import commands, exit_codes
 from tests.edge import test_path
 
 KEY: Final = 'k-9f2c51aa7e'
@@ -135,8 +135,12 @@
     assert answer['status'] == 'complete'
     at = ('--at', site.callers.removeprefix('http://'))
     asked = ('query', *at, 'price-check', '--customer-key')
-    assert commands.main([*asked, str(site.folder / 'key')]) == exits.DONE
-    assert commands.main([*asked, str(site.folder / 'other')]) == exits.FAILED
+    assert (
+        commands.main([*asked, str(site.folder / 'key')]) == exit_codes.SUCCESS
+    )
+    assert (
+        commands.main([*asked, str(site.folder / 'other')]) == exit_codes.FAILED
+    )
     site.run('customer', 'show', 'shop')
     site.run('history')
     assert not site.run('customer', 'remove-keys', 'shop', *keys)
