--- a/tests/operate/test_command_customer.py
+++ b/tests/operate/test_command_customer.py
@@ -8,8 +8,8 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.customers import keys
-from fuchsiahaven.operate import commands, descriptions, exits
-from tests.operate.test_operators import World, world
+from fuchsiahaven.operate import commands, descriptions, exit_codes
+from tests.operate.test_operators import Deployment, world
 
 KEY: Final = 'k-secret-1'
 DIGEST: Final = keys.compute_digest(KEY)
@@ -17,14 +17,14 @@
 
 
 @pytest.fixture(name='key_file')
-def write_key(tmp_path: Path) -> str:
+def make_key_file(tmp_path: Path) -> str:
     path = tmp_path / 'key'
     path.write_text(f'{KEY}\n')
     return str(path)
 
 
 def test_an_operator_adds_shows_rotates_and_undoes(
-    world: World, key_file: str
+    world: Deployment, key_file: str
 ) -> None:
     """Guard against a key that is echoed by any of the commands."""
     world.change('customer', 'set', 'shop', 'rate=2.5', 'priority=0')
@@ -39,47 +39,52 @@
     }
     shown = world.run('customer', 'show', 'shop').body
     assert shown['digests'] == [DIGEST]
-    taking = ('customer', 'remove-keys', 'shop', '--digest', DIGEST)
-    removed = world.change(*taking)
+    removal = ('customer', 'remove-keys', 'shop', '--digest', DIGEST)
+    removed = world.change(*removal)
     assert not world.run('customer', 'show', 'shop').body['digests']
     world.change('undo', removed.body['change']['id'])
     assert world.run('customer', 'show', 'shop').body['digests'] == [DIGEST]
     history = world.run('history').body
     assert KEY not in str((added, shown, removed, history))
-    assert world.run('customer', 'delete', 'shop').code == exits.FAILED
+    assert (
+        world.run('customer', 'delete', 'shop').exit_code == exit_codes.FAILED
+    )
     world.change('customer', 'delete', 'shop', '--force')
     assert not world.run('customer', 'list').body['rows']
 
 
-def test_a_key_given_by_mistake_is_not_told(
-    world: World, tmp_path: Path
+def test_a_key_given_by_mistake_is_not_printed(
+    world: Deployment, tmp_path: Path
 ) -> None:
     """Guard against a key in the scrollback of a terminal or in a log."""
     world.change('customer', 'set', 'shop')
-    told = world.run('customer', 'add-keys', 'shop', '--digest', KEY)
-    assert told.code == exits.USAGE
+    misplaced = world.run('customer', 'add-keys', 'shop', '--digest', KEY)
+    assert misplaced.exit_code == exit_codes.USAGE
     bad = tmp_path / 'bad'
     for text in (f'{KEY} {KEY}\n', f'{KEY}\n\n', 'k\N{BULLET}'):
         bad.write_text(text, encoding='utf-8')
         other = world.run('customer', 'add-keys', 'shop', '--keys', str(bad))
-        assert other.code == exits.USAGE
+        assert other.exit_code == exit_codes.USAGE
         assert KEY not in str(other)
     bad.write_text(f'[customer shop]\nkeys = {KEY}\n')
     planned = world.run('plan', str(bad))
-    assert planned.code == exits.USAGE
-    assert KEY not in str((told, planned))
+    assert planned.exit_code == exit_codes.USAGE
+    assert KEY not in str((misplaced, planned))
 
 
 def test_keys_are_read_from_standard_input(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr('sys.stdin', io.StringIO(f'{KEY}\n'))
-    assert commands.main(['customer', 'digest', '--keys', '-']) == exits.DONE
+    assert (
+        commands.main(['customer', 'digest', '--keys', '-'])
+        == exit_codes.SUCCESS
+    )
     assert capsys.readouterr().out == f'{DIGEST}\n'
 
 
 def test_a_description_has_customers_by_the_digests_of_their_keys(
-    world: World, tmp_path: Path
+    world: Deployment, tmp_path: Path
 ) -> None:
     path = tmp_path / 'site.ini'
     path.write_text(
@@ -87,7 +92,7 @@
         f'[customer shop]\nkeys = {DIGEST}\nrate = 2\nburst = 4\n'
     )
     world.change('apply', str(path))
-    assert world.run('plan', str(path)).code == exits.DONE
+    assert world.run('plan', str(path)).exit_code == exit_codes.SUCCESS
     (shop,) = world.read().customers
     assert (shop.keys, shop.rate, shop.priority) == ((DIGEST,), 2.0, None)
     assert world.read().classes[0].public
@@ -98,18 +103,20 @@
     assert len(world.run('plan', str(path)).errors.splitlines()) == 2
 
 
-def test_two_customers_cannot_hold_one_key(world: World, key_file: str) -> None:
+def test_two_customers_cannot_hold_one_key(
+    world: Deployment, key_file: str
+) -> None:
     for name in ('shop', 'bank'):
         world.change('customer', 'set', name)
     world.change('customer', 'add-keys', 'shop', '--keys', key_file)
-    told = world.run('customer', 'add-keys', 'bank', '--keys', key_file)
-    assert told.code == exits.FAILED
-    assert told.body['error']['kind'] == errors.Kind.INVALID_CHANGE
-    assert 'hold one key' in told.body['error']['detail']
+    refused = world.run('customer', 'add-keys', 'bank', '--keys', key_file)
+    assert refused.exit_code == exit_codes.FAILED
+    assert refused.body['error']['kind'] == errors.Kind.INVALID_CHANGE
+    assert 'hold one key' in refused.body['error']['detail']
 
 
-def test_a_key_under_a_misspelt_name_is_not_shown() -> None:
+def test_a_key_under_a_misspelt_name_is_not_printed() -> None:
     """Guard against an error that has the key which it complains about."""
-    read = descriptions.read_text(f'[customer shop]\nkey = {KEY}\n')
-    assert read.faults
-    assert KEY not in str(read.faults)
+    reading = descriptions.parse_text(f'[customer shop]\nkey = {KEY}\n')
+    assert reading.faults
+    assert KEY not in str(reading.faults)
--- a/tests/operate/test_command_inspect.py
+++ b/tests/operate/test_command_inspect.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from fuchsiahaven.operate import command_inspect, commands, exits
+from fuchsiahaven.operate import command_inspect, commands, exit_codes
 from tests.platform import test_settings
 
-TOLD = {
+STATE = {
     'ready': 'yes',
     'version': 7,
     'news_age': 0.4,
@@ -21,44 +21,46 @@
 }
 
 
-def test_lists_what_a_host_believes() -> None:
+def test_formats_the_state_of_a_host() -> None:
     """One line for each service says how its targets stand."""
-    lines = command_inspect.list_lines(json.loads(json.dumps(TOLD)))
+    lines = command_inspect.format_state(json.loads(json.dumps(STATE)))
     assert 'version: 7' in lines
     assert 'store_era: not told' in lines
-    told = command_inspect.list_lines({**TOLD, 'store_era': 4})
-    assert 'store_era: 4' in told
+    lines_with_era = command_inspect.format_state({**STATE, 'store_era': 4})
+    assert 'store_era: 4' in lines_with_era
     assert 'hosts: host-1, host-2' in lines
     assert lines[-1] == 'records: i-1 12 ms, i-2 left out; 5.5 repeats left'
 
 
-def test_lists_what_is_quarantined() -> None:
+def test_formats_quarantined_requests() -> None:
     """Symptom: only `--json` shows which requests are refused."""
     row = {'digest': 'ab', 'wait': 119.6, 'crashes': 3, 'targets': ['i-1']}
-    lines = command_inspect.list_lines({**TOLD, 'quarantined': [row]})
+    lines = command_inspect.format_state({**STATE, 'quarantined': [row]})
     assert 'quarantined: ab for 120 s, targets ended at 3 moments: i-1' in lines
 
 
-def test_lists_how_customers_requests_ended() -> None:
+def test_formats_results_by_customer() -> None:
     """Where callers need no key there is no such line."""
-    assert not command_inspect.list_customers(None)
-    told = {
+    assert not command_inspect.format_customers(None)
+    report = {
         'known': 3,
         'largest': {'shop': {'complete': 7, 'over_quota': 1}},
         'others': {},
         'unknown_keys': {'no key was shown': 2},
     }
-    lines = command_inspect.list_lines({**TOLD, 'customers': told})
+    lines = command_inspect.format_state({**STATE, 'customers': report})
     assert 'customers: 3' in lines
     assert 'customer shop: complete 7, over_quota 1' in lines
     assert 'other customers: none' in lines
     assert 'unknown keys: no key was shown 2' in lines
 
 
-def test_says_that_nobody_answers(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unreachable_host_is_reported(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     """A host that is gone ends the command with the code for that."""
-    code = commands.main(['inspect', '--at', '127.0.0.1:1'])
-    assert code == exits.UNREACHABLE
+    exit_code = commands.main(['inspect', '--at', '127.0.0.1:1'])
+    assert exit_code == exit_codes.UNREACHABLE
     assert '127.0.0.1:1' in capsys.readouterr().err
 
 
@@ -68,10 +70,10 @@
     """Every fault is named, each on a line of its own."""
     path = tmp_path / 'boot.conf'
     path.write_text(test_settings.TEXT)
-    words = ['check', '--platform', str(path)]
-    assert commands.main(words) == exits.DONE
+    tokens = ['check', '--platform', str(path)]
+    assert commands.main(tokens) == exit_codes.SUCCESS
     path.write_text(test_settings.TEXT.replace('=56', '=many'))
-    assert commands.main(words) == exits.FAILED
+    assert commands.main(tokens) == exit_codes.FAILED
     assert "bounds.retry_slack 'many' is not" in capsys.readouterr().out
 
 
@@ -80,18 +82,23 @@
 ) -> None:
     """What hosts would refuse is told before it is written, without a key."""
     path = tmp_path / 'next.json'
-    words = ['check', '--configuration', str(path)]
+    tokens = ['check', '--configuration', str(path)]
     shop = {'name': 'shop', 'api_keys': ['k-secret']}
-    written = {'version': 4, 'routes': [], 'services': [], 'tenants': [shop]}
-    path.write_text(json.dumps(written))
-    assert commands.main(words) == exits.DONE
+    configuration = {
+        'version': 4,
+        'routes': [],
+        'services': [],
+        'tenants': [shop],
+    }
+    path.write_text(json.dumps(configuration))
+    assert commands.main(tokens) == exit_codes.SUCCESS
     assert 'version 4: 0 routes, 1 customers' in capsys.readouterr().out
     shop['api_keys'] = ['k-secret', 'k-secret']
-    path.write_text(json.dumps(written))
-    assert commands.main(words) == exits.FAILED
-    told = capsys.readouterr().out
-    assert "customer 'shop': a key is there twice" in told
-    assert 'k-secret' not in told
+    path.write_text(json.dumps(configuration))
+    assert commands.main(tokens) == exit_codes.FAILED
+    printed = capsys.readouterr().out
+    assert "customer 'shop': a key is there twice" in printed
+    assert 'k-secret' not in printed
     assert commands.main(['check', '--configuration', 'none.json']) == (
-        exits.FAILED
+        exit_codes.FAILED
     )
--- a/tests/operate/test_command_query.py
+++ b/tests/operate/test_command_query.py
@@ -9,7 +9,7 @@
 import pytest
 from cheroot import wsgi
 
-from fuchsiahaven.operate import commands, exits, tables
+from fuchsiahaven.operate import commands, exit_codes, tables
 
 Start = Callable[[str, list[tuple[str, str]]], object]
 
@@ -29,12 +29,12 @@
 
 
 @contextlib.contextmanager
-def _serve(status: str, told: object) -> Iterator[str]:
+def _serve(status: str, body: object) -> Iterator[str]:
     """Answer every request with one status and body."""
 
     def answer(_environ: object, start: Start) -> list[bytes]:
         start(status, [('Content-Type', 'application/json')])
-        return [json.dumps(told).encode()]
+        return [json.dumps(body).encode()]
 
     server = wsgi.Server(('127.0.0.1', 0), answer, numthreads=1)
     server.prepare()
@@ -47,23 +47,27 @@
         thread.join()
 
 
-def test_partial_answer_is_told_as_partial(
+def test_partial_answer_is_reported_as_partial(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """Show what is missing, fail, and let no row drive the terminal."""
     with _serve('200 OK', PARTIAL) as at:
-        code = commands.main(['query', '--at', at, 'price-check', 'text=oven'])
+        exit_code = commands.main(
+            ['query', '--at', at, 'price-check', 'text=oven']
+        )
     printed = capsys.readouterr().out
-    assert code == exits.FAILED
+    assert exit_code == exit_codes.FAILED
     assert 'partial: 1 rows, 1 of 2 shards; snapshots: catalogo 4' in printed
     assert 'timed_out' in printed
     assert '\x1b' not in printed
 
 
-def test_unknown_outcome_has_its_own_code() -> None:
+def test_unknown_outcome_has_its_own_exit_code() -> None:
     """Tell a script that asking again with a new id could act twice."""
     with _serve('504 Gateway Timeout', UNKNOWN) as at:
-        assert commands.main(['query', '--at', at, 'refund']) == exits.UNKNOWN
+        assert (
+            commands.main(['query', '--at', at, 'refund']) == exit_codes.UNKNOWN
+        )
 
 
 def test_host_that_is_not_there_is_unreachable() -> None:
@@ -72,16 +76,18 @@
         # Bound and not listening: nobody else can answer on this port.
         taken.bind(('127.0.0.1', 0))
         at = '127.0.0.1:{0}'.format(taken.getsockname()[1])
-        assert commands.main(['query', '--at', at, 'x']) == exits.UNREACHABLE
+        assert (
+            commands.main(['query', '--at', at, 'x']) == exit_codes.UNREACHABLE
+        )
 
 
-def test_table_lines_up_and_cuts() -> None:
+def test_table_aligns_and_truncates_cells() -> None:
     """Keep columns under their names and cells on one line."""
     rows: list[tables.Row] = [
         {'id': 'a', 'text': 'x' * 99},
         {'id': 'bcd', 'more': [1]},
     ]
-    head, first, second = tables.lay_out(rows, ('id',))
+    head, first, second = tables.format_table(rows, ('id',))
     assert head.split() == ['ID', 'TEXT', 'MORE']
     assert first.endswith('…')
     assert second.index('[1]') == head.index('MORE')
--- a/tests/operate/test_connections.py
+++ b/tests/operate/test_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fuchsiahaven.core import addresses
-from fuchsiahaven.operate import connections, exchanges, statuses
+from fuchsiahaven.operate import connections, host_client, statuses
 from tests.edge import test_peers
 
 SETTINGS = """
@@ -26,47 +26,51 @@
 """
 
 
-def find(*words: str) -> connections.Place | None:
+def find_endpoints(*tokens: str) -> connections.Endpoints | None:
     parser = argparse.ArgumentParser()
     connections.add_arguments(parser)
-    return connections.find_place(parser.parse_args(words))
+    return connections.find_endpoints(parser.parse_args(tokens))
 
 
-def test_hosts_are_asked_with_the_keys_that_settings_name(
+def test_requests_use_the_tls_files_of_the_settings(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / 'desk.ini'
-    keys = test_peers.Files(tmp_path)
-    with test_peers.serve(keys.serve()) as address:
-        path.write_text(SETTINGS.format(address=address, files=keys.files))
-        place = find('--settings', str(path))
-        assert place is not None
-        assert [it.port for it in place.platform] == [3, 4]
-        at = addresses.format_address(place.hosts[0])
-        told = statuses.ask(place, at, '/v1/status', 5)
-        assert isinstance(told, exchanges.Told)
-        plain = place._replace(peer_identity=None)
-        told = statuses.ask(plain, at, '/v1/status', 5)
-        assert isinstance(told, exchanges.Silent)
+    tls_files = test_peers.Files(tmp_path)
+    with test_peers.serve(tls_files.serve()) as address:
+        path.write_text(SETTINGS.format(address=address, files=tls_files.files))
+        endpoints = find_endpoints('--settings', str(path))
+        assert endpoints is not None
+        assert [it.port for it in endpoints.platform] == [3, 4]
+        at = addresses.format_address(endpoints.hosts[0])
+        response = statuses.send_get(endpoints, at, '/v1/status', 5)
+        assert isinstance(response, host_client.Response)
+        plain = endpoints._replace(peer_identity=None)
+        response = statuses.send_get(plain, at, '/v1/status', 5)
+        assert isinstance(response, host_client.NoResponse)
 
 
-def test_what_cannot_be_used_is_said(
+def test_invalid_endpoints_are_reported(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert find('--platform', 'localhost:1') is None
-    assert find() is None
+    assert find_endpoints('--platform', 'localhost:1') is None
+    assert find_endpoints() is None
     path = tmp_path / 'bad.ini'
     path.write_text('[host]\nname = h\n')
-    assert find('--settings', str(path)) is None
+    assert find_endpoints('--settings', str(path)) is None
     shown = capsys.readouterr().err
     assert 'expected IP:PORT' in shown
     assert connections.PLATFORM_VARIABLE in shown
     assert '[host] data_centre' in shown
     monkeypatch.setenv(connections.PLATFORM_VARIABLE, '127.0.0.1:5')
-    place = find('--hosts', '127.0.0.1:6, [::1]:7')
-    assert place is not None
-    assert [it.port for it in (*place.platform, *place.hosts)] == [5, 6, 7]
+    endpoints = find_endpoints('--hosts', '127.0.0.1:6, [::1]:7')
+    assert endpoints is not None
+    assert [it.port for it in (*endpoints.platform, *endpoints.hosts)] == [
+        5,
+        6,
+        7,
+    ]
     with contextlib.ExitStack() as stack:
-        assert connections.open_store(place, stack).calls == {}
+        assert connections.open_store(endpoints, stack).calls == {}
--- a/tests/operate/test_exchanges.py
+++ b/tests/operate/test_host_client.py
@@ -1,9 +1,9 @@
 """Test how a command asks a host."""
 
-from fuchsiahaven.operate import exchanges
+from fuchsiahaven.operate import host_client
 
 
-def test_long_answer_is_waited_for() -> None:
+def test_connect_timeout_does_not_bound_the_answer() -> None:
     """Bound the connecting alone by the short limit.
 
     Symptom: a report with a deadline of 5 s is given up after 2 s.
@@ -11,6 +11,6 @@
     Cause: the first argument of the library's limit is the total time, and
     it was given the limit on connecting.
     """
-    limit = exchanges.limit_time(30.0)
-    assert limit.total == 30.0
-    assert limit.connect_timeout == exchanges.CONNECT_TIMEOUT_S
+    timeout = host_client.build_timeout(30.0)
+    assert timeout.total == 30.0
+    assert timeout.connect_timeout == host_client.CONNECT_TIMEOUT_S
--- a/tests/operate/test_logs.py
+++ b/tests/operate/test_logs.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.operate import logs, settings
 
 
-def test_value_of_a_caller_cannot_forge_a_line(
+def test_a_field_value_cannot_forge_a_line(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """Keep what a caller sent inside its own field.
@@ -24,13 +24,15 @@
     )
 
 
-def test_json_line_keeps_its_head(capsys: pytest.CaptureFixture[str]) -> None:
+def test_json_fields_cannot_replace_the_head(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     """Write one JSON object whose fields cannot replace its head."""
     logs.set_up(settings.Logs(json=True))
     logs.warning('gossip', 'suspects a host', host='kotoni-02', level='none')
     logs.debug('gossip', 'not wanted')
     (line,) = capsys.readouterr().err.splitlines()
-    told = json.loads(line)
-    assert told['level'] == 'warning'
-    assert told['host'] == 'kotoni-02'
-    assert told['part'] == 'gossip'
+    logged = json.loads(line)
+    assert logged['level'] == 'warning'
+    assert logged['host'] == 'kotoni-02'
+    assert logged['part'] == 'gossip'
--- a/tests/operate/test_metrics.py
+++ b/tests/operate/test_metrics.py
@@ -4,11 +4,11 @@
 from fuchsiahaven.operate import metrics
 
 
-def test_counts_are_exposed_by_member() -> None:
+def test_counters_are_exposed_by_member() -> None:
     """Expose a counted hedge, and members not yet counted as zero."""
-    counted = metrics.build_metrics()
-    counted.sub_requests[metrics.Outcome.HEDGE].inc(2)
-    text = metrics.write_metrics(counted).decode()
+    built = metrics.build_metrics()
+    built.sub_requests[metrics.Outcome.HEDGE].inc(2)
+    text = metrics.encode_metrics(built).decode()
     assert 'fuchsiahaven_sub_requests_total{outcome="hedge"} 2.0' in text
     assert 'fuchsiahaven_sub_requests_total{outcome="late"} 0.0' in text
     for kind in errors.Kind:
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -19,32 +19,32 @@
 )
 from fuchsiahaven.core.members import patch_rows
 from fuchsiahaven.edge import editor, store
-from fuchsiahaven.operate import command_watch, commands, exits, statuses
+from fuchsiahaven.operate import command_watch, commands, exit_codes, statuses
 from standins import platform, wire
 
 EXAMPLES = Path(__file__).parents[2] / 'examples'
 TARGETS = 'Odori/c-{01..03}/1=10.0.0.{1..3}:7001'
 
 
-class Told(NamedTuple):
+class CommandResult(NamedTuple):
     """Hold what a command gave: exit code, JSON and error output."""
 
-    code: int
+    exit_code: int
     body: dict[str, Any]
     errors: str
 
 
-class Host:
+class HostStandIn:
     """Stand in for a host's peer port, by the revisions that it tells."""
 
     def __init__(
-        self, name: str, revisions: list[int], place: str = 'Odori'
+        self, name: str, revisions: list[int], data_centre: str = 'Odori'
     ) -> None:
         self.name = name
         self.revisions = revisions
-        self.place = place
+        self.data_centre = data_centre
         self.address = ''
-        self.held = configurations.EMPTY
+        self.configuration = configurations.EMPTY
         self.quarantined: list[dict[str, object]] = []
 
     def opened(self, channel: wire.Channel) -> None:
@@ -55,17 +55,17 @@
 
     def received(self, channel: wire.Channel, request: wire.Request) -> None:
         if request.path.startswith('/v1/configuration'):
-            whole = patches.diff(
-                patches.EMPTY, patches.stamp_configuration(self.held)
+            patch = patches.diff(
+                patches.EMPTY, patches.stamp_configuration(self.configuration)
             )
-            parcel = patch_rows.Parcel(self.name, (whole,))
+            parcel = patch_rows.Parcel(self.name, (patch,))
             channel.reply(200, patch_rows.write(parcel).decode())
             return
-        known = self.revisions
-        revision = known.pop(0) if len(known) > 1 else known[0]
+        revisions = self.revisions
+        revision = revisions.pop(0) if len(revisions) > 1 else revisions[0]
         body = {
             'host': self.name,
-            'data_centre': self.place,
+            'data_centre': self.data_centre,
             'state': 'alive',
             'revision': revision,
         }
@@ -73,42 +73,42 @@
             body['quarantined'] = self.quarantined
         channel.reply(200, json.dumps(body))
 
-    def show(self) -> dict[str, object]:
+    def build_entry(self) -> dict[str, object]:
         return {
             'name': self.name,
             'kind': 'entry',
             'address': self.address,
-            'data_centre': self.place,
+            'data_centre': self.data_centre,
             'state': 'live',
         }
 
 
-class World:
+class Deployment:
     """Run the platform and hosts in a thread; run commands against them."""
 
     def __init__(self, capsys: pytest.CaptureFixture[str]) -> None:
         self.platform = platform.Platform()
         self.loop = asyncio.new_event_loop()
         self._capsys = capsys
-        servers = self.call(platform.serve(self.platform, [0]))
+        servers = self.run_coroutine(platform.serve(self.platform, [0]))
         self.address = find_address(servers[0])
 
-    def call(self, work: Any) -> Any:
+    def run_coroutine(self, coroutine: Any) -> Any:
         if not self.loop.is_running():
             threading.Thread(target=self.loop.run_forever, daemon=True).start()
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(10)
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
 
-    def run(self, *words: str) -> Told:
-        at = ('--platform', self.address, '--timeout', '0.2', '--json')
-        code = commands.main([*words, *at])
-        out = self._capsys.readouterr()
-        body = json.loads(out.out) if out.out.strip() else {}
-        return Told(code, body, out.err)
+    def run(self, *tokens: str) -> CommandResult:
+        options = ('--platform', self.address, '--timeout', '0.2', '--json')
+        exit_code = commands.main([*tokens, *options])
+        captured = self._capsys.readouterr()
+        body = json.loads(captured.out) if captured.out.strip() else {}
+        return CommandResult(exit_code, body, captured.err)
 
-    def change(self, *words: str) -> Told:
-        told = self.run(*words, '--operator', 'ana')
-        assert told.code == exits.DONE, told
-        return told
+    def change(self, *tokens: str) -> CommandResult:
+        result = self.run(*tokens, '--operator', 'ana')
+        assert result.exit_code == exit_codes.SUCCESS, result
+        return result
 
     def read(self) -> configurations.Configuration:
         with contextlib.closing(store.Store(f'http://{self.address}')) as it:
@@ -116,22 +116,26 @@
         assert isinstance(loaded, store_reads.LoadedManifest)
         return loaded.manifest.configuration
 
-    def serve(self, *hosts: Host) -> None:
+    def serve(self, *hosts: HostStandIn) -> None:
         for host in hosts:
-            host.address = find_address(self.call(wire.listen(host, 0)))
-        self.platform.list_hosts([each.show() for each in hosts])
+            host.address = find_address(
+                self.run_coroutine(wire.listen(host, 0))
+            )
+        self.platform.list_hosts([each.build_entry() for each in hosts])
 
 
-def keep_only(
-    whole: configurations.Configuration, place: str
+def keep_data_centre(
+    configuration: configurations.Configuration, data_centre: str
 ) -> configurations.Configuration:
     groups = [
         group._replace(
-            targets=tuple(it for it in group.targets if it.data_centre == place)
+            targets=tuple(
+                it for it in group.targets if it.data_centre == data_centre
+            )
         )
-        for group in whole.groups
+        for group in configuration.groups
     ]
-    return whole._replace(groups=tuple(groups))
+    return configuration._replace(groups=tuple(groups))
 
 
 def find_address(server: asyncio.Server) -> str:
@@ -139,30 +143,30 @@
 
 
 @pytest.fixture
-def world(capsys: pytest.CaptureFixture[str]) -> Iterator[World]:
-    made = World(capsys)
+def world(capsys: pytest.CaptureFixture[str]) -> Iterator[Deployment]:
+    started = Deployment(capsys)
     with contextlib.ExitStack() as stack:
-        stack.callback(made.loop.call_soon_threadsafe, made.loop.stop)
-        yield made
+        stack.callback(started.loop.call_soon_threadsafe, started.loop.stop)
+        yield started
 
 
 @pytest.fixture
-def filled(world: World) -> World:
+def filled(world: Deployment) -> Deployment:
     world.change('group', 'create', 'g', '--label', 'a=b', '--target', TARGETS)
     return world
 
 
-def test_an_operator_makes_shows_and_undoes_changes(filled: World) -> None:
+def test_an_operator_makes_shows_and_undoes_changes(filled: Deployment) -> None:
     filled.change('class', 'set', 'c', 'deadline_ms=800')
     selector = ('selector', 'set', 's', '--class', 'c', '--expression', 'a=b')
     filled.change(*selector)
     assert filled.run('selector', 'show', 's').body['reaches'] == ['g']
     filled.change('group', 'create', 'g2', '--label', 'a=b', '--force')
-    cut = filled.change('group', 'label', 'g2', 'a=x').body['change']
-    assert cut['what'].endswith('c reaches -g2')
+    relabelled = filled.change('group', 'label', 'g2', 'a=x').body['change']
+    assert relabelled['what'].endswith('c reaches -g2')
     filled.change('group', 'delete', 'g2')
     refused = filled.run('group', 'label', 'g', 'a-')
-    assert refused.code == exits.FAILED
+    assert refused.exit_code == exit_codes.FAILED
     assert 'reaches no group' in refused.body['error']['detail']
     drained = filled.change('target', 'drain', 'g', 'c-{02..03}/1')
     shown = filled.run('group', 'show', 'g').body
@@ -171,8 +175,8 @@
     change_id = drained.body['change']['id']
     undone = filled.change('undo', change_id).body['change']
     assert (undone['revision'], undone['undoes']) == (8, change_id)
-    again = filled.change('target', 'return', 'g', 'c-02/1')
-    assert again.body == {'status': 'unchanged', 'revision': 8}
+    repeated = filled.change('target', 'return', 'g', 'c-02/1')
+    assert repeated.body == {'status': 'unchanged', 'revision': 8}
     rows = filled.run('history').body['rows']
     assert [row['revision'] for row in rows] == [8, 7, 6, 5, 4, 3, 2, 1]
     shown = filled.run('history', 'show', '7').body
@@ -183,8 +187,8 @@
     ]
 
 
-def test_the_second_operator_gets_a_conflict_that_shows_the_first(
-    filled: World,
+def test_a_conflict_shows_the_other_change(
+    filled: Deployment,
 ) -> None:
     """Stop an operator who has not seen what another one did.
 
@@ -195,13 +199,13 @@
     filled.change('group', 'label', 'g', 'a=first', '--from', '1')
     label = ('group', 'label', 'g', '--from', '1')
     second = filled.run(*label, 'a=second')
-    assert second.code == exits.CONFLICT
+    assert second.exit_code == exit_codes.CONFLICT
     assert 'by ana' in second.body['error']['detail']
     assert '"b" -> "first"' in second.body['error']['detail']
-    assert filled.run(*label, 'other=x').code == exits.DONE
+    assert filled.run(*label, 'other=x').exit_code == exit_codes.SUCCESS
 
 
-def test_a_lost_answer_leaves_one_change(filled: World) -> None:
+def test_a_change_with_a_lost_answer_is_made_once(filled: Deployment) -> None:
     """Tell a change as accepted that is, although its answer was lost.
 
     Symptom: an operator repeats a change that is in force already. Sequence:
@@ -213,8 +217,8 @@
     assert len(filled.run('history').body['rows']) == 2
 
 
-def test_a_platform_that_is_down_is_told_as_not_reached(
-    filled: World,
+def test_a_platform_that_is_down_is_reported(
+    filled: Deployment,
 ) -> None:
     """Tell what is known while the platform is away, and no more.
 
@@ -222,21 +226,21 @@
     the platform goes down; hosts go on. Cause: no answer counts as no
     difference.
     """
-    filled.serve(Host('h1', [1]))
+    filled.serve(HostStandIn('h1', [1]))
     filled.platform.control({'down': True})
-    told = filled.run('group', 'label', 'g', 'a=c')
-    assert told.code == exits.UNREACHABLE
-    assert told.body['error']['ran'] == 'no'
+    refused = filled.run('group', 'label', 'g', 'a=c')
+    assert refused.exit_code == exit_codes.UNREACHABLE
+    assert refused.body['error']['ran'] == 'no'
     status = filled.run('status')
-    assert status.code == exits.UNREACHABLE
+    assert status.exit_code == exit_codes.UNREACHABLE
     assert status.body['accepted'] is None
 
 
-def test_status_tells_what_hosts_refuse_as_it_ends_targets(
-    filled: World,
+def test_status_shows_quarantined_queries(
+    filled: Deployment,
 ) -> None:
     """Symptom: callers are refused, and `status` shows nothing of it."""
-    hosts = Host('h1', [1]), Host('h2', [1])
+    hosts = HostStandIn('h1', [1]), HostStandIn('h2', [1])
     row: dict[str, object] = {
         'digest': 'ab' * 16,
         'request_class': 'price-check',
@@ -247,20 +251,20 @@
     hosts[0].quarantined = [row]
     filled.serve(*hosts)
     status = filled.run('status')
-    assert status.code == exits.DONE
-    told = {it['name']: it['quarantined'] for it in status.body['hosts']}
-    assert told == {'h1': [row], 'h2': []}
+    assert status.exit_code == exit_codes.SUCCESS
+    quarantined = {it['name']: it['quarantined'] for it in status.body['hosts']}
+    assert quarantined == {'h1': [row], 'h2': []}
     shown = statuses.list_quarantined(
         [
-            statuses.Seen('1', 'h1', quarantined=(row,)),
-            statuses.Seen('2', 'h2', quarantined=(row,)),
+            statuses.HostStatus('1', 'h1', quarantined=(row,)),
+            statuses.HostStatus('2', 'h2', quarantined=(row,)),
         ]
     )
     assert [it['refused by'] for it in shown] == ['h1, h2']
 
 
-def test_status_tells_each_revision_and_who_did_not_answer(
-    filled: World,
+def test_status_counts_silent_hosts_as_unknown(
+    filled: Deployment,
 ) -> None:
     """Never count a silent host as one that has the change.
 
@@ -268,35 +272,46 @@
     the old one. Sequence: a host is cut off, the others have the revision.
     Cause: only hosts that answer are looked at.
     """
-    hosts = Host('h1', [1]), Host('h2', [1]), Host('h3', [1])
+    hosts = (
+        HostStandIn('h1', [1]),
+        HostStandIn('h2', [1]),
+        HostStandIn('h3', [1]),
+    )
     filled.serve(*hosts)
-    assert filled.run('status').code == exits.DONE
-    silent = hosts[2].show() | {'address': '127.0.0.1:1', 'name': 'silent'}
-    filled.platform.list_hosts([hosts[0].show(), hosts[1].show(), silent])
+    assert filled.run('status').exit_code == exit_codes.SUCCESS
+    silent = hosts[2].build_entry() | {
+        'address': '127.0.0.1:1',
+        'name': 'silent',
+    }
+    filled.platform.list_hosts(
+        [hosts[0].build_entry(), hosts[1].build_entry(), silent]
+    )
     status = filled.run('status')
-    assert status.code == exits.UNREACHABLE
+    assert status.exit_code == exit_codes.UNREACHABLE
     assert status.body['data_centres'] == {'Odori': {'1': 2, 'unknown': 1}}
     hosts[1].revisions = [0]
-    assert filled.run('status').code == exits.FAILED
+    assert filled.run('status').exit_code == exit_codes.FAILED
 
 
-def test_wait_ends_when_every_host_has_the_change(filled: World) -> None:
+def test_wait_ends_when_every_host_has_the_change(filled: Deployment) -> None:
     """Wait for the slowest host, not for the first.
 
     Symptom: a script drains a target and stops it while a host still sends
     to it. Sequence: two of three hosts have the revision. Cause: the wait
     ends with the platform's answer, or with the first host's.
     """
-    filled.serve(Host('h1', [1, 1, 2]), Host('h2', [1, 1, 1, 1, 2]))
-    told = filled.change('group', 'label', 'g', 'a=c', '--wait', '9')
-    assert 'revision 2 in force on 1 of 2; not on: h2 (1)' in told.errors
-    assert 'revision 2 in force on 2 of 2' in told.errors
-    late = filled.run('group', 'label', 'g', 'a=d', '--wait', '0.1')
-    assert late.code == exits.FAILED
+    filled.serve(
+        HostStandIn('h1', [1, 1, 2]), HostStandIn('h2', [1, 1, 1, 1, 2])
+    )
+    result = filled.change('group', 'label', 'g', 'a=c', '--wait', '9')
+    assert 'revision 2 in force on 1 of 2; not on: h2 (1)' in result.errors
+    assert 'revision 2 in force on 2 of 2' in result.errors
+    timed_out = filled.run('group', 'label', 'g', 'a=d', '--wait', '0.1')
+    assert timed_out.exit_code == exit_codes.FAILED
 
 
-def test_an_older_copy_of_the_platform_is_told_and_not_built_upon(
-    filled: World,
+def test_no_change_is_made_to_an_older_copy(
+    filled: Deployment,
 ) -> None:
     """Refuse a change that would take others back.
 
@@ -307,17 +322,17 @@
     filled.platform.control({'save': True})
     filled.change('group', 'label', 'g', 'a=c')
     filled.platform.control({'restore': True})
-    filled.serve(Host('h1', [2]))
-    told = filled.run('group', 'label', 'g', 'a=d')
-    assert told.code == exits.FAILED
-    assert told.body['error']['kind'] == errors.Kind.OLDER_COPY
+    filled.serve(HostStandIn('h1', [2]))
+    refused = filled.run('group', 'label', 'g', 'a=d')
+    assert refused.exit_code == exit_codes.FAILED
+    assert refused.body['error']['kind'] == errors.Kind.OLDER_COPY
     status = filled.run('status')
-    assert status.code == exits.FAILED
+    assert status.exit_code == exit_codes.FAILED
     assert 'its copy is older' in status.body['faults'][0]
 
 
 def test_a_platform_with_an_older_copy_is_recovered_from_hosts(
-    filled: World,
+    filled: Deployment,
 ) -> None:
     """Get out of an older copy with nothing lost that was in force.
 
@@ -333,19 +348,19 @@
     lost = filled.read()
     filled.platform.control({'restore': True})
     # Each host holds the targets of its own data centre alone.
-    hosts = Host('o', [4]), Host('k', [4], 'Kotoni')
+    hosts = HostStandIn('o', [4]), HostStandIn('k', [4], 'Kotoni')
     for host in hosts:
-        host.held = keep_only(lost, host.place)
+        host.configuration = keep_data_centre(lost, host.data_centre)
     filled.serve(hosts[0])
-    assert filled.run('recover').code == exits.UNREACHABLE
+    assert filled.run('recover').exit_code == exit_codes.UNREACHABLE
     filled.serve(*hosts)
-    told = filled.change('recover').body['change']
-    assert (told['revision'], told['follows']) == (5, 2)
+    change = filled.change('recover').body['change']
+    assert (change['revision'], change['follows']) == (5, 2)
     assert filled.read() == lost._replace(revision=5)
 
 
-def test_a_history_that_cannot_be_read_is_not_an_empty_one(
-    filled: World,
+def test_an_unreadable_history_is_not_an_empty_one(
+    filled: Deployment,
 ) -> None:
     """Tell by the exit code that the audit trail was not had.
 
@@ -354,29 +369,29 @@
     as a hole in the list and the exit code is that of a whole list.
     """
     filled.platform.control({'down': True})
-    told = filled.run('history', '--timeout', '0.1')
-    assert told.code == exits.UNREACHABLE
-    assert 'platform_unavailable' in told.errors
+    result = filled.run('history', '--timeout', '0.1')
+    assert result.exit_code == exit_codes.UNREACHABLE
+    assert 'platform_unavailable' in result.errors
 
 
 @pytest.mark.parametrize('name', ['santiago', 'ishikari'])
-def test_the_examples_are_applied_whole_and_then_change_nothing(
-    world: World, name: str
+def test_applying_an_example_twice_changes_nothing(
+    world: Deployment, name: str
 ) -> None:
     path = str(EXAMPLES / f'{name}.ini')
     planned = world.run('plan', path)
-    assert planned.code == exits.FAILED
+    assert planned.exit_code == exit_codes.FAILED
     assert not planned.body['problem']
-    assert world.run('apply', path, '--dry-run').code == exits.FAILED
+    assert world.run('apply', path, '--dry-run').exit_code == exit_codes.FAILED
     assert not world.run('history').body['rows']
     world.change('apply', path, '--from', '0')
-    assert world.run('plan', path).code == exits.DONE
+    assert world.run('plan', path).exit_code == exit_codes.SUCCESS
     rows = world.run('group', 'list').body['rows']
     assert len(rows) == 4
 
 
-def test_every_fault_of_a_description_is_told_at_once(
-    world: World, tmp_path: Path
+def test_every_fault_of_a_description_is_reported(
+    world: Deployment, tmp_path: Path
 ) -> None:
     path = tmp_path / 'bad.ini'
     path.write_text(
@@ -384,15 +399,15 @@
         '[targets g Odori]\na-{1..3} = 10.0.0.{1..2}:1\nb-{3..1} = x\n'
         '[targets h Odori]\n[other x]\n[class c]\npriority = high\n'
     )
-    told = world.run('apply', str(path))
-    assert told.code == exits.USAGE
-    assert len(told.errors.splitlines()) == 8
+    result = world.run('apply', str(path))
+    assert result.exit_code == exit_codes.USAGE
+    assert len(result.errors.splitlines()) == 8
     path.write_text('[class c]\nneeds = all\n[group G]\n')
     assert len(world.run('plan', str(path)).errors.splitlines()) == 2
 
 
-def test_watch_tells_changes_that_have_left_the_manifest(
-    filled: World, monkeypatch: pytest.MonkeyPatch
+def test_watch_prints_archived_changes(
+    filled: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Leave no hole in what `watch` prints.
 
@@ -410,13 +425,16 @@
     assert entry is not None
     shown: list[str] = []
     monkeypatch.setattr('builtins.print', lambda it, **_: shown.append(it))
-    assert command_watch.show_news(opened, entry.value, 1, as_json=True) == 5
+    assert (
+        command_watch.print_changes_after(opened, entry.value, 1, as_json=True)
+        == 5
+    )
     opened.close()
     assert [json.loads(line)['revision'] for line in shown] == [2, 3, 4, 5]
 
 
-def test_watch_tells_that_the_platform_went_back(
-    filled: World, monkeypatch: pytest.MonkeyPatch
+def test_watch_reports_an_older_copy(
+    filled: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Symptom: `watch` is silent while changes are accepted.
 
@@ -434,10 +452,12 @@
     filled.platform.control({'restore': True})
     shown: list[str] = []
     monkeypatch.setattr('builtins.print', lambda it, **_: shown.append(it))
-    seen = command_watch.Seen(head.revision, entry.revision)
-    seen = command_watch.look(opened, seen, 0.1, as_json=True)
+    position = command_watch.WatchPosition(head.revision, entry.revision)
+    position = command_watch.print_next_changes(
+        opened, position, 0.1, as_json=True
+    )
     filled.change('group', 'label', 'g', 'a=y')
-    command_watch.look(opened, seen, 1.0, as_json=True)
+    command_watch.print_next_changes(opened, position, 1.0, as_json=True)
     opened.close()
     assert 'went back' in shown[0]
     assert json.loads(shown[-1])['revision'] == head.revision - 1
--- a/tests/operate/test_settings_reader.py
+++ b/tests/operate/test_settings_reader.py
@@ -27,16 +27,16 @@
 
 def test_whole_file_becomes_typed_settings() -> None:
     """Read each kind of value, and defaults for the rest."""
-    read = settings_reader.read_text(WHOLE).settings
-    assert read is not None
-    assert read.callers.address == addresses.Address('::1', 8101)
-    assert len(read.peers.seeds) == 2
-    assert read.peers.allow_plain is True
-    assert read.limits == settings.Limits(drain_s=2.5)
-    assert read.metrics.address is None
+    parsed = settings_reader.parse_text(WHOLE).settings
+    assert parsed is not None
+    assert parsed.callers.address == addresses.Address('::1', 8101)
+    assert len(parsed.peers.seeds) == 2
+    assert parsed.peers.allow_plain is True
+    assert parsed.limits == settings.Limits(drain_s=2.5)
+    assert parsed.metrics.address is None
 
 
-def test_every_fault_is_told_at_once() -> None:
+def test_every_fault_is_reported_at_once() -> None:
     """Tell the faults of a file that has one of each kind.
 
     Symptom: an operator mends a file line by line, one start at a time.
@@ -61,9 +61,9 @@
             'name = standrad',
         ),
     )
-    faults = settings_reader.read_text(text).faults
-    told = {(fault.section, fault.key): fault.expected for fault in faults}
-    assert set(told) == {
+    faults = settings_reader.parse_text(text).faults
+    expected = {(fault.section, fault.key): fault.expected for fault in faults}
+    assert set(expected) == {
         ('', 'line 1'),
         ('host', 'name'),
         ('host', 'data_center'),
@@ -76,10 +76,10 @@
         ('platform', 'addresses'),
         ('policy', 'name'),
     }
-    assert told['host', 'data_center'].endswith('data_centre')
-    assert told['caller', ''].endswith('callers')
-    assert told['policy', 'name'] == 'one of standard, baseline'
-    assert told['host', 'processes'] == 'a whole number from 1 to 64'
+    assert expected['host', 'data_center'].endswith('data_centre')
+    assert expected['caller', ''].endswith('callers')
+    assert expected['policy', 'name'] == 'one of standard, baseline'
+    assert expected['host', 'processes'] == 'a whole number from 1 to 64'
 
 
 @pytest.mark.parametrize(
@@ -90,9 +90,11 @@
         ('[limits]', '[metrics]\naddress = 10.0.0.2:8201\n[limits]', 'address'),
     ],
 )
-def test_settings_that_clash_are_refused(old: str, new: str, key: str) -> None:
+def test_conflicting_settings_are_rejected(
+    old: str, new: str, key: str
+) -> None:
     """Refuse peers without TLS unasked, a key alone, one port for two."""
-    faults = settings_reader.read_text(WHOLE.replace(old, new)).faults
+    faults = settings_reader.parse_text(WHOLE.replace(old, new)).faults
     assert [fault.key for fault in faults] == [key]
 
 
@@ -102,7 +104,7 @@
     assert not settings_reader.read_file(path).faults
 
 
-def test_file_that_is_missing_is_named(tmp_path: Path) -> None:
+def test_a_missing_file_is_named(tmp_path: Path) -> None:
     """Name a TLS file that is not there before a host is started with it."""
     path = tmp_path / 'host.ini'
     path.write_text(f'{WHOLE}[targets]\ntls_authority = none.pem\n')
--- a/tests/operate/test_words.py
+++ b/tests/operate/test_value_parsing.py
@@ -4,17 +4,24 @@
 
 import pytest
 
-from fuchsiahaven.operate import words
+from fuchsiahaven.operate import value_parsing
 
 
 @pytest.mark.parametrize('text', ['nan', 'inf', '-inf', '1e999', 'much'])
-def test_a_share_that_is_no_finite_number_is_refused(text: str) -> None:
+def test_a_non_finite_share_is_rejected(text: str) -> None:
     """Refuse what would pass every check of bounds.
 
     Symptom: hedges double the load of a group. Sequence: an operator sets
     `hedge_share=nan`, which is accepted and stored. Cause: no comparison
     with NaN is true, neither that of the schema nor that of the budget.
     """
-    assert words.read_field('hedge_share', '0.5', words.POLICY) == 0.5
+    assert (
+        value_parsing.parse_field(
+            'hedge_share', '0.5', value_parsing.CLASS_FIELDS
+        )
+        == 0.5
+    )
     with pytest.raises(argparse.ArgumentTypeError):
-        words.read_field('hedge_share', text, words.POLICY)
+        value_parsing.parse_field(
+            'hedge_share', text, value_parsing.CLASS_FIELDS
+        )
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -31,7 +31,7 @@
     return base64.b64encode(json.dumps(row).encode()).decode()
 
 
-def make_route(**way: Any) -> dict[str, Any]:
+def make_route(**action: Any) -> dict[str, Any]:
     """Write a route of the operator."""
     return {
         'name': 'r-1',
@@ -42,12 +42,12 @@
         'target_latency_ms': 68,
         'priority': 2,
         'max_attempts': 2,
-        **way,
+        **action,
     }
 
 
 @pytest.mark.parametrize(
-    ('way', 'wanted'),
+    ('action', 'expected'),
     [
         ({'service': 'one'}, configs.Single('one')),
         (
@@ -60,46 +60,46 @@
         ),
     ],
 )
-def test_reads_a_configuration(
-    way: dict[str, Any], wanted: configs.RouteAction
+def test_decodes_a_configuration(
+    action: dict[str, Any], expected: configs.RouteAction
 ) -> None:
     """Times come out in seconds, host names in lower case."""
     row = {
         'version': 7,
-        'routes': [make_route(**way)],
+        'routes': [make_route(**action)],
         'services': [
             {'name': 'one', 'max_connections': 26},
             {'name': 'two', 'max_connections': 9, 'warmup_per_s': 2.5},
         ],
         'limits': {'max_body_bytes': 100, 'idle_timeout_ms': 1500},
     }
-    read = records.read_value(CONFIGURATION, encode(row))
-    assert isinstance(read, configs.Configuration)
-    (route,) = read.routes
-    assert route.way == wanted
+    decoded = records.decode_value(CONFIGURATION, encode(row))
+    assert isinstance(decoded, configs.Configuration)
+    (route,) = decoded.routes
+    assert route.way == expected
     assert (route.host, route.timeout) == ('shop.example', 0.3)
     assert route.repeat is configurations.Repeat.AT_MOST_ONCE
-    assert read.services == (
+    assert decoded.services == (
         configs.Service('one', 26),
         configs.Service('two', 9, 2.5),
     )
-    assert (read.limits.body_bytes, read.limits.idle) == (100, 1.5)
+    assert (decoded.limits.body_bytes, decoded.limits.idle) == (100, 1.5)
 
 
-@pytest.mark.parametrize('told', [-1, float('inf'), float('nan'), '4', None])
-def test_refuses_a_rate_that_is_none(told: object) -> None:
+@pytest.mark.parametrize('rate', [-1, float('inf'), float('nan'), '4', None])
+def test_rejects_an_invalid_rate(rate: object) -> None:
     """Symptom: a query ends in an error of the program, at a cold target."""
-    service = {'name': 'one', 'max_connections': 26, 'warmup_per_s': told}
+    service = {'name': 'one', 'max_connections': 26, 'warmup_per_s': rate}
     row = {'version': 7, 'routes': [], 'services': [service]}
-    with pytest.raises(records.Malformed):
-        records.read_value(CONFIGURATION, encode(row))
+    with pytest.raises(records.MalformedError):
+        records.decode_value(CONFIGURATION, encode(row))
 
 
-def test_reads_an_instance() -> None:
+def test_decodes_an_instance() -> None:
     """A target that says anything but ready is leaving."""
     row = {**ENTRY, 'state': 'draining', 'warmup_left_ms': 12}
-    read = records.read_value(INSTANCE, encode(row))
-    assert read == instances.Instance(
+    decoded = records.decode_value(INSTANCE, encode(row))
+    assert decoded == instances.Instance(
         'i-1',
         'i-1',
         'one',
@@ -111,30 +111,30 @@
     )
 
 
-@pytest.mark.parametrize('told', ['e30=', '', 'no base64', 'bnVsbA=='])
-def test_reads_an_evacuation_whatever_its_value(told: str) -> None:
+@pytest.mark.parametrize('encoded', ['e30=', '', 'no base64', 'bnVsbA=='])
+def test_decodes_an_evacuation_with_any_value(encoded: str) -> None:
     """Symptom: targets get work that operators have forbidden.
 
     The key alone is the order; a value that is spoilt undoes nothing.
     """
-    key = records.name_key('op/evacuate/north')
+    key = records.parse_key('op/evacuate/north')
     assert key == facts.Key(facts.Subject.EVACUATION, 'north')
-    assert records.read_value(key, told) == deployments.Evacuation('north')
+    assert records.decode_value(key, encoded) == deployments.Evacuation('north')
 
 
-def test_reads_the_end_of_an_evacuation() -> None:
+def test_decodes_the_removal_of_an_evacuation() -> None:
     """An order that is taken back is news of its removal."""
     row = {'key': 'op/evacuate/north', 'revision': 9, 'deleted': True}
     body = json.dumps({'events': [row], 'store_revision': 9}).encode()
-    page = store.read_events(body, 3, lambda *_: None)
+    page = store.decode_events(body, 3, lambda *_: None)
     key = facts.Key(facts.Subject.EVACUATION, 'north')
     assert page.items == (facts.Fact(key, 9, None, era=3),)
 
 
-def test_names_each_start_of_a_target() -> None:
+def test_each_start_of_a_target_has_its_own_name() -> None:
     """A target starts again under its id; requests still name it by that."""
-    first = records.read_value(INSTANCE, encode({**ENTRY, 'born': 1_000}))
-    second = records.read_value(INSTANCE, encode({**ENTRY, 'born': 2_000}))
+    first = records.decode_value(INSTANCE, encode({**ENTRY, 'born': 1_000}))
+    second = records.decode_value(INSTANCE, encode({**ENTRY, 'born': 2_000}))
     assert isinstance(first, instances.Instance)
     assert isinstance(second, instances.Instance)
     assert first.name != second.name
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ('field', 'told'),
+    ('field', 'value'),
     [
         ('service', None),
         ('service', ''),
@@ -166,24 +166,26 @@
         ('born', 10**30),
     ],
 )
-def test_refuses_an_entry_of_another_writer(field: str, told: object) -> None:
+def test_rejects_an_instance_with_an_invalid_field(
+    field: str, value: object
+) -> None:
     """Symptom: a query ends with an error while it chooses a target.
 
     Something else than a target wrote an entry whose fields are of another
     type; it was taken as it came, and failed only when it was used.
     """
-    with pytest.raises(records.Malformed):
-        records.read_value(INSTANCE, encode({**ENTRY, field: told}))
+    with pytest.raises(records.MalformedError):
+        records.decode_value(INSTANCE, encode({**ENTRY, field: value}))
 
 
 @pytest.mark.parametrize(
     'field', ['service', 'address', 'zone', 'slots', 'state', 'warmup_left_ms']
 )
-def test_refuses_an_entry_that_lacks_a_field(field: str) -> None:
+def test_rejects_an_instance_without_a_field(field: str) -> None:
     """An entry names a target only where all of it is there."""
-    row = {name: told for name, told in ENTRY.items() if name != field}
-    with pytest.raises(records.Malformed):
-        records.read_value(INSTANCE, encode(row))
+    row = {name: value for name, value in ENTRY.items() if name != field}
+    with pytest.raises(records.MalformedError):
+        records.decode_value(INSTANCE, encode(row))
 
 
 @given(
@@ -203,34 +205,36 @@
     ),
     strategies.sampled_from(facts.Subject),
 )
-def test_reads_or_refuses_any_value(told: object, about: facts.Subject) -> None:
+def test_decodes_or_rejects_any_value(
+    row: object, subject: facts.Subject
+) -> None:
     """Whatever an entry holds ends as a value or in one kind of error."""
-    if isinstance(told, dict):
-        told = {**ENTRY, **told}
-    with contextlib.suppress(records.Malformed):
-        records.read_value(facts.Key(about, 'i-1'), encode(told))
+    if isinstance(row, dict):
+        row = {**ENTRY, **row}
+    with contextlib.suppress(records.MalformedError):
+        records.decode_value(facts.Key(subject, 'i-1'), encode(row))
 
 
 @given(strategies.binary())
-def test_reads_or_refuses_any_bytes(told: bytes) -> None:
+def test_decodes_or_rejects_any_bytes(raw: bytes) -> None:
     """Bytes that cannot be read end in the same error."""
-    encoded = base64.b64encode(told).decode()
-    for text in (encoded, told.decode('latin-1'), '[' * 100_000):
-        with contextlib.suppress(records.Malformed):
-            records.read_value(INSTANCE, text)
+    encoded = base64.b64encode(raw).decode()
+    for text in (encoded, raw.decode('latin-1'), '[' * 100_000):
+        with contextlib.suppress(records.MalformedError):
+            records.decode_value(INSTANCE, text)
 
 
 @pytest.mark.parametrize('text', ['%', encode([]), encode({'version': 1})])
-def test_refuses_what_is_no_record(text: str) -> None:
+def test_rejects_a_malformed_record(text: str) -> None:
     """Wrong base64, wrong JSON and missing fields end in one error."""
-    with pytest.raises(records.Malformed):
-        records.read_value(CONFIGURATION, text)
+    with pytest.raises(records.MalformedError):
+        records.decode_value(CONFIGURATION, text)
 
 
-def test_reads_a_page_and_passes_over_foreign_keys() -> None:
+def test_decodes_a_page_and_skips_foreign_keys() -> None:
     """Keys of others are no facts; the next page begins after the last key."""
     host = deployments.Host('host-1', '10.0.0.1:7', 'north')
-    key, encoded = records.write_host(host)
+    key, encoded = records.encode_host(host)
     rows = [
         {'key': key, 'value': encoded, 'revision': 4},
         {'key': 'other/key', 'value': 'eA==', 'revision': 5},
@@ -238,22 +242,22 @@
     body = {'items': rows, 'has_more': True, 'store_revision': 9}
 
     def decode(key: facts.Key, stamp: facts.Stamp, text: str) -> facts.Value:
-        return records.read_value(key, text)
+        return records.decode_value(key, text)
 
-    page = store.read_page(json.dumps(body).encode(), 3, decode)
-    assert (page.revision, page.after) == (9, 'other/key')
+    page = store.decode_page(json.dumps(body).encode(), 3, decode)
+    assert (page.revision, page.next_after) == (9, 'other/key')
     assert page.items == (
         facts.Fact(facts.Key(facts.Subject.HOST, 'host-1'), 4, host, era=3),
     )
     last = json.dumps({**body, 'has_more': False}).encode()
-    assert store.read_page(last, 3, decode).after is None
-    with pytest.raises(records.Malformed):
-        store.read_page(b'{}', 3, decode)
+    assert store.decode_page(last, 3, decode).next_after is None
+    with pytest.raises(records.MalformedError):
+        store.decode_page(b'{}', 3, decode)
 
 
-def test_writes_the_entry_of_a_host_under_its_lease() -> None:
+def test_puts_the_entry_of_a_host_under_its_lease() -> None:
     """The entry goes when the lease ends."""
-    call = store.enter_host(
+    call = store.build_put_host_call(
         deployments.Host('host-1', '10.0.0.1:7', 'north'), 77
     )
     body = json.loads(call.body)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -25,9 +25,9 @@
 """
 
 
-def test_reads_a_file() -> None:
+def test_parses_a_file() -> None:
     """Times come out in seconds, lists as tuples, other fields are ignored."""
-    reading = settings.read_text(TEXT)
+    reading = settings.parse_text(TEXT)
     assert reading.settings is not None
     assert reading.settings.host.name == 'front-north-1'
     assert reading.settings.host.address == '10.1.0.9:8106'
@@ -38,60 +38,62 @@
 
 
 @pytest.mark.parametrize(
-    ('line', 'wanted'),
+    ('line', 'expected'),
     [('', False), ('bootstrap=true', True), ('bootstrap=false', False)],
 )
-def test_reads_whether_the_whole_system_starts(line: str, wanted: bool) -> None:
+def test_parses_whether_the_whole_system_starts(
+    line: str, expected: bool
+) -> None:
     """A file that does not tell is of a host that starts again."""
-    reading = settings.read_text(f'{TEXT}{line}\n')
+    reading = settings.parse_text(f'{TEXT}{line}\n')
     assert reading.settings is not None
-    assert reading.settings.first_start == wanted
+    assert reading.settings.first_start == expected
 
 
-def test_reads_the_bound_on_cold_targets() -> None:
+def test_parses_the_limit_on_cold_targets() -> None:
     """Not every deployment has one."""
-    bound = 'bounds.warmup_overage=1.5\nbounds.warmup_slack=5\n'
-    endless = bound.replace('=5', '=inf')
-    for text, wanted in (
+    limit = 'bounds.warmup_overage=1.5\nbounds.warmup_slack=5\n'
+    infinite = limit.replace('=5', '=inf')
+    for text, expected in (
         (TEXT, None),
-        (TEXT + bound, (1.5, 5)),
-        (TEXT + endless, None),
+        (TEXT + limit, (1.5, 5)),
+        (TEXT + infinite, None),
     ):
-        reading = settings.read_text(text)
+        reading = settings.parse_text(text)
         assert reading.settings is not None
-        assert reading.settings.warm_up == wanted
+        assert reading.settings.warm_up == expected
 
 
 @pytest.mark.parametrize(
-    ('told', 'wanted'), [('150', 150), ('many', 400), ('0', 400), ('nan', 400)]
+    ('rate', 'expected'),
+    [('150', 150), ('many', 400), ('0', 400), ('nan', 400)],
 )
-def test_reads_how_many_writes_the_store_takes(
-    told: str, wanted: float
-) -> None:
+def test_parses_the_write_rate_of_the_store(rate: str, expected: float) -> None:
     """What is no rate is read as the usual one; hosts wait by it."""
-    text = f'{TEXT}platform.writes_per_s={told}\n'
-    reading = settings.read_text(text)
+    text = f'{TEXT}platform.writes_per_s={rate}\n'
+    reading = settings.parse_text(text)
     assert reading.settings is not None
-    assert reading.settings.store_writes_per_s == wanted
+    assert reading.settings.store_writes_per_s == expected
 
 
 @pytest.mark.parametrize(
-    ('told', 'pace'), [('3000', 1), ('1500', 0.5), ('9000', 1), ('', 1)]
+    ('apply_ms', 'delay_factor'),
+    [('3000', 1), ('1500', 0.5), ('9000', 1), ('', 1)],
 )
-def test_reads_how_soon_a_configuration_has_to_be_in_force(
-    told: str, pace: float
+def test_delays_scale_with_the_apply_bound(
+    apply_ms: str, delay_factor: float
 ) -> None:
     """Pauses are as short as the promise needs them to be."""
-    reading = settings.read_text(f'{TEXT}bounds.config_apply_ms={told}\n')
+    reading = settings.parse_text(f'{TEXT}bounds.config_apply_ms={apply_ms}\n')
     assert reading.settings is not None
-    assert reading.settings.delay_factor == pace
+    assert reading.settings.delay_factor == delay_factor
 
 
-@pytest.mark.parametrize('name', settings.REQUIRED)
-def test_names_what_is_missing(name: str) -> None:
+@pytest.mark.parametrize('name', settings.REQUIRED_KEYS)
+def test_names_a_missing_key(name: str) -> None:
     """A file without a field that is needed is refused by that name."""
     lines = [it for it in TEXT.splitlines() if not it.startswith(f'{name}=')]
-    reading = settings.read_text('\n'.join(lines))
+    reading = settings.parse_text('\n'.join(lines))
     assert reading.settings is None
     assert [fault.name for fault in reading.faults] == [name]
 
@@ -99,20 +101,20 @@
 def test_names_every_fault_at_once() -> None:
     """Two fields are no numbers: both are told."""
     text = TEXT.replace('=56', '=many').replace('=1200', '=often')
-    names = {fault.name for fault in settings.read_text(text).faults}
+    names = {fault.name for fault in settings.parse_text(text).faults}
     assert names == {'bounds.retry_slack', 'heartbeat_ms'}
 
 
-def test_uses_its_own_port_where_hosts_have_none_for_control() -> None:
+def test_peer_address_defaults_to_the_first_internal_port() -> None:
     """Without an address for control hosts meet at the first inner port."""
     lines = [it for it in TEXT.splitlines() if 'listen.control' not in it]
-    reading = settings.read_text('\n'.join(lines))
+    reading = settings.parse_text('\n'.join(lines))
     assert reading.settings is not None
     assert reading.settings.host.address == '10.1.0.9:7380'
 
 
 @pytest.mark.parametrize(
-    ('lines', 'wanted'),
+    ('lines', 'expected'),
     [
         ('', deployments.UNKNOWN_CAPACITY),
         ('limits.cpu_share=0.717\nlimits.cores=3\n', 2.151),
@@ -125,8 +127,8 @@
         ('limits.cpu_share=much\n', deployments.UNKNOWN_CAPACITY),
     ],
 )
-def test_reads_what_this_host_can_do(lines: str, wanted: float) -> None:
+def test_parses_the_capacity_of_this_host(lines: str, expected: float) -> None:
     """Cores count times the share of each; untold without the share."""
-    reading = settings.read_text(TEXT + lines)
+    reading = settings.parse_text(TEXT + lines)
     assert reading.settings is not None
-    assert reading.settings.host.capacity == wanted
+    assert reading.settings.host.capacity == expected
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -10,7 +10,7 @@
 from hypothesis import given, strategies
 
 from fuchsiahaven.core.customers import keys
-from fuchsiahaven.platform import exchanges, records, store
+from fuchsiahaven.platform import http_codecs, records, store
 from fuchsiahaven.routing import configs, facts
 
 CONFIGURATION = facts.Key(facts.Subject.CONFIGURATION, '')
@@ -25,28 +25,30 @@
     'target_latency_ms': 68,
     'service': 'one',
 }
-MANY = 100_000
+KEY_COUNT = 100_000
 #: Bytes of memory for each key: its digest as text, and its place in a map.
-MOST_BYTES = 500
+MAX_BYTES_PER_KEY = 500
 
 
-def read(
+def decode_configuration(
     row: dict[str, Any], *, route: dict[str, Any] = ROUTE
 ) -> configs.Configuration:
     """Read a configuration with what is given besides one route."""
-    told = {'version': 7, 'routes': [route], 'services': [], **row}
-    text = json.dumps(told).encode()
-    found = records.read_value(CONFIGURATION, base64.b64encode(text).decode())
-    assert isinstance(found, configs.Configuration)
-    return found
+    configuration = {'version': 7, 'routes': [route], 'services': [], **row}
+    text = json.dumps(configuration).encode()
+    decoded = records.decode_value(
+        CONFIGURATION, base64.b64encode(text).decode()
+    )
+    assert isinstance(decoded, configs.Configuration)
+    return decoded
 
 
-def tell(error: Exception) -> str:
+def format_error(error: Exception) -> str:
     """Tell an error with all that led to it, as a traceback would."""
     return ''.join(traceback.format_exception(error))
 
 
-def test_reads_customers_with_digests_in_place_of_keys() -> None:
+def test_decodes_customers_with_digests_instead_of_keys() -> None:
     """What a customer leaves out is no limit and no priority of its own."""
     bank = {
         'name': 'Société bank',
@@ -55,40 +57,44 @@
         'rate_per_s': 2.5,
         'burst': 4,
     }
-    found = read({'tenants': [SHOP, bank]})
-    assert found.customers == (
-        configs.Customer('shop', (exchanges.digest_key(KEY),)),
+    decoded = decode_configuration({'tenants': [SHOP, bank]})
+    assert decoded.customers == (
+        configs.Customer('shop', (http_codecs.digest_key(KEY),)),
         configs.Customer(
             'Société bank',
-            (exchanges.digest_key('k-1'), exchanges.digest_key('clé')),
+            (http_codecs.digest_key('k-1'), http_codecs.digest_key('clé')),
             0,
             2.5,
             4.0,
         ),
     )
-    assert KEY not in repr(found)
+    assert KEY not in repr(decoded)
 
 
-def test_tells_no_customers_from_none_that_is_valid() -> None:
+def test_no_customer_list_differs_from_an_empty_one() -> None:
     """Symptom: all keys are taken away, and everybody is served."""
-    assert read({}).customers is None
-    assert read({'tenants': []}).customers == ()
-    assert read({'tenants': [{'name': 'shop'}]}).customers == (
+    assert decode_configuration({}).customers is None
+    assert decode_configuration({'tenants': []}).customers == ()
+    assert decode_configuration({'tenants': [{'name': 'shop'}]}).customers == (
         configs.Customer('shop'),
     )
 
 
-def test_reads_which_routes_are_public() -> None:
+def test_decodes_which_routes_are_public() -> None:
     """A route that does not say so is not."""
-    assert not read({}).routes[0].public
-    assert read({}, route={**ROUTE, 'public': True}).routes[0].public
-    for told in ('true', 1, None):
-        with pytest.raises(records.Malformed, match='public'):
-            read({}, route={**ROUTE, 'public': told})
+    assert not decode_configuration({}).routes[0].public
+    assert (
+        decode_configuration({}, route={**ROUTE, 'public': True})
+        .routes[0]
+        .public
+    )
+    for public in ('true', 1, None):
+        with pytest.raises(records.MalformedError, match='public'):
+            decode_configuration({}, route={**ROUTE, 'public': public})
 
 
 @pytest.mark.parametrize(
-    'spoilt',
+    'invalid',
     [
         {'api_keys': [KEY, KEY]},
         {'api_keys': KEY},
@@ -112,19 +118,21 @@
         {'burst': float('-inf')},
     ],
 )
-def test_refuses_a_version_with_a_spoilt_customer(
-    spoilt: dict[str, Any],
+def test_rejects_a_version_with_an_invalid_customer(
+    invalid: dict[str, Any],
 ) -> None:
     """The error names the customer and shows no key."""
     bank = {'name': 'bank', 'api_keys': ['k-1']}
-    with pytest.raises(records.Malformed, match="customer 'shop'") as raised:
-        read({'tenants': [bank, {**SHOP, **spoilt}]})
+    with pytest.raises(
+        records.MalformedError, match="customer 'shop'"
+    ) as raised:
+        decode_configuration({'tenants': [bank, {**SHOP, **invalid}]})
     assert KEY not in str(raised.value)
-    assert KEY not in tell(raised.value)
+    assert KEY not in format_error(raised.value)
 
 
 @pytest.mark.parametrize(
-    ('rows', 'wanted'),
+    ('rows', 'expected'),
     [
         ([SHOP, {**SHOP, 'api_keys': ['k-2']}], "'shop' is there twice"),
         ([SHOP, {**SHOP, 'name': 'bank'}], "'shop' and 'bank' hold one key"),
@@ -139,30 +147,30 @@
         ({'shop': [KEY]}, 'customers are no list'),
     ],
 )
-def test_refuses_customers_that_cannot_be_told_apart(
-    rows: object, wanted: str
+def test_rejects_indistinguishable_customers(
+    rows: object, expected: str
 ) -> None:
     """Symptom: a request counts for whichever customer was read last."""
-    with pytest.raises(records.Malformed, match=wanted) as raised:
-        read({'tenants': rows})
+    with pytest.raises(records.MalformedError, match=expected) as raised:
+        decode_configuration({'tenants': rows})
     assert KEY not in str(raised.value)
 
 
-@pytest.mark.parametrize('spoilt', [b'\xff', b'"', b'\x00', b'}'])
-def test_shows_no_key_of_what_cannot_be_read(spoilt: bytes) -> None:
+@pytest.mark.parametrize('suffix', [b'\xff', b'"', b'\x00', b'}'])
+def test_decode_errors_reveal_no_key(suffix: bytes) -> None:
     """Symptom: a byte that is wrong brings all keys into the log.
 
     The error of an encoding holds the whole text.
     """
     text = b'{"tenants": [{"name": "shop", "api_keys": ["%s"]}]}' % KEY.encode()
-    encoded = base64.b64encode(text + spoilt).decode()
-    with pytest.raises(records.Malformed) as raised:
-        records.read_value(CONFIGURATION, encoded)
-    assert KEY not in tell(raised.value)
+    encoded = base64.b64encode(text + suffix).decode()
+    with pytest.raises(records.MalformedError) as raised:
+        records.decode_value(CONFIGURATION, encoded)
+    assert KEY not in format_error(raised.value)
     page = b'{"items": [{"value": "%s"}]}\xff' % encoded.encode()
-    with pytest.raises(records.Malformed) as raised:
-        store.read_page(page, 1, lambda *_: None)
-    assert encoded not in tell(raised.value)
+    with pytest.raises(records.MalformedError) as raised:
+        store.decode_page(page, 1, lambda *_: None)
+    assert encoded not in format_error(raised.value)
 
 
 JSON = strategies.recursive(
@@ -182,16 +190,16 @@
 
 
 @given(JSON)
-def test_whatever_is_written_is_read_or_refused(told: object) -> None:
+def test_decodes_or_rejects_any_customers(customers: object) -> None:
     """Symptom: an error of the program stops the reading of the store."""
     try:
-        found = read({'tenants': told})
-    except records.Malformed:
+        decoded = decode_configuration({'tenants': customers})
+    except records.MalformedError:
         return
-    assert found.customers is not None
+    assert decoded.customers is not None
 
 
-def test_reads_many_keys_in_bounded_work(
+def test_decodes_many_keys_in_linear_work(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Symptom: hosts stand still while a large configuration is read.
@@ -199,27 +207,32 @@
     Each key is digested once, and neither comparing keys nor finding a
     customer by one goes through others.
     """
-    digested = 0
+    digest_calls = 0
     digest = keys.compute_digest
 
-    def count(key: str) -> str:
-        nonlocal digested
-        digested += 1
+    def count_digest(key: str) -> str:
+        nonlocal digest_calls
+        digest_calls += 1
         return digest(key)
 
-    monkeypatch.setattr(keys, 'compute_digest', count)
+    monkeypatch.setattr(keys, 'compute_digest', count_digest)
     rows = [
-        {'name': f'c-{at}', 'api_keys': [f'k-{at}-{it}' for it in range(10)]}
-        for at in range(MANY // 10)
+        {
+            'name': f'c-{number}',
+            'api_keys': [
+                f'k-{number}-{key_number}' for key_number in range(10)
+            ],
+        }
+        for number in range(KEY_COUNT // 10)
     ]
     tracemalloc.start()
     try:
-        found = read({'tenants': rows})
-        index = configs.build_index(found)
-        kept, _ = tracemalloc.get_traced_memory()
+        decoded = decode_configuration({'tenants': rows})
+        index = configs.build_index(decoded)
+        allocated_bytes, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert digested == MANY
-    assert len(index.customers) == MANY
-    assert kept < MANY * MOST_BYTES
+    assert digest_calls == KEY_COUNT
+    assert len(index.customers) == KEY_COUNT
+    assert allocated_bytes < KEY_COUNT * MAX_BYTES_PER_KEY
     assert index.customers[digest('k-7777-3')].name == 'c-7777'
--- a/tests/relay/test_ports.py
+++ b/tests/relay/test_ports.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import ports
 from fuchsiahaven.routing import configs
 from tests.relay import peers
@@ -22,19 +22,21 @@
 
     def __init__(self) -> None:
         """Take nothing yet."""
-        self.taken: list[exchanges.Message] = []
+        self.taken: list[http_codecs.Message] = []
         self.left = 0
         self.held: list[ports.Caller] | None = None
         self.port = ports.Port(ports.Terms(self.handle, lambda: LIMITS))
         self.address = ('', 0)
 
     def handle(
-        self, message: exchanges.Message, caller: ports.Caller
+        self, message: http_codecs.Message, caller: ports.Caller
     ) -> Callable[[], None]:
         """Take a request."""
         self.taken.append(message)
         if self.held is None:
-            caller.answer(exchanges.Written(200, (('x-a', 'b'),), message.body))
+            caller.answer(
+                http_codecs.EncodedAnswer(200, (('x-a', 'b'),), message.body)
+            )
         else:
             self.held.append(caller)
         return self.leave
@@ -77,7 +79,7 @@
         async with serve() as host:
             answer = await ask(host, GET + GET.replace(b'/1', b'/2'))
             assert answer.count(b'HTTP/1.1 200 OK') == 2
-            assert [it.first for it in host.taken] == ['/a/1', '/a/2']
+            assert [it.uri for it in host.taken] == ['/a/1', '/a/2']
 
     peers.run(check())
 
@@ -168,7 +170,7 @@
             writer.close()
             await peers.wait_for(lambda: host.left)
             # An answer that is ready now finds nobody.
-            host.held[0].answer(exchanges.Written(200, (), b'late'))
+            host.held[0].answer(http_codecs.EncodedAnswer(200, (), b'late'))
 
     peers.run(check())
 
@@ -207,7 +209,7 @@
             (caller,) = host.held
             first = caller.inspect().round_trip
             assert 0 < first < 0.1
-            caller.answer(exchanges.Written(200, (), b''))
+            caller.answer(http_codecs.EncodedAnswer(200, (), b''))
             writer.write(GET)
             await peers.wait_for(lambda: len(host.held or ()) == 2)
             assert 0 < caller.inspect().round_trip < 0.1
@@ -232,7 +234,7 @@
             host.port.stop()
             host.port.close_idle()
             assert host.port.count_busy() == 1
-            host.held[0].answer(exchanges.Written(200, (), b'whole'))
+            host.held[0].answer(http_codecs.EncodedAnswer(200, (), b'whole'))
             answer = (await reader.read()).lower()
             assert b'connection: close' in answer
             assert answer.endswith(b'whole')
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -229,7 +229,7 @@
     """The bound on repeats follows the file; a wrong file changes nothing."""
     path = tmp_path / 'boot.conf'
     path.write_text(test_settings.TEXT)
-    monkeypatch.setenv(settings.VARIABLE, str(path))
+    monkeypatch.setenv(settings.PATH_VARIABLE, str(path))
     monkeypatch.setattr(process, 'SETTINGS_S', 0.01)
 
     async def check() -> None:
--- a/tests/relay/test_wires.py
+++ b/tests/relay/test_wires.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges
+from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.relay import links, wires
 
 USUAL: Final = (
@@ -96,7 +96,7 @@
 )
 
 
-def read_with_h11(data: bytes) -> exchanges.Message:
+def read_with_h11(data: bytes) -> http_codecs.Message:
     """Read one whole answer after which the connection goes on."""
     machine = h11.Connection(h11.CLIENT)
     machine.send(h11.Request(method='GET', target='/', headers=[('host', 'a')]))
@@ -110,8 +110,8 @@
     assert isinstance(event, h11.EndOfMessage)
     assert machine.their_state is h11.DONE
     assert machine.trailing_data == (b'', False)
-    fields = exchanges.read_fields(head.headers)
-    return exchanges.Message('', head.status_code, fields, body)
+    fields = http_codecs.decode_fields(head.headers)
+    return http_codecs.Message('', head.status_code, fields, body)
 
 
 @given(ANSWERS)
@@ -240,7 +240,7 @@
         )
 
     def take_message(
-        self, link: links.Link, message: exchanges.Message
+        self, link: links.Link, message: http_codecs.Message
     ) -> None:
         """Keep the end of an answer, and whether the connection goes on."""
         self.told.append((message.status, message.fields, link.reusable))
--- a/tests/routing/test_capacities.py
+++ b/tests/routing/test_capacities.py
@@ -72,10 +72,10 @@
     """A host of unknown capacity writes the same entry as before."""
     for capacity in (2.151, 1.0, deployments.UNKNOWN_CAPACITY):
         host = LARGE[0]._replace(capacity=capacity)
-        key, encoded = records.write_host(host)
-        named = records.name_key(key)
+        key, encoded = records.encode_host(host)
+        named = records.parse_key(key)
         assert named is not None
-        assert records.read_value(named, encoded) == host
+        assert records.decode_value(named, encoded) == host
         report = report_codecs.decode_report(
             report_codecs.encode_report(make_report(host))
         )
--- a/tests/routing/test_customers.py
+++ b/tests/routing/test_customers.py
@@ -6,7 +6,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.platform import exchanges, headers
+from fuchsiahaven.platform import headers, http_codecs
 from fuchsiahaven.routing import (
     active_requests,
     admission,
@@ -20,8 +20,8 @@
 
 KEY: Final = 'wbr9bc582dm2buc7takh'
 OTHER_KEY: Final = 'k-2'
-SHOP: Final = configs.Customer('shop', (exchanges.digest_key(KEY),))
-BANK: Final = configs.Customer('bank', (exchanges.digest_key(OTHER_KEY),))
+SHOP: Final = configs.Customer('shop', (http_codecs.digest_key(KEY),))
+BANK: Final = configs.Customer('bank', (http_codecs.digest_key(OTHER_KEY),))
 SHARDS: Final = tuple(f'shard-{number:02}' for number in range(10))
 RECORDS: Final = ('records',)
 SINGLE: Final = router_rig.make_route(configs.Single('records'), prefix='/one/')
@@ -51,12 +51,12 @@
     fields = [
         ('host', 'shop.example'),
         (headers.REQUEST_ID, request_id),
-        (headers.DEADLINE, '800'),
+        (headers.DEADLINE_MS, '800'),
         (headers.CUSTOMER, 'forged'),
-        *[(headers.KEY, f'Token {key}') for key in keys],
+        *[(headers.AUTHORIZATION, f'Token {key}') for key in keys],
     ]
-    message = exchanges.Message(path, 0, tuple(fields), b'', 'GET')
-    return exchanges.read_request(message, rig.now)
+    message = http_codecs.Message(path, 0, tuple(fields), b'', 'GET')
+    return http_codecs.decode_request(message, rig.now)
 
 
 def pop_refusal(rig: router_rig.Rig) -> tuple[int, events.RequestSummary]:
@@ -64,14 +64,14 @@
     outcome = rig.pop_outcome()
     assert isinstance(outcome, errors.Failure)
     assert not rig.pop_sent()
-    return exchanges.write_failure(outcome).status, rig.summaries.pop()
+    return http_codecs.encode_failure(outcome).status, rig.summaries.pop()
 
 
 def check_sent_customer(rig: router_rig.Rig, send: events.SendAttempt) -> str:
     """Return the customer that a target gets; check that it gets no key."""
-    fields = exchanges.write_request(send, rig.now)
+    fields = http_codecs.encode_request_fields(send, rig.now)
     assert KEY not in str(fields)
-    assert headers.KEY not in dict(fields)
+    assert headers.AUTHORIZATION not in dict(fields)
     assert sum(1 for name, _ in fields if name == headers.CUSTOMER) < 2
     return dict(fields).get(headers.CUSTOMER, '')
 
@@ -147,7 +147,7 @@
     assert b'strange' not in text
     assert b'authorization' not in text
     delegated = delegation_codecs.decode_request(text, rig.now)
-    request = exchanges.identify(delegated.request)
+    request = http_codecs.add_identity(delegated.request)
     assert request.customer == expected
     assert request.identity == delegate.delegated.request.identity
 
@@ -257,8 +257,8 @@
     rig = make_rig(None)
     rig.submit(make_request(rig, '/one/1', KEY))
     (send,) = rig.pop_sent()
-    fields = dict(exchanges.write_request(send, rig.now))
-    assert fields[headers.KEY] == f'Token {KEY}'
+    fields = dict(http_codecs.encode_request_fields(send, rig.now))
+    assert fields[headers.AUTHORIZATION] == f'Token {KEY}'
     assert headers.CUSTOMER not in fields
     rig.answer(send)
     summary = rig.summaries.pop()
--- a/tests/standins/test_metadata_store.py
+++ b/tests/standins/test_metadata_store.py
@@ -31,7 +31,7 @@
         """Make a call."""
         body = json.dumps(told).encode() if told else b''
         done = await self._client.call(calls.Call(method, target, body), 5)
-        era = calls.read_era(done.fields)
+        era = calls.decode_era(done.fields)
         return Told(done.status, era, json.loads(done.body))
 
     async def open_lease(self, ttl_ms: int = 30_000) -> int:
