--- a/bench/silent_partners.py
+++ b/bench/silent_partners.py
@@ -19,7 +19,7 @@
     parser.add_argument('--seeds', type=int, default=5)
     asked = parser.parse_args()
     for counted in (True, False):
-        rules = member_states.Rules(count_traffic=counted)
+        rules = member_states.Timings(count_traffic=counted)
         runs = [run(asked.hosts, it, rules) for it in range(asked.seeds)]
         figures = {
             name: statistics.median(one[name] for one in runs)
@@ -28,7 +28,9 @@
         print(json.dumps({'count_traffic': counted, **figures}))
 
 
-def run(hosts: int, seed: int, rules: member_states.Rules) -> dict[str, float]:
+def run(
+    hosts: int, seed: int, rules: member_states.Timings
+) -> dict[str, float]:
     """Disturb hosts in four ways, and kill some; count what is told."""
     network = networks.Network(hosts, seed, rules)
     settle(network)
--- a/fuchsiahaven/core/claims/claim_calls.py
+++ b/fuchsiahaven/core/claims/claim_calls.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.core.targets import messages
 
 
-class Doubt(enum.IntFlag):
+class Uncertainty(enum.IntFlag):
     """Say why an attempt may stand although nobody has told us so."""
 
     NONE = 0
@@ -15,7 +15,7 @@
     FORWARDED = 2
 
 
-class Pending(NamedTuple):
+class PendingStep(NamedTuple):
     """Hold one step that waits until `give_up`, in monotonic seconds.
 
     `own` tells a step of this host from one that a member asked us to write.
@@ -24,39 +24,39 @@
     """
 
     step: claims.Step
-    give_up: float
-    own: bool = True
-    doubt: Doubt = Doubt.NONE
-    hurry: float = 0.0
+    deadline: float
+    is_own: bool = True
+    uncertainty: Uncertainty = Uncertainty.NONE
+    write_at: float = 0.0
 
 
-class Settled(NamedTuple):
+class StepResult(NamedTuple):
     """Hold what came of one step.
 
     Steps other than attempts settle as GRANTED once noted.
     """
 
-    pending: Pending
+    pending: PendingStep
     result: messages.ClaimResult
-    held: claims.Held | None = None
+    claim: claims.Claim | None = None
     maybe_written: bool = False
     detail: str = ''
 
 
-class Forward(NamedTuple):
+class ForwardSteps(NamedTuple):
     """Ask that a member writes the steps; it saves writes, no more."""
 
     key: str
     steps: tuple[claims.Step, ...]
 
 
-class Read(NamedTuple):
+class ReadKey(NamedTuple):
     """Ask for the value and revision of a key."""
 
     key: str
 
 
-class Swap(NamedTuple):
+class CompareAndSwap(NamedTuple):
     """Ask for a write of a key at a revision."""
 
     key: str
@@ -64,13 +64,13 @@
     revision: int
 
 
-Call = Forward | Read | Swap
+Call = ForwardSteps | ReadKey | CompareAndSwap
 
 
-class Forwarded(NamedTuple):
+class ForwardAnswered(NamedTuple):
     """Bring the member's verdicts on some of the steps."""
 
-    settled: tuple[Settled, ...]
+    results: tuple[StepResult, ...]
 
 
 class ForwardLost(NamedTuple):
@@ -81,48 +81,48 @@
     """Bring that the member certainly does not have the steps."""
 
 
-class Found(NamedTuple):
+class KeyRead(NamedTuple):
     """Bring a key as read; revision 0 where it does not exist."""
 
     value: str | None
     revision: int
 
 
-class Written(NamedTuple):
+class KeyWritten(NamedTuple):
     """Bring the revision that a write gave."""
 
     revision: int
 
 
-class Conflict(NamedTuple):
+class WriteConflict(NamedTuple):
     """Bring that the key had moved on; nothing was written."""
 
 
-class Failed(NamedTuple):
+class CallFailed(NamedTuple):
     """Bring that a read gave nothing or a write had no effect."""
 
     detail: str
 
 
-class Distrusted(NamedTuple):
+class WriteDistrusted(NamedTuple):
     """Bring that a write took effect but grants nothing."""
 
     detail: str
 
 
-class Unclear(NamedTuple):
+class WriteUnclear(NamedTuple):
     """Bring that the answer to a write was lost."""
 
 
 Result = (
-    Forwarded
+    ForwardAnswered
     | ForwardLost
     | ForwardRefused
-    | Found
-    | Written
-    | Conflict
-    | Failed
-    | Distrusted
-    | Unclear
+    | KeyRead
+    | KeyWritten
+    | WriteConflict
+    | CallFailed
+    | WriteDistrusted
+    | WriteUnclear
 )
-Settlements = tuple[Settled, ...]
+StepResults = tuple[StepResult, ...]
--- a/fuchsiahaven/core/claims/claim_rows.py
+++ b/fuchsiahaven/core/claims/claim_codecs.py
@@ -9,31 +9,31 @@
 from fuchsiahaven.core.claims import claim_calls, claims
 from fuchsiahaven.core.targets import messages
 
-_ROW: Final = {
+_STEP_SCHEMA: Final = {
     'type': 'object',
     'required': ['kind', 'request_id', 'nonce'],
     'properties': {
         'kind': {'enum': ['attempt', 'outcome', 'return']},
         'request_id': {'type': 'string'},
         'nonce': {'type': 'string'},
-        'not_after_epoch': claims.EPOCH,
+        'not_after_epoch': claims.EPOCH_SCHEMA,
         'text': {'type': 'string'},
     },
 }
-_VERDICT: Final = {
+_RESULT_SCHEMA: Final = {
     'type': 'object',
     'required': ['nonce', 'result', 'held', 'maybe_written', 'detail'],
     'properties': {
         'nonce': {'type': 'string'},
         'kind': {'type': 'string'},
-        'result': {'enum': [one.value for one in messages.ClaimResult]},
+        'result': {'enum': [result.value for result in messages.ClaimResult]},
         'held': {
             'type': ['array', 'null'],
             'minItems': 4,
             'maxItems': 4,
             'items': [
                 {'type': 'string'},
-                claims.EPOCH,
+                claims.EPOCH_SCHEMA,
                 {'enum': [stage.value for stage in claims.Stage]},
                 {'type': ['string', 'null']},
             ],
@@ -42,21 +42,21 @@
         'detail': {'type': 'string'},
     },
 }
-_CHECK_BATCH: Final = fastjsonschema.compile(
+_VALIDATE_BATCH: Final = fastjsonschema.compile(
     {
         'type': 'object',
         'required': ['key', 'steps'],
         'properties': {
             'key': {'type': 'string', 'pattern': '^claims/'},
-            'steps': {'type': 'array', 'items': _ROW},
+            'steps': {'type': 'array', 'items': _STEP_SCHEMA},
         },
     }
 )
-_CHECK_VERDICTS: Final = fastjsonschema.compile(
+_VALIDATE_RESULTS: Final = fastjsonschema.compile(
     {
         'type': 'object',
         'required': ['settled'],
-        'properties': {'settled': {'type': 'array', 'items': _VERDICT}},
+        'properties': {'settled': {'type': 'array', 'items': _RESULT_SCHEMA}},
     }
 )
 
@@ -68,62 +68,60 @@
     steps: tuple[claims.Step, ...]
 
 
-def write_batch(batch: Batch) -> bytes:
+def encode_batch(batch: Batch) -> bytes:
     """Write a batch as JSON."""
-    rows = [
-        {'kind': _name_kind(step), **step._asdict()} for step in batch.steps
-    ]
+    rows = [{'kind': _get_kind(step), **step._asdict()} for step in batch.steps]
     return json.dumps({'key': batch.key, 'steps': rows}).encode()
 
 
-def read_batch(body: bytes) -> Batch | None:
+def decode_batch(body: bytes) -> Batch | None:
     """Read a batch; None where it is not well formed."""
     try:
-        content = _CHECK_BATCH(json_texts.load(body))
-        steps = tuple(_read_step(row) for row in content['steps'])
+        content = _VALIDATE_BATCH(json_texts.load(body))
+        steps = tuple(_decode_step(row) for row in content['steps'])
     except (ValueError, KeyError, fastjsonschema.JsonSchemaException):
         return None
     return Batch(content['key'], steps)
 
 
-def write_verdicts(settled: claim_calls.Settlements) -> bytes:
+def encode_results(results: claim_calls.StepResults) -> bytes:
     """Write what came of the steps of a batch as JSON."""
     rows = [
         {
-            'nonce': one.pending.step.nonce,
-            'kind': _name_kind(one.pending.step),
-            'result': one.result,
-            'held': one.held,
-            'maybe_written': one.maybe_written,
-            'detail': one.detail,
+            'nonce': result.pending.step.nonce,
+            'kind': _get_kind(result.pending.step),
+            'result': result.result,
+            'held': result.claim,
+            'maybe_written': result.maybe_written,
+            'detail': result.detail,
         }
-        for one in settled
+        for result in results
     ]
     return json.dumps({'settled': rows}).encode()
 
 
-def read_verdicts(
+def decode_results(
     body: bytes, steps: tuple[claims.Step, ...]
-) -> claim_calls.Forwarded | None:
+) -> claim_calls.ForwardAnswered | None:
     """Read what came of these steps; None where it is not well formed."""
     try:
-        rows = _CHECK_VERDICTS(json_texts.load(body))['settled']
+        rows = _VALIDATE_RESULTS(json_texts.load(body))['settled']
     except (ValueError, fastjsonschema.JsonSchemaException):
         return None
-    by_nonce = {(row.get('kind'), row['nonce']): row for row in rows}
-    settled = []
+    rows_by_step = {(row.get('kind'), row['nonce']): row for row in rows}
+    results = []
     for step in steps:
-        row = by_nonce.get((_name_kind(step), step.nonce))
+        row = rows_by_step.get((_get_kind(step), step.nonce))
         if row is not None:
-            settled.append(_read_verdict(row, step))
-    return claim_calls.Forwarded(tuple(settled))
+            results.append(_decode_result(row, step))
+    return claim_calls.ForwardAnswered(tuple(results))
 
 
-def _name_kind(step: claims.Step) -> str:
+def _get_kind(step: claims.Step) -> str:
     return type(step).__name__.lower()
 
 
-def _read_step(row: dict[str, Any]) -> claims.Step:
+def _decode_step(row: dict[str, Any]) -> claims.Step:
     match row['kind']:
         case 'attempt':
             return claims.Attempt(
@@ -134,17 +132,17 @@
     return claims.Return(row['request_id'], row['nonce'])
 
 
-def _read_verdict(
+def _decode_result(
     row: dict[str, Any], step: claims.Step
-) -> claim_calls.Settled:
-    held = None
+) -> claim_calls.StepResult:
+    claim = None
     if row['held'] is not None:
         nonce, not_after, stage, outcome = row['held']
-        held = claims.Held(nonce, not_after, claims.Stage(stage), outcome)
-    return claim_calls.Settled(
-        claim_calls.Pending(step, 0),
+        claim = claims.Claim(nonce, not_after, claims.Stage(stage), outcome)
+    return claim_calls.StepResult(
+        claim_calls.PendingStep(step, 0),
         messages.ClaimResult(row['result']),
-        held,
+        claim,
         row['maybe_written'],
         row['detail'],
     )
--- a/fuchsiahaven/core/claims/claims.py
+++ b/fuchsiahaven/core/claims/claims.py
@@ -17,28 +17,28 @@
 
 # Hosts that disagree on these two would claim one id under two keys, and it
 # would run twice. A change needs a new key prefix and one window's pause.
-BUCKETS: Final = 4
+BUCKET_COUNT: Final = 4
 SLOT_S: Final = 2
 
 # An id is refused once it is this old, in seconds, or this far ahead.
-WINDOW_S: Final = 300.0
-AHEAD_S: Final = 5.0
+MAX_ID_AGE_S: Final = 300.0
+MAX_ID_AHEAD_S: Final = 5.0
 # Clocks of hosts may differ by this much from the platform's, in seconds.
-SKEW_S: Final = 30.0
+MAX_CLOCK_SKEW_S: Final = 30.0
 
 # The platform holds values of 1 MB. Recorded answers may fill only a part of
 # it, so that they never keep a new claim out.
-VALUE_LIMIT: Final = 950_000
-OUTCOMES_LIMIT: Final = 600_000
-OUTCOME_LIMIT: Final = 8_000
+MAX_LEDGER_BYTES: Final = 950_000
+MAX_OUTCOME_LEDGER_BYTES: Final = 600_000
+MAX_OUTCOME_BYTES: Final = 8_000
 
 # What a caller is told whose attempt was not run though its claim may stand.
-MAY_STAND: Final = (
+MAYBE_CLAIMED_DETAIL: Final = (
     'not run, but the claim may stand: if this id now brings an unknown '
     'outcome, and no other request had it, nothing ran; use a new id'
 )
 
-_VERSION: Final = 1
+_FORMAT_VERSION: Final = 1
 
 
 class Stage(enum.IntEnum):
@@ -48,7 +48,7 @@
     DONE = 1
 
 
-class Held(NamedTuple):
+class Claim(NamedTuple):
     """Hold one claim: whose attempt, valid until when, how it ended.
 
     `outcome` is JSON text; a request can be DONE without one where the
@@ -64,8 +64,8 @@
 class Ledger(NamedTuple):
     """Hold the claims under one key; `size` bounds the text in bytes."""
 
-    held: Mapping[str, Held]
-    size: int
+    claims: Mapping[str, Claim]
+    size_bytes: int
 
 
 class Attempt(NamedTuple):
@@ -103,40 +103,40 @@
     NOTED = 'noted'
 
 
-class Ruling(NamedTuple):
+class Decision(NamedTuple):
     """Hold the verdict on one step and the claim it met."""
 
     step: Step
     verdict: Verdict
-    held: Held | None = None
+    claim: Claim | None = None
 
 
-class Applied(NamedTuple):
+class AppliedBatch(NamedTuple):
     """Hold the ledger after a batch, and one ruling for each step."""
 
     ledger: Ledger
-    rulings: tuple[Ruling, ...]
+    decisions: tuple[Decision, ...]
 
 
 class MalformedLedger(Exception):
     """Report a value that is not a ledger; its claims are unknown."""
 
 
-EMPTY: Final = Ledger({}, 0)
+EMPTY_LEDGER: Final = Ledger({}, 0)
 
 # A time too large for a float would end the thread that adds to it.
-_LATEST_EPOCH: Final = 1_000_000_000_000
-EPOCH: Final[Mapping[str, object]] = {
+_MAX_EPOCH_S: Final = 1_000_000_000_000
+EPOCH_SCHEMA: Final[Mapping[str, object]] = {
     'type': 'number',
     'minimum': 0,
-    'maximum': _LATEST_EPOCH,
+    'maximum': _MAX_EPOCH_S,
 }
-_CHECK_LEDGER: Final = fastjsonschema.compile(
+_VALIDATE_LEDGER: Final = fastjsonschema.compile(
     {
         'type': 'object',
         'required': ['version', 'claims'],
         'properties': {
-            'version': {'const': _VERSION},
+            'version': {'const': _FORMAT_VERSION},
             'claims': {
                 'type': 'array',
                 'items': {
@@ -146,7 +146,7 @@
                     'items': [
                         {'type': 'string'},
                         {'type': 'string'},
-                        EPOCH,
+                        EPOCH_SCHEMA,
                         {'enum': [stage.value for stage in Stage]},
                         {'type': ['string', 'null']},
                     ],
@@ -157,112 +157,114 @@
 )
 
 
-def in_window(time_epoch: float, now_epoch: float) -> bool:
+def is_claimable(time_epoch: float, now_epoch: float) -> bool:
     """Tell whether an id of that time may still be claimed."""
-    return -AHEAD_S <= now_epoch - time_epoch <= WINDOW_S
+    return -MAX_ID_AHEAD_S <= now_epoch - time_epoch <= MAX_ID_AGE_S
 
 
-def find_bucket(request_id: str) -> int:
+def compute_bucket(request_id: str) -> int:
     """Spread ids evenly over the buckets, whatever their random part."""
     digest = hashlib.sha256(request_id.encode()).digest()
-    return int.from_bytes(digest[:2], 'big') % BUCKETS
+    return int.from_bytes(digest[:2], 'big') % BUCKET_COUNT
 
 
-def find_key(request_id: str, time_epoch: float) -> str:
+def make_key(request_id: str, time_epoch: float) -> str:
     """Name the one key under which an id is claimed."""
-    slot = int(time_epoch // SLOT_S) * SLOT_S
-    return f'claims/{find_bucket(request_id)}/{slot}'
+    slot_epoch = int(time_epoch // SLOT_S) * SLOT_S
+    return f'claims/{compute_bucket(request_id)}/{slot_epoch}'
 
 
-def needed_until(time_epoch: float) -> float:
+def compute_key_expiry(time_epoch: float) -> float:
     """Say until when, as an epoch, a key of that time must be kept.
 
     A key that goes while some host still takes its ids lets one of them run
     twice; the host's clock may be behind the platform's.
     """
-    slot = time_epoch // SLOT_S * SLOT_S
-    return slot + SLOT_S + WINDOW_S + 2 * SKEW_S
+    slot_epoch = time_epoch // SLOT_S * SLOT_S
+    return slot_epoch + SLOT_S + MAX_ID_AGE_S + 2 * MAX_CLOCK_SKEW_S
 
 
-def add_claims(ledger: Ledger, batch: Iterable[Step]) -> Applied:
+def apply_steps(ledger: Ledger, batch: Iterable[Step]) -> AppliedBatch:
     """Apply a batch of steps; applying one twice changes nothing more."""
-    held = dict(ledger.held)
-    size = ledger.size
-    rulings = []
+    claims = dict(ledger.claims)
+    size_bytes = ledger.size_bytes
+    decisions = []
     for step in batch:
-        before = held.get(step.request_id)
-        ruling = _rule(step, before, size)
-        rulings.append(ruling)
-        after = _change(ruling, before, size)
-        size += _measure(step.request_id, after)
-        size -= _measure(step.request_id, before)
+        before = claims.get(step.request_id)
+        decision = _decide(step, before, size_bytes)
+        decisions.append(decision)
+        after = _update_claim(decision, before, size_bytes)
+        size_bytes += _measure_entry(step.request_id, after)
+        size_bytes -= _measure_entry(step.request_id, before)
         if after is None:
-            held.pop(step.request_id, None)
+            claims.pop(step.request_id, None)
         else:
-            held[step.request_id] = after
-    return Applied(Ledger(held, size), tuple(rulings))
+            claims[step.request_id] = after
+    return AppliedBatch(Ledger(claims, size_bytes), tuple(decisions))
 
 
-def _rule(step: Step, before: Held | None, size: int) -> Ruling:
+def _decide(step: Step, before: Claim | None, size_bytes: int) -> Decision:
     if not isinstance(step, Attempt):
-        return Ruling(step, Verdict.NOTED)
-    claim = Held(step.nonce, step.not_after_epoch)
+        return Decision(step, Verdict.NOTED)
+    claim = Claim(step.nonce, step.not_after_epoch)
     if before is None:
-        grown = size + _measure(step.request_id, claim)
-        if grown > VALUE_LIMIT:
-            return Ruling(step, Verdict.FULL)
-        return Ruling(step, Verdict.GRANTED, claim)
+        new_size_bytes = size_bytes + _measure_entry(step.request_id, claim)
+        if new_size_bytes > MAX_LEDGER_BYTES:
+            return Decision(step, Verdict.FULL)
+        return Decision(step, Verdict.GRANTED, claim)
     # Our own nonce is there when the answer to our write was lost, or when a
     # member wrote it for us and could not say so.
-    ours = before.nonce == step.nonce
-    return Ruling(step, Verdict.GRANTED if ours else Verdict.HELD, before)
+    is_own = before.nonce == step.nonce
+    return Decision(step, Verdict.GRANTED if is_own else Verdict.HELD, before)
 
 
-def _change(ruling: Ruling, before: Held | None, size: int) -> Held | None:
-    step = ruling.step
+def _update_claim(
+    decision: Decision, before: Claim | None, size_bytes: int
+) -> Claim | None:
+    step = decision.step
     if isinstance(step, Attempt):
-        return before if ruling.verdict is Verdict.FULL else ruling.held
+        return before if decision.verdict is Verdict.FULL else decision.claim
     if before is None or before.nonce != step.nonce:
         return before
     match step:
         case Outcome():
-            return _finish(before, step.text, size)
+            return _record_outcome(before, step.text, size_bytes)
         case Return():
             # Only its own attempt may give a claim back, and not once it has
             # said that it ran.
             return before if before.stage else None
 
 
-def _finish(claim: Held, text: str, size: int) -> Held:
-    room = min(OUTCOME_LIMIT, OUTCOMES_LIMIT - size)
-    kept = text if len(json.dumps(text)) <= room else None
-    return claim._replace(stage=Stage.DONE, outcome=kept)
+def _record_outcome(claim: Claim, text: str, size_bytes: int) -> Claim:
+    max_bytes = min(MAX_OUTCOME_BYTES, MAX_OUTCOME_LEDGER_BYTES - size_bytes)
+    recorded = text if len(json.dumps(text)) <= max_bytes else None
+    return claim._replace(stage=Stage.DONE, outcome=recorded)
 
 
 def encode_ledger(ledger: Ledger) -> str:
     """Write a ledger as JSON text."""
-    rows = [(request_id, *held) for request_id, held in ledger.held.items()]
+    rows = [(request_id, *claim) for request_id, claim in ledger.claims.items()]
     return json.dumps(
-        {'version': _VERSION, 'claims': rows}, separators=(',', ':')
+        {'version': _FORMAT_VERSION, 'claims': rows}, separators=(',', ':')
     )
 
 
 def decode_ledger(text: str) -> Ledger:
     """Read a ledger. Raises MalformedLedger."""
     try:
-        content = _CHECK_LEDGER(json_texts.load(text))
+        content = _VALIDATE_LEDGER(json_texts.load(text))
     except (ValueError, fastjsonschema.JsonSchemaException) as error:
         raise MalformedLedger(str(error)) from error
-    held = {
-        request_id: Held(nonce, not_after, Stage(stage), outcome)
+    claims = {
+        request_id: Claim(nonce, not_after, Stage(stage), outcome)
         for request_id, nonce, not_after, stage, outcome in content['claims']
     }
-    if len(held) != len(content['claims']):
+    if len(claims) != len(content['claims']):
         raise MalformedLedger('an id is claimed twice')
-    return Ledger(held, len(text))
+    return Ledger(claims, len(text))
 
 
-def _measure(request_id: str, held: Held | None) -> int:
-    if held is None:
+def _measure_entry(request_id: str, claim: Claim | None) -> int:
+    if claim is None:
         return 0
-    return len(json.dumps((request_id, *held)))
+    return len(json.dumps((request_id, *claim)))
--- a/fuchsiahaven/core/claims/commits.py
+++ b/fuchsiahaven/core/claims/commits.py
@@ -16,19 +16,19 @@
 from fuchsiahaven.core.claims import claim_calls, claims
 from fuchsiahaven.core.targets import messages
 
-BATCH_LIMIT: Final = 2000
+MAX_BATCH_STEPS: Final = 2000
 # For so many writes after a conflict others are taken to write the key too.
-CONTENDED: Final = 8
+CONTENDED_WRITES: Final = 8
 
 
-class Known(NamedTuple):
+class LedgerRevision(NamedTuple):
     """Hold a key as last read or written."""
 
     ledger: claims.Ledger
     revision: int
 
 
-class Commit(NamedTuple):
+class KeyState(NamedTuple):
     """Hold the state of one key on one host.
 
     `fresh` tells that `known` was read after the steps in flight arrived;
@@ -38,68 +38,74 @@
     """
 
     key: str
-    queued: tuple[claim_calls.Pending, ...] = ()
-    flying: tuple[claim_calls.Pending, ...] = ()
-    known: Known | None = None
-    seen: claims.Ledger = claims.EMPTY
-    fresh: bool = False
-    forward: bool = False
-    doubtful: int | None = None
-    contended: int = 0
-    applied: claims.Applied | None = None
-
-
-def add_steps(commit: Commit, steps: tuple[claim_calls.Pending, ...]) -> Commit:
+    queued: tuple[claim_calls.PendingStep, ...] = ()
+    in_flight: tuple[claim_calls.PendingStep, ...] = ()
+    base: LedgerRevision | None = None
+    last_ledger: claims.Ledger = claims.EMPTY_LEDGER
+    is_fresh: bool = False
+    is_forwarding: bool = False
+    unclear_revision: int | None = None
+    contended_writes: int = 0
+    applied: claims.AppliedBatch | None = None
+
+
+def add_steps(
+    state: KeyState, steps: tuple[claim_calls.PendingStep, ...]
+) -> KeyState:
     """Queue steps for the next write."""
-    return commit._replace(queued=commit.queued + steps)
+    return state._replace(queued=state.queued + steps)
 
 
-def next_call(
-    commit: Commit, now: float, *, forward: bool
-) -> tuple[Commit, claim_calls.Call | None, claim_calls.Settlements]:
+def choose_next_call(
+    state: KeyState, now: float, *, forward: bool
+) -> tuple[KeyState, claim_calls.Call | None, claim_calls.StepResults]:
     """Choose the next call; None where nothing is left to be done.
 
     `forward` says that a member should be asked first.
     """
-    commit, late = _drop_late(commit, now)
-    if not commit.flying and next_hurry(commit) > now:
-        return commit, None, late
-    if not commit.flying:
-        commit = commit._replace(
-            queued=commit.queued[BATCH_LIMIT:],
-            flying=commit.queued[:BATCH_LIMIT],
-            fresh=False,
+    state, expired = _expire_steps(state, now)
+    if not state.in_flight and compute_next_write_at(state) > now:
+        return state, None, expired
+    if not state.in_flight:
+        state = state._replace(
+            queued=state.queued[MAX_BATCH_STEPS:],
+            in_flight=state.queued[:MAX_BATCH_STEPS],
+            is_fresh=False,
         )
         # What a member asked us to write is not handed on: two hosts that
         # each take the other for the one that writes would hand it on for
         # ever.
-        own = all(pending.own for pending in commit.flying)
-        commit = commit._replace(forward=forward and own)
-    steps = tuple(pending.step for pending in commit.flying)
-    if commit.forward:
-        return commit, claim_calls.Forward(commit.key, steps), late
-    known = commit.known
-    if known is None:
-        return commit, claim_calls.Read(commit.key), late
-    applied = claims.add_claims(known.ledger, steps)
-    if not commit.fresh and _is_stale(applied):
-        return commit, claim_calls.Read(commit.key), late
-    commit = commit._replace(applied=applied)
-    if applied.ledger.held == known.ledger.held:
-        commit, settled = _settle_all(commit, known)
-        return commit, None, late + settled
+        all_own = all(pending.is_own for pending in state.in_flight)
+        state = state._replace(is_forwarding=forward and all_own)
+    steps = tuple(pending.step for pending in state.in_flight)
+    if state.is_forwarding:
+        return state, claim_calls.ForwardSteps(state.key, steps), expired
+    base = state.base
+    if base is None:
+        return state, claim_calls.ReadKey(state.key), expired
+    applied = claims.apply_steps(base.ledger, steps)
+    if not state.is_fresh and _needs_reread(applied):
+        return state, claim_calls.ReadKey(state.key), expired
+    state = state._replace(applied=applied)
+    if applied.ledger.claims == base.ledger.claims:
+        state, results = _finish_batch(state, base)
+        return state, None, expired + results
     value = claims.encode_ledger(applied.ledger)
-    return commit, claim_calls.Swap(commit.key, value, known.revision), late
+    return (
+        state,
+        claim_calls.CompareAndSwap(state.key, value, base.revision),
+        expired,
+    )
 
 
-def next_hurry(commit: Commit) -> float:
+def compute_next_write_at(state: KeyState) -> float:
     """Say when the next write is due; infinity where nothing waits."""
-    if commit.flying:
+    if state.in_flight:
         return 0.0
-    return min((one.hurry for one in commit.queued), default=math.inf)
+    return min((pending.write_at for pending in state.queued), default=math.inf)
 
 
-def delay(commit: Commit) -> Commit:
+def record_delay(state: KeyState) -> KeyState:
     """Take note that the next write comes later than the last read.
 
     Where other hosts write the key as well, a write at the revision of then
@@ -107,246 +113,281 @@
     of writes, and come too late, again and again, until claims time out
     although nothing is down. Such a key is read right before each write.
     """
-    return commit._replace(known=None) if commit.contended else commit
+    return state._replace(base=None) if state.contended_writes else state
 
 
-def note_result(
-    commit: Commit, result: claim_calls.Result, now: float
-) -> tuple[Commit, claim_calls.Settlements]:
+def handle_result(
+    state: KeyState, result: claim_calls.Result, now: float
+) -> tuple[KeyState, claim_calls.StepResults]:
     """Take what came of the last call."""
     match result:
-        case claim_calls.Forwarded():
-            return _take_verdicts(commit, result)
+        case claim_calls.ForwardAnswered():
+            return _handle_forward_answer(state, result)
         case claim_calls.ForwardLost():
-            doubted = _doubt(commit, claim_calls.Doubt.FORWARDED)
-            return doubted._replace(forward=False), ()
+            uncertain_state = _add_uncertainty(
+                state, claim_calls.Uncertainty.FORWARDED
+            )
+            return uncertain_state._replace(is_forwarding=False), ()
         case claim_calls.ForwardRefused():
-            return commit._replace(forward=False), ()
-        case claim_calls.Found():
-            return _take_value(commit, result, now)
-        case claim_calls.Written():
-            assert commit.applied is not None
-            known = Known(commit.applied.ledger, result.revision)
-            commit, settled = _settle_all(commit, known)
-            left = max(0, commit.contended - 1)
-            return delay(commit)._replace(contended=left), settled
-        case claim_calls.Conflict():
-            return commit._replace(known=None, contended=CONTENDED), ()
-        case claim_calls.Failed():
-            return _give_up(commit, result.detail, now)
-        case claim_calls.Distrusted():
-            doubted = _doubt(commit, claim_calls.Doubt.UNCLEAR_WRITE)
-            return _give_up(doubted, result.detail, now)
-        case claim_calls.Unclear():
-            assert commit.known is not None
-            doubted = _doubt(commit, claim_calls.Doubt.UNCLEAR_WRITE)
-            return doubted._replace(
-                known=None, doubtful=commit.known.revision
+            return state._replace(is_forwarding=False), ()
+        case claim_calls.KeyRead():
+            return _handle_key_read(state, result, now)
+        case claim_calls.KeyWritten():
+            assert state.applied is not None
+            base = LedgerRevision(state.applied.ledger, result.revision)
+            state, results = _finish_batch(state, base)
+            contended_writes = max(0, state.contended_writes - 1)
+            return record_delay(state)._replace(
+                contended_writes=contended_writes
+            ), results
+        case claim_calls.WriteConflict():
+            return state._replace(
+                base=None, contended_writes=CONTENDED_WRITES
+            ), ()
+        case claim_calls.CallFailed():
+            return _fail_attempts(state, result.detail, now)
+        case claim_calls.WriteDistrusted():
+            uncertain_state = _add_uncertainty(
+                state, claim_calls.Uncertainty.UNCLEAR_WRITE
+            )
+            return _fail_attempts(uncertain_state, result.detail, now)
+        case claim_calls.WriteUnclear():
+            assert state.base is not None
+            uncertain_state = _add_uncertainty(
+                state, claim_calls.Uncertainty.UNCLEAR_WRITE
+            )
+            return uncertain_state._replace(
+                base=None, unclear_revision=state.base.revision
             ), ()
 
 
-def has_attempts(commit: Commit) -> bool:
+def has_attempts(state: KeyState) -> bool:
     """Tell whether an attempt waits or is in flight."""
-    waiting = commit.flying + commit.queued
-    return any(isinstance(one.step, claims.Attempt) for one in waiting)
+    unfinished = state.in_flight + state.queued
+    return any(
+        isinstance(pending.step, claims.Attempt) for pending in unfinished
+    )
 
 
 def refuse_attempts(
-    commit: Commit, detail: str, now: float
-) -> tuple[Commit, claim_calls.Settlements]:
+    state: KeyState, detail: str, now: float
+) -> tuple[KeyState, claim_calls.StepResults]:
     """Refuse all attempts of a key at once; other steps go on waiting."""
-    flying = commit.flying + commit.queued
-    return _give_up(commit._replace(flying=flying, queued=()), detail, now)
+    in_flight = state.in_flight + state.queued
+    return _fail_attempts(
+        state._replace(in_flight=in_flight, queued=()), detail, now
+    )
 
 
-def _is_stale(applied: claims.Applied) -> bool:
+def _needs_reread(applied: claims.AppliedBatch) -> bool:
     # A claim may have been given back or have got its outcome since it was
     # last read; telling "unknown" from memory would then be untrue.
     return any(
-        ruling.verdict is claims.Verdict.HELD
-        and ruling.held is not None
-        and ruling.held.outcome is None
-        for ruling in applied.rulings
+        decision.verdict is claims.Verdict.HELD
+        and decision.claim is not None
+        and decision.claim.outcome is None
+        for decision in applied.decisions
     )
 
 
-def _doubt(commit: Commit, doubt: claim_calls.Doubt) -> Commit:
-    return commit._replace(
-        flying=tuple(
-            pending._replace(doubt=pending.doubt | doubt)
-            for pending in commit.flying
+def _add_uncertainty(
+    state: KeyState, uncertainty: claim_calls.Uncertainty
+) -> KeyState:
+    return state._replace(
+        in_flight=tuple(
+            pending._replace(uncertainty=pending.uncertainty | uncertainty)
+            for pending in state.in_flight
         )
     )
 
 
-def _take_value(
-    commit: Commit, found: claim_calls.Found, now: float
-) -> tuple[Commit, claim_calls.Settlements]:
-    ledger = claims.EMPTY
-    if found.value is not None:
+def _handle_key_read(
+    state: KeyState, key_read: claim_calls.KeyRead, now: float
+) -> tuple[KeyState, claim_calls.StepResults]:
+    ledger = claims.EMPTY_LEDGER
+    if key_read.value is not None:
         try:
-            ledger = claims.decode_ledger(found.value)
+            ledger = claims.decode_ledger(key_read.value)
         except claims.MalformedLedger as error:
-            return _give_up(commit, f'{commit.key}: {error}', now)
-    if commit.doubtful is not None and commit.doubtful != found.revision:
+            return _fail_attempts(state, f'{state.key}: {error}', now)
+    if (
+        state.unclear_revision is not None
+        and state.unclear_revision != key_read.revision
+    ):
         # The key moved on, so a write at the older revision is decided: what
         # it would have added stands now or never will.
-        commit = commit._replace(
-            doubtful=None,
-            flying=tuple(_clear(one, ledger) for one in commit.flying),
+        state = state._replace(
+            unclear_revision=None,
+            in_flight=tuple(
+                _clear_uncertainty(pending, ledger)
+                for pending in state.in_flight
+            ),
         )
-    known = Known(ledger, found.revision)
-    return commit._replace(known=known, seen=ledger, fresh=True), ()
+    base = LedgerRevision(ledger, key_read.revision)
+    return state._replace(base=base, last_ledger=ledger, is_fresh=True), ()
 
 
-def _clear(
-    pending: claim_calls.Pending, ledger: claims.Ledger
-) -> claim_calls.Pending:
-    held = ledger.held.get(pending.step.request_id)
-    if held is not None and held.nonce == pending.step.nonce:
+def _clear_uncertainty(
+    pending: claim_calls.PendingStep, ledger: claims.Ledger
+) -> claim_calls.PendingStep:
+    claim = ledger.claims.get(pending.step.request_id)
+    if claim is not None and claim.nonce == pending.step.nonce:
         # Its deadline may still pass before it is settled as granted, and to
         # call it "not written" then would be untrue.
         return pending
-    return pending._replace(doubt=pending.doubt & claim_calls.Doubt.FORWARDED)
+    return pending._replace(
+        uncertainty=pending.uncertainty & claim_calls.Uncertainty.FORWARDED
+    )
 
 
-def _settle_all(
-    commit: Commit, known: Known
-) -> tuple[Commit, claim_calls.Settlements]:
-    assert commit.applied is not None
-    settled = tuple(
-        _settle(pending, ruling)
-        for pending, ruling in zip(
-            commit.flying, commit.applied.rulings, strict=True
+def _finish_batch(
+    state: KeyState, base: LedgerRevision
+) -> tuple[KeyState, claim_calls.StepResults]:
+    assert state.applied is not None
+    results = tuple(
+        _make_result(pending, decision)
+        for pending, decision in zip(
+            state.in_flight, state.applied.decisions, strict=True
         )
     )
-    return commit._replace(
-        flying=(),
-        known=known,
-        seen=known.ledger,
+    return state._replace(
+        in_flight=(),
+        base=base,
+        last_ledger=base.ledger,
         applied=None,
-        doubtful=None,
-    ), settled
+        unclear_revision=None,
+    ), results
 
 
-def _settle(
-    pending: claim_calls.Pending, ruling: claims.Ruling
-) -> claim_calls.Settled:
-    match ruling.verdict:
+def _make_result(
+    pending: claim_calls.PendingStep, decision: claims.Decision
+) -> claim_calls.StepResult:
+    match decision.verdict:
         case claims.Verdict.HELD:
-            return claim_calls.Settled(
-                pending, messages.ClaimResult.HELD, ruling.held
+            return claim_calls.StepResult(
+                pending, messages.ClaimResult.HELD, decision.claim
             )
         case claims.Verdict.FULL:
-            return claim_calls.Settled(
+            return claim_calls.StepResult(
                 pending,
                 messages.ClaimResult.UNAVAILABLE,
-                maybe_written=bool(pending.doubt),
+                maybe_written=bool(pending.uncertainty),
                 detail='too many claims in these seconds',
             )
-    return claim_calls.Settled(
-        pending, messages.ClaimResult.GRANTED, ruling.held
+    return claim_calls.StepResult(
+        pending, messages.ClaimResult.GRANTED, decision.claim
     )
 
 
-def _take_verdicts(
-    commit: Commit, answer: claim_calls.Forwarded
-) -> tuple[Commit, claim_calls.Settlements]:
-    by_step = {settled.pending.step: settled for settled in answer.settled}
-    done = []
-    left = []
-    for pending in commit.flying:
-        settled = by_step.get(pending.step)
-        if settled is None or settled.maybe_written:
-            doubt = pending.doubt | claim_calls.Doubt.FORWARDED
-            left.append(pending._replace(doubt=doubt))
-        elif settled.result is messages.ClaimResult.UNAVAILABLE:
-            left.append(pending)
+def _handle_forward_answer(
+    state: KeyState, answer: claim_calls.ForwardAnswered
+) -> tuple[KeyState, claim_calls.StepResults]:
+    results_by_step = {result.pending.step: result for result in answer.results}
+    finished = []
+    remaining = []
+    for pending in state.in_flight:
+        result = results_by_step.get(pending.step)
+        if result is None or result.maybe_written:
+            uncertainty = (
+                pending.uncertainty | claim_calls.Uncertainty.FORWARDED
+            )
+            remaining.append(pending._replace(uncertainty=uncertainty))
+        elif result.result is messages.ClaimResult.UNAVAILABLE:
+            remaining.append(pending)
         else:
-            done.append(settled._replace(pending=pending))
-    return commit._replace(flying=tuple(left), forward=False), tuple(done)
+            finished.append(result._replace(pending=pending))
+    return state._replace(
+        in_flight=tuple(remaining), is_forwarding=False
+    ), tuple(finished)
 
 
-def _give_up(
-    commit: Commit, detail: str, now: float
-) -> tuple[Commit, claim_calls.Settlements]:
+def _fail_attempts(
+    state: KeyState, detail: str, now: float
+) -> tuple[KeyState, claim_calls.StepResults]:
     attempts = [
         pending
-        for pending in commit.flying
+        for pending in state.in_flight
         if isinstance(pending.step, claims.Attempt)
     ]
     others = tuple(
-        pending for pending in commit.flying if pending not in attempts
+        pending for pending in state.in_flight if pending not in attempts
     )
-    commit = commit._replace(
+    state = state._replace(
         # Outcomes and returns lose nothing by waiting for the platform.
-        queued=others + commit.queued,
-        flying=(),
-        known=None,
-        doubtful=None,
+        queued=others + state.queued,
+        in_flight=(),
+        base=None,
+        unclear_revision=None,
+    )
+    results = tuple(
+        _make_failed_result(state, pending, detail) for pending in attempts
     )
-    settled = tuple(_abandon(commit, pending, detail) for pending in attempts)
-    return _return_claims(commit, settled, now), settled
+    return _queue_returns(state, results, now), results
 
 
-def _drop_late(
-    commit: Commit, now: float
-) -> tuple[Commit, claim_calls.Settlements]:
-    late = [
+def _expire_steps(
+    state: KeyState, now: float
+) -> tuple[KeyState, claim_calls.StepResults]:
+    expired = [
         pending
-        for pending in commit.flying + commit.queued
-        if pending.give_up <= now
+        for pending in state.in_flight + state.queued
+        if pending.deadline <= now
     ]
-    if not late:
-        return commit, ()
-    commit = commit._replace(
-        flying=tuple(step for step in commit.flying if step not in late),
-        queued=tuple(step for step in commit.queued if step not in late),
+    if not expired:
+        return state, ()
+    state = state._replace(
+        in_flight=tuple(
+            pending for pending in state.in_flight if pending not in expired
+        ),
+        queued=tuple(
+            pending for pending in state.queued if pending not in expired
+        ),
     )
-    settled = tuple(
-        _abandon(
-            commit, pending, 'the deadline passed before the claim was written'
+    results = tuple(
+        _make_failed_result(
+            state, pending, 'the deadline passed before the claim was written'
         )
-        for pending in late
+        for pending in expired
     )
-    return _return_claims(commit, settled, now), settled
+    return _queue_returns(state, results, now), results
 
 
-def _abandon(
-    commit: Commit, pending: claim_calls.Pending, detail: str
-) -> claim_calls.Settled:
-    held = commit.seen.held.get(pending.step.request_id)
-    if held is not None and held.nonce != pending.step.nonce:
+def _make_failed_result(
+    state: KeyState, pending: claim_calls.PendingStep, detail: str
+) -> claim_calls.StepResult:
+    claim = state.last_ledger.claims.get(pending.step.request_id)
+    if claim is not None and claim.nonce != pending.step.nonce:
         # "Not run" would be understood of the id, and its caller would send
         # a new one; that it was claimed before is true whatever came since.
-        return claim_calls.Settled(
-            pending, messages.ClaimResult.HELD, held, bool(pending.doubt)
+        return claim_calls.StepResult(
+            pending, messages.ClaimResult.HELD, claim, bool(pending.uncertainty)
         )
-    return claim_calls.Settled(
+    return claim_calls.StepResult(
         pending,
         messages.ClaimResult.UNAVAILABLE,
-        maybe_written=bool(pending.doubt),
+        maybe_written=bool(pending.uncertainty),
         detail=detail,
     )
 
 
-def _return_claims(
-    commit: Commit, settled: claim_calls.Settlements, now: float
-) -> Commit:
+def _queue_returns(
+    state: KeyState, results: claim_calls.StepResults, now: float
+) -> KeyState:
     # An attempt that is told as not run may stand in the platform, and its
     # id would answer "unknown" for ever. Only the host of the attempt may
     # give it back: a member that wrote it for another host can lose an answer
     # although that host has found its claim and runs.
-    steps = [one.pending.step for one in settled if _returnable(one)]
+    steps = [result.pending.step for result in results if _needs_return(result)]
     returns = tuple(
-        claim_calls.Pending(
-            claims.Return(step.request_id, step.nonce), now + claims.WINDOW_S
+        claim_calls.PendingStep(
+            claims.Return(step.request_id, step.nonce),
+            now + claims.MAX_ID_AGE_S,
         )
         for step in steps
     )
-    return commit._replace(queued=returns + commit.queued)
+    return state._replace(queued=returns + state.queued)
 
 
-def _returnable(settled: claim_calls.Settled) -> bool:
-    attempted = isinstance(settled.pending.step, claims.Attempt)
-    return attempted and settled.maybe_written and settled.pending.own
+def _needs_return(result: claim_calls.StepResult) -> bool:
+    is_attempt = isinstance(result.pending.step, claims.Attempt)
+    return is_attempt and result.maybe_written and result.pending.is_own
--- a/fuchsiahaven/core/members/gossip_rows.py
+++ b/fuchsiahaven/core/members/gossip_codecs.py
@@ -14,18 +14,18 @@
 from fuchsiahaven.core.members import members
 
 #: Names stand in logs and metrics, so their letters are few.
-NAME: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,62}[A-Za-z0-9])?\Z'
-DIGEST: Final = r'^[0-9a-f]{0,64}\Z'
-_MAX_ADDRESS: Final = 64
+NAME_PATTERN: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,62}[A-Za-z0-9])?\Z'
+DIGEST_PATTERN: Final = r'^[0-9a-f]{0,64}\Z'
+_MAX_ADDRESS_LENGTH: Final = 64
 _MAX_REVISION: Final = 9_007_199_254_740_991
 
-_MEMBER: Final = {
+_MEMBER_SCHEMA: Final = {
     'type': 'array',
     'minItems': 4,
     'maxItems': 4,
     'items': [
-        {'type': 'string', 'pattern': NAME},
-        {'type': 'string', 'maxLength': _MAX_ADDRESS},
+        {'type': 'string', 'pattern': NAME_PATTERN},
+        {'type': 'string', 'maxLength': _MAX_ADDRESS_LENGTH},
         {
             'type': 'integer',
             'minimum': 0,
@@ -34,79 +34,79 @@
         {'enum': [standing.value for standing in members.Standing]},
     ],
 }
-STAMP: Final = {
+STAMP_SCHEMA: Final = {
     'type': 'array',
     'minItems': 2,
     'maxItems': 2,
     'items': [
         {'type': 'integer', 'minimum': 0, 'maximum': _MAX_REVISION},
-        {'type': 'string', 'pattern': DIGEST},
+        {'type': 'string', 'pattern': DIGEST_PATTERN},
     ],
 }
-_SCHEMA: Final = {
+_GOSSIP_SCHEMA: Final = {
     'type': 'object',
     'required': ['sender', 'data_centre', 'stamp', 'digest'],
     'properties': {
-        'sender': _MEMBER,
-        'data_centre': {'type': 'string', 'maxLength': _MAX_ADDRESS},
-        'stamp': STAMP,
-        'digest': {'type': 'string', 'pattern': DIGEST},
+        'sender': _MEMBER_SCHEMA,
+        'data_centre': {'type': 'string', 'maxLength': _MAX_ADDRESS_LENGTH},
+        'stamp': STAMP_SCHEMA,
+        'digest': {'type': 'string', 'pattern': DIGEST_PATTERN},
         'news': {
             'type': 'array',
             # The buckets that differ, what is new, and the asker itself.
-            'maxItems': tables.MAX_ENTRIES + tables.MAX_NEWS + 1,
-            'items': _MEMBER,
+            'maxItems': tables.MAX_DIFFERING_ENTRIES + tables.MAX_NEWS + 1,
+            'items': _MEMBER_SCHEMA,
         },
         'buckets': {
             'type': 'array',
-            'minItems': members.BUCKETS,
-            'maxItems': members.BUCKETS,
-            'items': {'type': 'string', 'pattern': DIGEST},
+            'minItems': members.BUCKET_COUNT,
+            'maxItems': members.BUCKET_COUNT,
+            'items': {'type': 'string', 'pattern': DIGEST_PATTERN},
         },
-        'relay': _MEMBER,
+        'relay': _MEMBER_SCHEMA,
         'reached': {'type': 'boolean'},
     },
 }
 
 
-def write(gossip: messages.Gossip) -> bytes:
+def encode_gossip(gossip: messages.Gossip) -> bytes:
     """Write gossip; what is empty is left out."""
     row = {
-        name: told
-        for name, told in gossip._asdict().items()
-        if told is not None and (told or not isinstance(told, tuple))
+        name: field
+        for name, field in gossip._asdict().items()
+        if field is not None and (field or not isinstance(field, tuple))
     }
     return json.dumps(row, separators=(',', ':')).encode()
 
 
-def read(body: bytes) -> messages.Gossip | None:
+def decode_gossip(body: bytes) -> messages.Gossip | None:
     """Read gossip; None where it is not of the right shape."""
     try:
-        row = _compile()(json_texts.load(body))
+        row = _compile_validator()(json_texts.load(body))
     except (ValueError, fastjsonschema.JsonSchemaValueException):
         return None
-    told = [row['relay']] if 'relay' in row else []
-    listed = (row['sender'], *row.get('news', ()), *told)
-    if any(addresses.parse(address) is None for _, address, *_ in listed):
+    relayed = [row['relay']] if 'relay' in row else []
+    rows = (row['sender'], *row.get('news', ()), *relayed)
+    if any(addresses.parse(address) is None for _, address, *_ in rows):
         return None
-    return _build(row)
+    return _build_gossip(row)
 
 
-def _build(row: Mapping[str, Any]) -> messages.Gossip:
+def _build_gossip(row: Mapping[str, Any]) -> messages.Gossip:
     relay = row.get('relay')
     return messages.Gossip(
-        _read_member(row['sender']),
+        _decode_member(row['sender']),
         row['data_centre'],
         patches.Stamp(*row['stamp']),
         row['digest'],
-        tuple(_read_member(told) for told in row.get('news', ())),
+        tuple(_decode_member(member) for member in row.get('news', ())),
         tuple(row.get('buckets', ())),
-        _read_member(relay) if relay else None,
+        _decode_member(relay) if relay else None,
         row.get('reached'),
     )
 
 
-def _read_member(row: list[Any]) -> members.Member:
+def _decode_member(row: list[Any]) -> members.Member:
     name, address, incarnation, standing = row
     # JSON schema takes 3.0 for an integer.
     return members.Member(
@@ -115,8 +115,8 @@
 
 
 @functools.cache
-def _compile() -> Callable[[object], Mapping[str, Any]]:
+def _compile_validator() -> Callable[[object], Mapping[str, Any]]:
     # Compiling takes milliseconds, which the operator's commands never pay.
-    check: Callable[[object], Mapping[str, Any]]
-    check = fastjsonschema.compile(_SCHEMA)
-    return check
+    validate: Callable[[object], Mapping[str, Any]]
+    validate = fastjsonschema.compile(_GOSSIP_SCHEMA)
+    return validate
--- a/fuchsiahaven/core/members/member_messages.py
+++ b/fuchsiahaven/core/members/member_messages.py
@@ -25,57 +25,57 @@
     reached: bool | None = None
 
 
-class Received(NamedTuple):
+class RequestReceived(NamedTuple):
     """Bring a request; `token` names who waits for the answer."""
 
     token: int
     gossip: Gossip
 
 
-class Answered(NamedTuple):
+class ExchangeAnswered(NamedTuple):
     """Bring the answer to what was asked under `token`."""
 
     token: int
     gossip: Gossip
 
 
-class Lost(NamedTuple):
+class ExchangeFailed(NamedTuple):
     """Bring the end of what was asked under `token` without an answer."""
 
     token: int
 
 
-class Seeded(NamedTuple):
+class SeedsFound(NamedTuple):
     """Bring addresses at which other hosts of the data centre may be."""
 
     addresses: tuple[str, ...]
 
 
-class Enforced(NamedTuple):
+class ConfigurationInForce(NamedTuple):
     """Bring the stamp of the configuration in force on this host."""
 
     stamp: patches.Stamp
 
 
-class Noticed(NamedTuple):
+class TrafficReceived(NamedTuple):
     """Bring a sign of life that came with other traffic of a member."""
 
     name: str
 
 
-class LeaveAsked(NamedTuple):
+class LeaveRequested(NamedTuple):
     """Announce a planned stop; the host goes on serving for now."""
 
 
-class EndAsked(NamedTuple):
+class ServingEnded(NamedTuple):
     """Announce that the host has stopped serving."""
 
 
-class Ticked(NamedTuple):
+class Tick(NamedTuple):
     """Bring the passing of time."""
 
 
-class Ask(NamedTuple):
+class SendRequest(NamedTuple):
     """Ask the edge to send gossip; `Answered` or `Lost` follows.
 
     `timeout_s` bounds the whole exchange.
@@ -94,37 +94,37 @@
     gossip: Gossip
 
 
-class Listed(NamedTuple):
+class MembersListed(NamedTuple):
     """Tell the other tasks who takes part; `staying` are not about to stop."""
 
     live: tuple[str, ...]
     staying: tuple[str, ...]
 
 
-class Heard(NamedTuple):
+class StampReceived(NamedTuple):
     """Tell the configuration task what a member has in force."""
 
     name: str
     stamp: patches.Stamp
 
 
-class Report(NamedTuple):
+class ReportMember(NamedTuple):
     """Tell the operator what happened to a member."""
 
     text: str
     name: str
-    urgent: bool = False
+    is_urgent: bool = False
 
 
 Event = (
-    Received
-    | Answered
-    | Lost
-    | Seeded
-    | Enforced
-    | Noticed
-    | LeaveAsked
-    | EndAsked
-    | Ticked
+    RequestReceived
+    | ExchangeAnswered
+    | ExchangeFailed
+    | SeedsFound
+    | ConfigurationInForce
+    | TrafficReceived
+    | LeaveRequested
+    | ServingEnded
+    | Tick
 )
-Action = Ask | Respond | Listed | Heard | Report
+Action = SendRequest | Respond | MembersListed | StampReceived | ReportMember
--- a/fuchsiahaven/core/members/member_states.py
+++ b/fuchsiahaven/core/members/member_states.py
@@ -9,14 +9,14 @@
 from fuchsiahaven.core.members import member_tables as tables
 from fuchsiahaven.core.members import members
 
-MAX_HEALTH: Final = 8
+MAX_SLOWNESS: Final = 8
 #: A slow host waits longer for others, up to this many times as long.
-MAX_PATIENCE: Final = 4
+MAX_TIMEOUT_FACTOR: Final = 4
 #: Seconds after which an exchange counts as lost whose end nobody reported.
-GRACE_S: Final = 5.0
+EXCHANGE_GRACE_S: Final = 5.0
 
 
-class Rules(NamedTuple):
+class Timings(NamedTuple):
     """Hold the times of membership, in seconds.
 
     One partner is probed each `period_s`. A suspect has `suspicion_s`, times
@@ -29,18 +29,18 @@
     a sign of its life.
     """
 
-    period_s: float = 1.0
-    timeout_s: float = 0.5
-    suspicion_s: float = 4.0
-    late_s: float = 1.0
-    isolated_s: float = 10.0
-    lost_s: float = 10.0
-    flush_s: float = 0.25
-    forget_s: float = 900.0
+    probe_period_s: float = 1.0
+    probe_timeout_s: float = 0.5
+    suspicion_timeout_s: float = 4.0
+    min_pause_s: float = 1.0
+    isolation_timeout_s: float = 10.0
+    seek_interval_s: float = 10.0
+    flush_interval_s: float = 0.25
+    forget_after_s: float = 900.0
     count_traffic: bool = True
 
 
-class Probe(NamedTuple):
+class Exchange(NamedTuple):
     """Hold one exchange that is under way.
 
     `name` is empty where an address is tried of which nobody is known.
@@ -50,17 +50,17 @@
     """
 
     name: str
-    helps: str = ''
-    serves: int | None = None
-    until: float = 0.0
+    probed_member: str = ''
+    reply_token: int | None = None
+    deadline: float = 0.0
 
 
-class Trial(NamedTuple):
+class IndirectProbe(NamedTuple):
     """Count what helpers say of a member that did not answer this host."""
 
-    asked: int
-    denied: int = 0
-    lost: int = 0
+    helper_count: int
+    unreached_count: int = 0
+    failed_count: int = 0
 
 
 class State(NamedTuple):
@@ -72,55 +72,57 @@
     """
 
     data_centre: str
-    rules: Rules
+    timings: Timings
     table: tables.Table
     stamp: patches.Stamp = patches.NO_STAMP
     seeds: tuple[str, ...] = ()
-    probes: Mapping[int, Probe] = {}
-    trials: Mapping[str, Trial] = {}
+    exchanges: Mapping[int, Exchange] = {}
+    indirect_probes: Mapping[str, IndirectProbe] = {}
     last_token: int = 0
-    turn: int = 0
-    ticked: float | None = None
-    probe_at: float = 0.0
-    seek_at: float = 0.0
-    flush_at: float | None = None
-    flushed: float = -math.inf
-    contact: float = -math.inf
-    matched: float = -math.inf
-    synced: float = -math.inf
-    health: int = 0
-    rivals: int = 0
-    doubtful: bool = False
+    partner_turn: int = 0
+    last_tick_at: float | None = None
+    next_probe_at: float = 0.0
+    next_seek_at: float = 0.0
+    next_flush_at: float | None = None
+    last_flush_at: float = -math.inf
+    last_contact_at: float = -math.inf
+    last_match_at: float = -math.inf
+    last_sync_at: float = -math.inf
+    slowness: int = 0
+    name_conflicts: int = 0
+    is_resuming: bool = False
     live: tuple[str, ...] = ()
     staying: tuple[str, ...] = ()
 
 
-Draws = Callable[[], float]
-Step = tuple[State, tuple[messages.Action, ...]]
+DrawFraction = Callable[[], float]
+Transition = tuple[State, tuple[messages.Action, ...]]
 
 
-def add_health(state: State, worse: int) -> State:
+def adjust_slowness(state: State, change: int) -> State:
     """Count signs of this host's own trouble up or down."""
-    health = min(MAX_HEALTH, max(0, state.health + worse))
-    return state._replace(health=health)
+    slowness = min(MAX_SLOWNESS, max(0, state.slowness + change))
+    return state._replace(slowness=slowness)
 
 
-def scale(state: State, seconds: float) -> float:
+def scale_timeout(state: State, timeout_s: float) -> float:
     """Lengthen a time by this host's own trouble."""
-    return seconds * min(MAX_PATIENCE, 1 + state.health)
+    return timeout_s * min(MAX_TIMEOUT_FACTOR, 1 + state.slowness)
 
 
-def join(step: Step, *actions: messages.Action) -> Step:
+def append_actions(
+    transition: Transition, *actions: messages.Action
+) -> Transition:
     """Add actions to a step."""
-    return step[0], (*step[1], *actions)
+    return transition[0], (*transition[1], *actions)
 
 
-def want_flush(state: State, now: float) -> State:
+def schedule_flush(state: State, now: float) -> State:
     """Have the news told to all partners soon, but not too often."""
-    due = max(now, state.flushed + state.rules.flush_s)
-    if state.flush_at is not None:
-        due = min(due, state.flush_at)
-    return state._replace(flush_at=due)
+    due_at = max(now, state.last_flush_at + state.timings.flush_interval_s)
+    if state.next_flush_at is not None:
+        due_at = min(due_at, state.next_flush_at)
+    return state._replace(next_flush_at=due_at)
 
 
 def build_gossip(
@@ -131,42 +133,44 @@
 ) -> tuple[State, messages.Gossip]:
     """Build what to tell next; `extra` goes besides the news."""
     table, news = tables.choose_news(state.table)
-    told = tuple(dict.fromkeys((*extra, *news)))
+    reports = tuple(dict.fromkeys((*extra, *news)))
     gossip = messages.Gossip(
-        tables.read_own(table),
+        tables.get_own(table),
         state.data_centre,
         state.stamp,
-        table.digest.whole,
-        told,
+        table.digest.table,
+        reports,
         table.digest.buckets if buckets else (),
     )
     return state._replace(table=table), gossip
 
 
-def ask(
+def start_exchange(
     state: State,
     address: str,
-    probe: Probe,
+    exchange: Exchange,
     extra: tuple[members.Member, ...] = (),
     *,
     buckets: bool = False,
-) -> Step:
+) -> Transition:
     """Begin an exchange."""
     state, gossip = build_gossip(state, extra, buckets=buckets)
-    timeout_s = scale(state, state.rules.timeout_s)
-    if probe.helps:
+    timeout_s = scale_timeout(state, state.timings.probe_timeout_s)
+    if exchange.probed_member:
         # The one asked waits for another in its turn.
-        gossip = gossip._replace(relay=tables.find(state.table, probe.helps))
+        gossip = gossip._replace(
+            relay=tables.find_member(state.table, exchange.probed_member)
+        )
         timeout_s *= 2
     token = state.last_token + 1
-    until = (state.ticked or 0) + timeout_s + GRACE_S
-    probes = {**state.probes, token: probe._replace(until=until)}
-    state = state._replace(last_token=token, probes=probes)
-    return state, (messages.Ask(token, address, gossip, timeout_s),)
+    deadline = (state.last_tick_at or 0) + timeout_s + EXCHANGE_GRACE_S
+    exchanges = {**state.exchanges, token: exchange._replace(deadline=deadline)}
+    state = state._replace(last_token=token, exchanges=exchanges)
+    return state, (messages.SendRequest(token, address, gossip, timeout_s),)
 
 
-def take_probe(state: State, token: int) -> tuple[State, Probe | None]:
+def end_exchange(state: State, token: int) -> tuple[State, Exchange | None]:
     """End an exchange; None where it was given up before."""
-    probe = state.probes.get(token)
-    left = {key: it for key, it in state.probes.items() if key != token}
-    return state._replace(probes=left), probe
+    exchange = state.exchanges.get(token)
+    remaining = {key: it for key, it in state.exchanges.items() if key != token}
+    return state._replace(exchanges=remaining), exchange
--- a/fuchsiahaven/core/members/membership.py
+++ b/fuchsiahaven/core/members/membership.py
@@ -15,124 +15,156 @@
 
 MAX_SEEDS: Final = 256
 #: Seeds tried at a time while nobody is known.
-SEEDS_AT_ONCE: Final = 3
+MAX_SEEDS_AT_ONCE: Final = 3
 #: Tables that differ for so many periods are compared by buckets: news still
 #: under way explain a shorter difference.
-DIFFER_PERIODS: Final = 2
+MIN_DIFFERING_PERIODS: Final = 2
 #: A restart at another address meets its old entry a few times; a second
 #: process under the same name goes on for ever.
-MAX_RIVALS: Final = 8
-_LATE_HEALTH: Final = 2
+MAX_NAME_CONFLICTS: Final = 8
+_PAUSE_SLOWNESS: Final = 2
 #: Probes of hosts that started together drift apart.
-JITTER: Final = 0.2
+PROBE_JITTER_FRACTION: Final = 0.2
 
 
 def start(
     own: members.Member,
     data_centre: str,
-    rules: states.Rules,
+    timings: states.Timings,
     seeds: tuple[str, ...],
     now: float,
 ) -> states.State:
     """Begin alone, with addresses at which others may be."""
-    table = tables.build(own, now)
-    state = states.State(data_centre, rules, table, contact=now)
+    table = tables.build_table(own, now)
+    state = states.State(data_centre, timings, table, last_contact_at=now)
     return _add_seeds(state, seeds)
 
 
-def handle(
+def handle_event(
     state: states.State,
     event: messages.Event,
     now: float,
-    draws: states.Draws,
-) -> states.Step:
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
     """Take one event in and say what is to be done."""
     match event:
-        case messages.Ticked():
-            step = _tick(state, now, draws)
-        case messages.Received():
-            step = _answer(state, event, now)
-        case messages.Answered():
-            step = _close(state, event, now, draws)
-        case messages.Lost(token):
-            state, lost = states.take_probe(state, token)
-            step = state, ()
-            if lost is not None:
-                step = probes.note_lost(state, lost, now, draws)
-        case messages.Seeded():
-            step = _add_seeds(state, event.addresses), ()
-        case messages.Enforced():
-            step = state._replace(stamp=event.stamp), ()
-        case messages.Noticed():
-            step = _notice(state, event.name, now), ()
-        case messages.LeaveAsked():
-            step = _raise(state, 0, members.Standing.LEAVING, now), ()
-        case messages.EndAsked():
-            step = _raise(state, 0, members.Standing.LEFT, now), ()
-    return _list_changes(step)
-
-
-def _tick(state: states.State, now: float, draws: states.Draws) -> states.Step:
-    gap = 0 if state.ticked is None else now - state.ticked
-    state = state._replace(ticked=now)
-    if gap >= state.rules.late_s or gap < 0:
-        state = _wake(state, gap, now)
-    own = tables.read_own(state.table)
-    step: states.Step = (state, ())
-    if not own.gone:
-        state, lost = probes.lose_stale(state, now, draws)
-        state, expired = probes.expire_suspects(state, now)
-        step = _probe((state, (*lost, *expired)), now, draws)
-        step = _seek(step, now, draws)
-    state = step[0]
-    if state.flush_at is not None and now >= state.flush_at:
-        step = states.join((state, step[1]))
-        flushed, actions = probes.flush(state, now)
-        step = flushed, (*step[1], *actions)
-    return step
-
-
-def _probe(step: states.Step, now: float, draws: states.Draws) -> states.Step:
-    state, before = step
-    if now < state.probe_at:
-        return step
-    rules = state.rules
-    again = now + rules.period_s * (1 + JITTER * (draws() - 0.5))
-    table = tables.forget(state.table, now, rules.forget_s)
-    state, actions = probes.probe_next(
-        state._replace(probe_at=again, table=table)
+        case messages.Tick():
+            transition = _handle_tick(state, now, draw_fraction)
+        case messages.RequestReceived():
+            transition = _handle_request(state, event, now)
+        case messages.ExchangeAnswered():
+            transition = _handle_answer(state, event, now, draw_fraction)
+        case messages.ExchangeFailed(token):
+            state, exchange = states.end_exchange(state, token)
+            transition = state, ()
+            if exchange is not None:
+                transition = probes.handle_failed_exchange(
+                    state, exchange, now, draw_fraction
+                )
+        case messages.SeedsFound():
+            transition = _add_seeds(state, event.addresses), ()
+        case messages.ConfigurationInForce():
+            transition = state._replace(stamp=event.stamp), ()
+        case messages.TrafficReceived():
+            transition = _record_traffic(state, event.name, now), ()
+        case messages.LeaveRequested():
+            transition = (
+                _raise_incarnation(state, 0, members.Standing.LEAVING, now),
+                (),
+            )
+        case messages.ServingEnded():
+            transition = (
+                _raise_incarnation(state, 0, members.Standing.LEFT, now),
+                (),
+            )
+    return _list_if_changed(transition)
+
+
+def _handle_tick(
+    state: states.State, now: float, draw_fraction: states.DrawFraction
+) -> states.Transition:
+    gap_s = 0 if state.last_tick_at is None else now - state.last_tick_at
+    state = state._replace(last_tick_at=now)
+    if gap_s >= state.timings.min_pause_s or gap_s < 0:
+        state = _handle_pause(state, gap_s, now)
+    own = tables.get_own(state.table)
+    transition: states.Transition = (state, ())
+    if not own.is_gone:
+        state, exchange_actions = probes.expire_exchanges(
+            state, now, draw_fraction
+        )
+        state, suspect_actions = probes.expire_suspects(state, now)
+        transition = _probe_if_due(
+            (state, (*exchange_actions, *suspect_actions)), now, draw_fraction
+        )
+        transition = _seek_members(transition, now, draw_fraction)
+    state = transition[0]
+    if state.next_flush_at is not None and now >= state.next_flush_at:
+        transition = states.append_actions((state, transition[1]))
+        next_state, actions = probes.flush_news(state, now)
+        transition = next_state, (*transition[1], *actions)
+    return transition
+
+
+def _probe_if_due(
+    transition: states.Transition,
+    now: float,
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
+    state, earlier_actions = transition
+    if now < state.next_probe_at:
+        return transition
+    timings = state.timings
+    next_probe_at = now + timings.probe_period_s * (
+        1 + PROBE_JITTER_FRACTION * (draw_fraction() - 0.5)
+    )
+    table = tables.forget_gone(state.table, now, timings.forget_after_s)
+    state, actions = probes.probe_next_partner(
+        state._replace(next_probe_at=next_probe_at, table=table)
     )
-    return state, (*before, *actions)
+    return state, (*earlier_actions, *actions)
 
 
-def _seek(step: states.Step, now: float, draws: states.Draws) -> states.Step:
+def _seek_members(
+    transition: states.Transition,
+    now: float,
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
     """Look for members that are gone or were never met.
 
     After a cut is healed both sides hold each other for dead, and nobody
     would ever talk to the other side again.
     """
-    state, actions = step
-    if now < state.seek_at:
-        return step
+    state, actions = transition
+    if now < state.next_seek_at:
+        return transition
     present = tables.list_present(state.table)
-    known = {member.address for member in present}
-    dead = (
+    present_addresses = {member.address for member in present}
+    dead_addresses = (
         entry.member.address
         for entry in state.table.entries.values()
         if entry.member.standing is members.Standing.DEAD
     )
-    places = sorted({*state.seeds, *dead} - known)
-    places.sort(key=lambda _: draws())
-    alone = len(present) <= 1
-    wait = state.rules.period_s if alone else state.rules.lost_s
-    state = state._replace(seek_at=now + wait * (0.5 + draws()))
-    for address in places[: SEEDS_AT_ONCE if alone else 1]:
-        state, asked = states.ask(state, address, states.Probe(''))
-        actions = (*actions, *asked)
+    addresses = sorted({*state.seeds, *dead_addresses} - present_addresses)
+    addresses.sort(key=lambda _: draw_fraction())
+    is_alone = len(present) <= 1
+    interval_s = (
+        state.timings.probe_period_s
+        if is_alone
+        else state.timings.seek_interval_s
+    )
+    state = state._replace(
+        next_seek_at=now + interval_s * (0.5 + draw_fraction())
+    )
+    for address in addresses[: MAX_SEEDS_AT_ONCE if is_alone else 1]:
+        state, sent = states.start_exchange(state, address, states.Exchange(''))
+        actions = (*actions, *sent)
     return state, actions
 
 
-def _wake(state: states.State, gap: float, now: float) -> states.State:
+def _handle_pause(
+    state: states.State, gap_s: float, now: float
+) -> states.State:
     """Take a pause of this host into account.
 
     It heard nothing meanwhile, so all others look silent to it; what it
@@ -141,42 +173,42 @@
     a host moved to another machine, is a pause below zero: all that is due
     would otherwise wait for the clock to come by again.
     """
-    state = states.add_health(state, _LATE_HEALTH)
+    state = states.adjust_slowness(state, _PAUSE_SLOWNESS)
     state = state._replace(
-        probes={},
-        trials={},
-        doubtful=True,
-        contact=now,
-        matched=now,
-        synced=now,
-        flushed=now,
-        probe_at=now,
-        seek_at=now,
-        flush_at=now,
+        exchanges={},
+        indirect_probes={},
+        is_resuming=True,
+        last_contact_at=now,
+        last_match_at=now,
+        last_sync_at=now,
+        last_flush_at=now,
+        next_probe_at=now,
+        next_seek_at=now,
+        next_flush_at=now,
     )
-    if gap < state.rules.forget_s / 2:
-        return state._replace(table=tables.shift(state.table, gap))
+    if gap_s < state.timings.forget_after_s / 2:
+        return state._replace(table=tables.shift_times(state.table, gap_s))
     # The others have forgotten what this host still holds: its old news
     # would bring back members that left long ago.
     present = tables.list_present(state.table)
     state = _add_seeds(state, tuple(member.address for member in present))
-    own = tables.read_own(state.table)
-    return state._replace(table=tables.build(own, now))
-
-
-def _answer(
-    state: states.State, received: messages.Received, now: float
-) -> states.Step:
-    gossip, token = received.gossip, received.token
-    state, actions = _take_in(state, gossip, now)
-    target = gossip.relay
-    if target is not None and target.name != state.table.name:
-        state, asked = probes.relay(state, token, target)
-        return state, (*actions, *asked)
+    own = tables.get_own(state.table)
+    return state._replace(table=tables.build_table(own, now))
+
+
+def _handle_request(
+    state: states.State, request: messages.RequestReceived, now: float
+) -> states.Transition:
+    gossip, token = request.gossip, request.token
+    state, actions = _handle_gossip(state, gossip, now)
+    relay_member = gossip.relay
+    if relay_member is not None and relay_member.name != state.table.own_name:
+        state, sent = probes.relay_probe(state, token, relay_member)
+        return state, (*actions, *sent)
     extra = _choose_extra(state, gossip)
-    differs = gossip.digest != state.table.digest.whole
+    differs = gossip.digest != state.table.digest.table
     state, reply = states.build_gossip(state, extra, buckets=differs)
-    if target is not None:
+    if relay_member is not None:
         reply = reply._replace(reached=True)
     return state, (*actions, messages.Respond(token, reply))
 
@@ -188,146 +220,170 @@
     extra: tuple[members.Member, ...] = ()
     if gossip.buckets:
         extra = tables.list_differing(state.table, gossip.buckets)
-    known = tables.find(state.table, gossip.sender.name)
-    if known is not None and known != gossip.sender:
+    current = tables.find_member(state.table, gossip.sender.name)
+    if current is not None and current != gossip.sender:
         # It can only refute what it hears is held against it.
-        return (known, *extra)
+        return (current, *extra)
     return extra
 
 
-def _close(
+def _handle_answer(
     state: states.State,
-    answered: messages.Answered,
+    answered: messages.ExchangeAnswered,
     now: float,
-    draws: states.Draws,
-) -> states.Step:
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
     gossip = answered.gossip
-    state, asked = states.take_probe(state, answered.token)
-    state, actions = _take_in(state, gossip, now)
-    if asked is None or gossip.data_centre != state.data_centre:
+    state, exchange = states.end_exchange(state, answered.token)
+    state, actions = _handle_gossip(state, gossip, now)
+    if exchange is None or gossip.data_centre != state.data_centre:
         return state, actions
-    state = state._replace(doubtful=False)
-    if asked.name and asked.name != gossip.sender.name:
+    state = state._replace(is_resuming=False)
+    if exchange.name and exchange.name != gossip.sender.name:
         # The address is another host's by now.
-        state, more = probes.note_lost(state, asked, now, draws)
+        state, more = probes.handle_failed_exchange(
+            state, exchange, now, draw_fraction
+        )
     else:
-        state, more = _use(state, asked, gossip, now)
+        state, more = _apply_answer(state, exchange, gossip, now)
     return state, (*actions, *more)
 
 
-def _use(
+def _apply_answer(
     state: states.State,
-    asked: states.Probe,
+    exchange: states.Exchange,
     gossip: messages.Gossip,
     now: float,
-) -> states.Step:
-    if asked.serves is not None:
+) -> states.Transition:
+    if exchange.reply_token is not None:
         state, reply = states.build_gossip(state)
         reply = reply._replace(reached=True)
-        return state, (messages.Respond(asked.serves, reply),)
-    if asked.helps:
+        return state, (messages.Respond(exchange.reply_token, reply),)
+    if exchange.probed_member:
         reached = bool(gossip.reached)
-        return probes.note_help(state, asked.helps, reached, now)
-    return _compare(states.add_health(state, -1), gossip, now)
+        return probes.handle_helper_answer(
+            state, exchange.probed_member, reached, now
+        )
+    return _sync_tables(states.adjust_slowness(state, -1), gossip, now)
 
 
-def _compare(
+def _sync_tables(
     state: states.State, gossip: messages.Gossip, now: float
-) -> states.Step:
+) -> states.Transition:
     """Exchange what differs with a member whose table stays different."""
-    rules = state.rules
-    differing = now - state.matched >= DIFFER_PERIODS * rules.period_s
-    rested = now - state.synced >= rules.flush_s
-    if not (gossip.buckets and differing and rested):
+    timings = state.timings
+    has_differed_long = (
+        now - state.last_match_at
+        >= MIN_DIFFERING_PERIODS * timings.probe_period_s
+    )
+    may_sync = now - state.last_sync_at >= timings.flush_interval_s
+    if not (gossip.buckets and has_differed_long and may_sync):
         return state, ()
-    state = state._replace(synced=now)
+    state = state._replace(last_sync_at=now)
     extra = tables.list_differing(state.table, gossip.buckets)
-    probe = states.Probe(gossip.sender.name)
+    exchange = states.Exchange(gossip.sender.name)
     address = gossip.sender.address
-    return states.ask(state, address, probe, extra, buckets=True)
+    return states.start_exchange(state, address, exchange, extra, buckets=True)
 
 
-def _take_in(
+def _handle_gossip(
     state: states.State, gossip: messages.Gossip, now: float
-) -> states.Step:
+) -> states.Transition:
     if gossip.data_centre != state.data_centre:
         text = f'a host of data centre {gossip.data_centre} talks to this one'
-        report = messages.Report(text, gossip.sender.name, urgent=True)
+        report = messages.ReportMember(text, gossip.sender.name, is_urgent=True)
         return state, (report,)
     reports = (gossip.sender, *gossip.news)
-    step: states.Step = (state, ())
+    transition: states.Transition = (state, ())
     for member in reports:
-        if member.name == state.table.name:
-            step = _refute(step, member, now)
-    state, actions = step
-    table, taken = tables.merge(state.table, reports, now)
-    table = tables.note_heard(table, gossip.sender.name, now)
-    state = state._replace(table=table, contact=now)
-    if taken:
-        state = states.want_flush(state, now)
-    if gossip.digest == table.digest.whole:
-        state = state._replace(matched=now)
+        if member.name == state.table.own_name:
+            transition = _refute(transition, member, now)
+    state, actions = transition
+    table, accepted = tables.merge_reports(state.table, reports, now)
+    table = tables.record_sign_of_life(table, gossip.sender.name, now)
+    state = state._replace(table=table, last_contact_at=now)
+    if accepted:
+        state = states.schedule_flush(state, now)
+    if gossip.digest == table.digest.table:
+        state = state._replace(last_match_at=now)
     if gossip.stamp != state.stamp:
-        heard = messages.Heard(gossip.sender.name, gossip.stamp)
-        actions = (*actions, heard)
-    return state, (*actions, *_tell(taken))
+        stamp_received = messages.StampReceived(
+            gossip.sender.name, gossip.stamp
+        )
+        actions = (*actions, stamp_received)
+    return state, (*actions, *_report_changes(accepted))
 
 
-def _tell(taken: tuple[members.Member, ...]) -> tuple[messages.Report, ...]:
+def _report_changes(
+    accepted: tuple[members.Member, ...],
+) -> tuple[messages.ReportMember, ...]:
     return tuple(
-        messages.Report(f'member is {member.standing}', member.name)
-        for member in taken
+        messages.ReportMember(f'member is {member.standing}', member.name)
+        for member in accepted
     )
 
 
 def _refute(
-    step: states.Step, report: members.Member, now: float
-) -> states.Step:
+    transition: states.Transition, report: members.Member, now: float
+) -> states.Transition:
     """Answer what others hold of this host that is not so."""
-    state, actions = step
-    own = tables.read_own(state.table)
-    ahead = report.incarnation - own.incarnation
-    if report == own or own.gone or not 0 <= ahead < members.MAX_JUMP:
-        return step
+    state, actions = transition
+    own = tables.get_own(state.table)
+    increase = report.incarnation - own.incarnation
+    if (
+        report == own
+        or own.is_gone
+        or not 0 <= increase < members.MAX_INCARNATION_INCREASE
+    ):
+        return transition
     if report.address == own.address:
-        state = states.add_health(state, 1)
-        return _raise(state, ahead, own.standing, now), actions
-    rivals = state.rivals + 1
-    state = _raise(state._replace(rivals=rivals), ahead, own.standing, now)
-    if rivals > MAX_RIVALS:
+        state = states.adjust_slowness(state, 1)
+        return _raise_incarnation(state, increase, own.standing, now), actions
+    name_conflicts = state.name_conflicts + 1
+    state = _raise_incarnation(
+        state._replace(name_conflicts=name_conflicts),
+        increase,
+        own.standing,
+        now,
+    )
+    if name_conflicts > MAX_NAME_CONFLICTS:
         text = f'another process at {report.address} has the same name'
-        told = messages.Report(text, own.name, urgent=True)
-        return state, (*actions, told)
+        conflict = messages.ReportMember(text, own.name, is_urgent=True)
+        return state, (*actions, conflict)
     return state, actions
 
 
-def _raise(
-    state: states.State, ahead: int, standing: members.Standing, now: float
+def _raise_incarnation(
+    state: states.State, increase: int, standing: members.Standing, now: float
 ) -> states.State:
     """Speak for this host under a new incarnation, which beats all others."""
-    own = tables.read_own(state.table)
+    own = tables.get_own(state.table)
     raised = own._replace(
-        incarnation=own.incarnation + ahead + 1, standing=standing
+        incarnation=own.incarnation + increase + 1, standing=standing
     )
-    state = state._replace(table=tables.put(state.table, raised, now))
-    return states.want_flush(state, now)
+    state = state._replace(table=tables.set_member(state.table, raised, now))
+    return states.schedule_flush(state, now)
 
 
-def _notice(state: states.State, name: str, now: float) -> states.State:
-    if not state.rules.count_traffic:
+def _record_traffic(state: states.State, name: str, now: float) -> states.State:
+    if not state.timings.count_traffic:
         return state
-    return state._replace(table=tables.note_heard(state.table, name, now))
+    return state._replace(
+        table=tables.record_sign_of_life(state.table, name, now)
+    )
 
 
 def _add_seeds(state: states.State, addresses: tuple[str, ...]) -> states.State:
-    own = tables.read_own(state.table).address
-    known = dict.fromkeys((*addresses, *state.seeds))
-    seeds = tuple(address for address in known if address != own)
+    own_address = tables.get_own(state.table).address
+    all_addresses = dict.fromkeys((*addresses, *state.seeds))
+    seeds = tuple(
+        address for address in all_addresses if address != own_address
+    )
     return state._replace(seeds=seeds[:MAX_SEEDS])
 
 
-def _list_changes(step: states.Step) -> states.Step:
-    state, actions = step
+def _list_if_changed(transition: states.Transition) -> states.Transition:
+    state, actions = transition
     present = tables.list_present(state.table)
     live = tuple(member.name for member in present)
     staying = tuple(
@@ -336,6 +392,6 @@
         if member.standing is not members.Standing.LEAVING
     )
     if (live, staying) == (state.live, state.staying):
-        return step
-    listed = messages.Listed(live, staying)
+        return transition
+    listed = messages.MembersListed(live, staying)
     return state._replace(live=live, staying=staying), (*actions, listed)
--- a/fuchsiahaven/core/members/patch_rows.py
+++ b/fuchsiahaven/core/members/patch_codecs.py
@@ -10,67 +10,67 @@
 from fuchsiahaven.core import json_texts
 from fuchsiahaven.core.configuration import manifest_schemas as schemas
 from fuchsiahaven.core.configuration import patches, trees
-from fuchsiahaven.core.members import gossip_rows
+from fuchsiahaven.core.members import gossip_codecs
 
-_NAMES: Final = {'type': 'array', 'items': {'type': 'string'}}
-_REMOVED: Final = {
+_NAMES_SCHEMA: Final = {'type': 'array', 'items': {'type': 'string'}}
+_REMOVED_SCHEMA: Final = {
     'type': 'object',
     'properties': {
-        'groups': _NAMES,
-        'selectors': _NAMES,
-        'classes': _NAMES,
-        'targets': {'type': 'object', 'additionalProperties': _NAMES},
-        'customers': _NAMES,
+        'groups': _NAMES_SCHEMA,
+        'selectors': _NAMES_SCHEMA,
+        'classes': _NAMES_SCHEMA,
+        'targets': {'type': 'object', 'additionalProperties': _NAMES_SCHEMA},
+        'customers': _NAMES_SCHEMA,
     },
 }
-_PATCH: Final = {
+_PATCH_SCHEMA: Final = {
     'type': 'object',
     'required': ['base', 'stamp', 'changed', 'change_id'],
     'properties': {
-        'base': gossip_rows.STAMP,
-        'stamp': gossip_rows.STAMP,
+        'base': gossip_codecs.STAMP_SCHEMA,
+        'stamp': gossip_codecs.STAMP_SCHEMA,
         'changed': schemas.FIELD_TREE,
-        'removed': _REMOVED,
+        'removed': _REMOVED_SCHEMA,
         'change_id': {'type': 'string', 'maxLength': schemas.MAX_TEXT_LENGTH},
     },
 }
-_SCHEMA: Final = {
+_MESSAGE_SCHEMA: Final = {
     'type': 'object',
     'required': ['sender', 'patches'],
     'properties': {
-        'sender': {'type': 'string', 'pattern': gossip_rows.NAME},
-        'patches': {'type': 'array', 'items': _PATCH},
+        'sender': {'type': 'string', 'pattern': gossip_codecs.NAME_PATTERN},
+        'patches': {'type': 'array', 'items': _PATCH_SCHEMA},
     },
 }
 
 
-class Parcel(NamedTuple):
+class PatchMessage(NamedTuple):
     """Hold patches and the member that sends them."""
 
     sender: str
     patches: tuple[patches.Patch, ...]
 
 
-def write(parcel: Parcel) -> bytes:
+def encode_patches(message: PatchMessage) -> bytes:
     """Write patches."""
     row = {
-        'sender': parcel.sender,
-        'patches': [_write_patch(patch) for patch in parcel.patches],
+        'sender': message.sender,
+        'patches': [_encode_patch(patch) for patch in message.patches],
     }
     return json.dumps(row, separators=(',', ':')).encode()
 
 
-def read(body: bytes) -> Parcel | None:
+def decode_patches(body: bytes) -> PatchMessage | None:
     """Read patches; None where they are not of the right shape."""
     try:
-        row = _compile()(json_texts.load(body))
+        row = _compile_validator()(json_texts.load(body))
     except (ValueError, fastjsonschema.JsonSchemaValueException):
         return None
-    found = tuple(_read_patch(patch) for patch in row['patches'])
-    return Parcel(row['sender'], found)
+    decoded = tuple(_decode_patch(patch) for patch in row['patches'])
+    return PatchMessage(row['sender'], decoded)
 
 
-def _write_patch(patch: patches.Patch) -> Mapping[str, object]:
+def _encode_patch(patch: patches.Patch) -> Mapping[str, object]:
     tree = trees.build_stored_tree(patch.changed)
     removed = patch.removed
     row = {
@@ -81,33 +81,33 @@
     }
     if removed == patches.Removed():
         return row
-    gone = {**removed._asdict(), 'targets': dict(removed.targets)}
+    removed_row = {**removed._asdict(), 'targets': dict(removed.targets)}
     if not removed.customers:
-        gone.pop('customers')
-    return {**row, 'removed': gone}
+        removed_row.pop('customers')
+    return {**row, 'removed': removed_row}
 
 
-def _read_patch(row: Mapping[str, Any]) -> patches.Patch:
+def _decode_patch(row: Mapping[str, Any]) -> patches.Patch:
     base = patches.Stamp(*row['base'])
     stamp = patches.Stamp(*row['stamp'])
     changed = trees.build_configuration(row['changed'], stamp.revision)
-    removed = _read_removed(row.get('removed', {}))
+    removed = _decode_removed(row.get('removed', {}))
     return patches.Patch(base, stamp, changed, removed, row['change_id'])
 
 
-def _read_removed(row: Mapping[str, Any]) -> patches.Removed:
+def _decode_removed(row: Mapping[str, Any]) -> patches.Removed:
     targets = row.get('targets', {})
     return patches.Removed(
         tuple(row.get('groups', ())),
         tuple(row.get('selectors', ())),
         tuple(row.get('classes', ())),
-        tuple((group, tuple(gone)) for group, gone in targets.items()),
+        tuple((group, tuple(names)) for group, names in targets.items()),
         tuple(row.get('customers', ())),
     )
 
 
 @functools.cache
-def _compile() -> Callable[[object], Mapping[str, Any]]:
-    check: Callable[[object], Mapping[str, Any]]
-    check = fastjsonschema.compile(_SCHEMA)
-    return check
+def _compile_validator() -> Callable[[object], Mapping[str, Any]]:
+    validate: Callable[[object], Mapping[str, Any]]
+    validate = fastjsonschema.compile(_MESSAGE_SCHEMA)
+    return validate
--- a/fuchsiahaven/core/members/probes.py
+++ b/fuchsiahaven/core/members/probes.py
@@ -14,197 +14,244 @@
 from fuchsiahaven.core.members import member_tables as tables
 from fuchsiahaven.core.members import members
 
-HELPERS: Final = 3
+MAX_HELPERS: Final = 3
 #: After a word from a member this many periods pass before it is accused,
 #: and more after it has refuted an accusation: some cannot reach it, others
 #: can, and it would be accused again and again.
-FRESH_PERIODS: Final = 2
-REFUTED_PERIODS: Final = 10
-_BASE: Final = 10
+CONTACT_GRACE_PERIODS: Final = 2
+REFUTED_GRACE_PERIODS: Final = 10
+_LOGARITHM_BASE: Final = 10
 
 
-def probe_next(state: states.State) -> states.Step:
+def probe_next_partner(state: states.State) -> states.Transition:
     """Probe the partner whose turn it is."""
     partners = state.table.partners
     if not partners:
         return state, ()
-    name = partners[state.turn % len(partners)]
-    return probe(state._replace(turn=state.turn + 1), name)
+    name = partners[state.partner_turn % len(partners)]
+    return probe_member(
+        state._replace(partner_turn=state.partner_turn + 1), name
+    )
 
 
-def probe(state: states.State, name: str) -> states.Step:
+def probe_member(state: states.State, name: str) -> states.Transition:
     """Probe one member."""
     address = state.table.entries[name].member.address
-    return states.ask(state, address, states.Probe(name))
+    return states.start_exchange(state, address, states.Exchange(name))
 
 
-def flush(state: states.State, now: float) -> states.Step:
+def flush_news(state: states.State, now: float) -> states.Transition:
     """Tell the news to all partners."""
-    step: states.Step = (state._replace(flush_at=None, flushed=now), ())
+    transition: states.Transition = (
+        state._replace(next_flush_at=None, last_flush_at=now),
+        (),
+    )
     for name in state.table.partners:
-        asked, actions = probe(step[0], name)
-        step = asked, (*step[1], *actions)
-    return step
+        next_state, actions = probe_member(transition[0], name)
+        transition = next_state, (*transition[1], *actions)
+    return transition
 
 
-def relay(
-    state: states.State, token: int, target: members.Member
-) -> states.Step:
+def relay_probe(
+    state: states.State, token: int, member: members.Member
+) -> states.Transition:
     """Try a member for another host that misses its answer."""
-    return states.ask(
-        state, target.address, states.Probe(target.name, serves=token)
+    return states.start_exchange(
+        state, member.address, states.Exchange(member.name, reply_token=token)
     )
 
 
-def note_lost(
-    state: states.State, lost: states.Probe, now: float, draws: states.Draws
-) -> states.Step:
+def handle_failed_exchange(
+    state: states.State,
+    exchange: states.Exchange,
+    now: float,
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
     """Go on after an exchange without an answer."""
-    if lost.serves is not None:
+    if exchange.reply_token is not None:
         state, gossip = states.build_gossip(state)
         gossip = gossip._replace(reached=False)
-        return state, (messages.Respond(lost.serves, gossip),)
-    if lost.helps:
-        trial = state.trials.get(lost.helps, states.Trial(0))
-        return _count(
-            state, lost.helps, trial._replace(lost=trial.lost + 1), now
+        return state, (messages.Respond(exchange.reply_token, gossip),)
+    if exchange.probed_member:
+        indirect_probe = state.indirect_probes.get(
+            exchange.probed_member, states.IndirectProbe(0)
+        )
+        return _record_indirect_probe(
+            state,
+            exchange.probed_member,
+            indirect_probe._replace(
+                failed_count=indirect_probe.failed_count + 1
+            ),
+            now,
         )
-    if lost.name and not _is_fresh(state, lost.name, now):
-        return _begin_trial(state, lost.name, now, draws)
+    if exchange.name and not _has_recent_traffic(state, exchange.name, now):
+        return _start_indirect_probe(state, exchange.name, now, draw_fraction)
     return state, ()
 
 
-def lose_stale(
-    state: states.State, now: float, draws: states.Draws
-) -> states.Step:
+def expire_exchanges(
+    state: states.State, now: float, draw_fraction: states.DrawFraction
+) -> states.Transition:
     """End exchanges whose end the edge never reported.
 
     A trial that waits for one would be open for ever, and its member, dead
     or not, would never be tried again.
     """
-    step: states.Step = (state, ())
-    for token, probe_of in state.probes.items():
-        if now >= probe_of.until:
-            taken, lost = states.take_probe(step[0], token)
-            assert lost is not None
-            taken, actions = note_lost(taken, lost, now, draws)
-            step = taken, (*step[1], *actions)
-    return step
-
-
-def note_help(
+    transition: states.Transition = (state, ())
+    for token, exchange in state.exchanges.items():
+        if now >= exchange.deadline:
+            next_state, expired = states.end_exchange(transition[0], token)
+            assert expired is not None
+            next_state, actions = handle_failed_exchange(
+                next_state, expired, now, draw_fraction
+            )
+            transition = next_state, (*transition[1], *actions)
+    return transition
+
+
+def handle_helper_answer(
     state: states.State, name: str, reached: bool, now: float
-) -> states.Step:
+) -> states.Transition:
     """Take in what a helper found."""
     if reached:
-        table = tables.note_heard(state.table, name, now)
-        return _end_trial(state, name)._replace(table=table), ()
-    trial = state.trials.get(name)
-    if trial is None:
+        table = tables.record_sign_of_life(state.table, name, now)
+        return _remove_indirect_probe(state, name)._replace(table=table), ()
+    indirect_probe = state.indirect_probes.get(name)
+    if indirect_probe is None:
         return state, ()
-    return _count(state, name, trial._replace(denied=trial.denied + 1), now)
+    return _record_indirect_probe(
+        state,
+        name,
+        indirect_probe._replace(
+            unreached_count=indirect_probe.unreached_count + 1
+        ),
+        now,
+    )
 
 
-def expire_suspects(state: states.State, now: float) -> states.Step:
+def expire_suspects(state: states.State, now: float) -> states.Transition:
     """Take suspects for dead that have had their time."""
-    if state.doubtful:
+    if state.is_resuming:
         return state, ()
-    rules = state.rules
+    timings = state.timings
     present = tables.list_present(state.table)
-    allowed = states.scale(
-        state, rules.suspicion_s * max(1, math.log(len(present), _BASE))
+    suspicion_timeout_s = states.scale_timeout(
+        state,
+        timings.suspicion_timeout_s
+        * max(1, math.log(len(present), _LOGARITHM_BASE)),
     )
-    step: states.Step = (state, ())
+    transition: states.Transition = (state, ())
     for member in present:
         entry = state.table.entries[member.name]
-        suspect = member.standing is members.Standing.SUSPECT
-        if suspect and now - entry.since >= allowed:
-            step = _bury(step, entry, now)
-    return step
-
-
-def _bury(step: states.Step, entry: tables.Entry, now: float) -> states.Step:
-    state, member = step[0], entry.member
-    if state.rules.count_traffic and entry.heard > entry.since:
+        is_suspect = member.standing is members.Standing.SUSPECT
+        if is_suspect and now - entry.standing_since >= suspicion_timeout_s:
+            transition = _expire_suspect(transition, entry, now)
+    return transition
+
+
+def _expire_suspect(
+    transition: states.Transition, entry: tables.Entry, now: float
+) -> states.Transition:
+    state, member = transition[0], entry.member
+    if (
+        state.timings.count_traffic
+        and entry.last_heard_at > entry.standing_since
+    ):
         # It lives; its answer to the suspicion is on its way, or it cannot
         # be reached by some. Taking its place would be wrong in both cases.
-        table = tables.restart(state.table, member.name, now)
-        return state._replace(table=table), step[1]
-    return _set(step, member, members.Standing.DEAD, now)
+        table = tables.reset_standing_since(state.table, member.name, now)
+        return state._replace(table=table), transition[1]
+    return _set_standing(transition, member, members.Standing.DEAD, now)
 
 
-def _begin_trial(
-    state: states.State, name: str, now: float, draws: states.Draws
-) -> states.Step:
-    if name in state.trials or name not in state.table.entries:
+def _start_indirect_probe(
+    state: states.State,
+    name: str,
+    now: float,
+    draw_fraction: states.DrawFraction,
+) -> states.Transition:
+    if name in state.indirect_probes or name not in state.table.entries:
         return state, ()
-    own = state.table.name
+    own_name = state.table.own_name
     others = [
         member
         for member in tables.list_present(state.table)
-        if member.name not in {own, name}
+        if member.name not in {own_name, name}
     ]
-    others.sort(key=lambda _: draws())
-    helpers = others[:HELPERS]
-    trial = states.Trial(len(helpers))
-    step = _count(state, name, trial, now)
+    others.sort(key=lambda _: draw_fraction())
+    helpers = others[:MAX_HELPERS]
+    indirect_probe = states.IndirectProbe(len(helpers))
+    transition = _record_indirect_probe(state, name, indirect_probe, now)
     for helper in helpers:
-        asked, actions = states.ask(
-            step[0], helper.address, states.Probe(helper.name, name)
+        next_state, actions = states.start_exchange(
+            transition[0], helper.address, states.Exchange(helper.name, name)
         )
-        step = asked, (*step[1], *actions)
-    return step
-
-
-def _count(
-    state: states.State, name: str, trial: states.Trial, now: float
-) -> states.Step:
-    if trial.denied + trial.lost < trial.asked:
-        trials = {**state.trials, name: trial}
-        return state._replace(trials=trials), ()
-    state = _end_trial(state, name)
-    member = tables.find(state.table, name)
-    if member is None or member.gone or state.doubtful:
+        transition = next_state, (*transition[1], *actions)
+    return transition
+
+
+def _record_indirect_probe(
+    state: states.State,
+    name: str,
+    indirect_probe: states.IndirectProbe,
+    now: float,
+) -> states.Transition:
+    if (
+        indirect_probe.unreached_count + indirect_probe.failed_count
+        < indirect_probe.helper_count
+    ):
+        indirect_probes = {**state.indirect_probes, name: indirect_probe}
+        return state._replace(indirect_probes=indirect_probes), ()
+    state = _remove_indirect_probe(state, name)
+    member = tables.find_member(state.table, name)
+    if member is None or member.is_gone or state.is_resuming:
         return state, ()
-    isolated = now - state.contact >= state.rules.isolated_s
-    if not trial.denied and not isolated:
+    is_isolated = (
+        now - state.last_contact_at >= state.timings.isolation_timeout_s
+    )
+    if not indirect_probe.unreached_count and not is_isolated:
         # Nobody could be asked, so the trouble may be on this side.
-        return states.add_health(state, 1), ()
+        return states.adjust_slowness(state, 1), ()
     if member.standing is members.Standing.SUSPECT:
         return state, ()
-    return _set((state, ()), member, members.Standing.SUSPECT, now)
+    return _set_standing((state, ()), member, members.Standing.SUSPECT, now)
 
 
-def _end_trial(state: states.State, name: str) -> states.State:
-    trials = {key: it for key, it in state.trials.items() if key != name}
-    return state._replace(trials=trials)
+def _remove_indirect_probe(state: states.State, name: str) -> states.State:
+    indirect_probes = {
+        key: it for key, it in state.indirect_probes.items() if key != name
+    }
+    return state._replace(indirect_probes=indirect_probes)
 
 
-def _set(
-    step: states.Step,
+def _set_standing(
+    transition: states.Transition,
     member: members.Member,
     standing: members.Standing,
     now: float,
-) -> states.Step:
-    state = step[0]
+) -> states.Transition:
+    state = transition[0]
     changed = member._replace(standing=standing)
-    state = state._replace(table=tables.put(state.table, changed, now))
-    state = states.want_flush(state, now)
-    report = messages.Report(f'member is {standing}', member.name)
-    return states.join((state, step[1]), report)
+    state = state._replace(table=tables.set_member(state.table, changed, now))
+    state = states.schedule_flush(state, now)
+    report = messages.ReportMember(f'member is {standing}', member.name)
+    return states.append_actions((state, transition[1]), report)
 
 
-def _is_fresh(state: states.State, name: str, now: float) -> bool:
+def _has_recent_traffic(state: states.State, name: str, now: float) -> bool:
     """Tell whether other traffic speaks for a member that missed a probe.
 
     Following Kea's high availability, a silent partner is held against the
     traffic that comes from it before anything is done about it.
     """
     entry = state.table.entries.get(name)
-    if entry is None or not state.rules.count_traffic:
+    if entry is None or not state.timings.count_traffic:
         return False
-    period_s = state.rules.period_s
-    refuted = entry.member.incarnation > 1 and (
-        now - entry.since < REFUTED_PERIODS * period_s
+    probe_period_s = state.timings.probe_period_s
+    has_refuted = entry.member.incarnation > 1 and (
+        now - entry.standing_since < REFUTED_GRACE_PERIODS * probe_period_s
+    )
+    return (
+        has_refuted
+        or now - entry.last_heard_at < CONTACT_GRACE_PERIODS * probe_period_s
     )
-    return refuted or now - entry.heard < FRESH_PERIODS * period_s
--- a/fuchsiahaven/core/queries/submissions.py
+++ b/fuchsiahaven/core/queries/submissions.py
@@ -126,7 +126,7 @@
     failure = errors.make_failure(
         errors.Kind.PLATFORM_UNAVAILABLE,
         SOURCE,
-        f'the claim took too long; {claims.MAY_STAND}',
+        f'the claim took too long; {claims.MAYBE_CLAIMED_DETAIL}',
         retry_after=NOT_READY_RETRY_AFTER_S,
     )
     return replies.reply(state, token, failure, now)
--- a/fuchsiahaven/edge/claim_members.py
+++ b/fuchsiahaven/edge/claim_members.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import rendezvous
-from fuchsiahaven.core.claims import claim_calls, claim_rows
+from fuchsiahaven.core.claims import claim_calls, claim_codecs
 
 # A member that has not answered is asked again after this long, in seconds.
 AGAIN_S: Final = 5.0
@@ -44,15 +44,15 @@
         return names[0] if silent_until <= self._clock() else ''
 
     def forward(
-        self, call: claim_calls.Forward, owner: str
+        self, call: claim_calls.ForwardSteps, owner: str
     ) -> claim_calls.Result:
         """Ask a member for its verdicts."""
         address = self.listed.addresses.get(owner)
         if address is None:
             return claim_calls.ForwardRefused()
-        batch = claim_rows.Batch(call.key, call.steps)
-        body = self._ask(address, claim_rows.write_batch(batch), TIMEOUT_S)
-        verdicts = body and claim_rows.read_verdicts(body, call.steps)
+        batch = claim_codecs.Batch(call.key, call.steps)
+        body = self._ask(address, claim_codecs.encode_batch(batch), TIMEOUT_S)
+        verdicts = body and claim_codecs.decode_results(body, call.steps)
         if verdicts:
             return verdicts
         self._silent[owner] = self._clock() + AGAIN_S
--- a/fuchsiahaven/edge/claim_platform.py
+++ b/fuchsiahaven/edge/claim_platform.py
@@ -13,7 +13,9 @@
 # A platform that has failed is asked again after this long, in seconds;
 # until then claims are refused without a call.
 REOPEN_S: Final = 0.5
-LEASE_S: Final = 2 * (claims.WINDOW_S + claims.SLOT_S + 2 * claims.SKEW_S)
+LEASE_S: Final = 2 * (
+    claims.MAX_ID_AGE_S + claims.SLOT_S + 2 * claims.MAX_CLOCK_SKEW_S
+)
 DOWN: Final = 'the platform did not answer'
 ASTRAY: Final = "this host's clock differs from the platform's"
 LOST: Final = 'the platform has lost claims of these seconds'
@@ -53,11 +55,11 @@
         self._floor_epoch = 0.0
 
     def make(
-        self, call: claim_calls.Read | claim_calls.Swap
+        self, call: claim_calls.ReadKey | claim_calls.CompareAndSwap
     ) -> claim_calls.Result:
         """Make one call. Raises store.StoreOverBudget."""
         if self._clocks.monotonic() < self.down_until:
-            return claim_calls.Failed(DOWN)
+            return claim_calls.CallFailed(DOWN)
         try:
             result = self._call(call)
         except store.StoreOverBudget:
@@ -73,30 +75,30 @@
         return LOST if lost else ''
 
     def _call(
-        self, call: claim_calls.Read | claim_calls.Swap
+        self, call: claim_calls.ReadKey | claim_calls.CompareAndSwap
     ) -> claim_calls.Result:
-        if isinstance(call, claim_calls.Swap):
+        if isinstance(call, claim_calls.CompareAndSwap):
             lease = self._find_lease(call.key)
             written = self._store.swap(*call, lease)
             return self._check_growth(written.revision)
         entry = self._store.read(call.key)
         if entry is None:
-            return claim_calls.Found(None, 0)
+            return claim_calls.KeyRead(None, 0)
         self._highest = max(self._highest, entry.revision)
-        return claim_calls.Found(entry.value, entry.revision)
+        return claim_calls.KeyRead(entry.value, entry.revision)
 
     def _explain(self, error: store.StoreError) -> claim_calls.Result:
         match error:
             case store.StoreConflict():
-                return claim_calls.Conflict()
+                return claim_calls.WriteConflict()
             case store.StoreUnclear():
-                return claim_calls.Unclear()
+                return claim_calls.WriteUnclear()
             case store.StoreLeaseEnded():
                 self._lease = NO_LEASE
-                return claim_calls.Conflict()
+                return claim_calls.WriteConflict()
         logs.warning(PART, 'the platform is unavailable', cause=error)
         self.down_until = self._clocks.monotonic() + REOPEN_S
-        return claim_calls.Failed(DOWN)
+        return claim_calls.CallFailed(DOWN)
 
     def _check_growth(self, revision: int) -> claim_calls.Result:
         """Refuse a grant where the platform has lost earlier writes.
@@ -108,10 +110,10 @@
         grown = revision > self._highest
         self._highest = revision
         if grown:
-            return claim_calls.Written(revision)
+            return claim_calls.KeyWritten(revision)
         logs.error(PART, 'the platform has lost writes', revision=revision)
         self._floor_epoch = self._clocks.epoch()
-        return claim_calls.Distrusted(LOST)
+        return claim_calls.WriteDistrusted(LOST)
 
     def _check_clock(self, result: claim_calls.Result) -> claim_calls.Result:
         """Refuse claims while this host's clock is far off the platform's.
@@ -124,16 +126,16 @@
         if date_epoch is None:
             return result
         skew_s = self._clocks.epoch() - date_epoch
-        if abs(skew_s) <= claims.SKEW_S:
+        if abs(skew_s) <= claims.MAX_CLOCK_SKEW_S:
             return result
         logs.error(PART, 'the clock of this host is wrong', skew_s=skew_s)
-        if isinstance(result, claim_calls.Written):
-            return claim_calls.Distrusted(ASTRAY)
-        return claim_calls.Failed(ASTRAY)
+        if isinstance(result, claim_calls.KeyWritten):
+            return claim_calls.WriteDistrusted(ASTRAY)
+        return claim_calls.CallFailed(ASTRAY)
 
     def _find_lease(self, key: str) -> str:
         """Find a lease that outlives every use of a key's ids."""
-        until = claims.needed_until(float(key.rpartition('/')[2]))
+        until = claims.compute_key_expiry(float(key.rpartition('/')[2]))
         if self._lease.ends_epoch < until:
             # Counted from before the call, it never ends earlier than this.
             ends = self._clocks.epoch() + LEASE_S
--- a/fuchsiahaven/edge/claim_workers.py
+++ b/fuchsiahaven/edge/claim_workers.py
@@ -19,14 +19,14 @@
 # A host that stops gives the platform this long to take its outcomes.
 FLUSH_S: Final = 1.0
 
-Answer = Callable[[claim_calls.Settled], None]
+Answer = Callable[[claim_calls.StepResult], None]
 
 
 class Step(NamedTuple):
     """Bring one step of a key and who waits for what comes of it."""
 
     key: str
-    pending: claim_calls.Pending
+    pending: claim_calls.PendingStep
     answer: Answer
 
 
@@ -70,7 +70,7 @@
         self._members = members
         self._clock = clock
         self._inbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
-        self._commits: dict[str, commits.Commit] = {}
+        self._commits: dict[str, commits.KeyState] = {}
         self._turns = claim_turns.Turns()
         self._answers: dict[claims.Step, Answer] = {}
         self._granted: dict[str, Granted] = {}
@@ -136,7 +136,7 @@
         known = step.pending.step in self._answers
         self._answers[step.pending.step] = step.answer
         if not known:
-            commit = self._commits.get(step.key, commits.Commit(step.key))
+            commit = self._commits.get(step.key, commits.KeyState(step.key))
             self._commits[step.key] = commits.add_steps(commit, (step.pending,))
             self._turns.add(step.key, 0, self._clock())
 
@@ -150,7 +150,7 @@
         if ending.outcome is not None:
             step = claims.Outcome(*whose, ending.outcome)
             hurry = self._clock() + OUTCOME_WAIT_S
-        pending = claim_calls.Pending(step, ending.give_up, hurry=hurry)
+        pending = claim_calls.PendingStep(step, ending.give_up, write_at=hurry)
         self._add(Step(ending.key, pending, _ignore))
 
     def _advance(self, key: str, now: float) -> None:
@@ -161,27 +161,27 @@
         if obstacle and commits.has_attempts(commit):
             self._settle(key, commits.refuse_attempts(commit, obstacle, now))
             return
-        commit, call, settled = commits.next_call(
+        commit, call, settled = commits.choose_next_call(
             commit, now, forward=bool(owner)
         )
         self._settle(key, (commit, settled))
         if call is None:
             return
         try:
-            if isinstance(call, claim_calls.Forward):
+            if isinstance(call, claim_calls.ForwardSteps):
                 result = self._members.forward(call, owner)
             else:
                 result = self._platform.make(call)
         except store.StoreOverBudget as refusal:
             # The steps wait, and so more of them go together in one write.
             self._hold_until = now + refusal.retry_after
-            self._commits[key] = commits.delay(commit)
+            self._commits[key] = commits.record_delay(commit)
             return
-        step = commits.note_result(commit, result, self._clock())
+        step = commits.handle_result(commit, result, self._clock())
         self._settle(key, step)
 
     def _settle(
-        self, key: str, step: tuple[commits.Commit, claim_calls.Settlements]
+        self, key: str, step: tuple[commits.KeyState, claim_calls.StepResults]
     ) -> None:
         commit, settled = step
         self._commits[key] = commit
@@ -190,18 +190,18 @@
             answer = self._answers.pop(one.pending.step, None)
             if answer is not None:
                 answer(one)
-        due = commits.next_hurry(commit)
+        due = commits.compute_next_write_at(commit)
         if due < math.inf:
             due = max(due, self._platform.down_until)
             self._turns.add(key, due, self._clock())
 
-    def _note_grant(self, one: claim_calls.Settled) -> None:
+    def _note_grant(self, one: claim_calls.StepResult) -> None:
         step = one.pending.step
         granted = one.result is messages.ClaimResult.GRANTED
-        if granted and one.pending.own and isinstance(step, claims.Attempt):
-            forget = self._clock() + claims.WINDOW_S
+        if granted and one.pending.is_own and isinstance(step, claims.Attempt):
+            forget = self._clock() + claims.MAX_ID_AGE_S
             self._granted[step.request_id] = Granted(step.nonce, forget)
 
 
-def _ignore(settled: claim_calls.Settled) -> None:
+def _ignore(settled: claim_calls.StepResult) -> None:
     """Let nobody wait for an outcome to be kept."""
--- a/fuchsiahaven/edge/claims.py
+++ b/fuchsiahaven/edge/claims.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from fuchsiahaven.core import rates, request_ids
-from fuchsiahaven.core.claims import claim_calls, claim_rows, claims
+from fuchsiahaven.core.claims import claim_calls, claim_codecs, claims
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
     claim_members,
@@ -20,7 +20,7 @@
 # One worker for each bucket. As one member of a data centre writes a bucket
 # for all, the rates bound what a data centre costs the platform, whatever its
 # number of hosts; past them more claims go in each write.
-WORKERS: Final = claims.BUCKETS
+WORKERS: Final = claims.BUCKET_COUNT
 _READS_PER_S: Final = 50.0
 _WRITES_PER_S: Final = 25.0
 LIMITS: Final = store.Limits(
@@ -98,7 +98,7 @@
         What is not settled in time is left out, and the member finds out by
         itself.
         """
-        batch = claim_rows.read_batch(body)
+        batch = claim_codecs.decode_batch(body)
         now_epoch = self._clocks.epoch()
         if batch is None or not all(
             _belongs(step.request_id, batch.key, now_epoch)
@@ -106,29 +106,29 @@
         ):
             return None
         if not self._places.acquire(blocking=False):
-            return claim_rows.write_verdicts(())
+            return claim_codecs.encode_results(())
         try:
             return self._write(batch)
         finally:
             self._places.release()
 
-    def _write(self, batch: claim_rows.Batch) -> bytes:
-        answers: queue.SimpleQueue[claim_calls.Settled] = queue.SimpleQueue()
+    def _write(self, batch: claim_codecs.Batch) -> bytes:
+        answers: queue.SimpleQueue[claim_calls.StepResult] = queue.SimpleQueue()
         give_up = self._clocks.monotonic() + MEMBER_WAIT_S
         worker = self._find_worker(batch.key)
         for step in batch.steps:
-            pending = claim_calls.Pending(step, give_up, own=False)
+            pending = claim_calls.PendingStep(step, give_up, is_own=False)
             worker.post(claim_workers.Step(batch.key, pending, answers.put))
-        settled: list[claim_calls.Settled] = []
+        settled: list[claim_calls.StepResult] = []
         with contextlib.suppress(queue.Empty):
             while len(settled) < len(batch.steps):
                 left = give_up - self._clocks.monotonic()
                 settled.append(answers.get(timeout=max(0.0, left)))
-        return claim_rows.write_verdicts(tuple(settled))
+        return claim_codecs.encode_results(tuple(settled))
 
     def _claim(self, asked: messages.Claim, time_epoch: float | None) -> None:
         epoch = self._clocks.epoch()
-        if time_epoch is None or not claims.in_window(time_epoch, epoch):
+        if time_epoch is None or not claims.is_claimable(time_epoch, epoch):
             expired = messages.ClaimSettled(
                 asked.token,
                 messages.ClaimResult.EXPIRED,
@@ -140,20 +140,20 @@
         not_after = epoch + asked.deadline - self._clocks.monotonic()
         nonce = secrets.token_urlsafe(NONCE_BYTES)
         attempt = claims.Attempt(asked.request_id, nonce, not_after)
-        key = claims.find_key(asked.request_id, time_epoch)
+        key = claims.make_key(asked.request_id, time_epoch)
 
-        def answer(settled: claim_calls.Settled) -> None:
+        def answer(settled: claim_calls.StepResult) -> None:
             self._post(_tell(asked.token, settled, self._clocks.epoch()))
 
-        pending = claim_calls.Pending(attempt, asked.deadline)
+        pending = claim_calls.PendingStep(attempt, asked.deadline)
         self._find_worker(key).post(claim_workers.Step(key, pending, answer))
 
     def _keep(
         self, request_id: str, time_epoch: float | None, outcome: str | None
     ) -> None:
         assert time_epoch is not None
-        key = claims.find_key(request_id, time_epoch)
-        left = time_epoch + claims.WINDOW_S - self._clocks.epoch()
+        key = claims.make_key(request_id, time_epoch)
+        left = time_epoch + claims.MAX_ID_AGE_S - self._clocks.epoch()
         ending = claim_workers.Ending(
             key, request_id, outcome, self._clocks.monotonic() + left
         )
@@ -168,15 +168,15 @@
     # A host that finds another key for an id would let it run twice, and so
     # would one whose clock is so far behind that the key has gone.
     time_epoch = request_ids.parse_epoch(request_id)
-    if time_epoch is None or now_epoch >= claims.needed_until(time_epoch):
+    if time_epoch is None or now_epoch >= claims.compute_key_expiry(time_epoch):
         return False
-    return claims.find_key(request_id, time_epoch) == key
+    return claims.make_key(request_id, time_epoch) == key
 
 
 def _tell(
-    token: int, settled: claim_calls.Settled, now_epoch: float
+    token: int, settled: claim_calls.StepResult, now_epoch: float
 ) -> messages.ClaimSettled:
-    held = settled.held
+    held = settled.claim
     told = messages.ClaimSettled(
         token,
         settled.result,
@@ -185,7 +185,9 @@
         request_id=settled.pending.step.request_id,
     )
     if settled.maybe_written:
-        told = told._replace(detail=f'{told.detail}; {claims.MAY_STAND}')
+        told = told._replace(
+            detail=f'{told.detail}; {claims.MAYBE_CLAIMED_DETAIL}'
+        )
     if held is None:
         return told
     return told._replace(
--- a/fuchsiahaven/edge/control.py
+++ b/fuchsiahaven/edge/control.py
@@ -19,7 +19,7 @@
     member_tables,
     members,
     membership,
-    patch_rows,
+    patch_codecs,
 )
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
@@ -129,7 +129,7 @@
 
     def announce_stop(self) -> None:
         """Tell the members that this host is about to stop."""
-        self.gossip.post(member_messages.LeaveAsked())
+        self.gossip.post(member_messages.LeaveRequested())
 
     def explain(self) -> str:
         """Say why this host cannot serve yet; empty where it can."""
@@ -146,9 +146,9 @@
         told = self._links.door.prove()
         return None if told is None else proof_exchange.encode_answer(told)
 
-    def take_patches(self, parcel: patch_rows.Parcel) -> patches.Stamp:
+    def take_patches(self, parcel: patch_codecs.PatchMessage) -> patches.Stamp:
         """Take patches that were pushed; return what is in force."""
-        self.gossip.post(member_messages.Noticed(parcel.sender))
+        self.gossip.post(member_messages.TrafficReceived(parcel.sender))
         for patch in parcel.patches:
             self.revisions.post(
                 revision_messages.PatchReceived(parcel.sender, patch)
@@ -168,14 +168,14 @@
         return {
             'host': self.name,
             'data_centre': self._chosen.host.data_centre,
-            'state': member_tables.read_own(table).standing,
+            'state': member_tables.get_own(table).standing,
             'revision': state.in_force.stamp.revision,
             'digest': state.in_force.stamp.digest,
             'watches': revisions.is_watcher(state),
             'faults': dict(state.faults),
             'obstacle': self.explain(),
             **_describe_keys(self._links.door.freshness),
-            'health': self.gossip.state.health,
+            'health': self.gossip.state.slowness,
             'members': [member._asdict() for member in sorted(known)],
             **({'quarantined': held} if held else {}),
         }
@@ -185,18 +185,19 @@
     ) -> None:
         self._links.door.note(stamped)
         self._links.post(messages.ConfigurationReceived(stamped.configuration))
-        self.gossip.post(member_messages.Enforced(stamped.stamp))
+        self.gossip.post(member_messages.ConfigurationInForce(stamped.stamp))
 
     def _take_members(
-        self, told: member_messages.Listed | member_messages.Heard
+        self,
+        told: member_messages.MembersListed | member_messages.StampReceived,
     ) -> None:
         match told:
-            case member_messages.Listed(live, staying):
+            case member_messages.MembersListed(live, staying):
                 self._links.post(messages.MembersChanged(live, self.name))
                 self._links.note_members(self._list_staying(staying))
                 self.revisions.post(revision_messages.MembersListed(staying))
                 self._lister.members = len(live)
-            case member_messages.Heard():
+            case member_messages.StampReceived():
                 self.revisions.post(revision_messages.StampReceived(*told))
 
     def _take_listing(self, listing: hostlist.Listing) -> None:
@@ -207,7 +208,7 @@
             if entry.data_centre == self._chosen.host.data_centre
             and not entry.leaving
         )
-        self.gossip.post(member_messages.Seeded(seeds))
+        self.gossip.post(member_messages.SeedsFound(seeds))
 
     def _list_staying(self, staying: tuple[str, ...]) -> claim_members.Listed:
         places = {name: self._find_address(name) for name in staying}
@@ -217,11 +218,11 @@
         )
 
     def _find_address(self, name: str) -> str | None:
-        member = member_tables.find(self.gossip.state.table, name)
+        member = member_tables.find_member(self.gossip.state.table, name)
         return member.address if member else None
 
     def _say_farewell(self) -> None:
-        self.gossip.post(member_messages.EndAsked())
+        self.gossip.post(member_messages.ServingEnded())
         # Members that miss it find out by suspicion, some seconds later.
         self.gossip.wait_told(FAREWELL_S)
 
--- a/fuchsiahaven/edge/gossip.py
+++ b/fuchsiahaven/edge/gossip.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
-from fuchsiahaven.core.members import gossip_rows, membership
+from fuchsiahaven.core.members import gossip_codecs, membership
 from fuchsiahaven.core.members import member_messages as messages
 from fuchsiahaven.core.members import member_states as states
 from fuchsiahaven.edge import peer_calls, workers
@@ -44,7 +44,7 @@
 
 
 Message = messages.Event | Request | Stopped
-Sink = Callable[[messages.Listed | messages.Heard], None]
+Sink = Callable[[messages.MembersListed | messages.StampReceived], None]
 
 
 class Task:
@@ -81,7 +81,7 @@
         # The first look may come before the task has taken its inbox in.
         while time.monotonic() < give_up:
             time.sleep(POLL_S)
-            if not self.state.probes and not self.state.flush_at:
+            if not self.state.exchanges and not self.state.next_flush_at:
                 return
 
     def run(self) -> None:
@@ -94,7 +94,7 @@
         try:
             message = self._inbox.get(timeout=TICK_S)
         except queue.Empty:
-            message = messages.Ticked()
+            message = messages.Tick()
         now = time.monotonic()
         match message:
             case Stopped():
@@ -102,49 +102,51 @@
             case Request(gossip, reply_to):
                 self._last_token += 1
                 self._waiting[self._last_token] = Waiting(reply_to, now)
-                received = messages.Received(self._last_token, gossip)
+                received = messages.RequestReceived(self._last_token, gossip)
                 self._handle(received, now, pool)
             case _:
                 self._handle(message, now, pool)
-        self._handle(messages.Ticked(), now, pool)
+        self._handle(messages.Tick(), now, pool)
         self._drop_stale(now)
 
     def _handle(
         self, event: messages.Event, now: float, pool: workers.Workers
     ) -> None:
-        state, actions = membership.handle(self.state, event, now, self._draws)
+        state, actions = membership.handle_event(
+            self.state, event, now, self._draws
+        )
         self.state = state
         for action in actions:
             self._act(action, pool)
 
     def _act(self, action: messages.Action, pool: workers.Workers) -> None:
         match action:
-            case messages.Ask():
+            case messages.SendRequest():
                 pool.ask(functools.partial(self._ask, action))
             case messages.Respond(token, gossip):
                 waiting = self._waiting.pop(token, None)
                 if waiting is not None:
                     waiting.reply_to.put(gossip)
-            case messages.Listed() | messages.Heard():
+            case messages.MembersListed() | messages.StampReceived():
                 self._sink(action)
-            case messages.Report(text, name, urgent):
+            case messages.ReportMember(text, name, urgent):
                 tell = logs.error if urgent else logs.info
                 tell(PART, text, member=name)
 
-    def _ask(self, ask: messages.Ask) -> None:
+    def _ask(self, ask: messages.SendRequest) -> None:
         request = peer_calls.Request(
             'POST',
             ask.address,
             PATH,
-            gossip_rows.write(ask.gossip),
+            gossip_codecs.encode_gossip(ask.gossip),
             ask.timeout_s,
         )
         body = self._caller.call(request)
-        gossip = None if body is None else gossip_rows.read(body)
+        gossip = None if body is None else gossip_codecs.decode_gossip(body)
         if gossip is None:
-            self.post(messages.Lost(ask.token))
+            self.post(messages.ExchangeFailed(ask.token))
         else:
-            self.post(messages.Answered(ask.token, gossip))
+            self.post(messages.ExchangeAnswered(ask.token, gossip))
 
     def _drop_stale(self, now: float) -> None:
         # A pause drops the relays under way, whose answers never come then.
--- a/fuchsiahaven/edge/openings.py
+++ b/fuchsiahaven/edge/openings.py
@@ -36,12 +36,12 @@
     server: wsgi.Server
 
 
-def read_rules(chosen: settings.Settings) -> member_states.Rules:
+def read_rules(chosen: settings.Settings) -> member_states.Timings:
     """Take the times of membership from the settings."""
     own = chosen.peers
-    return member_states.Rules(
-        period_s=own.interval_ms / MILLISECONDS,
-        timeout_s=own.timeout_ms / MILLISECONDS,
+    return member_states.Timings(
+        probe_period_s=own.interval_ms / MILLISECONDS,
+        probe_timeout_s=own.timeout_ms / MILLISECONDS,
     )
 
 
--- a/fuchsiahaven/edge/patch_calls.py
+++ b/fuchsiahaven/edge/patch_calls.py
@@ -6,7 +6,7 @@
 from fuchsiahaven.core import json_texts
 from fuchsiahaven.core.configuration import patches
 from fuchsiahaven.core.configuration import revision_messages as messages
-from fuchsiahaven.core.members import patch_rows
+from fuchsiahaven.core.members import patch_codecs
 from fuchsiahaven.edge import peer_calls
 
 PATH: Final = '/v1/configuration'
@@ -33,7 +33,9 @@
         self, member: str, patch: patches.Patch
     ) -> messages.MemberUnreachable | messages.StampReceived:
         """Send a patch; give back what the member had in force."""
-        body = patch_rows.write(patch_rows.Parcel(self._name, (patch,)))
+        body = patch_codecs.encode_patches(
+            patch_codecs.PatchMessage(self._name, (patch,))
+        )
         answer = self._call('POST', member, PATH, body, PUSH_S)
         stamp = None if answer is None else _read_stamp(answer)
         if stamp is None:
@@ -50,7 +52,7 @@
             return messages.MemberUnreachable(member)
         if not answer:
             return messages.PullAnswered(member, ())
-        parcel = patch_rows.read(answer)
+        parcel = patch_codecs.decode_patches(answer)
         if parcel is None:
             return messages.MemberUnreachable(member)
         return messages.PullAnswered(member, parcel.patches)
--- a/fuchsiahaven/edge/peer_calls.py
+++ b/fuchsiahaven/edge/peer_calls.py
@@ -15,7 +15,7 @@
 KEPT_HOSTS: Final = 24
 #: One each for gossip, for configuration and for the buckets of claims, all of
 #: which may call side by side; opening one anew costs a handshake.
-KEPT_CONNECTIONS: Final = 2 + claims.BUCKETS
+KEPT_CONNECTIONS: Final = 2 + claims.BUCKET_COUNT
 _CHUNK: Final = 65_536
 _GOOD: Final = frozenset((http.HTTPStatus.OK, http.HTTPStatus.NO_CONTENT))
 
--- a/fuchsiahaven/edge/peers.py
+++ b/fuchsiahaven/edge/peers.py
@@ -10,7 +10,11 @@
 
 from fuchsiahaven.core import addresses, errors
 from fuchsiahaven.core.configuration import patches
-from fuchsiahaven.core.members import gossip_rows, member_messages, patch_rows
+from fuchsiahaven.core.members import (
+    gossip_codecs,
+    member_messages,
+    patch_codecs,
+)
 from fuchsiahaven.edge import ports, requests, tls
 
 JSON: Final = 'application/json'
@@ -35,7 +39,7 @@
     ) -> member_messages.Gossip | None:
         """Answer gossip; None where this host is too busy."""
 
-    def take_patches(self, parcel: patch_rows.Parcel) -> patches.Stamp:
+    def take_patches(self, parcel: patch_codecs.PatchMessage) -> patches.Stamp:
         """Take patches that were pushed; return what is in force."""
 
     def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
@@ -109,12 +113,12 @@
         return http.HTTPStatus.OK, answer
 
     def _exchange(self, body: bytes) -> bytes | None:
-        gossip = gossip_rows.read(body)
+        gossip = gossip_codecs.decode_gossip(body)
         answer = None if gossip is None else self._host.exchange(gossip)
-        return None if answer is None else gossip_rows.write(answer)
+        return None if answer is None else gossip_codecs.encode_gossip(answer)
 
     def _take_patches(self, body: bytes) -> bytes | None:
-        parcel = patch_rows.read(body)
+        parcel = patch_codecs.decode_patches(body)
         if parcel is None:
             return None
         stamp = self._host.take_patches(parcel)
@@ -130,8 +134,8 @@
         found = self._host.find_patches(stamp)
         if not found:
             return http.HTTPStatus.NO_CONTENT, b''
-        parcel = patch_rows.Parcel(self._name, found)
-        return http.HTTPStatus.OK, patch_rows.write(parcel)
+        parcel = patch_codecs.PatchMessage(self._name, found)
+        return http.HTTPStatus.OK, patch_codecs.encode_patches(parcel)
 
 
 def make_server(
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -14,7 +14,7 @@
     patches,
     trees,
 )
-from fuchsiahaven.core.members import patch_rows
+from fuchsiahaven.core.members import patch_codecs
 from fuchsiahaven.edge import editor
 from fuchsiahaven.operate import (
     connections,
@@ -145,7 +145,7 @@
     )
     if isinstance(response, host_client.NoResponse):
         return None
-    parcel = patch_rows.read(json.dumps(response.body).encode())
+    parcel = patch_codecs.decode_patches(json.dumps(response.body).encode())
     held: patches.StampedConfiguration | None = patches.EMPTY
     for patch in parcel.patches if parcel else ():
         held = patches.apply_patch(patch, held) if held else None
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -5,117 +5,134 @@
 from fuchsiahaven.core.claims import claim_calls, claims, commits
 from fuchsiahaven.core.targets import messages
 
-ID = '01936d3a-5001-7abc-8def-0123456789ab'
-TIME = 0x1936D3A5001 / 1000
-FIRST = claims.Attempt(ID, 'first', TIME + 1)
-SECOND = claims.Attempt(ID, 'second', TIME + 2)
+REQUEST_ID = '01936d3a-5001-7abc-8def-0123456789ab'
+ID_EPOCH = 0x1936D3A5001 / 1000
+FIRST_ATTEMPT = claims.Attempt(REQUEST_ID, 'first', ID_EPOCH + 1)
+SECOND_ATTEMPT = claims.Attempt(REQUEST_ID, 'second', ID_EPOCH + 2)
 
 
-def apply(*steps: claims.Step) -> tuple[claims.Ledger, list[str]]:
-    applied = claims.add_claims(claims.EMPTY, steps)
-    return applied.ledger, [ruling.verdict for ruling in applied.rulings]
+def apply_steps(*steps: claims.Step) -> tuple[claims.Ledger, list[str]]:
+    applied = claims.apply_steps(claims.EMPTY_LEDGER, steps)
+    return applied.ledger, [decision.verdict for decision in applied.decisions]
 
 
-def fly(
+def start_write(
     attempt: claims.Attempt, *, own: bool = True, value: str | None = None
-) -> commits.Commit:
+) -> commits.KeyState:
     """Bring a key to where a write of the attempt is under way."""
-    pending = claim_calls.Pending(attempt, give_up=10, own=own)
-    commit = commits.add_steps(commits.Commit('k'), (pending,))
-    commit, _, _ = commits.next_call(commit, 0, forward=False)
-    commit, _ = commits.note_result(commit, claim_calls.Found(value, 0), 0)
-    commit, call, _ = commits.next_call(commit, 0, forward=False)
-    assert isinstance(call, claim_calls.Swap)
-    return commit
+    pending = claim_calls.PendingStep(attempt, deadline=10, is_own=own)
+    state = commits.add_steps(commits.KeyState('k'), (pending,))
+    state, _, _ = commits.choose_next_call(state, 0, forward=False)
+    state, _ = commits.handle_result(state, claim_calls.KeyRead(value, 0), 0)
+    state, call, _ = commits.choose_next_call(state, 0, forward=False)
+    assert isinstance(call, claim_calls.CompareAndSwap)
+    return state
 
 
-def test_every_host_finds_the_same_key() -> None:
-    key = claims.find_key(ID, TIME)
-    assert key == claims.find_key(ID, TIME + 0.001)
-    assert key.endswith(f'/{int(TIME // 2) * 2}')
+def test_every_host_makes_the_same_key() -> None:
+    key = claims.make_key(REQUEST_ID, ID_EPOCH)
+    assert key == claims.make_key(REQUEST_ID, ID_EPOCH + 0.001)
+    assert key.endswith(f'/{int(ID_EPOCH // 2) * 2}')
 
 
-def test_the_window_ends_before_the_key_goes() -> None:
+def test_keys_outlive_the_ids_they_hold() -> None:
     """Keep a key for as long as any host takes one of its ids.
 
     Symptom: a refund runs twice, five minutes apart. Sequence: the key goes
     with its lease while a host whose clock is behind still takes the id.
     Cause: the lease ended with the window and left no room for the clocks.
     """
-    last = TIME + claims.WINDOW_S
-    assert claims.in_window(TIME, last)
-    assert not claims.in_window(TIME, last + 0.1)
-    assert not claims.in_window(TIME, TIME - claims.AHEAD_S - 0.1)
-    assert claims.needed_until(TIME) >= last + 2 * claims.SKEW_S
+    last_epoch = ID_EPOCH + claims.MAX_ID_AGE_S
+    assert claims.is_claimable(ID_EPOCH, last_epoch)
+    assert not claims.is_claimable(ID_EPOCH, last_epoch + 0.1)
+    assert not claims.is_claimable(
+        ID_EPOCH, ID_EPOCH - claims.MAX_ID_AHEAD_S - 0.1
+    )
+    assert (
+        claims.compute_key_expiry(ID_EPOCH)
+        >= last_epoch + 2 * claims.MAX_CLOCK_SKEW_S
+    )
 
 
-def test_the_first_claim_stands_and_answers() -> None:
+def test_first_attempt_is_granted_and_keeps_its_outcome() -> None:
     text = '{"rows": []}'
-    ledger, verdicts = apply(FIRST, SECOND, claims.Outcome(ID, 'first', text))
+    ledger, verdicts = apply_steps(
+        FIRST_ATTEMPT, SECOND_ATTEMPT, claims.Outcome(REQUEST_ID, 'first', text)
+    )
     assert verdicts == ['granted', 'held', 'noted']
     assert claims.decode_ledger(
         claims.encode_ledger(ledger)
-    ) == ledger._replace(size=len(claims.encode_ledger(ledger)))
-    assert ledger.held[ID].outcome == text
+    ) == ledger._replace(size_bytes=len(claims.encode_ledger(ledger)))
+    assert ledger.claims[REQUEST_ID].outcome == text
 
 
 @pytest.mark.parametrize(
-    'step', [claims.Return(ID, 'second'), claims.Outcome(ID, 'second', 'x')]
+    'step',
+    [
+        claims.Return(REQUEST_ID, 'second'),
+        claims.Outcome(REQUEST_ID, 'second', 'x'),
+    ],
 )
-def test_another_attempt_changes_nothing(step: claims.Step) -> None:
+def test_other_attempts_cannot_return_or_end_a_claim(step: claims.Step) -> None:
     """Let only an attempt itself give its claim back or end it.
 
     Symptom: a refund runs twice. Sequence: a refused second attempt gives
     the id back while the first one runs. Cause: no nonce was compared.
     """
-    ledger, _ = apply(FIRST, step)
-    assert ledger.held[ID] == claims.Held('first', FIRST.not_after_epoch)
+    ledger, _ = apply_steps(FIRST_ATTEMPT, step)
+    assert ledger.claims[REQUEST_ID] == claims.Claim(
+        'first', FIRST_ATTEMPT.not_after_epoch
+    )
 
 
-def test_a_claim_that_ran_cannot_be_given_back() -> None:
+def test_a_claim_that_ran_cannot_be_returned() -> None:
     """Keep a claim whose attempt has said that it ran.
 
     Symptom: a refund runs twice. Sequence: an outcome is recorded, then a
     stale return of the same attempt arrives through a member. Cause: the
     return looked at the nonce alone.
     """
-    done = claims.Outcome(ID, 'first', '{}')
-    ledger, _ = apply(FIRST, done, claims.Return(ID, 'first'))
-    assert ledger.held[ID].stage is claims.Stage.DONE
+    outcome = claims.Outcome(REQUEST_ID, 'first', '{}')
+    ledger, _ = apply_steps(
+        FIRST_ATTEMPT, outcome, claims.Return(REQUEST_ID, 'first')
+    )
+    assert ledger.claims[REQUEST_ID].stage is claims.Stage.DONE
 
 
-def test_a_full_slot_refuses_and_outcomes_leave_room() -> None:
+def test_a_full_ledger_refuses_claims_and_drops_long_outcomes() -> None:
     """Refuse a claim beyond the value's bound, and keep what stands.
 
     Symptom: the platform refuses every write of a slot, and recorded
     claims can no longer be added to. Sequence: very many claims or long
     answers within ten seconds. Cause: a value without a bound.
     """
-    long = claims.Outcome(ID, 'first', 'x' * claims.OUTCOME_LIMIT)
-    ledger, _ = apply(FIRST, long)
-    assert ledger.held[ID].stage is claims.Stage.DONE
-    assert ledger.held[ID].outcome is None
-    full = ledger._replace(size=claims.VALUE_LIMIT)
-    other = FIRST._replace(request_id='other')
-    applied = claims.add_claims(full, (other, FIRST))
-    verdicts = [ruling.verdict for ruling in applied.rulings]
+    long_outcome = claims.Outcome(
+        REQUEST_ID, 'first', 'x' * claims.MAX_OUTCOME_BYTES
+    )
+    ledger, _ = apply_steps(FIRST_ATTEMPT, long_outcome)
+    assert ledger.claims[REQUEST_ID].stage is claims.Stage.DONE
+    assert ledger.claims[REQUEST_ID].outcome is None
+    full = ledger._replace(size_bytes=claims.MAX_LEDGER_BYTES)
+    other_attempt = FIRST_ATTEMPT._replace(request_id='other')
+    applied = claims.apply_steps(full, (other_attempt, FIRST_ATTEMPT))
+    verdicts = [decision.verdict for decision in applied.decisions]
     assert verdicts == ['full', 'granted']
-    assert applied.ledger.held == ledger.held
+    assert applied.ledger.claims == ledger.claims
 
 
-def test_a_garbled_ledger_grants_nothing() -> None:
-    twice = f'["{ID}","a",1,0,null]'
-    for text in ('', '[]', f'{{"version":1,"claims":[{twice},{twice}]}}'):
-        commit = commits.Commit('k')
-        pending = claim_calls.Pending(FIRST, give_up=10)
-        commit = commits.add_steps(commit, (pending,))
-        commit, _, _ = commits.next_call(commit, 0, forward=False)
-        found = claim_calls.Found(text, 3)
-        _, settled = commits.note_result(commit, found, 0)
-        assert settled[0].result is messages.ClaimResult.UNAVAILABLE
+def test_a_malformed_ledger_grants_nothing() -> None:
+    entry = f'["{REQUEST_ID}","a",1,0,null]'
+    for text in ('', '[]', f'{{"version":1,"claims":[{entry},{entry}]}}'):
+        state = commits.KeyState('k')
+        pending = claim_calls.PendingStep(FIRST_ATTEMPT, deadline=10)
+        state = commits.add_steps(state, (pending,))
+        state, _, _ = commits.choose_next_call(state, 0, forward=False)
+        key_read = claim_calls.KeyRead(text, 3)
+        _, results = commits.handle_result(state, key_read, 0)
+        assert results[0].result is messages.ClaimResult.UNAVAILABLE
 
 
-def test_a_write_on_its_way_is_not_called_unwritten() -> None:
+def test_a_write_under_way_may_be_written() -> None:
     """Say of a claim that may still arrive that it may stand.
 
     Symptom: a caller is told that the id is free, and it never is again.
@@ -123,20 +140,24 @@
     platform goes down; the write arrives. Cause: a read at the same
     revision was taken for proof that the write was lost.
     """
-    commit, _ = commits.note_result(fly(FIRST), claim_calls.Unclear(), 0)
-    commit, _, _ = commits.next_call(commit, 0, forward=False)
-    commit, _ = commits.note_result(commit, claim_calls.Found(None, 0), 0)
-    commit, call, _ = commits.next_call(commit, 0, forward=False)
-    assert isinstance(call, claim_calls.Swap)
-    commit, settled = commits.note_result(commit, claim_calls.Failed('down'), 0)
-    assert settled[0].result is messages.ClaimResult.UNAVAILABLE
-    assert settled[0].maybe_written
+    state, _ = commits.handle_result(
+        start_write(FIRST_ATTEMPT), claim_calls.WriteUnclear(), 0
+    )
+    state, _, _ = commits.choose_next_call(state, 0, forward=False)
+    state, _ = commits.handle_result(state, claim_calls.KeyRead(None, 0), 0)
+    state, call, _ = commits.choose_next_call(state, 0, forward=False)
+    assert isinstance(call, claim_calls.CompareAndSwap)
+    state, results = commits.handle_result(
+        state, claim_calls.CallFailed('down'), 0
+    )
+    assert results[0].result is messages.ClaimResult.UNAVAILABLE
+    assert results[0].maybe_written
     # The host offers the id again by giving the claim back later on.
-    returns = [pending.step for pending in commit.queued]
-    assert returns == [claims.Return(ID, 'first')]
+    returns = [pending.step for pending in state.queued]
+    assert returns == [claims.Return(REQUEST_ID, 'first')]
 
 
-def test_a_member_never_gives_back_the_claim_of_another_host() -> None:
+def test_a_member_never_returns_the_claim_of_another_host() -> None:
     """Leave a claim alone that was written for another host.
 
     Symptom: a refund runs twice. Sequence: a member writes the claim for a
@@ -144,15 +165,17 @@
     member gives the claim back, and a third host claims and sends. Cause:
     the member took its own lost answer for the host's.
     """
-    commit, _ = commits.note_result(
-        fly(FIRST, own=False), claim_calls.Unclear(), 0
+    state, _ = commits.handle_result(
+        start_write(FIRST_ATTEMPT, own=False), claim_calls.WriteUnclear(), 0
+    )
+    state, results = commits.handle_result(
+        state, claim_calls.CallFailed('down'), 0
     )
-    commit, settled = commits.note_result(commit, claim_calls.Failed('down'), 0)
-    assert settled[0].maybe_written
-    assert commit.queued == ()
+    assert results[0].maybe_written
+    assert state.queued == ()
 
 
-def test_unknown_is_never_told_from_memory() -> None:
+def test_a_held_claim_is_reread_before_it_counts_as_unknown() -> None:
     """Read a held claim again before calling its outcome unknown.
 
     Symptom: a repeat is told that the outcome is unknown although it has
@@ -160,16 +183,16 @@
     recorded the outcome, the repeat arrives here. Cause: the answer came
     from the copy of the last read.
     """
-    ledger, _ = apply(FIRST)
-    commit = commits.Commit('k', known=commits.Known(ledger, 4))
-    pending = claim_calls.Pending(SECOND, give_up=10)
-    commit = commits.add_steps(commit, (pending,))
-    _, call, settled = commits.next_call(commit, 0, forward=False)
-    assert call == claim_calls.Read('k')
-    assert settled == ()
+    ledger, _ = apply_steps(FIRST_ATTEMPT)
+    state = commits.KeyState('k', base=commits.LedgerRevision(ledger, 4))
+    pending = claim_calls.PendingStep(SECOND_ATTEMPT, deadline=10)
+    state = commits.add_steps(state, (pending,))
+    _, call, results = commits.choose_next_call(state, 0, forward=False)
+    assert call == claim_calls.ReadKey('k')
+    assert results == ()
 
 
-def test_a_contended_key_is_read_right_before_its_write() -> None:
+def test_a_contended_key_is_reread_before_a_delayed_write() -> None:
     """Read a key anew where the write had to wait and others write it too.
 
     Symptom: claims time out although nothing is down. Sequence: several
@@ -177,11 +200,15 @@
     revision that has passed; then again. Cause: the wait lay between the
     read and the write.
     """
-    commit, _ = commits.note_result(fly(FIRST), claim_calls.Conflict(), 0)
-    commit, _, _ = commits.next_call(commit, 0, forward=False)
-    commit, _ = commits.note_result(commit, claim_calls.Found(None, 0), 0)
-    commit, call, _ = commits.next_call(commit, 0, forward=False)
-    assert isinstance(call, claim_calls.Swap)
-    commit, call, _ = commits.next_call(commits.delay(commit), 0, forward=False)
-    assert call == claim_calls.Read('k')
-    assert commits.delay(fly(FIRST)).known is not None
+    state, _ = commits.handle_result(
+        start_write(FIRST_ATTEMPT), claim_calls.WriteConflict(), 0
+    )
+    state, _, _ = commits.choose_next_call(state, 0, forward=False)
+    state, _ = commits.handle_result(state, claim_calls.KeyRead(None, 0), 0)
+    state, call, _ = commits.choose_next_call(state, 0, forward=False)
+    assert isinstance(call, claim_calls.CompareAndSwap)
+    state, call, _ = commits.choose_next_call(
+        commits.record_delay(state), 0, forward=False
+    )
+    assert call == claim_calls.ReadKey('k')
+    assert commits.record_delay(start_write(FIRST_ATTEMPT)).base is not None
--- a/tests/core/claims/test_commits.py
+++ b/tests/core/claims/test_commits.py
@@ -10,29 +10,31 @@
 
 KEY = 'claims/0/0'
 IDS = ('id-a', 'id-b')
-ASKS = ((), ('id-a',), ('id-a',), ('id-a', 'id-b'))
-HOSTS = 3
+ID_BATCHES = ((), ('id-a',), ('id-a',), ('id-a', 'id-b'))
+HOST_COUNT = 3
 GRANTED = messages.ClaimResult.GRANTED
 UNAVAILABLE = messages.ClaimResult.UNAVAILABLE
 
 
-class Fate(NamedTuple):
+class CallOutcome(NamedTuple):
     """Say how one call goes: taking effect now, later or never; answered."""
 
     effect: str
     answered: bool
 
 
-FATES = (
-    *(Fate('now', answered=True) for _ in range(4)),
-    Fate('now', answered=False),
-    Fate('later', answered=False),
-    Fate('never', answered=False),
-    Fate('never', answered=True),
-    Fate('pending', answered=False),
+CALL_OUTCOMES = (
+    *(CallOutcome('now', answered=True) for _ in range(4)),
+    CallOutcome('now', answered=False),
+    CallOutcome('later', answered=False),
+    CallOutcome('never', answered=False),
+    CallOutcome('never', answered=True),
+    CallOutcome('pending', answered=False),
+)
+HOST_INDEXES = some.integers(0, HOST_COUNT - 1)
+CALL_OUTCOME_LISTS = some.lists(
+    some.sampled_from(CALL_OUTCOMES), min_size=2, max_size=8
 )
-HOST = some.integers(0, HOSTS - 1)
-SOME_FATES = some.lists(some.sampled_from(FATES), min_size=2, max_size=8)
 
 
 class Platform:
@@ -42,9 +44,9 @@
         """Start without the key."""
         self.value: str | None = None
         self.revision = 0
-        self.late: list[claim_calls.Swap] = []
+        self.delayed: list[claim_calls.CompareAndSwap] = []
 
-    def swap(self, call: claim_calls.Swap) -> bool:
+    def swap(self, call: claim_calls.CompareAndSwap) -> bool:
         """Write if the revision is the key's."""
         if call.revision != self.revision:
             return False
@@ -52,12 +54,12 @@
         self.revision += 1
         return True
 
-    def nonces(self) -> set[str]:
+    def list_nonces(self) -> set[str]:
         """Show whose claims stand."""
         if self.value is None:
             return set()
-        held = claims.decode_ledger(self.value).held
-        return {claim.nonce for claim in held.values()}
+        claims_by_id = claims.decode_ledger(self.value).claims
+        return {claim.nonce for claim in claims_by_id.values()}
 
 
 class Host:
@@ -65,11 +67,11 @@
 
     def __init__(self) -> None:
         """Start with nothing known."""
-        self.commit = commits.Commit(KEY)
+        self.state = commits.KeyState(KEY)
         self.call: claim_calls.Call | None = None
-        self.granted: list[claims.Attempt] = []
-        self.asked: Host | None = None
-        self.verdicts: list[claim_calls.Settled] = []
+        self.granted_attempts: list[claims.Attempt] = []
+        self.forwarded_to: Host | None = None
+        self.forward_results: list[claim_calls.StepResult] = []
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
@@ -85,175 +87,190 @@
         """Start with hosts that know nothing."""
         super().__init__()
         self.platform = Platform()
-        self.hosts = [Host() for _ in range(HOSTS)]
+        self.hosts = [Host() for _ in range(HOST_COUNT)]
         self.now = 0.0
-        self.attempts = 0
-        self.runs: dict[str, int] = dict.fromkeys(IDS, 0)
-        self.settled: dict[str, claim_calls.Settled] = {}
+        self.attempt_count = 0
+        self.run_counts: dict[str, int] = dict.fromkeys(IDS, 0)
+        self.results: dict[str, claim_calls.StepResult] = {}
 
     @stateful.rule(
-        host=HOST,
-        names=some.sampled_from(ASKS),
-        fates=SOME_FATES,
+        host=HOST_INDEXES,
+        names=some.sampled_from(ID_BATCHES),
+        fates=CALL_OUTCOME_LISTS,
         deed=some.sampled_from(('pause', 'record', 'die', 'return')),
         forward=some.booleans(),
     )
-    def work(
+    def run_host(
         self,
         host: int,
-        names: tuple[str, ...],
-        fates: list[Fate],
-        deed: str,
+        request_ids: tuple[str, ...],
+        call_outcomes: list[CallOutcome],
+        ending: str,
         forward: bool,
     ) -> None:
         """Ask for ids, make calls, run or return what is granted.
 
         The last call may stay under way, and a granted claim unsent.
         """
-        one = self.hosts[host]
-        for name in names:
-            self.attempts += 1
-            attempt = claims.Attempt(name, f'nonce-{self.attempts}', self.now)
-            self._add(one, claim_calls.Pending(attempt, self.now + 10))
-        for fate in fates:
-            if one.call is None:
-                self._choose(one, forward=forward)
-            if one.call is not None and fate.effect != 'pending':
-                self._answer(host, fate)
-        if one.granted and deed != 'pause':
-            self._act(one, deed)
+        chosen = self.hosts[host]
+        for request_id in request_ids:
+            self.attempt_count += 1
+            attempt = claims.Attempt(
+                request_id, f'nonce-{self.attempt_count}', self.now
+            )
+            self._add_step(
+                chosen, claim_calls.PendingStep(attempt, self.now + 10)
+            )
+        for call_outcome in call_outcomes:
+            if chosen.call is None:
+                self._choose_call(chosen, forward=forward)
+            if chosen.call is not None and call_outcome.effect != 'pending':
+                self._end_call(host, call_outcome)
+        if chosen.granted_attempts and ending != 'pause':
+            self._end_attempt(chosen, ending)
 
     @stateful.rule()
-    def land_late_write(self) -> None:
+    def apply_delayed_write(self) -> None:
         """Let a write arrive long after its sender gave it up."""
-        if self.platform.late:
-            self.platform.swap(self.platform.late.pop(0))
+        if self.platform.delayed:
+            self.platform.swap(self.platform.delayed.pop(0))
 
-    @stateful.rule(host=HOST)
+    @stateful.rule(host=HOST_INDEXES)
     def crash(self, host: int) -> None:
         """Lose a host with all it knows, also between claim and send."""
         lost = self.hosts[host]
         self.hosts[host] = Host()
-        for one in self.hosts:
-            if one.asked is lost:
-                one.asked = None
-                self._note(one, claim_calls.ForwardLost())
+        for other in self.hosts:
+            if other.forwarded_to is lost:
+                other.forwarded_to = None
+                self._handle_result(other, claim_calls.ForwardLost())
 
     @stateful.rule()
-    def pass_deadlines(self) -> None:
+    def pass_deadlines_of_attempts(self) -> None:
         """Let time pass beyond the deadlines of all attempts."""
         self.now += 20
 
     @stateful.invariant()
-    def runs_at_most_once(self) -> None:
+    def every_id_runs_at_most_once(self) -> None:
         """No id runs twice."""
-        assert max(self.runs.values()) <= 1
+        assert max(self.run_counts.values()) <= 1
 
     @stateful.invariant()
-    def not_written_is_true(self) -> None:
+    def unwritten_attempts_hold_no_claim(self) -> None:
         """What is told as certainly not written never stands."""
-        certain = {
+        unwritten = {
             nonce
-            for nonce, told in self.settled.items()
-            if told.result is UNAVAILABLE and not told.maybe_written
+            for nonce, result in self.results.items()
+            if result.result is UNAVAILABLE and not result.maybe_written
         }
-        assert not certain & self.platform.nonces()
+        assert not unwritten & self.platform.list_nonces()
 
-    def _act(self, one: Host, deed: str) -> None:
-        attempt = one.granted.pop()
+    def _end_attempt(self, host: Host, ending: str) -> None:
+        attempt = host.granted_attempts.pop()
         step: claims.Step = claims.Return(attempt.request_id, attempt.nonce)
-        if deed != 'return':
-            self.runs[attempt.request_id] += 1
+        if ending != 'return':
+            self.run_counts[attempt.request_id] += 1
             step = claims.Outcome(
                 attempt.request_id, attempt.nonce, attempt.nonce
             )
-        if deed != 'die':
-            self._add(one, claim_calls.Pending(step, self.now + 100))
+        if ending != 'die':
+            self._add_step(host, claim_calls.PendingStep(step, self.now + 100))
 
-    def _choose(self, one: Host, *, forward: bool) -> None:
-        commit, call, settled = commits.next_call(
-            one.commit, self.now, forward=forward
+    def _choose_call(self, host: Host, *, forward: bool) -> None:
+        state, call, results = commits.choose_next_call(
+            host.state, self.now, forward=forward
         )
-        one.commit = commit
-        one.call = call
-        self._take(one, settled)
-
-    def _answer(self, host: int, fate: Fate) -> None:
-        one = self.hosts[host]
-        match one.call:
-            case claim_calls.Read() if fate.answered:
+        host.state = state
+        host.call = call
+        self._handle_step_results(host, results)
+
+    def _end_call(self, index: int, call_outcome: CallOutcome) -> None:
+        host = self.hosts[index]
+        match host.call:
+            case claim_calls.ReadKey() if call_outcome.answered:
                 value = self.platform.value
-                self._note(
-                    one, claim_calls.Found(value, self.platform.revision)
+                self._handle_result(
+                    host, claim_calls.KeyRead(value, self.platform.revision)
                 )
-            case claim_calls.Read():
-                self._note(one, claim_calls.Failed('down'))
-            case claim_calls.Swap():
-                self._note(one, self._write(one.call, fate))
-            case claim_calls.Forward():
-                self._ask_member(host, one.call, fate)
-
-    def _write(self, swap: claim_calls.Swap, fate: Fate) -> claim_calls.Result:
-        wrote = fate.effect == 'now' and self.platform.swap(swap)
-        if fate.effect == 'later':
-            self.platform.late.append(swap)
-        if not fate.answered:
-            return claim_calls.Unclear()
-        if fate.effect == 'never':
-            return claim_calls.Failed('down')
-        if wrote:
-            return claim_calls.Written(self.platform.revision)
-        return claim_calls.Conflict()
-
-    def _ask_member(
-        self, host: int, forward: claim_calls.Forward, fate: Fate
+            case claim_calls.ReadKey():
+                self._handle_result(host, claim_calls.CallFailed('down'))
+            case claim_calls.CompareAndSwap():
+                self._handle_result(host, self._write(host.call, call_outcome))
+            case claim_calls.ForwardSteps():
+                self._forward(index, host.call, call_outcome)
+
+    def _write(
+        self, write: claim_calls.CompareAndSwap, call_outcome: CallOutcome
+    ) -> claim_calls.Result:
+        was_written = call_outcome.effect == 'now' and self.platform.swap(write)
+        if call_outcome.effect == 'later':
+            self.platform.delayed.append(write)
+        if not call_outcome.answered:
+            return claim_calls.WriteUnclear()
+        if call_outcome.effect == 'never':
+            return claim_calls.CallFailed('down')
+        if was_written:
+            return claim_calls.KeyWritten(self.platform.revision)
+        return claim_calls.WriteConflict()
+
+    def _forward(
+        self,
+        index: int,
+        forward: claim_calls.ForwardSteps,
+        call_outcome: CallOutcome,
     ) -> None:
-        one = self.hosts[host]
-        if one.asked is None and fate.effect == 'never':
-            self._note(one, claim_calls.ForwardRefused())
-        elif one.asked is None:
-            one.asked = self.hosts[(host + 1) % HOSTS]
+        host = self.hosts[index]
+        if host.forwarded_to is None and call_outcome.effect == 'never':
+            self._handle_result(host, claim_calls.ForwardRefused())
+        elif host.forwarded_to is None:
+            host.forwarded_to = self.hosts[(index + 1) % HOST_COUNT]
             for step in forward.steps:
-                pending = claim_calls.Pending(step, self.now + 10, own=False)
-                self._add(one.asked, pending)
-        elif fate.answered:
-            one.asked = None
-            verdicts = tuple(one.verdicts)
-            one.verdicts = []
-            self._note(one, claim_calls.Forwarded(verdicts))
+                pending = claim_calls.PendingStep(
+                    step, self.now + 10, is_own=False
+                )
+                self._add_step(host.forwarded_to, pending)
+        elif call_outcome.answered:
+            host.forwarded_to = None
+            results = tuple(host.forward_results)
+            host.forward_results = []
+            self._handle_result(host, claim_calls.ForwardAnswered(results))
         else:
-            one.asked = None
-            one.verdicts = []
-            self._note(one, claim_calls.ForwardLost())
+            host.forwarded_to = None
+            host.forward_results = []
+            self._handle_result(host, claim_calls.ForwardLost())
 
-    def _add(self, host: Host, pending: claim_calls.Pending) -> None:
-        host.commit = commits.add_steps(host.commit, (pending,))
+    def _add_step(self, host: Host, pending: claim_calls.PendingStep) -> None:
+        host.state = commits.add_steps(host.state, (pending,))
 
-    def _note(self, host: Host, result: claim_calls.Result) -> None:
+    def _handle_result(self, host: Host, result: claim_calls.Result) -> None:
         host.call = None
-        commit, settled = commits.note_result(host.commit, result, self.now)
-        host.commit = commit
-        self._take(host, settled)
-
-    def _take(self, host: Host, settled: claim_calls.Settlements) -> None:
-        for one in settled:
-            if one.pending.own:
-                self._tell(host, one)
+        state, results = commits.handle_result(host.state, result, self.now)
+        host.state = state
+        self._handle_step_results(host, results)
+
+    def _handle_step_results(
+        self, host: Host, results: claim_calls.StepResults
+    ) -> None:
+        for result in results:
+            if result.pending.is_own:
+                self._record_result(host, result)
                 continue
-            for asking in self.hosts:
-                if asking.asked is host:
-                    asking.verdicts.append(one)
+            for sender in self.hosts:
+                if sender.forwarded_to is host:
+                    sender.forward_results.append(result)
 
-    def _tell(self, host: Host, one: claim_calls.Settled) -> None:
-        step = one.pending.step
+    def _record_result(
+        self, host: Host, result: claim_calls.StepResult
+    ) -> None:
+        step = result.pending.step
         if not isinstance(step, claims.Attempt):
             return
-        assert step.nonce not in self.settled
-        self.settled[step.nonce] = one
-        if one.result is GRANTED:
-            host.granted.append(step)
-        if one.held is not None and one.held.stage:
-            assert self.runs[step.request_id] == 1
+        assert step.nonce not in self.results
+        self.results[step.nonce] = result
+        if result.result is GRANTED:
+            host.granted_attempts.append(step)
+        if result.claim is not None and result.claim.stage:
+            assert self.run_counts[step.request_id] == 1
 
 
 TestClaims = ClaimsMachine.TestCase
--- a/tests/core/configuration/test_customers.py
+++ b/tests/core/configuration/test_customers.py
@@ -18,7 +18,7 @@
     trees,
 )
 from fuchsiahaven.core.customers import customers, keys
-from fuchsiahaven.core.members import patch_rows
+from fuchsiahaven.core.members import patch_codecs
 
 DIGESTS: Final = tuple(keys.compute_digest(f'k-{it}') for it in range(6))
 REQUEST_CLASS: Final = configurations.RequestClass('c')
@@ -94,8 +94,8 @@
         patches.stamp_configuration(one),
         patches.stamp_configuration(other),
     )
-    parcel = patch_rows.Parcel('h1', (patches.diff(old, new, 'id'),))
-    read = patch_rows.read(patch_rows.write(parcel))
+    parcel = patch_codecs.PatchMessage('h1', (patches.diff(old, new, 'id'),))
+    read = patch_codecs.decode_patches(patch_codecs.encode_patches(parcel))
     assert read == parcel
     patched = patches.apply_patch(read.patches[0], old)
     assert patched is not None
@@ -114,7 +114,9 @@
     assert stamped.stamp.digest == '4c1494c25b04f8798d7a'
     emptied = patches.stamp_configuration(plain._replace(classes=()))
     patch = patches.diff(stamped, emptied)
-    written = patch_rows.write(patch_rows.Parcel('h1', (patch,)))
+    written = patch_codecs.encode_patches(
+        patch_codecs.PatchMessage('h1', (patch,))
+    )
     assert b'customers' not in written
     assert b'public' not in written
 
--- a/tests/core/configuration/test_read_sets.py
+++ b/tests/core/configuration/test_read_sets.py
@@ -88,12 +88,12 @@
     If setting a label reads the whole configuration, an attempt takes longer
     than the time between two changes, and others are always accepted first.
     """
-    before = store.finish(store_reads.load_manifest()).manifest.configuration
+    before = store.run_steps(store_reads.load_manifest()).manifest.configuration
     outcome, reads = run(store, change)
     assert isinstance(outcome, proposals.ChangeAccepted)
     # Parts are read more than once to delete those that were replaced.
     assert sorted(reads) == list(expected_reads)
-    stored = store.finish(store_reads.load_manifest()).manifest.configuration
+    stored = store.run_steps(store_reads.load_manifest()).manifest.configuration
     expected = proposals.prepare_change(
         manifests.Manifest(before),
         proposals.ChangeRequest('x', 'ana', change),
--- a/tests/core/configuration/test_transactions.py
+++ b/tests/core/configuration/test_transactions.py
@@ -113,32 +113,34 @@
     @stateful.rule(operator=OPERATOR, calls=st.integers(1, 12))
     def step(self, operator: int, calls: int) -> None:
         for _ in range(calls):
-            self.advance(operator, model_store.Fate.DONE)
+            self.advance(operator, model_store.CallOutcome.DONE)
 
     @stateful.rule(
         operator=OPERATOR,
-        fate=st.sampled_from(model_store.Fate),
+        fate=st.sampled_from(model_store.CallOutcome),
         key=st.sampled_from(('audit/', parts.KEY_PREFIX, MANIFEST)),
     )
-    def disturb(self, operator: int, fate: model_store.Fate, key: str) -> None:
+    def disturb(
+        self, operator: int, fate: model_store.CallOutcome, key: str
+    ) -> None:
         while operator in self.running and not self.is_writing(operator, key):
-            self.advance(operator, model_store.Fate.DONE)
+            self.advance(operator, model_store.CallOutcome.DONE)
         self.advance(operator, fate)
 
     @stateful.rule(operator=OPERATOR)
     def finish(self, operator: int) -> None:
         while operator in self.running:
-            self.advance(operator, model_store.Fate.DONE)
+            self.advance(operator, model_store.CallOutcome.DONE)
 
     @stateful.precondition(has_delayed)
     @stateful.rule(operator=OPERATOR)
     def fail_call(self, operator: int) -> None:
-        self.advance(operator, model_store.Fate.FAILED)
+        self.advance(operator, model_store.CallOutcome.FAILED)
 
     @stateful.rule(index=st.integers(0, 5))
     def deliver_delayed(self, index: int) -> None:
         if self.store.delayed:
-            self.store.land(index % len(self.store.delayed))
+            self.store.apply_delayed(index % len(self.store.delayed))
 
     @stateful.invariant()
     def the_stored_configuration_is_whole_and_never_older(self) -> None:
@@ -151,7 +153,7 @@
             for operator in list(self.running):
                 self.finish(operator)
             while self.store.delayed:
-                self.store.land(0)
+                self.store.apply_delayed(0)
             self.check_audit_log()
 
     def check_audit_log(self) -> None:
@@ -192,7 +194,7 @@
         steps = transactions.commit(request, 0)
         self.running[operator] = (steps, next(steps), change_id)
 
-    def advance(self, operator: int, fate: model_store.Fate) -> None:
+    def advance(self, operator: int, fate: model_store.CallOutcome) -> None:
         if operator not in self.running:
             return
         steps, call, change_id = self.running.pop(operator)
@@ -210,13 +212,13 @@
         ) and call.key.startswith(key)
 
     def load(self) -> store_reads.LoadedManifest:
-        loaded = self.store.finish(store_reads.load_manifest())
+        loaded = self.store.run_steps(store_reads.load_manifest())
         assert isinstance(loaded, store_reads.LoadedManifest)
         return loaded
 
     def read_entries(self) -> list[audit_log.Entry]:
         manifest = self.load().manifest
-        older = self.store.finish(
+        older = self.store.run_steps(
             store_reads.read_archived_entries(manifest.entries, 0)
         )
         assert isinstance(older, tuple)
--- a/tests/core/members/test_membership.py
+++ b/tests/core/members/test_membership.py
@@ -9,16 +9,16 @@
 from fuchsiahaven.core.members import members, membership
 from tests.core import networks
 
-SETTLE_S = 90.0
+CONVERGENCE_TIMEOUT_S = 90.0
 
 
-def settle(network: networks.Network) -> None:
+def wait_for_convergence(network: networks.Network) -> None:
     """Let time pass until all agree; fail where they do not."""
-    end = network.now + SETTLE_S
-    while not network.has_converged() and network.now < end:
+    deadline = network.now + CONVERGENCE_TIMEOUT_S
+    while not network.has_converged() and network.now < deadline:
         network.run(1)
-    seen = {name: state.live for name, state in network.hosts.items()}
-    assert network.has_converged(), seen
+    live_by_host = {name: state.live for name, state in network.hosts.items()}
+    assert network.has_converged(), live_by_host
 
 
 def list_accused(network: networks.Network) -> set[str]:
@@ -30,79 +30,81 @@
     }
 
 
-def join(count: int) -> networks.Network:
+def start_network(count: int) -> networks.Network:
     """Start hosts and let them find each other."""
     network = networks.Network(count)
-    settle(network)
+    wait_for_convergence(network)
     network.run(5)
     network.reports.clear()
     return network
 
 
 @pytest.mark.parametrize('count', [2, 8, 30])
-def test_a_third_killed_at_once_is_found_dead(count: int) -> None:
+def test_members_killed_together_are_declared_dead(count: int) -> None:
     """Take hosts for dead that were killed together.
 
     Symptom: seats at the targets stay dealt to hosts that are gone.
     Sequence: a rack goes, a third of the members with it, helpers among
     them. Cause: helpers that are dead themselves confirm nothing.
     """
-    network = join(count)
+    network = start_network(count)
     for number in range(max(1, count // 3)):
         network.kill(f'h{count - 1 - number}')
-    settle(network)
+    wait_for_convergence(network)
 
 
-def test_half_open_cut_accuses_nobody() -> None:
+def test_one_way_cut_makes_no_suspect() -> None:
     """Go around a cut in one direction between two hosts.
 
     Symptom: a healthy host is held for dead. Sequence: h1 cannot open
     connections to h2, while h2 reaches h1. Cause: one host's failed probe
     taken for proof.
     """
-    network = join(8)
+    network = start_network(8)
     network.is_cut = lambda one, other: (one, other) == ('h1', 'h2')
     network.run(60)
     assert not list_accused(network)
 
 
-def test_member_that_cannot_be_reached_is_not_accused_over_and_over() -> None:
+def test_unreachable_member_is_not_suspected_repeatedly() -> None:
     """Believe a member that speaks although nobody can connect to it.
 
     Symptom: news of one member fill all messages for as long as its port is
     cut off. Sequence: h5 reaches all and refutes, none reaches h5, and the
     next probe accuses it again. Cause: its own word counts for nothing.
     """
-    network = join(8)
+    network = start_network(8)
     network.is_cut = lambda one, other: other == 'h5'
     network.run(100)
-    told = [who for _, who, report in network.reports if report.name == 'h5']
-    assert told.count('h0') < 40
+    reporters = [
+        host for _, host, report in network.reports if report.name == 'h5'
+    ]
+    assert reporters.count('h0') < 40
     assert 'h5' in network.hosts['h0'].live
 
 
-def test_exchange_whose_end_is_never_reported_is_lost() -> None:
+def test_exchange_without_a_reported_end_expires() -> None:
     """Bury a member although the end of an exchange was never reported.
 
     Symptom: a dead member is live for ever. Sequence: an error in a thread
     of the edge swallows the end of a helper's probe. Cause: a trial that
     waits for it.
     """
-    network = join(3)
+    network = start_network(3)
     network.dropped_relays = 2
     network.kill('h2')
-    settle(network)
+    wait_for_convergence(network)
     assert not network.dropped_relays
 
 
-def test_lossy_network_buries_nobody() -> None:
+def test_lossy_network_makes_no_member_dead() -> None:
     """Give suspects time to refute.
 
     Symptom: seats are dealt anew all the time on a bad network. Sequence: a
     third of the messages is lost, so that probes and helpers fail together
     now and then. Cause: death without a time to answer the suspicion.
     """
-    network = join(12)
+    network = start_network(12)
     network.loss_fraction = 0.3
     network.run(60)
     texts = [report.text for _, _, report in network.reports]
@@ -110,106 +112,111 @@
     assert 'member is dead' not in texts
 
 
-def test_host_cut_off_from_all_accuses_nobody_soon() -> None:
+def test_isolated_host_makes_no_suspects_at_first() -> None:
     """Let a host doubt itself while no helper answers either.
 
     Symptom: a host whose own network blinks tells, once back, that all
     others are suspect. Cause: silence of everybody taken for their fault.
     """
-    network = join(8)
+    network = start_network(8)
     network.is_cut = lambda one, other: 'h3' in {one, other}
     network.run(8)
-    tellers = {name for _, name, _ in network.reports}
-    assert 'h3' not in tellers
+    reporters = {host for _, host, _ in network.reports}
+    assert 'h3' not in reporters
 
 
-def test_member_hears_what_is_held_against_it_among_much_news() -> None:
+def test_sender_gets_its_own_entry_despite_much_news() -> None:
     """Tell a member that it is held for dead however much else is new.
 
     Symptom: a healthy host stays dead while a rack is being replaced.
     Sequence: more members change than one message carries, and the one that
     asks is dead here. Cause: only what it hears can it refute.
     """
-    state = join(20).hosts['h0']
-    asker = state.table.entries['h7'].member
-    table = tables.put(
-        state.table, asker._replace(standing=members.Standing.DEAD), 0
+    state = start_network(20).hosts['h0']
+    sender = state.table.entries['h7'].member
+    table = tables.set_member(
+        state.table, sender._replace(standing=members.Standing.DEAD), 0
     )
     for number in range(10, 20):
         other = table.entries[f'h{number}'].member
-        table = tables.put(table, other._replace(incarnation=9), 0)
-    gossip = messages.Gossip(asker, networks.DATA_CENTRE, state.stamp, '')
+        table = tables.set_member(table, other._replace(incarnation=9), 0)
+    gossip = messages.Gossip(sender, networks.DATA_CENTRE, state.stamp, '')
     # Its own entry has been told often enough to be out of the news.
-    table = table._replace(news={**table.news, 'h7': 1})
-    _, actions = membership.handle(
-        state._replace(table=table), messages.Received(1, gossip), 0, float
+    table = table._replace(sends_left={**table.sends_left, 'h7': 1})
+    _, actions = membership.handle_event(
+        state._replace(table=table),
+        messages.RequestReceived(1, gossip),
+        0,
+        float,
     )
-    told = [it for it in actions if isinstance(it, messages.Respond)]
-    assert members.Standing.DEAD in {it.standing for it in told[0].gossip.news}
+    replies = [it for it in actions if isinstance(it, messages.Respond)]
+    assert members.Standing.DEAD in {
+        it.standing for it in replies[0].gossip.news
+    }
 
 
 @pytest.mark.parametrize('pause_s', [3, 60, 1000])
-def test_paused_host_accuses_nobody_when_it_wakes(pause_s: float) -> None:
+def test_paused_host_makes_no_suspects_after_the_pause(pause_s: float) -> None:
     """Let a host that stood still find its own fault.
 
     Symptom: one paused host has healthy ones declared dead. Sequence: h3
     stands still with probes under way, wakes, and finds them all overdue.
     Cause: what went unanswered meanwhile says nothing of the others.
     """
-    network = join(8)
+    network = start_network(8)
     network.frozen.add('h3')
     network.run(pause_s)
     network.frozen.clear()
-    settle(network)
+    wait_for_convergence(network)
     network.run(20)
     assert list_accused(network) <= {'h3'}
 
 
-def test_cut_data_centre_heals() -> None:
+def test_both_halves_merge_after_a_cut() -> None:
     """Find each other again after both halves buried the other.
 
     Symptom: after a cut each half goes on alone for ever. Sequence: two
     halves are cut off for five minutes, then healed. Cause: dead members
     are probed no more, so nobody would ever hear of them again.
     """
-    network = join(8)
+    network = start_network(8)
     half = {'h0', 'h1', 'h2', 'h3'}
     network.is_cut = lambda one, other: (one in half) != (other in half)
     network.run(300)
     assert network.hosts['h0'].live == tuple(sorted(half))
     network.is_cut = lambda one, other: False
-    settle(network)
+    wait_for_convergence(network)
 
 
-def test_member_that_left_does_not_come_back_by_old_news() -> None:
+def test_stale_news_does_not_bring_back_a_member_that_left() -> None:
     """Keep a member gone that a host woken from a pause still holds.
 
     Symptom: seats are dealt to a host that left. Sequence: h3 is paused;
     h5 leaves; h3 wakes and tells that h5 lives. Cause: news without order.
     """
-    network = join(8)
+    network = start_network(8)
     network.frozen.add('h3')
-    network.send('h5', messages.LeaveAsked())
+    network.send('h5', messages.LeaveRequested())
     network.run(1)
     assert 'h5' not in network.hosts['h0'].staying
-    network.send('h5', messages.EndAsked())
+    network.send('h5', messages.ServingEnded())
     network.run(0.5)
     network.kill('h5')
     network.run(4)
     assert 'h5' not in network.hosts['h0'].live
     network.frozen.clear()
     stale = messages.Gossip(
-        tables.read_own(network.hosts['h3'].table),
+        tables.get_own(network.hosts['h3'].table),
         networks.DATA_CENTRE,
         network.hosts['h0'].stamp,
         '',
         (members.Member('h5', 'h5', 1, members.Standing.ALIVE),),
     )
-    network.send('h0', messages.Received(0, stale))
+    network.send('h0', messages.RequestReceived(0, stale))
     for _ in range(40):
         network.run(0.25)
         assert 'h5' not in network.hosts['h0'].live
-    settle(network)
+    wait_for_convergence(network)
 
 
 @pytest.mark.parametrize('at_once', [True, False])
@@ -220,20 +227,20 @@
     are killed, one after another or at once, and started anew with the
     first incarnation. Cause: others remember a higher incarnation as dead.
     """
-    network = join(8)
+    network = start_network(8)
     for number in range(8):
         network.kill(f'h{number}')
         if not at_once:
             network.run(15)
             network.add(f'h{number}')
-            settle(network)
+            wait_for_convergence(network)
     if at_once:
         for number in range(8):
             network.add(f'h{number}')
-    settle(network)
+    wait_for_convergence(network)
 
 
-def test_forged_reports_change_nothing_lasting() -> None:
+def test_forged_reports_have_no_lasting_effect() -> None:
     """Survive a member that calls all others dead under high incarnations.
 
     Symptom: a member that runs wild takes every other out for good.
@@ -241,50 +248,56 @@
     known ones, and hundreds of members that do not exist. Cause: whoever
     names the highest number would be believed for ever.
     """
-    network = join(4)
+    network = start_network(4)
     state = network.hosts['h0']
     dead = members.Standing.DEAD
-    sender = tables.read_own(network.hosts['h1'].table)
+    sender = tables.get_own(network.hosts['h1'].table)
     for name in ('h0', 'h1', 'h2', 'h3'):
-        for incarnation in (5, members.MAX_JUMP, members.MAX_INCARNATION):
+        for incarnation in (
+            5,
+            members.MAX_INCARNATION_INCREASE,
+            members.MAX_INCARNATION,
+        ):
             forged = members.Member(name, name, incarnation, dead)
             gossip = messages.Gossip(
                 sender, networks.DATA_CENTRE, state.stamp, '', (forged,)
             )
-            network.send('h0', messages.Received(0, gossip))
-    settle(network)
-    strangers = tuple(
-        members.Member(f'x{place}', '1', 1, members.Standing.ALIVE)
-        for place in range(tables.MAX_MEMBERS)
+            network.send('h0', messages.RequestReceived(0, gossip))
+    wait_for_convergence(network)
+    unknown_members = tuple(
+        members.Member(f'x{number}', '1', 1, members.Standing.ALIVE)
+        for number in range(tables.MAX_MEMBERS)
     )
-    table, _ = tables.merge(state.table, strangers, network.now)
+    table, _ = tables.merge_reports(state.table, unknown_members, network.now)
     assert len(table.entries) == tables.MAX_MEMBERS
 
 
-def test_clock_that_jumps_back_is_borne() -> None:
+def test_probing_continues_after_the_clock_jumps_back() -> None:
     """Go on probing after a monotonic clock of a moved host fell back."""
-    network = join(3)
+    network = start_network(3)
     state = network.hosts['h0']
-    early = network.now - 500
-    asked = 0
+    start = network.now - 500
+    request_count = 0
     for tick in range(40):
-        state, actions = membership.handle(
+        state, actions = membership.handle_event(
             state,
-            messages.Ticked(),
-            early + tick * networks.TICK_INTERVAL_S,
+            messages.Tick(),
+            start + tick * networks.TICK_INTERVAL_S,
             lambda: 0.5,
         )
-        asked += sum(isinstance(it, messages.Ask) for it in actions)
-    assert asked >= 9
+        request_count += sum(
+            isinstance(it, messages.SendRequest) for it in actions
+        )
+    assert request_count >= 9
 
 
-class Membership(stateful.RuleBasedStateMachine):
+class MembershipMachine(stateful.RuleBasedStateMachine):
     """Kill, add, freeze and cut hosts; in the end all agree."""
 
     def __init__(self) -> None:
         """Start five hosts."""
         super().__init__()
-        self.network = join(5)
+        self.network = start_network(5)
         self.names = [f'h{number}' for number in range(5)]
 
     @stateful.rule(name=st.integers(2, 4), seconds=st.integers(0, 20))
@@ -313,9 +326,11 @@
         loss=st.floats(0, 0.4),
         seconds=st.integers(0, 60),
     )
-    def cut(self, one: int, other: int, loss: float, seconds: int) -> None:
+    def cut(
+        self, one: int, other: int, loss_fraction: float, seconds: int
+    ) -> None:
         """Cut one direction, or one host off if both ends are the same."""
-        self.network.loss_fraction = loss
+        self.network.loss_fraction = loss_fraction
         ends = (f'h{one}', f'h{other}')
         self.network.is_cut = lambda a, b: (
             ends[0] in {a, b} if one == other else (a, b) == ends
@@ -326,10 +341,10 @@
         """Heal the network and demand that all agree."""
         self.network.loss_fraction = 0
         self.network.is_cut = lambda one, other: False
-        settle(self.network)
+        wait_for_convergence(self.network)
 
 
-Membership.TestCase.settings = settings(
+MembershipMachine.TestCase.settings = settings(
     max_examples=30, stateful_step_count=12, deadline=None
 )
-TestMembership = Membership.TestCase
+TestMembership = MembershipMachine.TestCase
--- a/tests/core/members/test_probes.py
+++ b/tests/core/members/test_probes.py
@@ -7,30 +7,30 @@
 SEARCH = configurations.RequestClass('search')
 
 
-class _Asked:
+class _ProbedTarget:
     """Drive one target that answers every tenth of a second."""
 
     def __init__(self, version: int | None = 7) -> None:
-        self.host = rig.Rig(SEARCH, shards=1, replicas=1)
+        self.rig = rig.Rig(SEARCH, shards=1, replicas=1)
         self._token = 0
-        self.host.report(0, 0, 1, sequence=2, version=version)
+        self.rig.report(0, 0, 1, sequence=2, version=version)
 
-    def answer_for(self, seconds: int, version: int | None) -> int:
+    def answer_for(self, duration_s: int, version: int | None) -> int:
         """Answer for a while; return how often its health was asked."""
-        return sum(self._ask_once(version) for _ in range(seconds * 10))
+        return sum(self._answer_once(version) for _ in range(duration_s * 10))
 
-    def _ask_once(self, version: int | None) -> int:
+    def _answer_once(self, version: int | None) -> int:
         self._token += 1
-        for send in self.host.submit(self._token):
+        for send in self.rig.submit(self._token):
             answer = messages.PartAnswered(
                 send.part, send.target.name, (), rig.LIVE, rig.LOAD, version
             )
-            self.host.handle(answer)
-        done = self.host.pass_time(0.1)
-        return sum(isinstance(one, messages.Probe) for one in done)
+            self.rig.handle(answer)
+        actions = self.rig.pass_time(0.1)
+        return sum(isinstance(action, messages.Probe) for action in actions)
 
 
-def test_answers_that_confirm_the_report_stand_for_probes() -> None:
+def test_answers_that_confirm_the_report_replace_probes() -> None:
     """A busy target costs a probe a second although nothing changes.
 
     Symptom: at hundreds of targets a host's probes alone exceed what control
@@ -38,10 +38,10 @@
     for its health every second as well. Cause: answers said nothing of what
     the health report would say.
     """
-    assert _Asked().answer_for(20, version=7) <= 1
+    assert _ProbedTarget().answer_for(20, version=7) <= 1
 
 
-def test_a_changed_report_is_asked_for_within_a_second() -> None:
+def test_a_changed_version_is_probed_within_a_second() -> None:
     """New holdings of a busy target go unseen while its answers go on.
 
     Symptom: a new snapshot is not used though all replicas hold it.
@@ -49,26 +49,26 @@
     loads a snapshot. Cause: the confirmation was believed without comparing
     what it confirms.
     """
-    asked = _Asked()
-    asked.answer_for(5, version=7)
-    assert asked.answer_for(2, version=8) >= 1
+    target = _ProbedTarget()
+    target.answer_for(5, version=7)
+    assert target.answer_for(2, version=8) >= 1
 
 
-def test_a_target_without_versions_is_asked_every_second() -> None:
+def test_a_target_without_versions_is_probed_every_second() -> None:
     """A target that tells no version is believed to be unchanged.
 
     Symptom: its leaving is seen late. Sequence: it answers, and its health
     endpoint alone says that it leaves. Cause: an answer without a version
     counted as a confirmation.
     """
-    assert _Asked(version=None).answer_for(10, version=None) >= 9
+    assert _ProbedTarget(version=None).answer_for(10, version=None) >= 9
 
 
-def test_a_target_is_asked_now_and_then_whatever_it_answers() -> None:
+def test_a_target_is_probed_from_time_to_time_despite_answers() -> None:
     """A wrong confirmation is believed for ever.
 
     Symptom: a target keeps a version although its holdings changed, and the
     host never learns. Sequence: it confirms on and on. Cause: nothing
     bounded how long answers can stand for reports.
     """
-    assert _Asked().answer_for(70, version=7) >= 2
+    assert _ProbedTarget().answer_for(70, version=7) >= 2
--- a/tests/core/model_store.py
+++ b/tests/core/model_store.py
@@ -5,10 +5,10 @@
 
 from fuchsiahaven.core.configuration import store_calls
 
-Steps = store_calls.Steps[Any]
+StoreSteps = store_calls.Steps[Any]
 
 
-class Fate(enum.Enum):
+class CallOutcome(enum.Enum):
     """List what can become of one call."""
 
     DONE = 'done'
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.values: dict[str, tuple[str, int]] = {}
+        self.entries: dict[str, tuple[str, int]] = {}
         self.revision = 0
         self.delayed: list[
             store_calls.CompareAndSwap | store_calls.DeleteKey
@@ -32,30 +32,32 @@
     def call(
         self,
         call: store_calls.Call,
-        fate: Fate = Fate.DONE,
+        outcome: CallOutcome = CallOutcome.DONE,
     ) -> store_calls.Result:
         """Answer one call as its fate wills."""
-        if fate is Fate.DONE or isinstance(call, store_calls.Backoff):
+        if outcome is CallOutcome.DONE or isinstance(call, store_calls.Backoff):
             return self._apply(call)
-        writes = isinstance(
+        is_write = isinstance(
             call, store_calls.CompareAndSwap | store_calls.DeleteKey
         )
-        if fate is Fate.FAILED or not writes:
+        if outcome is CallOutcome.FAILED or not is_write:
             return store_calls.CallFailed('down')
-        if fate is Fate.ANSWER_LOST:
+        if outcome is CallOutcome.ANSWER_LOST:
             self._apply(call)
-        if fate is Fate.DELAYED:
+        if outcome is CallOutcome.DELAYED:
             assert not isinstance(
                 call, store_calls.ReadKey | store_calls.ListKeys
             )
             self.delayed.append(call)
         return store_calls.WriteUnclear('no answer')
 
-    def land(self, index: int) -> None:
+    def apply_delayed(self, index: int) -> None:
         """Let a delayed write arrive."""
         self._apply(self.delayed.pop(index))
 
-    def finish(self, steps: Steps, call: store_calls.Call | None = None) -> Any:
+    def run_steps(
+        self, steps: StoreSteps, call: store_calls.Call | None = None
+    ) -> Any:
         """Run steps to their end without faults, from a call if one waits."""
         while True:
             try:
@@ -68,21 +70,25 @@
             case store_calls.Backoff():
                 return store_calls.BackoffEnded()
             case store_calls.ReadKey(key):
-                found = self.values.get(key)
-                if found is None:
+                entry = self.entries.get(key)
+                if entry is None:
                     return store_calls.KeyMissing()
-                return store_calls.KeyFound(*found)
+                return store_calls.KeyFound(*entry)
             case store_calls.ListKeys(prefix):
-                keys = sorted(k for k in self.values if k.startswith(prefix))
+                keys = sorted(
+                    key_in_store
+                    for key_in_store in self.entries
+                    if key_in_store.startswith(prefix)
+                )
                 return store_calls.KeysListed(
-                    tuple((key, self.values[key][1]) for key in keys)
+                    tuple((key, self.entries[key][1]) for key in keys)
                 )
-        if self.values.get(call.key, ('', 0))[1] != call.revision:
+        if self.entries.get(call.key, ('', 0))[1] != call.revision:
             return store_calls.WriteConflict()
         self.revision += 1
         match call:
             case store_calls.CompareAndSwap(key, value):
-                self.values[key] = (value, self.revision)
+                self.entries[key] = (value, self.revision)
             case store_calls.DeleteKey(key):
-                self.values.pop(key)
+                self.entries.pop(key)
         return store_calls.KeyWritten()
--- a/tests/core/networks.py
+++ b/tests/core/networks.py
@@ -18,7 +18,7 @@
 DATA_CENTRE = 'Quilicura'
 
 IsCut = Callable[[str, str], bool]
-Notify = Callable[[str, messages.Listed | messages.Heard], None]
+Notify = Callable[[str, messages.MembersListed | messages.StampReceived], None]
 
 
 class Network:
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, count: int, seed: int = 0, rules: states.Rules | None = None
+        self, count: int, seed: int = 0, rules: states.Timings | None = None
     ) -> None:
         """Start hosts that have the first two as seeds."""
         self.now = 1000.0
@@ -40,8 +40,8 @@
         self.loss_fraction = 0.0
         self.dropped_relays = 0
         self.exchanges = 0
-        self.reports: list[tuple[float, str, messages.Report]] = []
-        self._rules = rules or states.Rules()
+        self.reports: list[tuple[float, str, messages.ReportMember]] = []
+        self._rules = rules or states.Timings()
         self._random = random.Random(seed)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
@@ -84,7 +84,7 @@
         if name in self.frozen:
             self.call_later(TICK_INTERVAL_S, lambda: self.send(name, event))
             return
-        state, actions = membership.handle(
+        state, actions = membership.handle_event(
             self.hosts[name], event, self.now, self._random.random
         )
         self.hosts[name] = state
@@ -98,22 +98,22 @@
 
     def _run_action(self, name: str, action: messages.Action) -> None:
         match action:
-            case messages.Ask():
+            case messages.SendRequest():
                 self._send_request(name, action)
             case messages.Respond(token, gossip):
                 sender, request_token = self._pending.get(token, ('', 0))
                 if sender and not self._is_lost(name, sender, answer=True):
                     self._pending.pop(token)
-                    answer = messages.Answered(request_token, gossip)
+                    answer = messages.ExchangeAnswered(request_token, gossip)
                     self.call_later(
                         MESSAGE_DELAY_S, lambda: self.send(sender, answer)
                     )
-            case messages.Listed() | messages.Heard():
+            case messages.MembersListed() | messages.StampReceived():
                 self.notify(name, action)
-            case messages.Report():
+            case messages.ReportMember():
                 self.reports.append((self.now, name, action))
 
-    def _send_request(self, name: str, request: messages.Ask) -> None:
+    def _send_request(self, name: str, request: messages.SendRequest) -> None:
         self.exchanges += 1
         if request.gossip.relay is not None and self.dropped_relays > 0:
             # Neither an answer nor a loss is ever reported.
@@ -124,11 +124,11 @@
 
         def expire() -> None:
             if self._pending.pop(token, None):
-                self.send(name, messages.Lost(request.token))
+                self.send(name, messages.ExchangeFailed(request.token))
 
         self.call_later(request.timeout_s, expire)
         if not self._is_lost(name, request.address):
-            event = messages.Received(token, request.gossip)
+            event = messages.RequestReceived(token, request.gossip)
             self.call_later(
                 MESSAGE_DELAY_S, lambda: self.send(request.address, event)
             )
@@ -141,7 +141,7 @@
     def _tick(self, name: str) -> None:
         if name in self.hosts:
             if name not in self.frozen:
-                self.send(name, messages.Ticked())
+                self.send(name, messages.Tick())
             self.call_later(TICK_INTERVAL_S, lambda: self._tick(name))
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
