--- a/tests/core/test_change_races.py
+++ b/tests/core/test_change_races.py
@@ -19,7 +19,7 @@
 )
 from tests.core import model_store
 
-Fate = model_store.Fate
+Fate = model_store.CallOutcome
 TARGETS = tuple(
     configurations.Target(f'g/{k}', f'10.0.0.1:{k + 1}', 'Odori')
     for k in range(3)
@@ -36,7 +36,9 @@
 def store() -> model_store.ModelStore:
     filled = model_store.ModelStore()
     group = configurations.Group('g', (('tier', 'gold'),), TARGETS)
-    outcome = filled.finish(commit_change('made', changes.CreateGroup(group)))
+    outcome = filled.run_steps(
+        commit_change('made', changes.CreateGroup(group))
+    )
     assert isinstance(outcome, proposals.ChangeAccepted)
     return filled
 
@@ -46,26 +48,28 @@
     change: changes.Change,
     base_revision: int | None = None,
     min_revision: int = 0,
-) -> model_store.Steps:
+) -> model_store.StoreSteps:
     request = proposals.ChangeRequest(
         change_id, 'ana', change, base_revision, min_revision=min_revision
     )
     return transactions.commit(request, 0)
 
 
-def commit_label(change_id: str, key: str, value: str) -> model_store.Steps:
+def commit_label(
+    change_id: str, key: str, value: str
+) -> model_store.StoreSteps:
     return commit_change(change_id, changes.LabelGroup('g', ((key, value),)))
 
 
 def load_manifest(store: model_store.ModelStore) -> manifests.Manifest:
-    loaded = store.finish(store_reads.load_manifest())
+    loaded = store.run_steps(store_reads.load_manifest())
     assert isinstance(loaded, store_reads.LoadedManifest)
     return loaded.manifest
 
 
 def stop_before(
     store: model_store.ModelStore,
-    steps: model_store.Steps,
+    steps: model_store.StoreSteps,
     kind: type[
         store_calls.CompareAndSwap
         | store_calls.ListKeys
@@ -81,7 +85,7 @@
 
 
 def stop_before_manifest(
-    store: model_store.ModelStore, steps: model_store.Steps
+    store: model_store.ModelStore, steps: model_store.StoreSteps
 ) -> store_calls.Call:
     return stop_before(
         store, steps, store_calls.CompareAndSwap, manifests.MANIFEST_KEY
@@ -108,12 +112,12 @@
     )
     carl = commit_label('c', 'zone', 'north')
     swaps = [stop_before_manifest(store, each) for each in (ana, ben, carl)]
-    assert isinstance(store.finish(ana, swaps[0]), proposals.ChangeAccepted)
-    fault = get_failure(store.finish(ben, swaps[1]))
+    assert isinstance(store.run_steps(ana, swaps[0]), proposals.ChangeAccepted)
+    fault = get_failure(store.run_steps(ben, swaps[1]))
     assert fault.kind is errors.Kind.CONFLICT
     assert 'by ana (a)' in fault.detail
     assert '"gold" -> "cold"' in fault.detail
-    assert isinstance(store.finish(carl, swaps[2]), proposals.ChangeAccepted)
+    assert isinstance(store.run_steps(carl, swaps[2]), proposals.ChangeAccepted)
     labels = load_manifest(store).configuration.groups[0].labels
     assert labels == (('tier', 'cold'), ('zone', 'north'))
 
@@ -129,7 +133,7 @@
     steps = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, steps)
     call = steps.send(store.call(swap, Fate.ANSWER_LOST))
-    outcome = store.finish(steps, call)
+    outcome = store.run_steps(steps, call)
     assert isinstance(outcome, proposals.ChangeAccepted)
     assert load_manifest(store).entries[1:] == (outcome.entry,)
 
@@ -154,11 +158,11 @@
     with pytest.raises(StopIteration) as stopped:
         steps.send(store_calls.CallFailed('down'))
     assert get_failure(stopped.value.value).kind is errors.Kind.OUTCOME_UNKNOWN
-    store.land(0)
+    store.apply_delayed(0)
     repeated = commit_change(
         'a', changes.LabelGroup('g', (('tier', 'cold'),)), base_revision=1
     )
-    outcome = store.finish(repeated)
+    outcome = store.run_steps(repeated)
     assert isinstance(outcome, proposals.ChangeAccepted)
     assert load_manifest(store).entries[1:] == (outcome.entry,)
 
@@ -175,12 +179,13 @@
     ana = commit_label('a', 'tier', 'cold')
     swap = stop_before_manifest(store, ana)
     call = ana.send(store.call(swap, Fate.DELAYED))
-    assert isinstance(store.finish(ana, call), proposals.ChangeAccepted)
+    assert isinstance(store.run_steps(ana, call), proposals.ChangeAccepted)
     assert isinstance(
-        store.finish(commit_label('b', 'zone', 'x')), proposals.ChangeAccepted
+        store.run_steps(commit_label('b', 'zone', 'x')),
+        proposals.ChangeAccepted,
     )
     before = load_manifest(store)
-    store.land(0)
+    store.apply_delayed(0)
     assert load_manifest(store) == before
 
 
@@ -193,19 +198,19 @@
     its revision comes to exceed the one in force, and hours later hosts follow
     it and lose the accepted changes of that day.
     """
-    saved = dict(store.values)
-    store.finish(commit_label('a', 'tier', 'cold'))
+    saved = dict(store.entries)
+    store.run_steps(commit_label('a', 'tier', 'cold'))
     in_force = load_manifest(store).configuration
     assert in_force.revision == 2
-    store.values = saved
+    store.entries = saved
     change = changes.LabelGroup('g', (('zone', 'x'),))
     for steps in (
         commit_change('b', change, base_revision=2),
         commit_change('b', change, min_revision=2),
     ):
-        fault = get_failure(store.finish(steps))
+        fault = get_failure(store.run_steps(steps))
         assert fault.kind is errors.Kind.OLDER_COPY
-    outcome = store.finish(
+    outcome = store.run_steps(
         commit_change(
             'c', changes.RecoverConfiguration(in_force), min_revision=2
         )
@@ -215,7 +220,7 @@
     assert recovered == in_force._replace(revision=3)
     assert load_manifest(store).entries[-1].previous_revision == 1
     # A recovery of unchanged content still has to raise the revision.
-    outcome = store.finish(
+    outcome = store.run_steps(
         commit_change(
             'd', changes.RecoverConfiguration(recovered), min_revision=7
         )
@@ -239,7 +244,7 @@
         store_calls.CompareAndSwap(manifests.make_archive_key(1), text, 0)
     )
     with mock.patch.object(proposals, 'MAX_KEPT_ENTRIES', 1):
-        fault = get_failure(store.finish(commit_label('a', 'tier', 'cold')))
+        fault = get_failure(store.run_steps(commit_label('a', 'tier', 'cold')))
     assert fault.kind is errors.Kind.OLDER_COPY
 
 
@@ -256,8 +261,8 @@
     sweep = stop_before(store, ana, store_calls.ListKeys, parts.KEY_PREFIX)
     ben = commit_change('b', changes.RemoveTargets('g', ('g/1',)))
     swap = stop_before_manifest(store, ben)
-    store.finish(ana, sweep)
-    assert isinstance(store.finish(ben, swap), proposals.ChangeAccepted)
+    store.run_steps(ana, sweep)
+    assert isinstance(store.run_steps(ben, swap), proposals.ChangeAccepted)
     assert load_manifest(store).configuration.groups[0].targets == TARGETS[2:]
 
 
@@ -274,8 +279,8 @@
     key = parts.KEY_PREFIX
     deletion = stop_before(store, ana, store_calls.DeleteKey, key)
     ben = commit_change('b', changes.AddTargets('g', TARGETS[:1]))
-    assert isinstance(store.finish(ben), proposals.ChangeAccepted)
-    store.finish(ana, deletion)
+    assert isinstance(store.run_steps(ben), proposals.ChangeAccepted)
+    store.run_steps(ana, deletion)
     assert load_manifest(store).configuration.groups[0].targets == TARGETS
 
 
@@ -288,21 +293,23 @@
     label. Undo must neither restore the previous revision nor overwrite a
     field that was changed since.
     """
-    outcome = store.finish(commit_label('a', 'tier', 'cold'))
+    outcome = store.run_steps(commit_label('a', 'tier', 'cold'))
     undo = changes.UndoChange('a', outcome.entry.edits)
-    store.finish(commit_label('b', 'zone', 'x'))
-    undone = store.finish(commit_change('c', undo)).entry
+    store.run_steps(commit_label('b', 'zone', 'x'))
+    undone = store.run_steps(commit_change('c', undo)).entry
     assert (undone.revision, undone.undone_change_id) == (4, 'a')
     labels = load_manifest(store).configuration.groups[0].labels
     assert labels == (('tier', 'gold'), ('zone', 'x'))
-    store.finish(commit_label('d', 'tier', 'warm'))
-    fault = get_failure(store.finish(commit_change('e', undo)))
+    store.run_steps(commit_label('d', 'tier', 'warm'))
+    fault = get_failure(store.run_steps(commit_change('e', undo)))
     assert fault.kind is errors.Kind.CONFLICT
     assert 'by ana (d)' in fault.detail
-    deletion = store.finish(commit_change('f', changes.DeleteGroup('g'))).entry
+    deletion = store.run_steps(
+        commit_change('f', changes.DeleteGroup('g'))
+    ).entry
     undo_deletion = changes.UndoChange('f', deletion.edits)
     assert isinstance(
-        store.finish(commit_change('g', undo_deletion)),
+        store.run_steps(commit_change('g', undo_deletion)),
         proposals.ChangeAccepted,
     )
     assert load_manifest(store).configuration.groups[0].targets == TARGETS
@@ -317,7 +324,7 @@
     entry before it is archived.
     """
     with mock.patch.object(proposals, 'MAX_KEPT_ENTRIES', 2):
-        store.finish(commit_label('a', 'tier', 'x'))
+        store.run_steps(commit_label('a', 'tier', 'x'))
         steps = commit_label('b', 'tier', 'y')
         key = manifests.make_archive_key(1)
         call = stop_before(store, steps, store_calls.CompareAndSwap, key)
@@ -327,9 +334,9 @@
             'made',
             'a',
         ]
-        store.finish(commit_label('b', 'tier', 'y'))
+        store.run_steps(commit_label('b', 'tier', 'y'))
     manifest = load_manifest(store)
-    archived = store.finish(
+    archived = store.run_steps(
         store_reads.read_archived_entries(manifest.entries, 0)
     )
     entries: tuple[audit_log.Entry, ...] = (*archived, *manifest.entries)
--- a/tests/edge/test_claims.py
+++ b/tests/edge/test_claims.py
@@ -147,7 +147,7 @@
 
 def test_an_id_out_of_its_window_is_refused(world: World) -> None:
     host = Host(world)
-    for age_s in (claims.WINDOW_S + 1, -claims.AHEAD_S - 1):
+    for age_s in (claims.MAX_ID_AGE_S + 1, -claims.MAX_ID_AHEAD_S - 1):
         assert host.claim(mint(age_s)).result is EXPIRED
     assert not world.platform.calls
 
@@ -373,7 +373,7 @@
     request_id = mint()
     time_epoch = request_ids.parse_epoch(request_id)
     assert time_epoch is not None
-    key = claims.find_key(request_id, time_epoch - claims.SLOT_S)
+    key = claims.make_key(request_id, time_epoch - claims.SLOT_S)
     body = (
         f'{{"key": "{key}", "steps": [{{"kind": "attempt", "nonce": "n",'
         f' "request_id": "{request_id}", "not_after_epoch": 1}}]}}'
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -12,8 +12,8 @@
 
 from fuchsiahaven.core import addresses
 from fuchsiahaven.core.configuration import patches
-from fuchsiahaven.core.members import gossip_rows as rows
-from fuchsiahaven.core.members import member_messages, members, patch_rows
+from fuchsiahaven.core.members import gossip_codecs as rows
+from fuchsiahaven.core.members import member_messages, members, patch_codecs
 from fuchsiahaven.edge import peer_calls, peers, tls
 from tests import certificates
 
@@ -31,7 +31,7 @@
         """Answer gossip."""
         return gossip
 
-    def take_patches(self, parcel: patch_rows.Parcel) -> patches.Stamp:
+    def take_patches(self, parcel: patch_codecs.PatchMessage) -> patches.Stamp:
         """Take patches."""
         return patches.Stamp(len(parcel.patches), parcel.sender)
 
@@ -73,7 +73,7 @@
     identity: tls.Identity | None, address: str, body: bytes = b''
 ) -> bytes | None:
     """Send gossip once."""
-    told = body or rows.write(GOSSIP)
+    told = body or rows.encode_gossip(GOSSIP)
     with contextlib.closing(peer_calls.Caller(identity, LIMIT)) as caller:
         return caller.call(
             peer_calls.Request('POST', address, '/v1/gossip', told, 5.0)
@@ -113,7 +113,7 @@
     with serve(files.serve()) as address:
         answer = call(files.call(), address)
         assert answer is not None
-        assert rows.read(answer) == GOSSIP
+        assert rows.decode_gossip(answer) == GOSSIP
         for refused in (strange, nobody):
             identity = tls.Identity(refused, ssl.Purpose.SERVER_AUTH)
             assert call(identity, address) is None
@@ -172,10 +172,14 @@
         b'[]',
         b'[' * LIMIT,
         b'{"sender": ["h", "x:1", 1, "alive"]}',
-        rows.write(GOSSIP._replace(sender=OWN._replace(address='evil:80'))),
-        rows.write(GOSSIP._replace(sender=OWN._replace(name='a\nb'))),
-        rows.write(GOSSIP._replace(sender=OWN._replace(incarnation=-1))),
-        rows.write(GOSSIP._replace(news=(OWN,) * 100)),
+        rows.encode_gossip(
+            GOSSIP._replace(sender=OWN._replace(address='evil:80'))
+        ),
+        rows.encode_gossip(GOSSIP._replace(sender=OWN._replace(name='a\nb'))),
+        rows.encode_gossip(
+            GOSSIP._replace(sender=OWN._replace(incarnation=-1))
+        ),
+        rows.encode_gossip(GOSSIP._replace(news=(OWN,) * 100)),
         b' ' * LIMIT * 2,
     ],
 )
--- a/tests/edge/test_untrusted.py
+++ b/tests/edge/test_untrusted.py
@@ -20,7 +20,7 @@
 from hypothesis import strategies as st
 
 from fuchsiahaven.core import coverage, errors
-from fuchsiahaven.core.claims import claim_rows, claims
+from fuchsiahaven.core.claims import claim_codecs, claims
 from fuchsiahaven.core.configuration import (
     configurations,
     manifests,
@@ -29,12 +29,12 @@
     revisions,
 )
 from fuchsiahaven.core.members import (
-    gossip_rows,
+    gossip_codecs,
     member_messages,
     member_states,
     members,
     membership,
-    patch_rows,
+    patch_codecs,
 )
 from fuchsiahaven.core.queries import records
 from fuchsiahaven.core.targets import messages
@@ -107,7 +107,7 @@
 )
 ENCODED: Final = manifests.encode(CONFIGURATION)
 assert isinstance(ENCODED, manifests.Encoded)
-LEDGER: Final = claims.Ledger({ID: claims.Held('n', 9.0)}, 0)
+LEDGER: Final = claims.Ledger({ID: claims.Claim('n', 9.0)}, 0)
 
 
 class Reader(NamedTuple):
@@ -144,42 +144,44 @@
 
 
 def read_gossip(body: bytes) -> object:
-    gossip = gossip_rows.read(body)
+    gossip = gossip_codecs.decode_gossip(body)
     if gossip is None:
         return None
     own = members.Member('h1', '10.0.0.1:1', 1, members.Standing.ALIVE)
-    state = membership.start(own, 'Quilicura', member_states.Rules(), (), 0)
-    received = member_messages.Received(1, gossip)
-    actions = membership.handle(state, received, 1, float)[1]
+    state = membership.start(own, 'Quilicura', member_states.Timings(), (), 0)
+    received = member_messages.RequestReceived(1, gossip)
+    actions = membership.handle_event(state, received, 1, float)[1]
     for action in actions:
         if isinstance(action, member_messages.Respond):
-            gossip_rows.write(action.gossip)
+            gossip_codecs.encode_gossip(action.gossip)
     return gossip
 
 
 def read_patches(body: bytes) -> object:
-    parcel = patch_rows.read(body)
+    parcel = patch_codecs.decode_patches(body)
     state = revisions.start('h1', 0, revisions.Timings())
     for patch in parcel.patches if parcel else ():
         pushed = revision_messages.PatchReceived('h2', patch)
         state = revisions.handle_event(state, pushed, 1, float)[0]
-    return patch_rows.write(parcel) if parcel else None
+    return patch_codecs.encode_patches(parcel) if parcel else None
 
 
 def read_batch(body: bytes) -> object:
-    batch = claim_rows.read_batch(body)
+    batch = claim_codecs.decode_batch(body)
     steps = batch.steps if batch else ()
-    applied = claims.add_claims(claims.EMPTY, steps)
+    applied = claims.apply_steps(claims.EMPTY_LEDGER, steps)
     return claims.decode_ledger(claims.encode_ledger(applied.ledger))
 
 
 def read_verdicts(body: bytes) -> object:
-    return claim_rows.read_verdicts(body, (claims.Attempt(ID, 'n', 9.0),))
+    return claim_codecs.decode_results(body, (claims.Attempt(ID, 'n', 9.0),))
 
 
 def read_ledger(body: bytes) -> object:
     ledger = claims.decode_ledger(body.decode('utf-8', 'replace'))
-    assert all(math.isfinite(it.not_after_epoch) for it in ledger.held.values())
+    assert all(
+        math.isfinite(it.not_after_epoch) for it in ledger.claims.values()
+    )
     return claims.encode_ledger(ledger)
 
 
@@ -254,8 +256,8 @@
         'patches',
         read_patches,
         json.loads(
-            patch_rows.write(
-                patch_rows.Parcel(
+            patch_codecs.encode_patches(
+                patch_codecs.PatchMessage(
                     'h2',
                     (
                         patches.diff(
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -17,7 +17,7 @@
     patches,
     store_reads,
 )
-from fuchsiahaven.core.members import patch_rows
+from fuchsiahaven.core.members import patch_codecs
 from fuchsiahaven.edge import editor, store
 from fuchsiahaven.operate import command_watch, commands, exit_codes, statuses
 from standins import platform, wire
@@ -58,8 +58,8 @@
             patch = patches.diff(
                 patches.EMPTY, patches.stamp_configuration(self.configuration)
             )
-            parcel = patch_rows.Parcel(self.name, (patch,))
-            channel.reply(200, patch_rows.write(parcel).decode())
+            parcel = patch_codecs.PatchMessage(self.name, (patch,))
+            channel.reply(200, patch_codecs.encode_patches(parcel).decode())
             return
         revisions = self.revisions
         revision = revisions.pop(0) if len(revisions) > 1 else revisions[0]
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -94,14 +94,15 @@
             self._control(action)
 
     def meet(
-        self, told: member_messages.Listed | member_messages.Heard
+        self,
+        told: member_messages.MembersListed | member_messages.StampReceived,
     ) -> None:
         """Take what gossip says of the members."""
         match told:
-            case member_messages.Listed(live, staying):
+            case member_messages.MembersListed(live, staying):
                 self.tell(messages.MembersChanged(live, self.name))
                 self.steer(wording.MembersListed(staying))
-            case member_messages.Heard():
+            case member_messages.StampReceived():
                 self.steer(wording.StampReceived(*told))
 
     @property
@@ -260,7 +261,7 @@
             case wording.PutInForce(stamped):
                 self.in_force.append(stamped.stamp.revision)
                 self.tell(messages.ConfigurationReceived(stamped.configuration))
-                enforced = member_messages.Enforced(stamped.stamp)
+                enforced = member_messages.ConfigurationInForce(stamped.stamp)
                 self._clock.send(self.name, enforced)
             case wording.PushPatch(names, patch):
                 for member in names:
