--- a/bench/changes.py
+++ b/bench/changes.py
@@ -24,7 +24,7 @@
     proposals,
     transactions,
 )
-from fuchsiahaven.edge import editor, store
+from fuchsiahaven.edge import config_client, store
 from standins import wire
 
 ROUNDS: Final = 15
@@ -33,7 +33,7 @@
 GROUPS: Final = 4
 #: Far above the budget of a process, which one command does not reach.
 RATE: Final = rates.Rate(100_000, burst=100_000)
-LIMITS: Final = store.Limits(reads=RATE, writes=RATE)
+LIMITS: Final = store.Limits(read_rate=RATE, write_rate=RATE)
 
 
 class Case(NamedTuple):
@@ -193,7 +193,7 @@
     bits = int.from_bytes(os.urandom(9)) & ((1 << request_ids.RANDOM_BITS) - 1)
     change_id = request_ids.make_request_id(time.time(), bits)
     request = proposals.ChangeRequest(change_id, 'bench', change, force=True)
-    return editor.make_change(platform, request, time.time())
+    return config_client.commit_change(platform, request, time.time())
 
 
 def measure_changes(case: Case, url: str) -> dict[str, Any]:
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,7 +22,7 @@
 from bench import worlds
 from fuchsiahaven.core import request_ids
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import claim_members, claims, store
+from fuchsiahaven.edge import claim_owners, claim_task, store
 
 DEADLINE_S: Final = 0.8
 PAUSE_S: Final = 0.01
@@ -34,7 +34,7 @@
 class Host(NamedTuple):
     """Hold one host's claims task and the events that it posts."""
 
-    task: claims.Task
+    task: claim_task.Task
     told: queue.SimpleQueue[messages.ClaimSettled]
 
 
@@ -87,19 +87,19 @@
 
     def ask(address: str, body: bytes, timeout_s: float) -> bytes | None:
         time.sleep(HOP_S)
-        return hosts[int(address)].task.take_claims(body)
+        return hosts[int(address)].task.handle_claims(body)
 
     def open_store() -> store.Store:
-        return store.Store(url, claims.LIMITS._replace(read_s=0.5))
+        return store.Store(url, claim_task.LIMITS._replace(read_timeout_s=0.5))
 
     names = [str(number) for number in range(options.hosts)]
     for name in names:
-        host = Host(claims.Task(open_store, ask), queue.SimpleQueue())
+        host = Host(claim_task.Task(open_store, ask), queue.SimpleQueue())
         host.task.start(host.told.put, stack)
         hosts.append(host)
         if not options.alone:
-            listed = claim_members.Listed(name, dict(zip(names, names)))
-            host.task.note_members(listed)
+            listed = claim_owners.MemberAddresses(name, dict(zip(names, names)))
+            host.task.update_members(listed)
     return hosts
 
 
@@ -142,7 +142,7 @@
         token = len(self._asked)
         self._asked.append(due)
         claim = messages.Claim(token, request_id, due + DEADLINE_S)
-        self._hosts[token % len(self._hosts)].task.take(claim)
+        self._hosts[token % len(self._hosts)].task.perform(claim)
 
     def _collect(self) -> None:
         for host in self._hosts:
@@ -153,7 +153,7 @@
         self._results[event.result] += 1
         if event.result is messages.ClaimResult.GRANTED:
             self._took.append(time.monotonic() - self._asked[event.token])
-            host.task.take(messages.RecordOutcome(event.request_id, OUTCOME))
+            host.task.perform(messages.RecordOutcome(event.request_id, OUTCOME))
 
 
 if __name__ == '__main__':
--- a/bench/control_host.py
+++ b/bench/control_host.py
@@ -21,7 +21,7 @@
 
 from fuchsiahaven.core.customers import freshness
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import control, doors, openings
+from fuchsiahaven.edge import authenticators, control, resources
 from fuchsiahaven.operate import logs, settings_reader
 
 COUNTED: Counter[str] = Counter(peers=0, platform=0)
@@ -39,12 +39,12 @@
     signal.signal(signal.SIGTERM, lambda *_: stop.set())
     signal.signal(signal.SIGUSR1, lambda *_: write_line(COUNTED))
     with contextlib.ExitStack() as stack:
-        caller = openings.open_caller(read.settings, stack)
-        links = control.Links(
+        caller = resources.open_peer_client(read.settings, stack)
+        links = control.Callbacks(
             post,
             lambda body: body,
             lambda listed: None,
-            doors.Door(freshness.Freshness()),
+            authenticators.Authenticator(freshness.Freshness()),
         )
         control.start(read.settings, links, caller, stack)
         stop.wait()
--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -23,7 +23,7 @@
 
 from fuchsiahaven.core.queries import states
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import loop
+from fuchsiahaven.edge import dispatch_loop
 from standins import layouts
 
 FIRST_PORT: Final = 26_000
@@ -135,27 +135,29 @@
 
 
 def _use_loop(stack: contextlib.ExitStack) -> Ask:
-    bounds = loop.Settings(answer_bytes=1_000_000, probe_s=0.5, connect_s=0.5)
+    bounds = dispatch_loop.Settings(
+        max_answer_bytes=1_000_000, probe_timeout_s=0.5, connect_timeout_s=0.5
+    )
     place = layouts.DATA_CENTRES['santiago'][0]
     state = states.make_state(place, random.random)
-    dispatcher = loop.Loop(state, bounds, _ignore)
+    dispatcher = dispatch_loop.DispatchLoop(state, bounds, _ignore)
     thread = threading.Thread(target=dispatcher.run)
     thread.start()
     stack.callback(thread.join)
-    stack.callback(dispatcher.post, loop.Closed())
+    stack.callback(dispatcher.post, dispatch_loop.StopRequested())
     dispatcher.post(messages.ConfigurationReceived(LAYOUT.configuration))
-    while dispatcher.sample.obstacle:
+    while dispatcher.status.unready_reason:
         time.sleep(0.1)
     return lambda: _ask_loop(dispatcher)
 
 
-def _ask_loop(dispatcher: loop.Loop) -> int:
+def _ask_loop(dispatcher: dispatch_loop.DispatchLoop) -> int:
     now = time.monotonic()
-    reply_to: loop.ReplyQueue = queue.SimpleQueue()
+    reply_to: dispatch_loop.ReplyQueue = queue.SimpleQueue()
     query = messages.Query(
         'fan-out', 'price-check', TERMS, None, now, now + 0.8
     )
-    dispatcher.post(loop.Asked(query, reply_to))
+    dispatcher.post(dispatch_loop.QueryReceived(query, reply_to))
     answer = reply_to.get(timeout=2).outcome
     assert isinstance(answer, messages.Answer)
     return len(answer.coverage.covered)
--- a/fuchsiahaven/edge/answers.py
+++ b/fuchsiahaven/edge/caller_replies.py
@@ -7,65 +7,67 @@
 from fuchsiahaven.core import coverage, errors
 from fuchsiahaven.core.targets import messages
 
-OK: Final = 200
-MILLISECONDS: Final = 1000
+OK_STATUS: Final = 200
+MS_PER_S: Final = 1000
 
-_encode: Final = json.JSONEncoder(separators=(',', ':')).encode
+_encode_json: Final = json.JSONEncoder(separators=(',', ':')).encode
 
 
-class Written(NamedTuple):
+class EncodedReply(NamedTuple):
     """Hold one reply: status, body and the seconds of Retry-After."""
 
     status: int
     body: bytes
-    retry_after: int | None = None
+    retry_after_s: int | None = None
 
 
-def write_reply(request_id: str | None, reply: messages.Reply) -> Written:
+def encode_reply(request_id: str | None, reply: messages.Reply) -> EncodedReply:
     """Write an answer or a failure."""
     outcome = reply.outcome
     if isinstance(outcome, errors.Failure):
-        return write_failure(request_id, outcome)
-    body = _describe_answer(outcome)
+        return encode_failure(request_id, outcome)
+    body = _build_body(outcome)
     if reply.replayed:
         body['replayed'] = True
-    return Written(OK, _encode(body).encode())
+    return EncodedReply(OK_STATUS, _encode_json(body).encode())
 
 
-def write_failure(request_id: str | None, failure: errors.Failure) -> Written:
+def encode_failure(
+    request_id: str | None, failure: errors.Failure
+) -> EncodedReply:
     """Write a failure by the table of errors."""
-    row = errors.KIND_PROPERTIES[failure.kind]
+    properties = errors.KIND_PROPERTIES[failure.kind]
     error: dict[str, Any] = {
         'kind': failure.kind.value,
-        'text': row.text,
+        'text': properties.text,
         'detail': failure.detail,
         'source': failure.source,
         'ran': failure.ran.value,
     }
-    seconds = None
+    retry_after_s = None
     if failure.retry_after is not None:
-        error['retry_after_ms'] = math.ceil(failure.retry_after * MILLISECONDS)
-        seconds = math.ceil(failure.retry_after)
-    body = _encode({'request_id': request_id, 'error': error}).encode()
-    return Written(row.status, body, seconds)
+        error['retry_after_ms'] = math.ceil(failure.retry_after * MS_PER_S)
+        retry_after_s = math.ceil(failure.retry_after)
+    body = _encode_json({'request_id': request_id, 'error': error}).encode()
+    return EncodedReply(properties.status, body, retry_after_s)
 
 
-def _describe_answer(answer: messages.Answer) -> dict[str, Any]:
-    stated = answer.coverage
+def _build_body(answer: messages.Answer) -> dict[str, Any]:
+    answer_coverage = answer.coverage
     return {
         'request_id': answer.request_id,
-        'status': 'complete' if stated.complete else 'partial',
+        'status': 'complete' if answer_coverage.complete else 'partial',
         'rows': answer.rows,
         'snapshots': answer.snapshots,
         'coverage': {
-            'shards': stated.shards,
+            'shards': answer_coverage.shards,
             'covered': [
                 {
-                    'group': span.group,
-                    'shards': span.shards,
-                    'ranges': span.ranges,
+                    'group': covered.group,
+                    'shards': covered.shards,
+                    'ranges': covered.ranges,
                 }
-                for span in coverage.join_ranges(stated)
+                for covered in coverage.join_ranges(answer_coverage)
             ],
             'missing': [
                 {
@@ -74,7 +76,7 @@
                     'range': [missing.low, missing.high],
                     'reason': missing.reason.value,
                 }
-                for missing in stated.missing
+                for missing in answer_coverage.missing
             ],
         },
         'revision': answer.revision,
--- a/fuchsiahaven/edge/requests.py
+++ b/fuchsiahaven/edge/caller_requests.py
@@ -11,10 +11,10 @@
 from fuchsiahaven.core.targets import messages
 
 SOURCE: Final = 'callers'
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 MAX_DEADLINE_MS: Final = 600_000
-MAX_LIMIT: Final = 1000
-REQUEST_ID: Final = '^[A-Za-z0-9._:-]{1,64}$'
+MAX_RESULT_LIMIT: Final = 1000
+REQUEST_ID_PATTERN: Final = '^[A-Za-z0-9._:-]{1,64}$'
 
 SCHEMA: Final[dict[str, object]] = {
     'type': 'object',
@@ -23,7 +23,7 @@
         'class': {'type': 'string', 'minLength': 1, 'maxLength': 64},
         # An id goes into a header of each sub-request: a line break in it
         # would forge further headers.
-        'request_id': {'type': 'string', 'pattern': REQUEST_ID},
+        'request_id': {'type': 'string', 'pattern': REQUEST_ID_PATTERN},
         'deadline_ms': {
             'type': 'integer',
             'minimum': 1,
@@ -36,23 +36,23 @@
                 'limit': {
                     'type': 'integer',
                     'minimum': 0,
-                    'maximum': MAX_LIMIT,
+                    'maximum': MAX_RESULT_LIMIT,
                 },
             },
         },
     },
 }
-_check: Final[Callable[[object], object]] = fastjsonschema.compile(
+_validate: Final[Callable[[object], object]] = fastjsonschema.compile(
     SCHEMA, use_default=False
 )
 _LINE_END: Final = re.compile(r'[\r\n]')
 
 
-class Bounds(NamedTuple):
+class BodyBounds(NamedTuple):
     """Bound what a body may hold once it is parsed."""
 
-    depth: int
-    items: int
+    max_depth: int
+    max_items: int
 
 
 class Refusal(Exception):
@@ -67,27 +67,30 @@
         self.request_id = request_id
 
 
-def read_query(
-    body: bytes, bounds: Bounds, mint: Callable[[], str], arrived: float
+def decode_query(
+    body: bytes,
+    bounds: BodyBounds,
+    make_request_id: Callable[[], str],
+    arrived: float,
 ) -> messages.Query:
     """Read one request; raises Refusal for what is not one."""
-    parsed = _parse(body)
-    _measure(parsed, bounds)
+    parsed = _decode_object(body)
+    _check_bounds(parsed, bounds)
     try:
-        _check(parsed)
+        _validate(parsed)
     except fastjsonschema.JsonSchemaValueException as error:
         detail = error.message.replace('data.', '').replace('data ', 'body ')
         raise Refusal(
-            errors.Kind.BAD_REQUEST, detail, _find_id(parsed)
+            errors.Kind.BAD_REQUEST, detail, _find_request_id(parsed)
         ) from error
     deadline_ms = parsed.get('deadline_ms', math.inf)
     return messages.Query(
-        request_id=parsed.get('request_id') or mint(),
+        request_id=parsed.get('request_id') or make_request_id(),
         class_name=parsed['class'],
         terms=parsed['query'],
         key=parsed.get('key'),
         arrived_at=arrived,
-        deadline=arrived + deadline_ms / MILLISECONDS,
+        deadline=arrived + deadline_ms / MS_PER_S,
     )
 
 
@@ -96,21 +99,21 @@
 
     Raises Refusal; raises TimeoutError, which the port answers.
     """
-    length = _read_length(environ)
+    length = _parse_length(environ)
     body: bytes = environ['wsgi.input'].read(length)
     if len(body) < length:
         raise Refusal(errors.Kind.BAD_REQUEST, 'the body is too short')
     return body
 
 
-def _read_length(environ: Mapping[str, Any]) -> int:
+def _parse_length(environ: Mapping[str, Any]) -> int:
     text = environ.get('CONTENT_LENGTH') or ''
     if not (text.isascii() and text.isdigit()):
         raise Refusal(errors.Kind.BAD_REQUEST, 'a Content-Length is required')
     return int(text)
 
 
-def _parse(body: bytes) -> dict[str, Any]:
+def _decode_object(body: bytes) -> dict[str, Any]:
     try:
         parsed = json_texts.load(body)
     except ValueError as error:
@@ -121,30 +124,32 @@
     return parsed
 
 
-def _measure(parsed: object, bounds: Bounds) -> None:
+def _check_bounds(parsed: object, bounds: BodyBounds) -> None:
     level = [parsed]
     count = 0
     depth = 0
     while level:
         depth += 1
         count += len(level)
-        if depth > bounds.depth or count > bounds.items:
+        if depth > bounds.max_depth or count > bounds.max_items:
             detail = (
-                f'the body may be {bounds.depth} deep and hold '
-                f'{bounds.items} values'
+                f'the body may be {bounds.max_depth} deep and hold '
+                f'{bounds.max_items} values'
             )
             raise Refusal(errors.Kind.TOO_LARGE, detail)
-        level = [inner for outer in level for inner in _list_inner(outer)]
+        level = [child for parent in level for child in _list_children(parent)]
 
 
-def _list_inner(outer: object) -> list[object]:
-    if isinstance(outer, dict):
-        return list(outer.values())
-    return outer if isinstance(outer, list) else []
+def _list_children(parent: object) -> list[object]:
+    if isinstance(parent, dict):
+        return list(parent.values())
+    return parent if isinstance(parent, list) else []
 
 
-def _find_id(parsed: Mapping[str, Any]) -> str | None:
-    found = parsed.get('request_id')
-    if isinstance(found, str) and re.fullmatch(REQUEST_ID, found):
-        return found
+def _find_request_id(parsed: Mapping[str, Any]) -> str | None:
+    request_id = parsed.get('request_id')
+    if isinstance(request_id, str) and re.fullmatch(
+        REQUEST_ID_PATTERN, request_id
+    ):
+        return request_id
     return None
--- a/fuchsiahaven/edge/claim_members.py
+++ b/fuchsiahaven/edge/claim_owners.py
@@ -7,28 +7,28 @@
 from fuchsiahaven.core.claims import claim_calls, claim_codecs
 
 # A member that has not answered is asked again after this long, in seconds.
-AGAIN_S: Final = 5.0
-TIMEOUT_S: Final = 0.4
+SILENT_RETRY_DELAY_S: Final = 5.0
+FORWARD_TIMEOUT_S: Final = 0.4
 
-Ask = Callable[[str, bytes, float], bytes | None]
+SendClaims = Callable[[str, bytes, float], bytes | None]
 
 
-class Listed(NamedTuple):
+class MemberAddresses(NamedTuple):
     """Bring the members of the data centre: name to peer address."""
 
-    own: str
+    own_name: str
     addresses: Mapping[str, str]
 
 
-class Members:
+class ClaimOwners:
     """Own what is known of the members that could write for us."""
 
-    def __init__(self, ask: Ask, clock: Callable[[], float]) -> None:
+    def __init__(self, send: SendClaims, clock: Callable[[], float]) -> None:
         """Know nobody; `ask` posts a body to an address within seconds."""
-        self.listed = Listed('', {})
-        self._ask = ask
+        self.members = MemberAddresses('', {})
+        self._send = send
         self._clock = clock
-        self._silent: dict[str, float] = {}
+        self._silent_until: dict[str, float] = {}
 
     def choose_owner(self, key: str) -> str:
         """Choose the member that writes this bucket; empty for ourselves.
@@ -37,23 +37,25 @@
         writes, the platform decides.
         """
         bucket = key.rpartition('/')[0]
-        names = rendezvous.rank(bucket, self.listed.addresses)
-        if not names or names[0] == self.listed.own:
+        names = rendezvous.rank(bucket, self.members.addresses)
+        if not names or names[0] == self.members.own_name:
             return ''
-        silent_until = self._silent.get(names[0], 0)
+        silent_until = self._silent_until.get(names[0], 0)
         return names[0] if silent_until <= self._clock() else ''
 
     def forward(
         self, call: claim_calls.ForwardSteps, owner: str
     ) -> claim_calls.Result:
         """Ask a member for its verdicts."""
-        address = self.listed.addresses.get(owner)
+        address = self.members.addresses.get(owner)
         if address is None:
             return claim_calls.ForwardRefused()
         batch = claim_codecs.Batch(call.key, call.steps)
-        body = self._ask(address, claim_codecs.encode_batch(batch), TIMEOUT_S)
+        body = self._send(
+            address, claim_codecs.encode_batch(batch), FORWARD_TIMEOUT_S
+        )
         verdicts = body and claim_codecs.decode_results(body, call.steps)
         if verdicts:
             return verdicts
-        self._silent[owner] = self._clock() + AGAIN_S
+        self._silent_until[owner] = self._clock() + SILENT_RETRY_DELAY_S
         return claim_calls.ForwardLost()
--- a/fuchsiahaven/edge/claim_platform.py
+++ b/fuchsiahaven/edge/claim_stores.py
@@ -12,13 +12,13 @@
 PART: Final = 'claims'
 # A platform that has failed is asked again after this long, in seconds;
 # until then claims are refused without a call.
-REOPEN_S: Final = 0.5
-LEASE_S: Final = 2 * (
+RETRY_DELAY_S: Final = 0.5
+LEASE_TTL_S: Final = 2 * (
     claims.MAX_ID_AGE_S + claims.SLOT_S + 2 * claims.MAX_CLOCK_SKEW_S
 )
-DOWN: Final = 'the platform did not answer'
-ASTRAY: Final = "this host's clock differs from the platform's"
-LOST: Final = 'the platform has lost claims of these seconds'
+PLATFORM_DOWN: Final = 'the platform did not answer'
+CLOCK_DIFFERS: Final = "this host's clock differs from the platform's"
+CLAIMS_LOST: Final = 'the platform has lost claims of these seconds'
 
 
 class Clocks(NamedTuple):
@@ -41,53 +41,53 @@
 NO_LEASE: Final = Lease('', 0)
 
 
-class Platform:
+class ClaimStore:
     """Own a store, the lease for its writes and what is known of both."""
 
-    def __init__(self, opened: store.Store, clocks: Clocks) -> None:
+    def __init__(self, platform: store.Store, clocks: Clocks) -> None:
         """Take a store over; `close` closes it."""
         self.down_until = 0.0
-        self.close = opened.close
-        self._store = opened
+        self.close = platform.close
+        self._store = platform
         self._clocks = clocks
         self._lease = NO_LEASE
-        self._highest = 0
-        self._floor_epoch = 0.0
+        self._highest_revision = 0
+        self._lost_until_epoch = 0.0
 
-    def make(
-        self, call: claim_calls.ReadKey | claim_calls.CompareAndSwap
+    def execute(
+        self, store_call: claim_calls.ReadKey | claim_calls.CompareAndSwap
     ) -> claim_calls.Result:
         """Make one call. Raises store.StoreOverBudget."""
         if self._clocks.monotonic() < self.down_until:
-            return claim_calls.CallFailed(DOWN)
+            return claim_calls.CallFailed(PLATFORM_DOWN)
         try:
-            result = self._call(call)
+            result = self._call(store_call)
         except store.StoreOverBudget:
             raise
         except store.StoreError as error:
-            return self._explain(error)
+            return self._handle_error(error)
         return self._check_clock(result)
 
-    def find_obstacle(self, key: str) -> str:
+    def find_refusal_reason(self, key: str) -> str:
         """Say why no claim of a key may ever be granted; empty if one may."""
         # What was claimed before the loss may have run and be forgotten.
-        lost = float(key.rpartition('/')[2]) <= self._floor_epoch
-        return LOST if lost else ''
+        may_be_lost = float(key.rpartition('/')[2]) <= self._lost_until_epoch
+        return CLAIMS_LOST if may_be_lost else ''
 
     def _call(
-        self, call: claim_calls.ReadKey | claim_calls.CompareAndSwap
+        self, store_call: claim_calls.ReadKey | claim_calls.CompareAndSwap
     ) -> claim_calls.Result:
-        if isinstance(call, claim_calls.CompareAndSwap):
-            lease = self._find_lease(call.key)
-            written = self._store.swap(*call, lease)
-            return self._check_growth(written.revision)
-        entry = self._store.read(call.key)
+        if isinstance(store_call, claim_calls.CompareAndSwap):
+            lease = self._get_lease(store_call.key)
+            new_entry = self._store.swap(*store_call, lease)
+            return self._check_revision(new_entry.revision)
+        entry = self._store.read(store_call.key)
         if entry is None:
             return claim_calls.KeyRead(None, 0)
-        self._highest = max(self._highest, entry.revision)
+        self._highest_revision = max(self._highest_revision, entry.revision)
         return claim_calls.KeyRead(entry.value, entry.revision)
 
-    def _explain(self, error: store.StoreError) -> claim_calls.Result:
+    def _handle_error(self, error: store.StoreError) -> claim_calls.Result:
         match error:
             case store.StoreConflict():
                 return claim_calls.WriteConflict()
@@ -97,23 +97,23 @@
                 self._lease = NO_LEASE
                 return claim_calls.WriteConflict()
         logs.warning(PART, 'the platform is unavailable', cause=error)
-        self.down_until = self._clocks.monotonic() + REOPEN_S
-        return claim_calls.CallFailed(DOWN)
+        self.down_until = self._clocks.monotonic() + RETRY_DELAY_S
+        return claim_calls.CallFailed(PLATFORM_DOWN)
 
-    def _check_growth(self, revision: int) -> claim_calls.Result:
+    def _check_revision(self, revision: int) -> claim_calls.Result:
         """Refuse a grant where the platform has lost earlier writes.
 
         A platform that was put back to an older copy has forgotten claims,
         and their ids would run twice. Its revisions, which only grow, show
         it: this write got one that was given before.
         """
-        grown = revision > self._highest
-        self._highest = revision
-        if grown:
+        has_grown = revision > self._highest_revision
+        self._highest_revision = revision
+        if has_grown:
             return claim_calls.KeyWritten(revision)
         logs.error(PART, 'the platform has lost writes', revision=revision)
-        self._floor_epoch = self._clocks.epoch()
-        return claim_calls.WriteDistrusted(LOST)
+        self._lost_until_epoch = self._clocks.epoch()
+        return claim_calls.WriteDistrusted(CLAIMS_LOST)
 
     def _check_clock(self, result: claim_calls.Result) -> claim_calls.Result:
         """Refuse claims while this host's clock is far off the platform's.
@@ -130,24 +130,24 @@
             return result
         logs.error(PART, 'the clock of this host is wrong', skew_s=skew_s)
         if isinstance(result, claim_calls.KeyWritten):
-            return claim_calls.WriteDistrusted(ASTRAY)
-        return claim_calls.CallFailed(ASTRAY)
+            return claim_calls.WriteDistrusted(CLOCK_DIFFERS)
+        return claim_calls.CallFailed(CLOCK_DIFFERS)
 
-    def _find_lease(self, key: str) -> str:
+    def _get_lease(self, key: str) -> str:
         """Find a lease that outlives every use of a key's ids."""
-        until = claims.compute_key_expiry(float(key.rpartition('/')[2]))
-        if self._lease.ends_epoch < until:
+        needed_until = claims.compute_key_expiry(float(key.rpartition('/')[2]))
+        if self._lease.ends_epoch < needed_until:
             # Counted from before the call, it never ends earlier than this.
-            ends = self._clocks.epoch() + LEASE_S
-            self._lease = Lease(self._open_lease(), ends)
+            ends_epoch = self._clocks.epoch() + LEASE_TTL_S
+            self._lease = Lease(self._open_lease(), ends_epoch)
         return self._lease.name
 
     def _open_lease(self) -> str:
         # Where the answer is lost, a second lease does no harm: the first
         # has no key and ends by itself.
         with contextlib.suppress(store.StoreUnclear):
-            return self._store.open_lease(LEASE_S)
+            return self._store.open_lease(LEASE_TTL_S)
         try:
-            return self._store.open_lease(LEASE_S)
+            return self._store.open_lease(LEASE_TTL_S)
         except store.StoreUnclear as error:
             raise store.StoreUnavailable(str(error)) from error
--- a/fuchsiahaven/edge/claims.py
+++ b/fuchsiahaven/edge/claim_task.py
@@ -11,8 +11,8 @@
 from fuchsiahaven.core.claims import claim_calls, claim_codecs, claims
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    claim_members,
-    claim_platform,
+    claim_owners,
+    claim_stores,
     claim_workers,
     store,
 )
@@ -20,21 +20,21 @@
 # One worker for each bucket. As one member of a data centre writes a bucket
 # for all, the rates bound what a data centre costs the platform, whatever its
 # number of hosts; past them more claims go in each write.
-WORKERS: Final = claims.BUCKET_COUNT
+WORKER_COUNT: Final = claims.BUCKET_COUNT
 _READS_PER_S: Final = 50.0
 _WRITES_PER_S: Final = 25.0
 LIMITS: Final = store.Limits(
-    reads=rates.Rate(_READS_PER_S, _READS_PER_S),
-    writes=rates.Rate(_WRITES_PER_S, _WRITES_PER_S),
+    read_rate=rates.Rate(_READS_PER_S, _READS_PER_S),
+    write_rate=rates.Rate(_WRITES_PER_S, _WRITES_PER_S),
 )
 NONCE_BYTES: Final = 9
 # A member that asks us waits this long at most for what came of its steps.
-MEMBER_WAIT_S: Final = 0.3
+MAX_MEMBER_WAIT_S: Final = 0.3
 # Were all threads of the peer port to wait with claims, gossip would time out
 # and this host would be taken for dead.
-MEMBERS_AT_ONCE: Final = 16
+MAX_MEMBER_BATCHES: Final = 16
 # A holder whose time is over by this much, in seconds, starts no more.
-OVER_S: Final = 2.0
+START_EXPIRY_MARGIN_S: Final = 2.0
 Action = messages.Claim | messages.RecordOutcome | messages.ReleaseClaim
 Post = Callable[[messages.ClaimSettled], None]
 
@@ -45,54 +45,52 @@
     def __init__(
         self,
         open_platform: Callable[[], store.Store],
-        ask_member: claim_members.Ask,
-        clocks: claim_platform.Clocks = claim_platform.CLOCKS,
+        send_to_member: claim_owners.SendClaims,
+        clocks: claim_stores.Clocks = claim_stores.CLOCKS,
     ) -> None:
         """Prepare without starting."""
         self._clocks = clocks
-        self._places = threading.BoundedSemaphore(MEMBERS_AT_ONCE)
-        self._platforms = [
-            claim_platform.Platform(open_platform(), clocks)
-            for _ in range(WORKERS)
+        self._batch_permits = threading.BoundedSemaphore(MAX_MEMBER_BATCHES)
+        self._claim_stores = [
+            claim_stores.ClaimStore(open_platform(), clocks)
+            for _ in range(WORKER_COUNT)
         ]
         self._workers = [
             claim_workers.Worker(
-                platform,
-                claim_members.Members(ask_member, clocks.monotonic),
+                claim_store,
+                claim_owners.ClaimOwners(send_to_member, clocks.monotonic),
                 clocks.monotonic,
             )
-            for platform in self._platforms
+            for claim_store in self._claim_stores
         ]
 
     def start(self, post: Post, stack: contextlib.ExitStack) -> None:
         """Start the workers; the stack ends them."""
         self._post = post
-        for number, worker in enumerate(self._workers):
-            thread = threading.Thread(
-                target=worker.run, name=f'claims-{number}'
-            )
+        for index, worker in enumerate(self._workers):
+            thread = threading.Thread(target=worker.run, name=f'claims-{index}')
             thread.start()
-            stack.callback(self._platforms[number].close)
+            stack.callback(self._claim_stores[index].close)
             stack.callback(thread.join)
-            stack.callback(worker.post, claim_workers.Closed())
+            stack.callback(worker.post, claim_workers.StopRequested())
 
-    def take(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         """Take an action of the dispatch loop; it never blocks."""
         time_epoch = request_ids.parse_epoch(action.request_id)
         match action:
             case messages.Claim():
-                self._claim(action, time_epoch)
+                self._start_claim(action, time_epoch)
             case messages.RecordOutcome(request_id, outcome):
-                self._keep(request_id, time_epoch, outcome)
+                self._end_attempt(request_id, time_epoch, outcome)
             case messages.ReleaseClaim(request_id):
-                self._keep(request_id, time_epoch, None)
+                self._end_attempt(request_id, time_epoch, None)
 
-    def note_members(self, members: claim_members.Listed) -> None:
+    def update_members(self, members: claim_owners.MemberAddresses) -> None:
         """Take the members that may write claims for each other."""
         for worker in self._workers:
             worker.post(members)
 
-    def take_claims(self, body: bytes) -> bytes | None:
+    def handle_claims(self, body: bytes) -> bytes | None:
         """Write what a member asks for; None where it is not well formed.
 
         What is not settled in time is left out, and the member finds out by
@@ -101,70 +99,78 @@
         batch = claim_codecs.decode_batch(body)
         now_epoch = self._clocks.epoch()
         if batch is None or not all(
-            _belongs(step.request_id, batch.key, now_epoch)
+            _belongs_to_key(step.request_id, batch.key, now_epoch)
             for step in batch.steps
         ):
             return None
-        if not self._places.acquire(blocking=False):
+        if not self._batch_permits.acquire(blocking=False):
             return claim_codecs.encode_results(())
         try:
-            return self._write(batch)
+            return self._write_batch(batch)
         finally:
-            self._places.release()
+            self._batch_permits.release()
 
-    def _write(self, batch: claim_codecs.Batch) -> bytes:
-        answers: queue.SimpleQueue[claim_calls.StepResult] = queue.SimpleQueue()
-        give_up = self._clocks.monotonic() + MEMBER_WAIT_S
-        worker = self._find_worker(batch.key)
+    def _write_batch(self, batch: claim_codecs.Batch) -> bytes:
+        settlements: queue.SimpleQueue[claim_calls.StepResult] = (
+            queue.SimpleQueue()
+        )
+        deadline = self._clocks.monotonic() + MAX_MEMBER_WAIT_S
+        worker = self._get_worker(batch.key)
         for step in batch.steps:
-            pending = claim_calls.PendingStep(step, give_up, is_own=False)
-            worker.post(claim_workers.Step(batch.key, pending, answers.put))
+            pending = claim_calls.PendingStep(step, deadline, is_own=False)
+            worker.post(
+                claim_workers.StepSubmitted(batch.key, pending, settlements.put)
+            )
         settled: list[claim_calls.StepResult] = []
         with contextlib.suppress(queue.Empty):
             while len(settled) < len(batch.steps):
-                left = give_up - self._clocks.monotonic()
-                settled.append(answers.get(timeout=max(0.0, left)))
+                remaining_s = deadline - self._clocks.monotonic()
+                settled.append(settlements.get(timeout=max(0.0, remaining_s)))
         return claim_codecs.encode_results(tuple(settled))
 
-    def _claim(self, asked: messages.Claim, time_epoch: float | None) -> None:
-        epoch = self._clocks.epoch()
-        if time_epoch is None or not claims.is_claimable(time_epoch, epoch):
+    def _start_claim(
+        self, claim: messages.Claim, time_epoch: float | None
+    ) -> None:
+        now_epoch = self._clocks.epoch()
+        if time_epoch is None or not claims.is_claimable(time_epoch, now_epoch):
             expired = messages.ClaimSettled(
-                asked.token,
+                claim.token,
                 messages.ClaimResult.EXPIRED,
                 start_expired=time_epoch is not None,
                 detail='the id is no UUIDv7 of the last minutes',
             )
             self._post(expired)
             return
-        not_after = epoch + asked.deadline - self._clocks.monotonic()
+        not_after_epoch = now_epoch + claim.deadline - self._clocks.monotonic()
         nonce = secrets.token_urlsafe(NONCE_BYTES)
-        attempt = claims.Attempt(asked.request_id, nonce, not_after)
-        key = claims.make_key(asked.request_id, time_epoch)
+        attempt = claims.Attempt(claim.request_id, nonce, not_after_epoch)
+        key = claims.make_key(claim.request_id, time_epoch)
 
-        def answer(settled: claim_calls.StepResult) -> None:
-            self._post(_tell(asked.token, settled, self._clocks.epoch()))
+        def on_settled(settled: claim_calls.StepResult) -> None:
+            self._post(_build_event(claim.token, settled, self._clocks.epoch()))
 
-        pending = claim_calls.PendingStep(attempt, asked.deadline)
-        self._find_worker(key).post(claim_workers.Step(key, pending, answer))
+        pending = claim_calls.PendingStep(attempt, claim.deadline)
+        self._get_worker(key).post(
+            claim_workers.StepSubmitted(key, pending, on_settled)
+        )
 
-    def _keep(
+    def _end_attempt(
         self, request_id: str, time_epoch: float | None, outcome: str | None
     ) -> None:
         assert time_epoch is not None
         key = claims.make_key(request_id, time_epoch)
-        left = time_epoch + claims.MAX_ID_AGE_S - self._clocks.epoch()
-        ending = claim_workers.Ending(
-            key, request_id, outcome, self._clocks.monotonic() + left
+        remaining_s = time_epoch + claims.MAX_ID_AGE_S - self._clocks.epoch()
+        ended = claim_workers.AttemptEnded(
+            key, request_id, outcome, self._clocks.monotonic() + remaining_s
         )
-        self._find_worker(key).post(ending)
+        self._get_worker(key).post(ended)
 
-    def _find_worker(self, key: str) -> claim_workers.Worker:
+    def _get_worker(self, key: str) -> claim_workers.Worker:
         bucket = int(key.split('/')[1])
-        return self._workers[bucket % WORKERS]
+        return self._workers[bucket % WORKER_COUNT]
 
 
-def _belongs(request_id: str, key: str, now_epoch: float) -> bool:
+def _belongs_to_key(request_id: str, key: str, now_epoch: float) -> bool:
     # A host that finds another key for an id would let it run twice, and so
     # would one whose clock is so far behind that the key has gone.
     time_epoch = request_ids.parse_epoch(request_id)
@@ -173,11 +179,11 @@
     return claims.make_key(request_id, time_epoch) == key
 
 
-def _tell(
+def _build_event(
     token: int, settled: claim_calls.StepResult, now_epoch: float
 ) -> messages.ClaimSettled:
     held = settled.claim
-    told = messages.ClaimSettled(
+    event = messages.ClaimSettled(
         token,
         settled.result,
         maybe_written=settled.maybe_written,
@@ -185,14 +191,14 @@
         request_id=settled.pending.step.request_id,
     )
     if settled.maybe_written:
-        told = told._replace(
-            detail=f'{told.detail}; {claims.MAYBE_CLAIMED_DETAIL}'
+        event = event._replace(
+            detail=f'{event.detail}; {claims.MAYBE_CLAIMED_DETAIL}'
         )
     if held is None:
-        return told
-    return told._replace(
+        return event
+    return event._replace(
         not_after_epoch=held.not_after_epoch,
         outcome=held.outcome,
         completed=held.stage is claims.Stage.DONE,
-        start_expired=held.not_after_epoch + OVER_S < now_epoch,
+        start_expired=held.not_after_epoch + START_EXPIRY_MARGIN_S < now_epoch,
     )
--- a/fuchsiahaven/edge/claim_workers.py
+++ b/fuchsiahaven/edge/claim_workers.py
@@ -8,33 +8,33 @@
 from fuchsiahaven.core.claims import claim_calls, claims, commits
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    claim_members,
-    claim_platform,
-    claim_turns,
+    claim_owners,
+    claim_queues,
+    claim_stores,
     store,
 )
 
 # An outcome waits this long for a claim whose write it can share.
-OUTCOME_WAIT_S: Final = 0.2
+OUTCOME_WRITE_DELAY_S: Final = 0.2
 # A host that stops gives the platform this long to take its outcomes.
-FLUSH_S: Final = 1.0
+FLUSH_TIMEOUT_S: Final = 1.0
 
-Answer = Callable[[claim_calls.StepResult], None]
+OnSettled = Callable[[claim_calls.StepResult], None]
 
 
-class Step(NamedTuple):
+class StepSubmitted(NamedTuple):
     """Bring one step of a key and who waits for what comes of it."""
 
     key: str
     pending: claim_calls.PendingStep
-    answer: Answer
+    on_settled: OnSettled
 
 
-class Closed(NamedTuple):
+class StopRequested(NamedTuple):
     """Ask the worker to end once its outcomes are written, or soon."""
 
 
-class Ending(NamedTuple):
+class AttemptEnded(NamedTuple):
     """Bring how a granted attempt ended; None where nothing ran.
 
     It waits for the platform until `give_up`, in monotonic seconds.
@@ -43,17 +43,19 @@
     key: str
     request_id: str
     outcome: str | None
-    give_up: float
+    deadline: float
 
 
-Message = Step | Ending | claim_members.Listed | Closed
+Message = (
+    StepSubmitted | AttemptEnded | claim_owners.MemberAddresses | StopRequested
+)
 
 
-class Granted(NamedTuple):
+class GrantedAttempt(NamedTuple):
     """Remember the nonce of a granted attempt until a monotonic time."""
 
     nonce: str
-    forget: float
+    expires: float
 
 
 class Worker:
@@ -61,20 +63,20 @@
 
     def __init__(
         self,
-        platform: claim_platform.Platform,
-        members: claim_members.Members,
+        claim_store: claim_stores.ClaimStore,
+        owners: claim_owners.ClaimOwners,
         clock: Callable[[], float],
     ) -> None:
         """Prepare without starting; `run` is for a thread of its own."""
-        self._platform = platform
-        self._members = members
+        self._claim_store = claim_store
+        self._owners = owners
         self._clock = clock
         self._inbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
         self._commits: dict[str, commits.KeyState] = {}
-        self._turns = claim_turns.Turns()
-        self._answers: dict[claims.Step, Answer] = {}
-        self._granted: dict[str, Granted] = {}
-        self._hold_until = 0.0
+        self._key_queue = claim_queues.KeyQueue()
+        self._callbacks: dict[claims.Step, OnSettled] = {}
+        self._granted: dict[str, GrantedAttempt] = {}
+        self._paused_until = 0.0
 
     def post(self, message: Message) -> None:
         """Hand in a message; any thread may call this."""
@@ -82,126 +84,138 @@
 
     def run(self) -> None:
         """Serve until `Closed` comes, then write the outcomes that wait."""
-        while self._take_all(self._wait()):
-            self._turn()
-        give_up = self._clock() + FLUSH_S
-        while self._turns and self._clock() < give_up:
-            self._take_all(self._wait())
-            self._turn()
-
-    def _turn(self) -> None:
+        while self._handle_messages(self._compute_wait()):
+            self._run_once()
+        deadline = self._clock() + FLUSH_TIMEOUT_S
+        while self._key_queue and self._clock() < deadline:
+            self._handle_messages(self._compute_wait())
+            self._run_once()
+
+    def _run_once(self) -> None:
         now = self._clock()
-        if now < self._hold_until:
+        if now < self._paused_until:
             return
-        key = self._turns.take(now)
+        key = self._key_queue.pop(now)
         if key is not None:
-            self._advance(key, now)
-        for idle in self._turns.forget(now):
-            self._commits.pop(idle)
+            self._advance_commit(key, now)
+        for idle_key in self._key_queue.expire_idle(now):
+            self._commits.pop(idle_key)
         while self._granted:
             request_id, granted = next(iter(self._granted.items()))
-            if granted.forget > now:
+            if granted.expires > now:
                 break
             # The request never told how it ended; nobody may ask any more.
             self._granted.pop(request_id)
 
-    def _wait(self) -> float:
+    def _compute_wait(self) -> float:
         now = self._clock()
-        return max(self._turns.wait_s(now), self._hold_until - now)
+        return max(self._key_queue.compute_wait(now), self._paused_until - now)
 
-    def _take_all(self, wait_s: float) -> bool:
+    def _handle_messages(self, wait_s: float) -> bool:
         try:
             message = self._inbox.get(wait_s > 0, max(0.0, wait_s))
-            while self._take(message):
+            while self._handle_message(message):
                 message = self._inbox.get_nowait()
         except queue.Empty:
             return True
         return False
 
-    def _take(self, message: Message) -> bool:
+    def _handle_message(self, message: Message) -> bool:
         match message:
-            case Step():
-                self._add(message)
-            case Ending():
-                self._end(message)
-            case claim_members.Listed():
-                self._members.listed = message
-            case Closed():
+            case StepSubmitted():
+                self._add_step(message)
+            case AttemptEnded():
+                self._end_attempt(message)
+            case claim_owners.MemberAddresses():
+                self._owners.members = message
+            case StopRequested():
                 return False
         return True
 
-    def _add(self, step: Step) -> None:
+    def _add_step(self, submitted: StepSubmitted) -> None:
         # A host that lost our answer sends its outcome again and again; one
         # copy in the queue is enough, and only the last asker still waits.
-        known = step.pending.step in self._answers
-        self._answers[step.pending.step] = step.answer
-        if not known:
-            commit = self._commits.get(step.key, commits.KeyState(step.key))
-            self._commits[step.key] = commits.add_steps(commit, (step.pending,))
-            self._turns.add(step.key, 0, self._clock())
-
-    def _end(self, ending: Ending) -> None:
-        granted = self._granted.pop(ending.request_id, None)
+        is_pending = submitted.pending.step in self._callbacks
+        self._callbacks[submitted.pending.step] = submitted.on_settled
+        if not is_pending:
+            commit = self._commits.get(
+                submitted.key, commits.KeyState(submitted.key)
+            )
+            self._commits[submitted.key] = commits.add_steps(
+                commit, (submitted.pending,)
+            )
+            self._key_queue.schedule(submitted.key, 0, self._clock())
+
+    def _end_attempt(self, ended: AttemptEnded) -> None:
+        granted = self._granted.pop(ended.request_id, None)
         if granted is None:
             return
-        whose = (ending.request_id, granted.nonce)
-        step: claims.Step = claims.Return(*whose)
-        hurry = 0.0
-        if ending.outcome is not None:
-            step = claims.Outcome(*whose, ending.outcome)
-            hurry = self._clock() + OUTCOME_WAIT_S
-        pending = claim_calls.PendingStep(step, ending.give_up, write_at=hurry)
-        self._add(Step(ending.key, pending, _ignore))
-
-    def _advance(self, key: str, now: float) -> None:
+        attempt_id = (ended.request_id, granted.nonce)
+        step: claims.Step = claims.Return(*attempt_id)
+        write_at = 0.0
+        if ended.outcome is not None:
+            step = claims.Outcome(*attempt_id, ended.outcome)
+            write_at = self._clock() + OUTCOME_WRITE_DELAY_S
+        pending = claim_calls.PendingStep(
+            step, ended.deadline, write_at=write_at
+        )
+        self._add_step(StepSubmitted(ended.key, pending, _ignore_settlement))
+
+    def _advance_commit(self, key: str, now: float) -> None:
         """Make one call for a key; keys take turns."""
         commit = self._commits[key]
-        owner = self._members.choose_owner(key)
-        obstacle = self._platform.find_obstacle(key)
-        if obstacle and commits.has_attempts(commit):
-            self._settle(key, commits.refuse_attempts(commit, obstacle, now))
+        owner = self._owners.choose_owner(key)
+        refusal_reason = self._claim_store.find_refusal_reason(key)
+        if refusal_reason and commits.has_attempts(commit):
+            self._apply_update(
+                key, commits.refuse_attempts(commit, refusal_reason, now)
+            )
             return
-        commit, call, settled = commits.choose_next_call(
+        commit, next_call, settlements = commits.choose_next_call(
             commit, now, forward=bool(owner)
         )
-        self._settle(key, (commit, settled))
-        if call is None:
+        self._apply_update(key, (commit, settlements))
+        if next_call is None:
             return
         try:
-            if isinstance(call, claim_calls.ForwardSteps):
-                result = self._members.forward(call, owner)
+            if isinstance(next_call, claim_calls.ForwardSteps):
+                result = self._owners.forward(next_call, owner)
             else:
-                result = self._platform.make(call)
-        except store.StoreOverBudget as refusal:
+                result = self._claim_store.execute(next_call)
+        except store.StoreOverBudget as error:
             # The steps wait, and so more of them go together in one write.
-            self._hold_until = now + refusal.retry_after
+            self._paused_until = now + error.retry_after
             self._commits[key] = commits.record_delay(commit)
             return
-        step = commits.handle_result(commit, result, self._clock())
-        self._settle(key, step)
+        update = commits.handle_result(commit, result, self._clock())
+        self._apply_update(key, update)
 
-    def _settle(
-        self, key: str, step: tuple[commits.KeyState, claim_calls.StepResults]
+    def _apply_update(
+        self, key: str, update: tuple[commits.KeyState, claim_calls.StepResults]
     ) -> None:
-        commit, settled = step
+        commit, settlements = update
         self._commits[key] = commit
-        for one in settled:
-            self._note_grant(one)
-            answer = self._answers.pop(one.pending.step, None)
-            if answer is not None:
-                answer(one)
+        for settled in settlements:
+            self._record_grant(settled)
+            on_settled = self._callbacks.pop(settled.pending.step, None)
+            if on_settled is not None:
+                on_settled(settled)
         due = commits.compute_next_write_at(commit)
         if due < math.inf:
-            due = max(due, self._platform.down_until)
-            self._turns.add(key, due, self._clock())
-
-    def _note_grant(self, one: claim_calls.StepResult) -> None:
-        step = one.pending.step
-        granted = one.result is messages.ClaimResult.GRANTED
-        if granted and one.pending.is_own and isinstance(step, claims.Attempt):
-            forget = self._clock() + claims.MAX_ID_AGE_S
-            self._granted[step.request_id] = Granted(step.nonce, forget)
-
-
-def _ignore(settled: claim_calls.StepResult) -> None:
+            due = max(due, self._claim_store.down_until)
+            self._key_queue.schedule(key, due, self._clock())
+
+    def _record_grant(self, settled: claim_calls.StepResult) -> None:
+        step = settled.pending.step
+        is_granted = settled.result is messages.ClaimResult.GRANTED
+        if (
+            is_granted
+            and settled.pending.is_own
+            and isinstance(step, claims.Attempt)
+        ):
+            expires = self._clock() + claims.MAX_ID_AGE_S
+            self._granted[step.request_id] = GrantedAttempt(step.nonce, expires)
+
+
+def _ignore_settlement(settled: claim_calls.StepResult) -> None:
     """Let nobody wait for an outcome to be kept."""
--- a/fuchsiahaven/edge/editor.py
+++ b/fuchsiahaven/edge/config_client.py
@@ -20,55 +20,55 @@
 from fuchsiahaven.edge import store
 
 #: The first wait before a call is made again, in seconds; it doubles.
-FIRST_WAIT_S: Final = 0.05
-LONGEST_WAIT_S: Final = 1.0
+MIN_RETRY_DELAY_S: Final = 0.05
+MAX_RETRY_DELAY_S: Final = 1.0
 #: The longest rest before a second try, in seconds; it doubles with each.
-FIRST_REST_S: Final = 0.005
-LONGEST_REST_S: Final = 0.5
+MIN_BACKOFF_S: Final = 0.005
+MAX_BACKOFF_S: Final = 0.5
 
 _Outcome = TypeVar('_Outcome')
 _Write = store_calls.CompareAndSwap | store_calls.DeleteKey
 _StoreCall = store_calls.ReadKey | store_calls.ListKeys | _Write
 
 
-class Patience(NamedTuple):
+class RetryPolicy(NamedTuple):
     """Bound how long a call that gave nothing is tried again."""
 
-    seconds: float = 5.0
+    timeout_s: float = 5.0
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
-    draw: Callable[[], float] = random.random
+    random: Callable[[], float] = random.random
 
 
-PATIENCE: Final = Patience()
+DEFAULT_RETRIES: Final = RetryPolicy()
 
 
 def read_configuration(
     platform: store.Store,
-    patience: Patience = PATIENCE,
-    choose: store_reads.PartSelector = store_reads.select_all_parts,
+    retries: RetryPolicy = DEFAULT_RETRIES,
+    select_parts: store_reads.PartSelector = store_reads.select_all_parts,
 ) -> store_reads.LoadedManifest | errors.Failure:
     """Read the configuration, with the targets of the chosen places."""
-    return run_steps(store_reads.load_manifest(choose), platform, patience)
+    return run_steps(store_reads.load_manifest(select_parts), platform, retries)
 
 
-def make_change(
+def commit_change(
     platform: store.Store,
     request: proposals.ChangeRequest,
-    epoch: float,
-    patience: Patience = PATIENCE,
+    epoch_s: float,
+    retries: RetryPolicy = DEFAULT_RETRIES,
 ) -> transactions.Outcome:
     """Make one change and say truthfully what became of it."""
-    return run_steps(transactions.commit(request, epoch), platform, patience)
+    return run_steps(transactions.commit(request, epoch_s), platform, retries)
 
 
 def run_steps(
     steps: store_calls.Steps[_Outcome],
     platform: store.Store,
-    patience: Patience = PATIENCE,
+    retries: RetryPolicy = DEFAULT_RETRIES,
 ) -> _Outcome:
     """Make the calls of a generator until it returns."""
-    end = patience.clock() + patience.seconds
+    deadline = retries.clock() + retries.timeout_s
     result: store_calls.Result | None = None
     while True:
         try:
@@ -77,45 +77,45 @@
         except StopIteration as stop:
             outcome: _Outcome = stop.value
             return outcome
-        result = _call_patiently(platform, call, patience, end)
+        result = _call_with_retries(platform, call, retries, deadline)
 
 
-def _call_patiently(
+def _call_with_retries(
     platform: store.Store,
     call: store_calls.Call,
-    patience: Patience,
-    end: float,
+    retries: RetryPolicy,
+    deadline: float,
 ) -> store_calls.Result:
     if isinstance(call, store_calls.Backoff):
-        longest = min(FIRST_REST_S * 2**call.attempt, LONGEST_REST_S)
-        patience.sleep(longest * patience.draw())
+        max_delay_s = min(MIN_BACKOFF_S * 2**call.attempt, MAX_BACKOFF_S)
+        retries.sleep(max_delay_s * retries.random())
         return store_calls.BackoffEnded()
-    wait_s = FIRST_WAIT_S
+    delay_s = MIN_RETRY_DELAY_S
     while True:
         try:
             return _call(platform, call)
         except store.StoreOverBudget as error:
-            wait_s = max(wait_s, error.retry_after)
+            delay_s = max(delay_s, error.retry_after)
             reason = str(error)
         except store.StoreUnavailable as error:
             reason = str(error)
-        if patience.clock() + wait_s > end:
+        if retries.clock() + delay_s > deadline:
             return store_calls.CallFailed(reason)
-        patience.sleep(wait_s)
-        wait_s = min(2 * wait_s, LONGEST_WAIT_S)
+        retries.sleep(delay_s)
+        delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
 
 def _call(platform: store.Store, call: _StoreCall) -> store_calls.Result:
     match call:
         case store_calls.ReadKey(key):
-            found = platform.read(key)
-            if found is None:
+            entry = platform.read(key)
+            if entry is None:
                 return store_calls.KeyMissing()
-            return store_calls.KeyFound(found.value, found.revision)
+            return store_calls.KeyFound(entry.value, entry.revision)
         case store_calls.ListKeys(prefix):
             keys = platform.list_keys(prefix)
             return store_calls.KeysListed(
-                tuple((each.key, each.revision) for each in keys)
+                tuple((listed.key, listed.revision) for listed in keys)
             )
     return _write(platform, call)
 
--- a/fuchsiahaven/edge/links.py
+++ b/fuchsiahaven/edge/connections.py
@@ -8,11 +8,15 @@
 
 from fuchsiahaven.edge import exchanges, frames
 
-READ_SIZE: Final = 65536
-_LATER: Final = (BlockingIOError, ssl.SSLWantReadError, ssl.SSLWantWriteError)
+READ_BYTES: Final = 65536
+_WOULD_BLOCK: Final = (
+    BlockingIOError,
+    ssl.SSLWantReadError,
+    ssl.SSLWantWriteError,
+)
 
 
-class LinkError(Exception):
+class ConnectionBroken(Exception):
     """Report a connection that broke; `unsent` if no byte had left."""
 
     def __init__(self, text: str, *, unsent: bool = False) -> None:
@@ -21,21 +25,21 @@
         self.unsent = unsent
 
 
-class Link:
+class Connection:
     """Own one connection and what is under way on it."""
 
     def __init__(
-        self, address: str, connection: urllib3.connection.HTTPConnection
+        self, address: str, http_connection: urllib3.connection.HTTPConnection
     ) -> None:
         """Take over a connection that is open and does not block."""
         self.address = address
-        self.sock = connection.sock
+        self.sock = http_connection.sock
         self.exchange: exchanges.Exchange | None = None
-        self.answered = 0
+        self.answer_count = 0
         self.closed = False
-        self.rest = b''
-        self._connection = connection
-        self._data = bytearray()
+        self.unsent = b''
+        self._http_connection = http_connection
+        self._received = bytearray()
 
     def start(self, exchange: exchanges.Exchange, payload: bytes) -> None:
         """Send a request, or as much as the socket takes now.
@@ -43,31 +47,31 @@
         Raises LinkError.
         """
         self.exchange = exchange
-        self.rest = payload
-        self._send_rest(first=True)
+        self.unsent = payload
+        self._send(first=True)
 
-    def push(self) -> None:
+    def send_unsent(self) -> None:
         """Send more of a request that the socket did not take at once.
 
         Raises LinkError.
         """
-        self._send_rest(first=False)
+        self._send(first=False)
 
-    def pull(self, limit: int) -> frames.Frame | None:
+    def receive_frame(self, max_body_bytes: int) -> frames.Frame | None:
         """Read what has come; return the answer once it is whole.
 
         Raises LinkError and frames.FrameError.
         """
         frame = None
-        more = True
-        while more and frame is None:
+        may_have_more = True
+        while may_have_more and frame is None:
             chunk = self._receive()
             if chunk is None:
                 return None
-            frame = self._join(chunk, limit)
+            frame = self._append(chunk, max_body_bytes)
             # TLS may hold decrypted bytes of which the selector knows
             # nothing; without TLS a short read has emptied the socket.
-            more = len(chunk) == READ_SIZE or self._is_pending()
+            may_have_more = len(chunk) == READ_BYTES or self._has_decrypted()
         return frame
 
     def is_open(self) -> bool:
@@ -86,43 +90,43 @@
     def finish(self) -> None:
         """Make ready for the next exchange."""
         self.exchange = None
-        self._data.clear()
+        self._received.clear()
 
     def close(self) -> None:
         """Close the connection."""
         self.closed = True
-        self._connection.close()
+        self._http_connection.close()
 
-    def _join(self, chunk: bytes, limit: int) -> frames.Frame | None:
+    def _append(self, chunk: bytes, max_body_bytes: int) -> frames.Frame | None:
         if self.exchange is None:
             raise frames.FrameError('bytes that nobody asked for')
-        self._data += chunk
-        frame = frames.cut_frame(self._data, limit)
+        self._received += chunk
+        frame = frames.decode_frame(self._received, max_body_bytes)
         if frame is not None:
-            self.answered += 1
+            self.answer_count += 1
         return frame
 
-    def _send_rest(self, *, first: bool) -> None:
+    def _send(self, *, first: bool) -> None:
         try:
-            sent = self.sock.send(self.rest)
-        except _LATER:
+            sent = self.sock.send(self.unsent)
+        except _WOULD_BLOCK:
             return
         except OSError as error:
-            raise LinkError(str(error), unsent=first) from error
-        self.rest = self.rest[sent:]
+            raise ConnectionBroken(str(error), unsent=first) from error
+        self.unsent = self.unsent[sent:]
 
     def _receive(self) -> bytes | None:
         try:
-            chunk = self.sock.recv(READ_SIZE)
-        except _LATER:
+            chunk = self.sock.recv(READ_BYTES)
+        except _WOULD_BLOCK:
             return None
         except OSError as error:
-            raise LinkError(str(error)) from error
+            raise ConnectionBroken(str(error)) from error
         if not chunk:
-            raise LinkError('closed by the target')
+            raise ConnectionBroken('closed by the target')
         return chunk
 
-    def _is_pending(self) -> bool:
+    def _has_decrypted(self) -> bool:
         if isinstance(self.sock, ssl.SSLSocket):
             return self.sock.pending() > 0
         return False
--- a/fuchsiahaven/edge/connectors.py
+++ b/fuchsiahaven/edge/connectors.py
@@ -19,14 +19,14 @@
 THREADS: Final = 8
 
 
-class Opened(NamedTuple):
+class ConnectionOpened(NamedTuple):
     """Bring a connection that is open."""
 
     target: configurations.Target
-    connection: urllib3.connection.HTTPConnection
+    http_connection: urllib3.connection.HTTPConnection
 
 
-class Unopened(NamedTuple):
+class ConnectionFailed(NamedTuple):
     """Say that a connection could not be opened.
 
     `refused` tells that the target's port is closed.
@@ -37,7 +37,7 @@
     refused: bool = False
 
 
-Outcome = Opened | Unopened
+Outcome = ConnectionOpened | ConnectionFailed
 
 
 class Connectors:
@@ -53,43 +53,45 @@
         self._report = report
         self._timeout_s = timeout_s
         self._identity = identity
-        self._wanted: queue.SimpleQueue[configurations.Target | None] = (
+        self._targets: queue.SimpleQueue[configurations.Target | None] = (
             queue.SimpleQueue()
         )
         self._threads = [
-            threading.Thread(target=self._run, name=f'connector-{number}')
-            for number in range(THREADS)
+            threading.Thread(target=self._run, name=f'connector-{index}')
+            for index in range(THREADS)
         ]
         for thread in self._threads:
             thread.start()
 
-    def ask(self, target: configurations.Target) -> None:
+    def request_connection(self, target: configurations.Target) -> None:
         """Ask for one more connection to a target."""
-        self._wanted.put(target)
+        self._targets.put(target)
 
     def close(self) -> None:
         """End the threads once what they were asked for is done."""
         for _ in self._threads:
-            self._wanted.put(None)
+            self._targets.put(None)
         for thread in self._threads:
             thread.join()
 
     def _run(self) -> None:
-        while (target := self._wanted.get()) is not None:
+        while (target := self._targets.get()) is not None:
             self._report(self._open(target))
 
     def _open(self, target: configurations.Target) -> Outcome:
-        connection = self._prepare(target.address)
+        http_connection = self._make_connection(target.address)
         try:
-            connection.connect()
+            http_connection.connect()
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            connection.close()
+            http_connection.close()
             refused = isinstance(error.__cause__, ConnectionRefusedError)
-            return Unopened(target, str(error), refused)
-        connection.sock.settimeout(0)
-        return Opened(target, connection)
+            return ConnectionFailed(target, str(error), refused)
+        http_connection.sock.settimeout(0)
+        return ConnectionOpened(target, http_connection)
 
-    def _prepare(self, address: str) -> urllib3.connection.HTTPConnection:
+    def _make_connection(
+        self, address: str
+    ) -> urllib3.connection.HTTPConnection:
         host, _, port = address.rpartition(':')
         if self._identity is None:
             return urllib3.connection.HTTPConnection(
@@ -99,5 +101,5 @@
             host,
             int(port),
             timeout=self._timeout_s,
-            ssl_context=self._identity.context(),
+            ssl_context=self._identity.current_context(),
         )
--- a/fuchsiahaven/edge/control.py
+++ b/fuchsiahaven/edge/control.py
@@ -23,22 +23,22 @@
 )
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    claim_members,
-    doors,
+    authenticators,
+    claim_owners,
     gossip,
-    hostlist,
-    listings,
-    openings,
-    patch_calls,
-    peer_calls,
-    peers,
-    proofs,
+    host_list,
+    host_list_poller,
+    patch_client,
+    peer_client,
+    peer_port,
+    proof_task,
+    resources,
 )
-from fuchsiahaven.edge import revisions as revision_tasks
+from fuchsiahaven.edge import revision_task as revision_tasks
 from fuchsiahaven.operate import settings
 
 #: Nothing else on the host is told more of the stop than its members.
-FAREWELL_S: Final = 0.5
+LEAVE_TIMEOUT_S: Final = 0.5
 
 Event = (
     messages.ConfigurationReceived
@@ -47,13 +47,13 @@
 )
 
 
-class Links(NamedTuple):
+class Callbacks(NamedTuple):
     """Say whom the control tasks tell: dispatch loop, claims and door."""
 
     post: Callable[[Event], None]
-    take_claims: Callable[[bytes], bytes | None]
-    note_members: Callable[[claim_members.Listed], None]
-    door: doors.Door
+    handle_claims: Callable[[bytes], bytes | None]
+    update_members: Callable[[claim_owners.MemberAddresses], None]
+    authenticator: authenticators.Authenticator
     list_quarantined: Callable[[], tuple[suspects.News, ...]] = tuple
 
 
@@ -62,91 +62,99 @@
 
     def __init__(
         self,
-        own: members.Member,
-        chosen: settings.Settings,
-        links: Links,
-        caller: peer_calls.Caller,
+        own_member: members.Member,
+        host_settings: settings.Settings,
+        callbacks: Callbacks,
+        client: peer_client.PeerClient,
     ) -> None:
         """Prepare the tasks without starting them."""
-        self.name = own.name
-        self.take_claims = links.take_claims
-        self._chosen = chosen
-        self._links = links
+        self.name = own_member.name
+        self.handle_claims = callbacks.handle_claims
+        self._settings = host_settings
+        self._callbacks = callbacks
         seeds = tuple(
-            addresses.format_address(seed) for seed in chosen.peers.seeds
+            addresses.format_address(seed) for seed in host_settings.peers.seeds
         )
-        rules = openings.read_rules(chosen)
+        rules = resources.make_rules(host_settings)
         now = time.monotonic()
         state = membership.start(
-            own, chosen.host.data_centre, rules, seeds, now
+            own_member, host_settings.host.data_centre, rules, seeds, now
         )
-        self.gossip = gossip.Task(state, caller, self._take_members)
+        self.gossip = gossip.Task(state, client, self._handle_members)
         self.revisions = revision_tasks.Task(
             revisions.start(
-                own.name,
+                own_member.name,
                 now,
-                revisions.Timings(watch_timeout_s=chosen.platform.watch_s),
+                revisions.Timings(
+                    watch_timeout_s=host_settings.platform.watch_s
+                ),
                 alone=not state.seeds,
             ),
-            chosen.host.data_centre,
-            patch_calls.Exchange(own.name, caller, self._find_address),
-            self._take_configuration,
-            links.door,
+            host_settings.host.data_centre,
+            patch_client.PatchClient(
+                own_member.name, client, self._find_address
+            ),
+            self._handle_configuration,
+            callbacks.authenticator,
         )
-        self._proofs = proofs.Task(
-            links.door,
-            caller,
+        self._proofs = proof_task.Task(
+            callbacks.authenticator,
+            client,
             lambda: self.revisions.state,
             self._find_address,
-            lambda whole: self.revisions.post(
-                revision_messages.CheckRequested(whole)
+            lambda reads_manifest: self.revisions.post(
+                revision_messages.CheckRequested(reads_manifest)
             ),
         )
 
     def start(self, stack: contextlib.ExitStack) -> None:
         """Start the tasks; the stack ends them."""
-        chosen = self._chosen
-        self._lister = listings.Lister(
-            openings.open_store(chosen, stack),
-            chosen.platform.host_list_interval_s,
-            self._take_listing,
+        host_settings = self._settings
+        self._host_list_poller = host_list_poller.HostListPoller(
+            resources.open_store(host_settings, stack),
+            host_settings.platform.host_list_interval_s,
+            self._handle_host_list,
         )
-        stores = openings.open_stores(chosen, stack)
-        openings.start_thread(self.gossip.run, gossip.PART, stack)
-        stack.callback(self.gossip.post, gossip.Stopped())
-        stack.callback(self._say_farewell)
-        openings.start_thread(
+        stores = resources.open_stores(host_settings, stack)
+        resources.start_thread(self.gossip.run, gossip.PART, stack)
+        stack.callback(self.gossip.post, gossip.StopRequested())
+        stack.callback(self._send_leave)
+        resources.start_thread(
             functools.partial(self.revisions.run, stores),
             revision_tasks.PART,
             stack,
         )
         stack.callback(self.revisions.stop)
-        if self._links.door.freshness.revoke_s is not None:
-            openings.start_thread(self._proofs.run, proofs.PART, stack)
+        if self._callbacks.authenticator.freshness.revoke_s is not None:
+            resources.start_thread(self._proofs.run, proof_task.PART, stack)
             stack.callback(self._proofs.stop)
-        openings.start_thread(self._lister.run, listings.PART, stack)
-        stack.callback(self._lister.stop)
+        resources.start_thread(
+            self._host_list_poller.run, host_list_poller.PART, stack
+        )
+        stack.callback(self._host_list_poller.stop)
 
     def announce_stop(self) -> None:
         """Tell the members that this host is about to stop."""
         self.gossip.post(member_messages.LeaveRequested())
 
-    def explain(self) -> str:
+    def find_unready_reason(self) -> str:
         """Say why this host cannot serve yet; empty where it can."""
-        return self.revisions.explain() or ''
+        return self.revisions.find_unready_reason() or ''
 
-    def exchange(
-        self, told: member_messages.Gossip
+    def exchange_gossip(
+        self, received: member_messages.Gossip
     ) -> member_messages.Gossip | None:
         """Answer gossip; None where this host is too busy."""
-        return self.gossip.exchange(told)
+        return self.gossip.exchange_gossip(received)
 
-    def prove(self) -> bytes | None:
+    def encode_proof(self) -> bytes | None:
         """Tell how old the knowledge of keys is; None if nothing is proved."""
-        told = self._links.door.prove()
-        return None if told is None else proof_exchange.encode_answer(told)
+        answer = self._callbacks.authenticator.make_proof_answer()
+        return None if answer is None else proof_exchange.encode_answer(answer)
 
-    def take_patches(self, parcel: patch_codecs.PatchMessage) -> patches.Stamp:
+    def handle_patches(
+        self, parcel: patch_codecs.PatchMessage
+    ) -> patches.Stamp:
         """Take patches that were pushed; return what is in force."""
         self.gossip.post(member_messages.TrafficReceived(parcel.sender))
         for patch in parcel.patches:
@@ -155,7 +163,7 @@
             )
         return self.revisions.state.in_force.stamp
 
-    def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
+    def list_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
         """List what leads from a stamp to what is in force."""
         return revisions.list_patches(self.revisions.state, above)
 
@@ -163,105 +171,114 @@
         """Describe this host for an operator."""
         state = self.revisions.state
         table = self.gossip.state.table
-        known = (entry.member for entry in table.entries.values())
-        held = [_describe_held(it) for it in self._links.list_quarantined()]
+        known_members = (entry.member for entry in table.entries.values())
+        quarantined = [
+            _describe_quarantined(it)
+            for it in self._callbacks.list_quarantined()
+        ]
         return {
             'host': self.name,
-            'data_centre': self._chosen.host.data_centre,
+            'data_centre': self._settings.host.data_centre,
             'state': member_tables.get_own(table).standing,
             'revision': state.in_force.stamp.revision,
             'digest': state.in_force.stamp.digest,
             'watches': revisions.is_watcher(state),
             'faults': dict(state.faults),
-            'obstacle': self.explain(),
-            **_describe_keys(self._links.door.freshness),
+            'obstacle': self.find_unready_reason(),
+            **_describe_keys(self._callbacks.authenticator.freshness),
             'health': self.gossip.state.slowness,
-            'members': [member._asdict() for member in sorted(known)],
-            **({'quarantined': held} if held else {}),
+            'members': [member._asdict() for member in sorted(known_members)],
+            **({'quarantined': quarantined} if quarantined else {}),
         }
 
-    def _take_configuration(
+    def _handle_configuration(
         self, stamped: patches.StampedConfiguration
     ) -> None:
-        self._links.door.note(stamped)
-        self._links.post(messages.ConfigurationReceived(stamped.configuration))
+        self._callbacks.authenticator.update_configuration(stamped)
+        self._callbacks.post(
+            messages.ConfigurationReceived(stamped.configuration)
+        )
         self.gossip.post(member_messages.ConfigurationInForce(stamped.stamp))
 
-    def _take_members(
+    def _handle_members(
         self,
-        told: member_messages.MembersListed | member_messages.StampReceived,
+        event: member_messages.MembersListed | member_messages.StampReceived,
     ) -> None:
-        match told:
-            case member_messages.MembersListed(live, staying):
-                self._links.post(messages.MembersChanged(live, self.name))
-                self._links.note_members(self._list_staying(staying))
-                self.revisions.post(revision_messages.MembersListed(staying))
-                self._lister.members = len(live)
+        match event:
+            case member_messages.MembersListed(live, remaining):
+                self._callbacks.post(messages.MembersChanged(live, self.name))
+                self._callbacks.update_members(self._list_addresses(remaining))
+                self.revisions.post(revision_messages.MembersListed(remaining))
+                self._host_list_poller.member_count = len(live)
             case member_messages.StampReceived():
-                self.revisions.post(revision_messages.StampReceived(*told))
+                self.revisions.post(revision_messages.StampReceived(*event))
 
-    def _take_listing(self, listing: hostlist.Listing) -> None:
-        self._links.post(listing.targets)
+    def _handle_host_list(self, listed_hosts: host_list.HostListing) -> None:
+        self._callbacks.post(listed_hosts.targets)
         seeds = tuple(
             entry.address
-            for entry in listing.entries
-            if entry.data_centre == self._chosen.host.data_centre
+            for entry in listed_hosts.entry_hosts
+            if entry.data_centre == self._settings.host.data_centre
             and not entry.leaving
         )
         self.gossip.post(member_messages.SeedsFound(seeds))
 
-    def _list_staying(self, staying: tuple[str, ...]) -> claim_members.Listed:
-        places = {name: self._find_address(name) for name in staying}
-        return claim_members.Listed(
+    def _list_addresses(
+        self, member_names: tuple[str, ...]
+    ) -> claim_owners.MemberAddresses:
+        found = {name: self._find_address(name) for name in member_names}
+        return claim_owners.MemberAddresses(
             self.name,
-            {name: place for name, place in places.items() if place},
+            {name: address for name, address in found.items() if address},
         )
 
     def _find_address(self, name: str) -> str | None:
         member = member_tables.find_member(self.gossip.state.table, name)
         return member.address if member else None
 
-    def _say_farewell(self) -> None:
+    def _send_leave(self) -> None:
         self.gossip.post(member_messages.ServingEnded())
         # Members that miss it find out by suspicion, some seconds later.
-        self.gossip.wait_told(FAREWELL_S)
+        self.gossip.wait_for_sent(LEAVE_TIMEOUT_S)
 
 
-def _describe_keys(known: freshness.Freshness) -> Mapping[str, object]:
-    if not known.is_enforced:
+def _describe_keys(key_freshness: freshness.Freshness) -> Mapping[str, object]:
+    if not key_freshness.is_enforced:
         return {}
-    age = known.compute_age()
-    told = round(age, 2) if math.isfinite(age) else None
-    return {'keys': {'age_s': told, 'bound_s': known.revoke_s}}
+    age = key_freshness.compute_age()
+    finite_age = round(age, 2) if math.isfinite(age) else None
+    return {'keys': {'age_s': finite_age, 'bound_s': key_freshness.revoke_s}}
 
 
 def start(
-    chosen: settings.Settings,
-    links: Links,
-    caller: peer_calls.Caller,
+    host_settings: settings.Settings,
+    callbacks: Callbacks,
+    client: peer_client.PeerClient,
     stack: contextlib.ExitStack,
 ) -> Control:
     """Bind the peer port and start all tasks; the stack ends them.
 
     Raises OSError where the port is taken or a TLS file cannot be used.
     """
-    application = peers.Application()
-    place, server = openings.bind_peer_port(chosen, application)
-    own = members.Member(*place, 1, members.Standing.ALIVE)
-    control = Control(own, chosen, links, caller)
-    application.attach(own.name, control)
+    application = peer_port.Application()
+    process_address, server = resources.bind_peer_port(
+        host_settings, application
+    )
+    own_member = members.Member(*process_address, 1, members.Standing.ALIVE)
+    control = Control(own_member, host_settings, callbacks, client)
+    application.attach(own_member.name, control)
     control.start(stack)
-    openings.start_thread(server.serve, 'peers', stack)
+    resources.start_thread(server.serve, 'peers', stack)
     stack.callback(server.stop)
     return control
 
 
-def _describe_held(news: suspects.News) -> Mapping[str, object]:
+def _describe_quarantined(report: suspects.News) -> Mapping[str, object]:
     """Describe a query that is refused as it ends its targets."""
     return {
-        'digest': news.identity.digest,
-        'request_class': news.identity.customer,
-        'crashes': news.crashes,
-        'wait': round(news.wait, 1),
-        'targets': list(news.targets),
+        'digest': report.identity.digest,
+        'request_class': report.identity.customer,
+        'crashes': report.crashes,
+        'wait': round(report.wait, 1),
+        'targets': list(report.targets),
     }
--- a/fuchsiahaven/edge/exchanges.py
+++ b/fuchsiahaven/edge/exchanges.py
@@ -4,7 +4,7 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import frames, searchers
+from fuchsiahaven.edge import frames, target_protocol
 
 
 class Exchange(NamedTuple):
@@ -18,30 +18,30 @@
     cancelled: messages.Send | None = None
 
 
-def probe(target: configurations.Target, expires: float) -> Exchange:
+def make_probe(target: configurations.Target, expires: float) -> Exchange:
     """Make the question for a target's health."""
     return Exchange(messages.Probe(target), expires)
 
 
-def write_payload(exchange: Exchange, now: float) -> bytes:
+def encode_request(exchange: Exchange, now: float) -> bytes:
     """Write the request as bytes."""
     match exchange.action:
         case messages.Send() as send:
-            return searchers.write_search(send, now)
+            return target_protocol.encode_search(send, now)
         case messages.Probe() as probe:
-            return searchers.write_probe(probe)
+            return target_protocol.encode_probe(probe)
     assert exchange.cancelled is not None
-    return searchers.write_cancel(exchange.cancelled)
+    return target_protocol.encode_cancel(exchange.cancelled)
 
 
-def may_start(exchange: Exchange, now: float) -> bool:
+def may_send(exchange: Exchange, now: float) -> bool:
     """Tell whether the request is still in time to be sent."""
     if isinstance(exchange.action, messages.Send):
-        return searchers.may_start(exchange.action.request, now)
+        return target_protocol.may_send(exchange.action.request, now)
     return now < exchange.expires
 
 
-def needs_proof(exchange: Exchange) -> bool:
+def needs_tested_connection(exchange: Exchange) -> bool:
     """Tell whether this must not be the first request on its connection.
 
     A target past its cap closes a new connection unread, which looks like
@@ -52,19 +52,19 @@
     return isinstance(action, messages.Send) and action.request.at_most_once
 
 
-def read_frame(
+def decode_answer(
     exchange: Exchange, frame: frames.Frame
 ) -> messages.Event | None:
     """Read the answer; None where there is nothing to tell."""
     match exchange.action:
         case messages.Send() as send:
-            return searchers.read_search(send, frame)
+            return target_protocol.decode_search(send, frame)
         case messages.Probe() as probe:
-            return searchers.read_probe(probe, frame)
+            return target_protocol.decode_probe(probe, frame)
     return None
 
 
-def refuse(
+def make_refusal(
     exchange: Exchange, reason: messages.RefusalReason
 ) -> messages.Event | None:
     """End what was never sent."""
@@ -76,7 +76,9 @@
     return None
 
 
-def give_up(exchange: Exchange, fault: messages.Fault) -> messages.Event | None:
+def make_failure(
+    exchange: Exchange, fault: messages.Fault
+) -> messages.Event | None:
     """End what was sent and brought no answer."""
     match exchange.action:
         case messages.Send() as send:
@@ -86,7 +88,7 @@
     return None
 
 
-def names_part(exchange: Exchange | None, part: messages.PartKey) -> bool:
+def is_for_part(exchange: Exchange | None, part: messages.PartKey) -> bool:
     """Tell whether this is the sub-request of that key."""
     return (
         exchange is not None
--- a/fuchsiahaven/edge/places.py
+++ b/fuchsiahaven/edge/failover_pools.py
@@ -7,7 +7,7 @@
 from fuchsiahaven.edge import tls
 
 
-class Places:
+class FailoverPool:
     """Own the connection; go on to the next address after a failure."""
 
     def __init__(
@@ -16,23 +16,26 @@
         """Prepare without connecting; with an identity speak TLS."""
         self._urls = urls
         self._identity = identity
-        self._turn = 0
+        self._url_index = 0
         self._context: ssl.SSLContext | None = None
         self._pool = self._open()
 
-    def find(self) -> urllib3.HTTPConnectionPool:
+    def current_pool(self) -> urllib3.HTTPConnectionPool:
         """Return the connection to the present address."""
         # New keys serve from the next call on; an idle connection of the
         # old ones is closed, and none is in use, for it has one owner.
-        if self._identity and self._identity.context() is not self._context:
+        if (
+            self._identity
+            and self._identity.current_context() is not self._context
+        ):
             self._pool.close()
             self._pool = self._open()
         return self._pool
 
-    def leave(self) -> None:
+    def switch_address(self) -> None:
         """Go on to the next address."""
         if len(self._urls) > 1:
-            self._turn += 1
+            self._url_index += 1
             self._pool.close()
             self._pool = self._open()
 
@@ -41,10 +44,10 @@
         self._pool.close()
 
     def _open(self) -> urllib3.HTTPConnectionPool:
-        url = self._urls[self._turn % len(self._urls)]
+        url = self._urls[self._url_index % len(self._urls)]
         if self._identity is None:
             return urllib3.connection_from_url(url, maxsize=1)
-        self._context = self._identity.context()
+        self._context = self._identity.current_context()
         return urllib3.connection_from_url(
             url, maxsize=1, ssl_context=self._context
         )
--- a/fuchsiahaven/edge/frames.py
+++ b/fuchsiahaven/edge/frames.py
@@ -15,10 +15,10 @@
 
 from fuchsiahaven.core.targets import messages
 
-HEAD_LIMIT: Final = 16_384
+MAX_HEAD_BYTES: Final = 16_384
 END_OF_HEAD: Final = b'\r\n\r\n'
 END_OF_CHUNKS: Final = b'0\r\n\r\n'
-_CACHED_HEADS: Final = 4096
+_MAX_CACHED_HEADS: Final = 4096
 
 
 class Head(NamedTuple):
@@ -52,7 +52,7 @@
         self.fault = fault
 
 
-class _Recorder:
+class _RecordingSocket:
     """Stand where a connection expects its socket, and keep what it sends."""
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         """Do nothing: there is nothing to close."""
 
 
-class _Source:
+class _BytesSocket:
     """Stand where an answer expects its socket, and give bytes at hand."""
 
     def __init__(self, data: bytes) -> None:
@@ -79,23 +79,23 @@
         return io.BytesIO(self._data)
 
 
-@functools.lru_cache(maxsize=_CACHED_HEADS)
-def write_head(
+@functools.lru_cache(maxsize=_MAX_CACHED_HEADS)
+def encode_head(
     address: str, method: str, path: str, fields: tuple[tuple[str, str], ...]
 ) -> bytes:
     """Write the fixed part of a request's head, up to its last field."""
     host, _, port = address.rpartition(':')
     connection = urllib3.connection.HTTPConnection(host, int(port))
-    recorder = _Recorder()
-    connection.sock = cast(socket.socket, recorder)
+    recording = _RecordingSocket()
+    connection.sock = cast(socket.socket, recording)
     connection.putrequest(method, path, skip_accept_encoding=True)
     for name, value in fields:
         connection.putheader(name, value)
     connection.endheaders()
-    return recorder.sent[: -len(b'\r\n')]
+    return recording.sent[: -len(b'\r\n')]
 
 
-def cut_frame(data: bytes | bytearray, limit: int) -> Frame | None:
+def decode_frame(data: bytes | bytearray, max_body_bytes: int) -> Frame | None:
     """Cut one answer out of the bytes; None while it is not whole.
 
     Raises FrameError for what is no answer, is too large, or is followed by
@@ -103,14 +103,14 @@
     """
     end = data.find(END_OF_HEAD)
     if end < 0:
-        if len(data) > HEAD_LIMIT:
+        if len(data) > MAX_HEAD_BYTES:
             raise FrameError('the head is too long', messages.Fault.TOO_LARGE)
         return None
     start = end + len(END_OF_HEAD)
     head = _parse_head(bytes(data[:start]))
     if head.length is None:
-        return _join_chunks(data, start, head, limit)
-    if head.length > limit:
+        return _decode_chunked(data, start, head, max_body_bytes)
+    if head.length > max_body_bytes:
         raise FrameError('the body is too long', messages.Fault.TOO_LARGE)
     size = start + head.length
     if len(data) < size:
@@ -121,46 +121,46 @@
     return Frame(head.status, bytes(data[start:]), head.closes)
 
 
-@functools.lru_cache(maxsize=_CACHED_HEADS)
+@functools.lru_cache(maxsize=_MAX_CACHED_HEADS)
 def _parse_head(head: bytes) -> Head:
-    answer = _begin(head)
-    encoding = answer.headers.get('Content-Encoding', 'identity')
+    response = _parse_response(head)
+    encoding = response.headers.get('Content-Encoding', 'identity')
     if encoding != 'identity':
         # A few compressed bytes can unpack to any size.
         raise FrameError('the body is compressed')
-    length = answer.length
-    if length is None and not answer.chunked:
+    length = response.length
+    if length is None and not response.chunked:
         raise FrameError('the body has no length')
-    if answer.chunked:
+    if response.chunked:
         length = None
-    return Head(answer.status, length, answer.will_close, len(head))
+    return Head(response.status, length, response.will_close, len(head))
 
 
-def _join_chunks(
-    data: bytes | bytearray, start: int, head: Head, limit: int
+def _decode_chunked(
+    data: bytes | bytearray, start: int, head: Head, max_body_bytes: int
 ) -> Frame | None:
-    if len(data) - start > 2 * limit:
+    if len(data) - start > 2 * max_body_bytes:
         raise FrameError('the body is too long', messages.Fault.TOO_LARGE)
     if not data.endswith(END_OF_CHUNKS):
         return None
-    answer = _begin(bytes(data))
+    response = _parse_response(bytes(data))
     try:
-        body = answer.read()
+        body = response.read()
     except http.client.IncompleteRead:
         # The end of the chunks can also appear inside a chunk.
         return None
     except (http.client.HTTPException, ValueError) as error:
         raise FrameError(str(error)) from error
-    if len(body) > limit:
+    if len(body) > max_body_bytes:
         raise FrameError('the body is too long', messages.Fault.TOO_LARGE)
     return Frame(head.status, body, head.closes)
 
 
-def _begin(data: bytes) -> http.client.HTTPResponse:
-    source = cast(socket.socket, _Source(data))
-    answer = http.client.HTTPResponse(source, method='POST')
+def _parse_response(data: bytes) -> http.client.HTTPResponse:
+    source = cast(socket.socket, _BytesSocket(data))
+    response = http.client.HTTPResponse(source, method='POST')
     try:
-        answer.begin()
+        response.begin()
     except (http.client.HTTPException, ValueError, OSError) as error:
         raise FrameError(f'no head of an answer: {error}') from error
-    return answer
+    return response
--- a/fuchsiahaven/edge/gossip.py
+++ b/fuchsiahaven/edge/gossip.py
@@ -11,39 +11,39 @@
 from fuchsiahaven.core.members import gossip_codecs, membership
 from fuchsiahaven.core.members import member_messages as messages
 from fuchsiahaven.core.members import member_states as states
-from fuchsiahaven.edge import peer_calls, workers
+from fuchsiahaven.edge import peer_client, worker_pools
 from fuchsiahaven.operate import logs
 
 PART: Final = 'gossip'
 TICK_S: Final = 0.25
-POLL_S: Final = 0.05
+FLUSH_POLL_S: Final = 0.05
 THREADS: Final = 3
 PATH: Final = '/v1/gossip'
 #: How long the peer port waits for an answer; a relay takes the longest.
-ANSWER_S: Final = 5.0
+ANSWER_TIMEOUT_S: Final = 5.0
 
-Reply = queue.SimpleQueue[messages.Gossip | None]
+ReplyQueue = queue.SimpleQueue[messages.Gossip | None]
 
 
-class Request(NamedTuple):
+class GossipReceived(NamedTuple):
     """Bring gossip of another host and where its answer goes."""
 
     gossip: messages.Gossip
-    reply_to: Reply
+    reply_to: ReplyQueue
 
 
-class Stopped(NamedTuple):
+class StopRequested(NamedTuple):
     """Ask the task to end."""
 
 
-class Waiting(NamedTuple):
+class PendingReply(NamedTuple):
     """Hold where an answer goes and since when it is owed."""
 
-    reply_to: Reply
-    since: float
+    reply_to: ReplyQueue
+    received_at: float
 
 
-Message = messages.Event | Request | Stopped
+Message = messages.Event | GossipReceived | StopRequested
 Sink = Callable[[messages.MembersListed | messages.StampReceived], None]
 
 
@@ -51,15 +51,15 @@
     """Own the membership of this host."""
 
     def __init__(
-        self, state: states.State, caller: peer_calls.Caller, sink: Sink
+        self, state: states.State, client: peer_client.PeerClient, sink: Sink
     ) -> None:
         """Prepare without starting; `run` is for a thread of its own."""
         self.state = state
-        self._caller = caller
+        self._client = client
         self._sink = sink
         self._inbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
-        self._draws = random.SystemRandom().random
-        self._waiting: dict[int, Waiting] = {}
+        self._random = random.SystemRandom().random
+        self._pending: dict[int, PendingReply] = {}
         self._last_token = 0
         self._running = True
 
@@ -67,93 +67,97 @@
         """Hand in a message; any thread may call this."""
         self._inbox.put(message)
 
-    def exchange(self, gossip: messages.Gossip) -> messages.Gossip | None:
+    def exchange_gossip(
+        self, gossip: messages.Gossip
+    ) -> messages.Gossip | None:
         """Answer gossip; None where no answer is there in time."""
-        reply_to: Reply = queue.SimpleQueue()
-        self.post(Request(gossip, reply_to))
+        reply_to: ReplyQueue = queue.SimpleQueue()
+        self.post(GossipReceived(gossip, reply_to))
         with contextlib.suppress(queue.Empty):
-            return reply_to.get(timeout=ANSWER_S)
+            return reply_to.get(timeout=ANSWER_TIMEOUT_S)
         return None
 
-    def wait_told(self, longest_s: float) -> None:
+    def wait_for_sent(self, timeout_s: float) -> None:
         """Wait until nothing that was asked is open any more."""
-        give_up = time.monotonic() + longest_s
+        deadline = time.monotonic() + timeout_s
         # The first look may come before the task has taken its inbox in.
-        while time.monotonic() < give_up:
-            time.sleep(POLL_S)
+        while time.monotonic() < deadline:
+            time.sleep(FLUSH_POLL_S)
             if not self.state.exchanges and not self.state.next_flush_at:
                 return
 
     def run(self) -> None:
         """Serve until stopped."""
-        with contextlib.closing(workers.Workers(PART, THREADS)) as pool:
+        with contextlib.closing(worker_pools.WorkerPool(PART, THREADS)) as pool:
             while self._running:
-                self._turn(pool)
+                self._run_once(pool)
 
-    def _turn(self, pool: workers.Workers) -> None:
+    def _run_once(self, pool: worker_pools.WorkerPool) -> None:
         try:
             message = self._inbox.get(timeout=TICK_S)
         except queue.Empty:
             message = messages.Tick()
         now = time.monotonic()
         match message:
-            case Stopped():
+            case StopRequested():
                 self._running = False
-            case Request(gossip, reply_to):
+            case GossipReceived(gossip, reply_to):
                 self._last_token += 1
-                self._waiting[self._last_token] = Waiting(reply_to, now)
+                self._pending[self._last_token] = PendingReply(reply_to, now)
                 received = messages.RequestReceived(self._last_token, gossip)
-                self._handle(received, now, pool)
+                self._handle_event(received, now, pool)
             case _:
-                self._handle(message, now, pool)
-        self._handle(messages.Tick(), now, pool)
-        self._drop_stale(now)
+                self._handle_event(message, now, pool)
+        self._handle_event(messages.Tick(), now, pool)
+        self._expire_pending(now)
 
-    def _handle(
-        self, event: messages.Event, now: float, pool: workers.Workers
+    def _handle_event(
+        self, event: messages.Event, now: float, pool: worker_pools.WorkerPool
     ) -> None:
         state, actions = membership.handle_event(
-            self.state, event, now, self._draws
+            self.state, event, now, self._random
         )
         self.state = state
         for action in actions:
-            self._act(action, pool)
+            self._perform(action, pool)
 
-    def _act(self, action: messages.Action, pool: workers.Workers) -> None:
+    def _perform(
+        self, action: messages.Action, pool: worker_pools.WorkerPool
+    ) -> None:
         match action:
             case messages.SendRequest():
-                pool.ask(functools.partial(self._ask, action))
+                pool.submit(functools.partial(self._send, action))
             case messages.Respond(token, gossip):
-                waiting = self._waiting.pop(token, None)
-                if waiting is not None:
-                    waiting.reply_to.put(gossip)
+                pending = self._pending.pop(token, None)
+                if pending is not None:
+                    pending.reply_to.put(gossip)
             case messages.MembersListed() | messages.StampReceived():
                 self._sink(action)
             case messages.ReportMember(text, name, urgent):
-                tell = logs.error if urgent else logs.info
-                tell(PART, text, member=name)
+                log = logs.error if urgent else logs.info
+                log(PART, text, member=name)
 
-    def _ask(self, ask: messages.SendRequest) -> None:
-        request = peer_calls.Request(
+    def _send(self, action: messages.SendRequest) -> None:
+        request = peer_client.Request(
             'POST',
-            ask.address,
+            action.address,
             PATH,
-            gossip_codecs.encode_gossip(ask.gossip),
-            ask.timeout_s,
+            gossip_codecs.encode_gossip(action.gossip),
+            action.timeout_s,
         )
-        body = self._caller.call(request)
+        body = self._client.call(request)
         gossip = None if body is None else gossip_codecs.decode_gossip(body)
         if gossip is None:
-            self.post(messages.ExchangeFailed(ask.token))
+            self.post(messages.ExchangeFailed(action.token))
         else:
-            self.post(messages.ExchangeAnswered(ask.token, gossip))
+            self.post(messages.ExchangeAnswered(action.token, gossip))
 
-    def _drop_stale(self, now: float) -> None:
+    def _expire_pending(self, now: float) -> None:
         # A pause drops the relays under way, whose answers never come then.
         stale = [
             token
-            for token, waiting in self._waiting.items()
-            if now - waiting.since > ANSWER_S
+            for token, pending in self._pending.items()
+            if now - pending.received_at > ANSWER_TIMEOUT_S
         ]
         for token in stale:
-            self._waiting.pop(token)
+            self._pending.pop(token)
--- a/fuchsiahaven/edge/hostlist.py
+++ b/fuchsiahaven/edge/host_list.py
@@ -18,32 +18,32 @@
     leaving: bool
 
 
-class Listing(NamedTuple):
+class HostListing(NamedTuple):
     """Hold one reading: targets as an event, entry hosts as seeds.
 
     `age_s` is how old the platform says its list is, in seconds.
     """
 
     targets: messages.HostListRead
-    entries: tuple[EntryHost, ...]
+    entry_hosts: tuple[EntryHost, ...]
     age_s: float
 
 
-def read_hosts(platform: store.Store) -> Listing:
+def read_host_list(platform: store.Store) -> HostListing:
     """Read the list once. Raises store.StoreUnavailable."""
-    listed = platform.list_hosts()
+    answer = platform.list_hosts()
     targets = [
         host
-        for host in listed.hosts
+        for host in answer.hosts
         if host.kind is store_answers.HostKind.TARGET
     ]
     entries = tuple(
         EntryHost(host.name, host.address, host.data_centre, host.leaving)
-        for host in listed.hosts
+        for host in answer.hosts
         if host.kind is store_answers.HostKind.ENTRY
     )
     event = messages.HostListRead(
         leaving=frozenset(host.name for host in targets if host.leaving),
         live=frozenset(host.name for host in targets if not host.leaving),
     )
-    return Listing(event, entries, listed.age_s)
+    return HostListing(event, entries, answer.age_s)
--- a/fuchsiahaven/edge/ports.py
+++ b/fuchsiahaven/edge/http_server.py
@@ -8,18 +8,18 @@
 from cheroot import server as cheroot_server
 
 from fuchsiahaven.core import addresses, errors
-from fuchsiahaven.edge import answers, tls
+from fuchsiahaven.edge import caller_replies, tls
 
 SOURCE: Final = 'ports'
 #: Where an application finds when a request began to arrive, in seconds of
 #: the monotonic clock.
-ARRIVED: Final = 'fuchsiahaven.arrived'
+ARRIVED_KEY: Final = 'fuchsiahaven.arrived'
 #: Where callers show their keys, as the library spells it.
-KEY_FIELD: Final = b'Authorization'
+AUTH_FIELD: Final = b'Authorization'
 #: What is more than a port serves at once waits here, in requests.
-QUEUED: Final = 1024
+MAX_QUEUED_REQUESTS: Final = 1024
 #: What the library refuses by itself, by the first digits of its status.
-KINDS: Final = {
+KINDS_BY_STATUS: Final = {
     '400': errors.Kind.BAD_REQUEST,
     '408': errors.Kind.SLOW_REQUEST,
     '413': errors.Kind.TOO_LARGE,
@@ -30,7 +30,7 @@
 }
 
 
-class Port(NamedTuple):
+class PortSettings(NamedTuple):
     """Say where a port listens and what bounds it.
 
     A request has `read_s` to arrive, head and body. `shared` lets several
@@ -40,30 +40,30 @@
     address: addresses.Address
     threads: int
     listen_queue: int
-    header_bytes: int
-    body_bytes: int
-    read_s: float
-    idle_s: float
-    shared: bool = False
+    max_header_bytes: int
+    max_body_bytes: int
+    read_timeout_s: float
+    idle_timeout_s: float
+    reuse_port: bool = False
     identity: tls.Identity | None = None
 
 
-def make_server(application: Any, port: Port) -> wsgi.Server:
+def make_server(application: Any, port: PortSettings) -> wsgi.Server:
     """Make a server of a WSGI application; `prepare` and `serve` start it."""
     server = _Server(
         tuple(port.address),
         application,
         numthreads=port.threads,
         request_queue_size=port.listen_queue,
-        accepted_queue_size=QUEUED,
+        accepted_queue_size=MAX_QUEUED_REQUESTS,
         accepted_queue_timeout=0,
-        timeout=math.ceil(port.idle_s),
-        reuse_port=port.shared,
+        timeout=math.ceil(port.idle_timeout_s),
+        reuse_port=port.reuse_port,
         server_name='fuchsiahaven',
     )
-    server.read_s = port.read_s
-    server.max_request_header_size = port.header_bytes
-    server.max_request_body_size = port.body_bytes
+    server.read_timeout_s = port.read_timeout_s
+    server.max_request_header_size = port.max_header_bytes
+    server.max_request_body_size = port.max_body_bytes
     if port.identity is not None:
         server.ssl_adapter = tls.ServerAdapter(port.identity)
     return server
@@ -79,7 +79,7 @@
 
     def __init__(self, sock: Any) -> None:
         """Read from a socket."""
-        self.give_up = math.inf
+        self.deadline = math.inf
         self._sock = sock
 
     def __getattr__(self, name: str) -> Any:
@@ -88,24 +88,24 @@
 
     def recv_into(self, buffer: Any) -> int:
         """Read what has come. Raises TimeoutError."""
-        left = self.give_up - time.monotonic()
-        if left <= 0:
+        remaining_s = self.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError('timed out')
-        self._sock.settimeout(left)
+        self._sock.settimeout(remaining_s)
         return int(self._sock.recv_into(buffer))
 
 
-class _Fields(dict[bytes, bytes]):
+class _HeaderFields(dict[bytes, bytes]):
     """Keep each field in which a caller shows a key.
 
     The library keeps the last one, and a proxy in front may go by the first.
     """
 
-    def __setitem__(self, name: bytes, told: bytes) -> None:
+    def __setitem__(self, name: bytes, value: bytes) -> None:
         """Set a field, or add a line to one that shows a key."""
-        if name == KEY_FIELD and name in self:
-            told = b'\n'.join((self[name], told))
-        super().__setitem__(name, told)
+        if name == AUTH_FIELD and name in self:
+            value = b'\n'.join((self[name], value))
+        super().__setitem__(name, value)
 
 
 class _Request(cheroot_server.HTTPRequest):
@@ -114,7 +114,7 @@
     def __init__(self, *args: Any, **options: Any) -> None:
         """Take the options of the library's request."""
         super().__init__(*args, **options)
-        self.inheaders = _Fields()
+        self.inheaders = _HeaderFields()
 
     def respond(self) -> None:
         """Answer a request whose head is there."""
@@ -126,15 +126,15 @@
 
     def simple_response(self, status: Any, msg: str = '') -> None:
         """Write what the library answers by itself."""
-        kind = KINDS.get(str(status)[:3])
+        kind = KINDS_BY_STATUS.get(str(status)[:3])
         if kind is None:
             super().simple_response(status, msg)
             return
         failure = errors.make_failure(kind, SOURCE, msg, ran=errors.Ran.NO)
-        written = answers.write_failure(None, failure)
+        encoded = caller_replies.encode_failure(None, failure)
         head = (
             f'HTTP/1.1 {status}\r\n'
-            f'Content-Length: {len(written.body)}\r\n'
+            f'Content-Length: {len(encoded.body)}\r\n'
             'Content-Type: application/json\r\n'
             'Connection: close\r\n\r\n'
         )
@@ -142,7 +142,7 @@
         # what was refused.
         self.close_connection = True
         try:
-            self.conn.wfile.write(head.encode() + written.body)
+            self.conn.wfile.write(head.encode() + encoded.body)
         except OSError:
             # The caller has gone, and nobody is left to be told.
             return
@@ -158,14 +158,14 @@
         super().__init__(server, sock, make_file)
         self.RequestHandlerClass = _Request
         self.arrived = time.monotonic()
-        self._timed = _TimedSocket(sock)
-        self.rfile = make_file(self._timed, 'rb', self.rbufsize)
+        self._timed_socket = _TimedSocket(sock)
+        self.rfile = make_file(self._timed_socket, 'rb', self.rbufsize)
 
     def communicate(self) -> Any:
         """Read one request and answer it."""
-        self._timed.give_up = time.monotonic() + self.server.read_s
+        self._timed_socket.deadline = time.monotonic() + self.server.read_s
         # The library tells each request what stands here of its connection.
-        self.ssl_env = {**(self.ssl_env or {}), ARRIVED: self.arrived}
+        self.ssl_env = {**(self.ssl_env or {}), ARRIVED_KEY: self.arrived}
         library: Any = super()
         return library.communicate()
 
@@ -182,7 +182,7 @@
         """Take the options of the library's server."""
         super().__init__(*args, **options)
         self.ConnectionClass = _Connection
-        self.read_s = math.inf
+        self.read_timeout_s = math.inf
 
     def process_conn(self, conn: Any) -> None:
         """Hand a connection with a new request to a thread."""
--- a/fuchsiahaven/edge/manifest_reader.py
+++ b/fuchsiahaven/edge/manifest_reader.py
@@ -12,7 +12,7 @@
 from fuchsiahaven.edge import store
 
 
-def _tell_no_time() -> float:
+def _get_unknown_time() -> float:
     return messages.UNKNOWN_TIME
 
 
@@ -20,16 +20,16 @@
     """Read manifests for one data centre, each part of one only once."""
 
     def __init__(
-        self, data_centre: str, clock: Callable[[], float] = _tell_no_time
+        self, data_centre: str, clock: Callable[[], float] = _get_unknown_time
     ) -> None:
         """Start without any part; the clock tells when a call leaves."""
         self._data_centre = data_centre
         self._clock = clock
-        self._texts: dict[str, str] = {}
+        self._part_texts: dict[str, str] = {}
 
     def read(self, platform: store.Store) -> messages.Event:
         """Read what is there now."""
-        left = self._clock()
+        sent_at = self._clock()
         try:
             entry = platform.read(manifests.MANIFEST_KEY)
         except store.StoreError as error:
@@ -38,26 +38,26 @@
             )
         if entry is None:
             return messages.ManifestRead(0)
-        loaded = self._load(platform, entry, watched=False)
+        loaded = self._load_manifest(platform, entry, watched=False)
         if isinstance(loaded, messages.ManifestRead):
-            return loaded._replace(sent_at=left)
+            return loaded._replace(sent_at=sent_at)
         return loaded
 
-    def check(self, platform: store.Store) -> messages.Event:
+    def read_revision(self, platform: store.Store) -> messages.Event:
         """Read the platform's number of the manifest alone."""
-        left = self._clock()
+        sent_at = self._clock()
         try:
             listed = platform.list_keys(manifests.MANIFEST_KEY)
         except store.StoreError as error:
             return messages.PlatformCallFailed(
                 by_watch=False, detail=str(error)
             )
-        numbers = {row.key: row.revision for row in listed}
-        number = numbers.get(manifests.MANIFEST_KEY, 0)
-        return messages.StoreRevisionRead(number, left)
+        revisions = {row.key: row.revision for row in listed}
+        revision = revisions.get(manifests.MANIFEST_KEY, 0)
+        return messages.StoreRevisionRead(revision, sent_at)
 
     def watch(
-        self, platform: store.Store, asked: messages.WatchManifest
+        self, platform: store.Store, action: messages.WatchManifest
     ) -> messages.Event:
         """Wait for a change and read it.
 
@@ -66,28 +66,28 @@
         """
         try:
             entry = platform.watch(
-                manifests.MANIFEST_KEY, asked.above_revision, asked.wait_s
+                manifests.MANIFEST_KEY, action.above_revision, action.wait_s
             )
         except store.StoreError as error:
             return messages.PlatformCallFailed(by_watch=True, detail=str(error))
         if entry is None:
             return messages.WatchEnded()
-        return self._load(platform, entry, watched=True)
+        return self._load_manifest(platform, entry, watched=True)
 
-    def _load(
+    def _load_manifest(
         self, platform: store.Store, entry: store.Entry, *, watched: bool
     ) -> messages.ManifestRead | messages.PlatformCallFailed:
         head = manifests.decode_head(entry.value)
         if isinstance(head, errors.Failure):
-            return _fail(head, watched)
+            return _make_failure(head, watched)
         head = manifest_filters.filter_by_data_centre(head, self._data_centre)
         try:
-            texts = self._read_parts(platform, head.part_keys)
+            part_texts = self._read_parts(platform, head.part_keys)
         except store.StoreError as error:
             return messages.PlatformCallFailed(watched, str(error))
-        manifest = manifests.assemble(head, texts)
+        manifest = manifests.assemble(head, part_texts)
         if isinstance(manifest, errors.Failure):
-            return _fail(manifest, watched)
+            return _make_failure(manifest, watched)
         return messages.ManifestRead(
             entry.revision,
             manifest.configuration,
@@ -98,14 +98,18 @@
     def _read_parts(
         self, platform: store.Store, keys: tuple[str, ...]
     ) -> dict[str, str]:
-        texts = {key: self._texts[key] for key in keys if key in self._texts}
+        part_texts = {
+            key: self._part_texts[key]
+            for key in keys
+            if key in self._part_texts
+        }
         for key in keys:
-            entry = None if key in texts else platform.read(key)
+            entry = None if key in part_texts else platform.read(key)
             if entry is not None:
-                texts[key] = entry.value
+                part_texts[key] = entry.value
         # Two threads read; each goes on with the texts it has seen itself.
-        self._texts = texts
-        return texts
+        self._part_texts = part_texts
+        return part_texts
 
 
 def _list_changes(
@@ -119,7 +123,7 @@
     )
 
 
-def _fail(
+def _make_failure(
     failure: errors.Failure, watched: bool
 ) -> messages.PlatformCallFailed:
     return messages.PlatformCallFailed(watched, failure.detail, answered=True)
--- a/fuchsiahaven/edge/patch_calls.py
+++ b/fuchsiahaven/edge/patch_client.py
@@ -7,47 +7,47 @@
 from fuchsiahaven.core.configuration import patches
 from fuchsiahaven.core.configuration import revision_messages as messages
 from fuchsiahaven.core.members import patch_codecs
-from fuchsiahaven.edge import peer_calls
+from fuchsiahaven.edge import peer_client
 
 PATH: Final = '/v1/configuration'
-PUSH_S: Final = 1.0
+PUSH_TIMEOUT_S: Final = 1.0
 #: A whole configuration may come.
-PULL_S: Final = 10.0
+PULL_TIMEOUT_S: Final = 10.0
 
 
-class Exchange:
+class PatchClient:
     """Push to and pull from members; each call ends within bounds."""
 
     def __init__(
         self,
         name: str,
-        caller: peer_calls.Caller,
+        client: peer_client.PeerClient,
         find_address: Callable[[str], str | None],
     ) -> None:
         """Call on behalf of the member `name`."""
         self._name = name
-        self._caller = caller
+        self._client = client
         self._find_address = find_address
 
-    def push(
+    def push_patch(
         self, member: str, patch: patches.Patch
     ) -> messages.MemberUnreachable | messages.StampReceived:
         """Send a patch; give back what the member had in force."""
         body = patch_codecs.encode_patches(
             patch_codecs.PatchMessage(self._name, (patch,))
         )
-        answer = self._call('POST', member, PATH, body, PUSH_S)
-        stamp = None if answer is None else _read_stamp(answer)
+        answer = self._call('POST', member, PATH, body, PUSH_TIMEOUT_S)
+        stamp = None if answer is None else _decode_stamp(answer)
         if stamp is None:
             return messages.MemberUnreachable(member, patch)
         return messages.StampReceived(member, stamp)
 
-    def pull(
+    def pull_patches(
         self, member: str, above: patches.Stamp
     ) -> messages.MemberUnreachable | messages.PullAnswered:
         """Fetch what a member has above a stamp."""
         path = f'{PATH}?above={above.revision}&digest={above.digest}'
-        answer = self._call('GET', member, path, b'', PULL_S)
+        answer = self._call('GET', member, path, b'', PULL_TIMEOUT_S)
         if answer is None:
             return messages.MemberUnreachable(member)
         if not answer:
@@ -68,14 +68,14 @@
         address = self._find_address(member)
         if address is None:
             return None
-        return self._caller.call(
-            peer_calls.Request(method, address, path, body, timeout_s)
+        return self._client.call(
+            peer_client.Request(method, address, path, body, timeout_s)
         )
 
 
-def _read_stamp(answer: bytes) -> patches.Stamp | None:
+def _decode_stamp(answer: bytes) -> patches.Stamp | None:
     try:
-        row = json_texts.load(answer)
-        return patches.Stamp(int(row['revision']), str(row['digest']))
+        fields = json_texts.load(answer)
+        return patches.Stamp(int(fields['revision']), str(fields['digest']))
     except (ValueError, TypeError, KeyError):
         return None
--- a/fuchsiahaven/edge/peer_calls.py
+++ b/fuchsiahaven/edge/peer_client.py
@@ -12,12 +12,14 @@
 
 JSON_HEADERS: Final = {'Content-Type': 'application/json'}
 #: Hosts to which connections are kept: partners, the tree and some others.
-KEPT_HOSTS: Final = 24
+MAX_KEPT_HOSTS: Final = 24
 #: One each for gossip, for configuration and for the buckets of claims, all of
 #: which may call side by side; opening one anew costs a handshake.
-KEPT_CONNECTIONS: Final = 2 + claims.BUCKET_COUNT
-_CHUNK: Final = 65_536
-_GOOD: Final = frozenset((http.HTTPStatus.OK, http.HTTPStatus.NO_CONTENT))
+MAX_KEPT_CONNECTIONS: Final = 2 + claims.BUCKET_COUNT
+_CHUNK_BYTES: Final = 65_536
+_SUCCESS_STATUSES: Final = frozenset(
+    (http.HTTPStatus.OK, http.HTTPStatus.NO_CONTENT)
+)
 
 
 class Request(NamedTuple):
@@ -30,16 +32,18 @@
     timeout_s: float = 0.5
 
 
-class Caller:
+class PeerClient:
     """Call peers over kept connections; any thread may call."""
 
-    def __init__(self, identity: tls.Identity | None, body_bytes: int) -> None:
+    def __init__(
+        self, identity: tls.Identity | None, max_body_bytes: int
+    ) -> None:
         """Speak TLS with an identity, or plainly with none."""
         self._identity = identity
         self._scheme = 'https' if identity else 'http'
-        self._body_bytes = body_bytes
+        self._max_body_bytes = max_body_bytes
         self._lock = threading.Lock()
-        self._pools = self._open()
+        self._pools = self._open_pools()
 
     def close(self) -> None:
         """Close the connections."""
@@ -47,9 +51,9 @@
 
     def call(self, request: Request) -> bytes | None:
         """Give the body of a good answer, None for anything else."""
-        give_up = time.monotonic() + request.timeout_s
+        deadline = time.monotonic() + request.timeout_s
         try:
-            response = self._find_pools().request(
+            response = self._get_pools().request(
                 request.method,
                 f'{self._scheme}://{request.address}{request.path}',
                 body=request.body or None,
@@ -60,12 +64,12 @@
                 preload_content=False,
                 decode_content=False,
             )
-            body = self._read(response, give_up)
+            body = self._read_body(response, deadline)
         except urllib3.exceptions.HTTPError:
             return None
-        return body if response.status in _GOOD else None
+        return body if response.status in _SUCCESS_STATUSES else None
 
-    def ask_claims(
+    def send_claims(
         self, address: str, body: bytes, timeout_s: float
     ) -> bytes | None:
         """Ask a member to write claims; None where it gives no answer."""
@@ -73,8 +77,8 @@
             Request('POST', address, '/v1/claims', body, timeout_s)
         )
 
-    def _read(
-        self, response: urllib3.BaseHTTPResponse, give_up: float
+    def _read_body(
+        self, response: urllib3.BaseHTTPResponse, deadline: float
     ) -> bytes | None:
         """Read an answer within its bounds of bytes and seconds.
 
@@ -83,26 +87,29 @@
         """
         parts: list[bytes] = []
         size = 0
-        while chunk := response.read1(_CHUNK):
+        while chunk := response.read1(_CHUNK_BYTES):
             parts.append(chunk)
             size += len(chunk)
-            if size > self._body_bytes or time.monotonic() > give_up:
+            if size > self._max_body_bytes or time.monotonic() > deadline:
                 response.close()
                 return None
         response.release_conn()
         return b''.join(parts)
 
-    def _find_pools(self) -> urllib3.PoolManager:
+    def _get_pools(self) -> urllib3.PoolManager:
         with self._lock:
             context, pools = self._pools
-            if self._identity and self._identity.context() is not context:
+            if (
+                self._identity
+                and self._identity.current_context() is not context
+            ):
                 # Calls under way keep the connections that they hold.
-                self._pools = self._open()
+                self._pools = self._open_pools()
             return self._pools[1]
 
-    def _open(self) -> tuple[object, urllib3.PoolManager]:
-        context = self._identity.context() if self._identity else None
+    def _open_pools(self) -> tuple[object, urllib3.PoolManager]:
+        context = self._identity.current_context() if self._identity else None
         pools = urllib3.PoolManager(
-            KEPT_HOSTS, maxsize=KEPT_CONNECTIONS, ssl_context=context
+            MAX_KEPT_HOSTS, maxsize=MAX_KEPT_CONNECTIONS, ssl_context=context
         )
         return context, pools
--- a/fuchsiahaven/edge/pools.py
+++ b/fuchsiahaven/edge/pools.py
@@ -11,254 +11,300 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import connectors, exchanges, frames, links, looks
+from fuchsiahaven.edge import (
+    connections,
+    connectors,
+    exchanges,
+    frames,
+    target_checks,
+)
 
-BACK_OFF_S: Final = 0.1
-LONGEST_BACK_OFF_S: Final = 2.0
-BOTH: Final = selectors.EVENT_READ | selectors.EVENT_WRITE
+MIN_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 2.0
+READ_WRITE: Final = selectors.EVENT_READ | selectors.EVENT_WRITE
 
 
-class Shop(NamedTuple):
+class PoolContext(NamedTuple):
     """Hold what all pools share.
 
     `report` takes an event, or None where there is nothing to tell.
     """
 
     selector: selectors.BaseSelector
-    ask: Callable[[configurations.Target], None]
+    request_connection: Callable[[configurations.Target], None]
     report: Callable[[messages.Event | None], None]
-    answer_bytes: int
+    max_answer_bytes: int
 
 
 class Pool:
     """Own the connections to one target."""
 
-    def __init__(self, target: configurations.Target, shop: Shop) -> None:
+    def __init__(
+        self, target: configurations.Target, context: PoolContext
+    ) -> None:
         """Start without a connection."""
         self.target = target
-        self.seats = 0
-        self.links: set[links.Link] = set()
-        self._shop = shop
-        self._opening = 0
-        self._idle: list[links.Link] = []
+        self.max_connections = 0
+        self.connections: set[connections.Connection] = set()
+        self._context = context
+        self._opening_count = 0
+        self._idle: list[connections.Connection] = []
         self._queue: collections.deque[exchanges.Exchange] = collections.deque()
         self._failures = 0
-        self._closed_until = 0.0
-        self._look = looks.Look()
+        self._backoff_until = 0.0
+        self._target_check = target_checks.TargetCheck()
 
-    def place(self, exchange: exchanges.Exchange, now: float) -> None:
+    def send(self, exchange: exchanges.Exchange, now: float) -> None:
         """Send at once where a connection is idle, or else when one is."""
         while self._idle:
-            link = self._idle.pop()
-            if exchanges.needs_proof(exchange) and not link.answered:
+            connection = self._idle.pop()
+            if (
+                exchanges.needs_tested_connection(exchange)
+                and not connection.answer_count
+            ):
                 # It goes out once the connection has answered a probe.
                 self._queue.append(exchange)
-                exchange = exchanges.probe(self.target, exchange.expires)
-            if self._start(link, exchange, now):
+                exchange = exchanges.make_probe(self.target, exchange.expires)
+            if self._send_on(connection, exchange, now):
                 return
-        if not self.links and now < self._closed_until:
+        if not self.connections and now < self._backoff_until:
             reason = messages.RefusalReason.NO_CONNECTION
-            self._shop.report(exchanges.refuse(exchange, reason))
+            self._context.report(exchanges.make_refusal(exchange, reason))
             return
         self._queue.append(exchange)
         self._open_more(now)
 
-    def cancel(self, cancel: exchanges.Exchange, now: float) -> None:
+    def cancel(self, cancellation: exchanges.Exchange, now: float) -> None:
         """Cancel a sub-request, or close its connection where no seat is left.
 
         Closing would lose a connection that costs up to 6 ms to open, and
         tell the target nothing: it would run on.
         """
-        assert isinstance(cancel.action, messages.Cancel)
-        part = cancel.action.part
-        link = _find(self.links, part)
-        if link is None or link.exchange is None:
-            self._shop.report(_withdraw(self._queue, part))
+        assert isinstance(cancellation.action, messages.Cancel)
+        part = cancellation.action.part
+        connection = _find_connection(self.connections, part)
+        if connection is None or connection.exchange is None:
+            self._context.report(_remove_queued(self._queue, part))
             return
-        exchange = link.exchange
+        exchange = connection.exchange
         # The cancelled one is answered at once, or its target is in trouble.
-        link.exchange = exchange._replace(expires=cancel.expires)
+        connection.exchange = exchange._replace(expires=cancellation.expires)
         assert isinstance(exchange.action, messages.Send)
-        cancel = cancel._replace(cancelled=exchange.action)
+        cancellation = cancellation._replace(cancelled=exchange.action)
         while self._idle:
-            if self._start(self._idle.pop(), cancel, now):
+            if self._send_on(self._idle.pop(), cancellation, now):
                 return
-        if len(self.links) + self._opening < self.seats:
-            self._queue.append(cancel)
+        if len(self.connections) + self._opening_count < self.max_connections:
+            self._queue.append(cancellation)
             self._open_more(now)
         else:
-            self._drop(link, messages.Fault.TIMED_OUT, now)
+            self._fail(connection, messages.Fault.TIMED_OUT, now)
 
-    def take(self, outcome: connectors.Outcome, now: float) -> None:
+    def handle_connection(
+        self, outcome: connectors.Outcome, now: float
+    ) -> None:
         """Take a connection that was asked for, or the news of none."""
-        self._opening -= 1
-        self._shop.report(self._look.end(outcome))
+        self._opening_count -= 1
+        self._context.report(self._target_check.finish(outcome))
         match outcome:
-            case connectors.Opened(target, connection):
-                link = links.Link(target.address, connection)
-                self.links.add(link)
-                self._shop.selector.register(
-                    link.sock, selectors.EVENT_READ, (self, link)
+            case connectors.ConnectionOpened(target, http_connection):
+                connection = connections.Connection(
+                    target.address, http_connection
+                )
+                self.connections.add(connection)
+                self._context.selector.register(
+                    connection.sock, selectors.EVENT_READ, (self, connection)
+                )
+                self._context.report(
+                    _count_connections(self.target.name, self.connections)
                 )
-                self._shop.report(_count(self.target.name, self.links))
-                self._release(link, now)
-            case connectors.Unopened():
+                self._release(connection, now)
+            case connectors.ConnectionFailed():
                 self._back_off(now)
 
-    def serve(self, link: links.Link, mask: int, now: float) -> None:
+    def handle_ready(
+        self, connection: connections.Connection, mask: int, now: float
+    ) -> None:
         """Send and receive what a connection is ready for."""
         try:
             if mask & selectors.EVENT_WRITE:
-                link.push()
-                mask = BOTH if link.rest else selectors.EVENT_READ
-                self._shop.selector.modify(link.sock, mask, (self, link))
-            frame = link.pull(self._shop.answer_bytes)
+                connection.send_unsent()
+                mask = READ_WRITE if connection.unsent else selectors.EVENT_READ
+                self._context.selector.modify(
+                    connection.sock, mask, (self, connection)
+                )
+            frame = connection.receive_frame(self._context.max_answer_bytes)
         except frames.FrameError as error:
-            self._drop(link, error.fault, now)
-        except links.LinkError:
-            if not link.answered:
+            self._fail(connection, error.fault, now)
+        except connections.ConnectionBroken:
+            if not connection.answer_count:
                 # A target past its cap closes what is new unread.
                 self._back_off(now)
-            self._drop(link, messages.Fault.CONNECTION_LOST, now)
+            self._fail(connection, messages.Fault.CONNECTION_LOST, now)
         else:
             if frame is not None:
-                self._take_frame(link, frame, now)
+                self._handle_frame(connection, frame, now)
 
-    def sweep(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """End the exchanges whose time is over."""
-        for link in tuple(self.links):
-            exchange = link.exchange
+        for connection in tuple(self.connections):
+            exchange = connection.exchange
             if exchange is not None and exchange.expires < now:
-                self._drop(link, messages.Fault.TIMED_OUT, now)
-        late = [queued for queued in self._queue if queued.expires < now]
-        for exchange in late:
+                self._fail(connection, messages.Fault.TIMED_OUT, now)
+        expired = [queued for queued in self._queue if queued.expires < now]
+        for exchange in expired:
             self._queue.remove(exchange)
             reason = messages.RefusalReason.DEADLINE
-            self._shop.report(exchanges.refuse(exchange, reason))
+            self._context.report(exchanges.make_refusal(exchange, reason))
         self._open_more(now)
 
     def is_busy(self) -> bool:
         """Tell whether anything is under way."""
-        if self._queue or self._opening:
+        if self._queue or self._opening_count:
             return True
-        return any(link.exchange is not None for link in self.links)
+        return any(
+            connection.exchange is not None for connection in self.connections
+        )
 
-    def allot(self, seats: int, now: float) -> None:
+    def limit_connections(self, max_connections: int, now: float) -> None:
         """Bound the connections; what is idle beyond that is closed."""
-        self.seats = seats
-        while self._idle and len(self.links) > seats:
-            self._discard(self._idle[0])
+        self.max_connections = max_connections
+        while self._idle and len(self.connections) > max_connections:
+            self._close(self._idle[0])
         self._open_more(now)
 
     def _open_more(self, now: float) -> None:
-        if now < self._closed_until or len(self._queue) <= self._opening:
+        if now < self._backoff_until or len(self._queue) <= self._opening_count:
             return
         # Without a seat there is one connection for a while, out of the
         # target's reserve, to ask what it holds.
-        if len(self.links) + self._opening < max(1, self.seats):
-            self._opening += 1
-            self._shop.ask(self.target)
-
-    def _start(
-        self, link: links.Link, exchange: exchanges.Exchange, now: float
+        if len(self.connections) + self._opening_count < max(
+            1, self.max_connections
+        ):
+            self._opening_count += 1
+            self._context.request_connection(self.target)
+
+    def _send_on(
+        self,
+        connection: connections.Connection,
+        exchange: exchanges.Exchange,
+        now: float,
     ) -> bool:
         """Send on an idle connection; False where it turned out closed."""
-        if not exchanges.may_start(exchange, now):
-            self._idle.append(link)
+        if not exchanges.may_send(exchange, now):
+            self._idle.append(connection)
             reason = messages.RefusalReason.DEADLINE
-            self._shop.report(exchanges.refuse(exchange, reason))
+            self._context.report(exchanges.make_refusal(exchange, reason))
             return True
-        if exchanges.needs_proof(exchange) and not link.is_open():
-            self._discard(link)
+        if (
+            exchanges.needs_tested_connection(exchange)
+            and not connection.is_open()
+        ):
+            self._close(connection)
             return False
         try:
-            link.start(exchange, exchanges.write_payload(exchange, now))
-        except links.LinkError:
+            connection.start(exchange, exchanges.encode_request(exchange, now))
+        except connections.ConnectionBroken:
             # Not a byte has left, so it may go out on another connection.
-            self._discard(link)
+            self._close(connection)
             return False
-        if link.rest:
-            self._shop.selector.modify(link.sock, BOTH, (self, link))
+        if connection.unsent:
+            self._context.selector.modify(
+                connection.sock, READ_WRITE, (self, connection)
+            )
         return True
 
-    def _take_frame(
-        self, link: links.Link, frame: frames.Frame, now: float
+    def _handle_frame(
+        self,
+        connection: connections.Connection,
+        frame: frames.Frame,
+        now: float,
     ) -> None:
-        exchange = link.exchange
+        exchange = connection.exchange
         assert exchange is not None
-        link.finish()
-        event = exchanges.read_frame(exchange, frame)
-        self._shop.report(event)
+        connection.finish()
+        event = exchanges.decode_answer(exchange, frame)
+        self._context.report(event)
         if frame.closes or isinstance(event, messages.PartFailed):
-            self._discard(link)
+            self._close(connection)
             self._open_more(now)
         else:
             self._failures = 0
-            self._release(link, now)
+            self._release(connection, now)
 
-    def _release(self, link: links.Link, now: float) -> None:
-        self._idle.append(link)
+    def _release(self, connection: connections.Connection, now: float) -> None:
+        self._idle.append(connection)
         while self._queue and self._idle:
-            self.place(self._queue.popleft(), now)
-        self.allot(self.seats, now)
-
-    def _drop(
-        self, link: links.Link, fault: messages.Fault, now: float
+            self.send(self._queue.popleft(), now)
+        self.limit_connections(self.max_connections, now)
+
+    def _fail(
+        self,
+        connection: connections.Connection,
+        fault: messages.Fault,
+        now: float,
     ) -> None:
         """Close a connection and report what was under way on it."""
-        exchange = link.exchange
-        self._discard(link)
+        exchange = connection.exchange
+        self._close(connection)
         if exchange is not None:
-            self._shop.report(exchanges.give_up(exchange, fault))
-            if self._look.begin(exchange, fault) and not self._opening:
-                self._opening += 1
-                self._shop.ask(self.target)
+            self._context.report(exchanges.make_failure(exchange, fault))
+            if (
+                self._target_check.start(exchange, fault)
+                and not self._opening_count
+            ):
+                self._opening_count += 1
+                self._context.request_connection(self.target)
         self._open_more(now)
 
-    def _discard(self, link: links.Link) -> None:
-        link.exchange = None
-        self._shop.selector.unregister(link.sock)
-        link.close()
-        self.links.discard(link)
-        if link in self._idle:
-            self._idle.remove(link)
-        self._shop.report(_count(self.target.name, self.links))
+    def _close(self, connection: connections.Connection) -> None:
+        connection.exchange = None
+        self._context.selector.unregister(connection.sock)
+        connection.close()
+        self.connections.discard(connection)
+        if connection in self._idle:
+            self._idle.remove(connection)
+        self._context.report(
+            _count_connections(self.target.name, self.connections)
+        )
 
     def _back_off(self, now: float) -> None:
-        pause = min(LONGEST_BACK_OFF_S, BACK_OFF_S * 2**self._failures)
+        delay_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self._failures)
         self._failures += 1
-        self._closed_until = now + pause
+        self._backoff_until = now + delay_s
         # With a connection left the queue moves on; without one, what is in
         # it would wait for nothing.
-        while self._queue and not self.links and not self._opening:
+        while self._queue and not self.connections and not self._opening_count:
             reason = messages.RefusalReason.NO_CONNECTION
             exchange = self._queue.popleft()
-            self._shop.report(exchanges.refuse(exchange, reason))
+            self._context.report(exchanges.make_refusal(exchange, reason))
 
 
-def _find(
-    owned: Iterable[links.Link], part: messages.PartKey
-) -> links.Link | None:
-    for link in owned:
-        if exchanges.names_part(link.exchange, part):
-            return link
+def _find_connection(
+    open_connections: Iterable[connections.Connection], part: messages.PartKey
+) -> connections.Connection | None:
+    for connection in open_connections:
+        if exchanges.is_for_part(connection.exchange, part):
+            return connection
     return None
 
 
-def _withdraw(
+def _remove_queued(
     queue: collections.deque[exchanges.Exchange], part: messages.PartKey
 ) -> messages.Event | None:
     """Take back a sub-request that still waits for a connection."""
     for exchange in queue:
-        if exchanges.names_part(exchange, part):
+        if exchanges.is_for_part(exchange, part):
             queue.remove(exchange)
             reason = messages.RefusalReason.CANCELLED
-            return exchanges.refuse(exchange, reason)
+            return exchanges.make_refusal(exchange, reason)
     return None
 
 
-def _count(
-    name: str, owned: Collection[links.Link]
+def _count_connections(
+    name: str, open_connections: Collection[connections.Connection]
 ) -> messages.ConnectionsChanged:
-    idle = sum(1 for link in owned if link.exchange is None)
-    return messages.ConnectionsChanged(name, len(owned), idle)
+    idle = sum(
+        1 for connection in open_connections if connection.exchange is None
+    )
+    return messages.ConnectionsChanged(name, len(open_connections), idle)
--- a/fuchsiahaven/edge/meters.py
+++ b/fuchsiahaven/edge/process_metrics.py
@@ -8,62 +8,64 @@
 from fuchsiahaven.core import coverage, errors
 from fuchsiahaven.core.queries import tables
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import loop
+from fuchsiahaven.edge import dispatch_loop
 from fuchsiahaven.operate import metrics
 
 #: What callers name is no label unless it is configured: each value of a
 #: label costs memory for the life of the process.
-NOT_COUNTED: Final = frozenset(
+UNLABELLED_KINDS: Final = frozenset(
     (errors.Kind.UNKNOWN_CLASS, errors.Kind.NOT_READY)
 )
-OUTCOMES: Final = {
+OUTCOMES_BY_COUNT: Final = {
     tables.Count(outcome.value): outcome for outcome in metrics.Outcome
 }
 
 
-class Meters:
+class ProcessMetrics:
     """Own the metrics of one process; any thread may call this."""
 
     def __init__(self) -> None:
         """Start at nothing."""
         self._metrics = metrics.build_metrics()
         self._lock = threading.Lock()
-        self._seen: Counter[tables.Count] = Counter()
+        self._exported_counts: Counter[tables.Count] = Counter()
 
-    def note_reply(self, query: messages.Query, reply: messages.Reply) -> None:
+    def record_reply(
+        self, query: messages.Query, reply: messages.Reply
+    ) -> None:
         """Count a reply, its latency and its coverage."""
         outcome = reply.outcome
         if isinstance(outcome, errors.Failure):
             self._metrics.refusals[outcome.kind].inc()
-            if outcome.kind in NOT_COUNTED:
+            if outcome.kind in UNLABELLED_KINDS:
                 return
         else:
-            self._note_coverage(query.class_name, outcome.coverage)
+            self._record_coverage(query.class_name, outcome.coverage)
         elapsed = time.monotonic() - query.arrived_at
         self._metrics.latency.labels(query.class_name).observe(elapsed)
 
-    def note_refusal(self, kind: errors.Kind) -> None:
+    def record_refusal(self, kind: errors.Kind) -> None:
         """Count a request that was refused before it became a query."""
         self._metrics.refusals[kind].inc()
 
-    def write(self, sample: loop.Sample) -> bytes:
+    def encode(self, status: dispatch_loop.LoopStatus) -> bytes:
         """Write the metrics with what the dispatch loop shows just now."""
         with self._lock:
-            grown = sample.counts - self._seen
-            self._seen += grown
-            for count, outcome in OUTCOMES.items():
-                self._metrics.sub_requests[outcome].inc(grown[count])
-            self._metrics.slots_in_use.set(sample.in_flight)
-            self._metrics.queued.set(sample.queued)
-            self._metrics.connections.set(sample.connections)
-            self._metrics.revision.set(sample.revision)
+            increments = status.counts - self._exported_counts
+            self._exported_counts += increments
+            for count, outcome in OUTCOMES_BY_COUNT.items():
+                self._metrics.sub_requests[outcome].inc(increments[count])
+            self._metrics.slots_in_use.set(status.in_flight)
+            self._metrics.queued.set(status.queued)
+            self._metrics.connections.set(status.connections)
+            self._metrics.revision.set(status.revision)
             return metrics.encode_metrics(self._metrics)
 
-    def _note_coverage(
-        self, class_name: str, stated: coverage.Coverage
+    def _record_coverage(
+        self, class_name: str, answer_coverage: coverage.Coverage
     ) -> None:
-        status = 'complete' if stated.complete else 'partial'
+        status = 'complete' if answer_coverage.complete else 'partial'
         self._metrics.answers.labels(class_name, status).inc()
-        if stated.shards:
-            ratio = len(stated.covered) / stated.shards
+        if answer_coverage.shards:
+            ratio = len(answer_coverage.covered) / answer_coverage.shards
             self._metrics.coverage.labels(class_name).observe(ratio)
--- a/fuchsiahaven/edge/openings.py
+++ b/fuchsiahaven/edge/resources.py
@@ -11,111 +11,113 @@
 
 from fuchsiahaven.core import addresses
 from fuchsiahaven.core.members import member_states
-from fuchsiahaven.edge import peer_calls, peers, revisions, store, tls
+from fuchsiahaven.edge import peer_client, peer_port, revision_task, store, tls
 from fuchsiahaven.operate import settings
 
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 
 Section = (
     settings.Callers | settings.Peers | settings.Platform | settings.Targets
 )
 
 
-class Place(NamedTuple):
+class ProcessAddress(NamedTuple):
     """Name one process among the members, and say where it listens."""
 
     name: str
     address: str
 
 
-class Bound(NamedTuple):
+class BoundServer(NamedTuple):
     """Hold a server that listens, and the how manieth of its ports it has."""
 
-    number: int
+    port_offset: int
     address: addresses.Address
     server: wsgi.Server
 
 
-def read_rules(chosen: settings.Settings) -> member_states.Timings:
+def make_rules(host_settings: settings.Settings) -> member_states.Timings:
     """Take the times of membership from the settings."""
-    own = chosen.peers
+    section = host_settings.peers
     return member_states.Timings(
-        probe_period_s=own.interval_ms / MILLISECONDS,
-        probe_timeout_s=own.timeout_ms / MILLISECONDS,
+        probe_period_s=section.interval_ms / MS_PER_S,
+        probe_timeout_s=section.timeout_ms / MS_PER_S,
     )
 
 
-def open_caller(
-    chosen: settings.Settings, stack: contextlib.ExitStack
-) -> peer_calls.Caller:
+def open_peer_client(
+    host_settings: settings.Settings, stack: contextlib.ExitStack
+) -> peer_client.PeerClient:
     """Open the calls to other hosts; the stack closes them."""
-    identity = open_identity(chosen.peers, ssl.Purpose.SERVER_AUTH)
-    caller = peer_calls.Caller(identity, chosen.peers.body_bytes)
-    stack.callback(caller.close)
-    return caller
+    identity = open_identity(host_settings.peers, ssl.Purpose.SERVER_AUTH)
+    client = peer_client.PeerClient(identity, host_settings.peers.body_bytes)
+    stack.callback(client.close)
+    return client
 
 
 def open_stores(
-    chosen: settings.Settings, stack: contextlib.ExitStack
-) -> revisions.Stores:
+    host_settings: settings.Settings, stack: contextlib.ExitStack
+) -> revision_task.Stores:
     """Open the configuration task's connections to the platform."""
-    return revisions.Stores(
-        open_store(chosen, stack), open_store(chosen, stack)
+    return revision_task.Stores(
+        open_store(host_settings, stack), open_store(host_settings, stack)
     )
 
 
 def open_store(
-    chosen: settings.Settings,
+    host_settings: settings.Settings,
     stack: contextlib.ExitStack,
     limits: store.Limits = store.DEFAULT_LIMITS,
 ) -> store.Store:
     """Open one connection to the platform; the stack closes it."""
-    platform = chosen.platform
-    limits = limits._replace(read_s=platform.timeout_ms / MILLISECONDS)
+    platform = host_settings.platform
+    limits = limits._replace(read_timeout_s=platform.timeout_ms / MS_PER_S)
     identity = open_identity(platform, ssl.Purpose.SERVER_AUTH)
     scheme = 'https' if identity else 'http'
     urls = tuple(
         f'{scheme}://{addresses.format_address(address)}'
         for address in platform.addresses
     )
-    opened = store.Store(urls, limits, identity=identity)
-    stack.callback(opened.close)
-    return opened
+    platform_store = store.Store(urls, limits, identity=identity)
+    stack.callback(platform_store.close)
+    return platform_store
 
 
 def bind_peer_port(
-    chosen: settings.Settings, application: peers.Application
-) -> tuple[Place, wsgi.Server]:
+    host_settings: settings.Settings, application: peer_port.Application
+) -> tuple[ProcessAddress, wsgi.Server]:
     """Bind the peer port; processes of one host take the ports after it.
 
     Each process is a member of its own, for it holds connections to targets
     of its own. Raises OSError where no port is free.
     """
-    count = chosen.host.processes
-    identity = open_identity(chosen.peers, ssl.Purpose.CLIENT_AUTH)
+    count = host_settings.host.processes
+    identity = open_identity(host_settings.peers, ssl.Purpose.CLIENT_AUTH)
 
-    def make(address: addresses.Address) -> wsgi.Server:
-        return peers.make_server(
-            application, address, chosen.peers.body_bytes, identity
+    def make_server(address: addresses.Address) -> wsgi.Server:
+        return peer_port.make_server(
+            application, address, host_settings.peers.body_bytes, identity
         )
 
-    bound = bind_next(make, chosen.peers.address, count)
-    name = chosen.host.name
-    name = f'{name}/{bound.number}' if count > 1 else name
-    return Place(name, addresses.format_address(bound.address)), bound.server
+    bound = bind_free_port(make_server, host_settings.peers.address, count)
+    name = host_settings.host.name
+    name = f'{name}/{bound.port_offset}' if count > 1 else name
+    return ProcessAddress(
+        name, addresses.format_address(bound.address)
+    ), bound.server
 
 
-def bind_next(
-    make: Callable[[addresses.Address], wsgi.Server],
-    first: addresses.Address,
+def bind_free_port(
+    make_server: Callable[[addresses.Address], wsgi.Server],
+    first_address: addresses.Address,
     count: int,
-) -> Bound:
+) -> BoundServer:
     """Bind the first free one of `count` ports; OSError where none is."""
-    for number in range(count):
-        address = first._replace(port=first.port + number)
-        server = make(address)
-        if _prepare(server, last=number + 1 == count):
-            return Bound(number, address, server)
+    for index in range(count):
+        address = first_address._replace(port=first_address.port + index)
+        server = make_server(address)
+        if _try_bind(server, last=index + 1 == count):
+            return BoundServer(index, address, server)
     raise AssertionError('the last port is bound or raises')
 
 
@@ -128,7 +130,7 @@
     stack.callback(thread.join)
 
 
-def _prepare(server: wsgi.Server, *, last: bool) -> bool:
+def _try_bind(server: wsgi.Server, *, last: bool) -> bool:
     try:
         server.prepare()
     except OSError as error:
@@ -138,7 +140,9 @@
     return True
 
 
-def open_identity(section: Section, side: ssl.Purpose) -> tls.Identity | None:
+def open_identity(
+    section: Section, purpose: ssl.Purpose
+) -> tls.Identity | None:
     """Open the identity that a section names; None where it speaks plainly.
 
     Raises OSError where a file cannot be used.
@@ -148,4 +152,4 @@
         files = files._replace(authority=section.tls_authority)
     if not any(files):
         return None
-    return tls.Identity(files, side)
+    return tls.Identity(files, purpose)
--- a/fuchsiahaven/edge/revisions.py
+++ b/fuchsiahaven/edge/revision_task.py
@@ -10,7 +10,12 @@
 
 from fuchsiahaven.core.configuration import patches, revisions
 from fuchsiahaven.core.configuration import revision_messages as wording
-from fuchsiahaven.edge import doors, manifest_reader, store, workers
+from fuchsiahaven.edge import (
+    authenticators,
+    manifest_reader,
+    store,
+    worker_pools,
+)
 from fuchsiahaven.operate import logs
 
 PART: Final = 'configuration'
@@ -19,15 +24,15 @@
 PEER_THREADS: Final = 4
 
 
-class Exchange(Protocol):
+class PatchClient(Protocol):
     """Carry patches to and from members; each call ends within bounds."""
 
-    def push(
+    def push_patch(
         self, member: str, patch: patches.Patch
     ) -> wording.MemberUnreachable | wording.StampReceived:
         """Send a patch; give back what the member has in force."""
 
-    def pull(
+    def pull_patches(
         self, member: str, above: patches.Stamp
     ) -> wording.MemberUnreachable | wording.PullAnswered:
         """Fetch what a member has above a stamp."""
@@ -36,16 +41,16 @@
 class Stores(NamedTuple):
     """Hold the connections to the platform, one for each thread."""
 
-    asking: store.Store
-    watching: store.Store
+    for_reads: store.Store
+    for_watches: store.Store
 
 
-class Means(NamedTuple):
+class CallContext(NamedTuple):
     """Hold what calls block in: threads, by whom they call, and stores."""
 
-    asking: workers.Workers
-    watching: workers.Workers
-    peers: workers.Workers
+    read_workers: worker_pools.WorkerPool
+    watch_workers: worker_pools.WorkerPool
+    peer_workers: worker_pools.WorkerPool
     stores: Stores
 
 
@@ -56,19 +61,21 @@
         self,
         state: revisions.State,
         data_centre: str,
-        exchange: Exchange,
+        client: PatchClient,
         sink: Callable[[patches.StampedConfiguration], None],
-        door: doors.Door,
+        authenticator: authenticators.Authenticator,
     ) -> None:
         """Prepare without starting; `run` is for a thread of its own."""
         self.state = state
-        self._reader = manifest_reader.Reader(data_centre, door.read_clock)
-        self._door = door
+        self._reader = manifest_reader.Reader(
+            data_centre, authenticator.read_clock
+        )
+        self._authenticator = authenticator
         self._sink = sink
         self._inbox: queue.SimpleQueue[wording.Event | None]
         self._inbox = queue.SimpleQueue()
-        self._draws = random.SystemRandom().random
-        self._exchange = exchange
+        self._random = random.SystemRandom().random
+        self._client = client
 
     def post(self, event: wording.Event) -> None:
         """Hand in an event; any thread may call this."""
@@ -78,28 +85,28 @@
         """Ask `run` to end."""
         self._inbox.put(None)
 
-    def explain(self) -> str | None:
+    def find_unready_reason(self) -> str | None:
         """Say why this host cannot serve yet; None where it can."""
         state = self.state
         if state.in_force.stamp.revision:
             return None
-        told = '; '.join(f'{fault}: {text}' for fault, text in state.faults)
-        return f'no configuration yet; {told or "asking"}'
+        faults = '; '.join(f'{fault}: {text}' for fault, text in state.faults)
+        return f'no configuration yet; {faults or "asking"}'
 
     def run(self, stores: Stores) -> None:
         """Serve until stopped."""
         with contextlib.ExitStack() as stack:
-            means = Means(
-                stack.enter_context(_open('ask', 1)),
-                stack.enter_context(_open('watch', 1)),
-                stack.enter_context(_open('peers', PEER_THREADS)),
+            context = CallContext(
+                stack.enter_context(_start_workers('ask', 1)),
+                stack.enter_context(_start_workers('watch', 1)),
+                stack.enter_context(_start_workers('peers', PEER_THREADS)),
                 stores,
             )
             running = True
             while running:
-                running = self._turn(means)
+                running = self._run_once(context)
 
-    def _turn(self, means: Means) -> bool:
+    def _run_once(self, context: CallContext) -> bool:
         try:
             event = self._inbox.get(timeout=TICK_S)
         except queue.Empty:
@@ -107,69 +114,77 @@
         if event is None:
             return False
         now = time.monotonic()
-        for happened in (event, wording.Ticked()):
+        for handled in (event, wording.Ticked()):
             state, actions = revisions.handle_event(
-                self.state, happened, now, self._draws
+                self.state, handled, now, self._random
             )
             self.state = state
             for action in actions:
-                self._act(action, means)
+                self._perform(action, context)
         return True
 
-    def _act(self, action: wording.Action, means: Means) -> None:
-        reader, stores = self._reader, means.stores
+    def _perform(self, action: wording.Action, context: CallContext) -> None:
+        reader, stores = self._reader, context.stores
         match action:
             case wording.ReadManifest():
-                ask = functools.partial(reader.read, stores.asking)
-                self._ask(
-                    means.asking, ask, wording.PlatformCallFailed(False, 'read')
+                call = functools.partial(reader.read, stores.for_reads)
+                self._submit(
+                    context.read_workers,
+                    call,
+                    wording.PlatformCallFailed(False, 'read'),
                 )
             case wording.ReadStoreRevision():
-                ask = functools.partial(reader.check, stores.asking)
-                self._ask(
-                    means.asking,
-                    ask,
+                call = functools.partial(reader.read_revision, stores.for_reads)
+                self._submit(
+                    context.read_workers,
+                    call,
                     wording.PlatformCallFailed(False, 'check'),
                 )
             case wording.WatchManifest():
-                ask = functools.partial(reader.watch, stores.watching, action)
-                self._ask(
-                    means.watching,
-                    ask,
+                call = functools.partial(
+                    reader.watch, stores.for_watches, action
+                )
+                self._submit(
+                    context.watch_workers,
+                    call,
                     wording.PlatformCallFailed(True, 'watch'),
                 )
             case wording.PushPatch() | wording.PullPatches():
-                self._trade(action, means.peers)
+                self._exchange_patches(action, context.peer_workers)
             case wording.PutInForce():
                 self._sink(action.stamped)
                 stamp = action.stamped.stamp
                 logs.info(PART, 'in force', revision=stamp.revision)
-            case wording.ConfirmInForce(stamp, left):
-                self._door.note_read(stamp, left)
+            case wording.ConfirmInForce(stamp, sent_at):
+                self._authenticator.record_read(stamp, sent_at)
             case wording.ReportFault():
-                _report(action)
+                _log_fault(action)
 
-    def _trade(
+    def _exchange_patches(
         self,
         action: wording.PushPatch | wording.PullPatches,
-        peers: workers.Workers,
+        peer_workers: worker_pools.WorkerPool,
     ) -> None:
-        exchange = self._exchange
+        client = self._client
         if isinstance(action, wording.PullPatches):
-            pull = functools.partial(exchange.pull, *action)
-            self._ask(peers, pull, wording.MemberUnreachable(action.member))
+            pull = functools.partial(client.pull_patches, *action)
+            self._submit(
+                peer_workers, pull, wording.MemberUnreachable(action.member)
+            )
             return
         for member in action.members:
-            push = functools.partial(exchange.push, member, action.patch)
-            self._ask(
-                peers, push, wording.MemberUnreachable(member, action.patch)
+            push = functools.partial(client.push_patch, member, action.patch)
+            self._submit(
+                peer_workers,
+                push,
+                wording.MemberUnreachable(member, action.patch),
             )
 
-    def _ask(
+    def _submit(
         self,
-        pool: workers.Workers,
-        ask: Callable[[], wording.Event],
-        lost: wording.Event,
+        pool: worker_pools.WorkerPool,
+        call: Callable[[], wording.Event],
+        failure: wording.Event,
     ) -> None:
         """Run a call beside the task; its end is always an event.
 
@@ -179,22 +194,22 @@
 
         def run() -> None:
             try:
-                event = ask()
+                event = call()
             except Exception as error:
                 logs.error(PART, 'call failed', error=repr(error))
-                event = lost
+                event = failure
             self.post(event)
 
-        pool.ask(run)
+        pool.submit(run)
 
 
-def _open(
+def _start_workers(
     name: str, count: int
-) -> contextlib.AbstractContextManager[workers.Workers]:
-    return contextlib.closing(workers.Workers(f'{PART}-{name}', count))
+) -> contextlib.AbstractContextManager[worker_pools.WorkerPool]:
+    return contextlib.closing(worker_pools.WorkerPool(f'{PART}-{name}', count))
 
 
-def _report(report: wording.ReportFault) -> None:
+def _log_fault(report: wording.ReportFault) -> None:
     if report.text:
         logs.error(PART, report.text, fault=report.fault)
     else:
--- a/fuchsiahaven/edge/server.py
+++ b/fuchsiahaven/edge/server.py
@@ -17,23 +17,23 @@
 from fuchsiahaven.core.queries import states
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    callers,
-    claims,
+    authenticators,
+    caller_port,
+    caller_requests,
+    claim_task,
     control,
-    doors,
-    loop,
-    meters,
-    openings,
-    peer_calls,
-    ports,
-    requests,
+    dispatch_loop,
+    http_server,
+    peer_client,
+    process_metrics,
+    resources,
     store,
 )
 from fuchsiahaven.operate import logs, settings
 
 PART: Final = 'server'
-MILLISECONDS: Final = 1000
-DRAIN_CHECK_S: Final = 0.05
+MS_PER_S: Final = 1000
+DRAIN_POLL_S: Final = 0.05
 SCRAPER_THREADS: Final = 2
 
 
@@ -42,86 +42,95 @@
 
     def __init__(
         self,
-        dispatcher: loop.Loop,
+        dispatcher: dispatch_loop.DispatchLoop,
         controller: control.Control,
-        door: doors.Door,
+        authenticator: authenticators.Authenticator,
     ) -> None:
         """Hand queries to a loop that a door lets in."""
-        self.admit = door.admit
-        self._door = door
+        self.admit = authenticator.admit
+        self._authenticator = authenticator
         self._loop = dispatcher
         self._controller = controller
-        self._leaving = threading.Event()
-        self._meters = meters.Meters()
-        self.note_reply = self._meters.note_reply
-        self.note_refusal = self._meters.note_refusal
+        self._stopping = threading.Event()
+        self._metrics = process_metrics.ProcessMetrics()
+        self.record_reply = self._metrics.record_reply
+        self.record_refusal = self._metrics.record_refusal
 
-    def ask(self, query: messages.Query, reply_to: loop.ReplyQueue) -> None:
+    def submit_query(
+        self, query: messages.Query, reply_to: dispatch_loop.ReplyQueue
+    ) -> None:
         """Hand a query over; its one reply goes to the queue."""
-        self._loop.post(loop.Asked(query, reply_to))
+        self._loop.post(dispatch_loop.QueryReceived(query, reply_to))
 
-    def find_obstacle(self) -> str:
+    def find_unready_reason(self) -> str:
         """Say why no new work should come here; empty if it may."""
-        if self.is_leaving():
+        if self.is_stopping():
             return 'stopping'
-        if self._door.find_wait():
+        if self._authenticator.compute_wait():
             return 'no recent word of which keys are valid'
-        return self._controller.explain() or self._loop.sample.obstacle
+        return (
+            self._controller.find_unready_reason()
+            or self._loop.status.unready_reason
+        )
 
-    def is_leaving(self) -> bool:
+    def is_stopping(self) -> bool:
         """Tell whether the planned stop has begun."""
-        return self._leaving.is_set()
+        return self._stopping.is_set()
 
-    def leave(self) -> None:
+    def begin_stop(self) -> None:
         """Begin the planned stop; balancer and members are told."""
-        self._leaving.set()
+        self._stopping.set()
         self._controller.announce_stop()
 
-    def write_metrics(self) -> bytes:
+    def encode_metrics(self) -> bytes:
         """Write the metrics."""
-        return self._meters.write(self._loop.sample)
+        return self._metrics.encode(self._loop.status)
 
 
-def serve(chosen: settings.Settings) -> bool:
+def serve(host_settings: settings.Settings) -> bool:
     """Serve until a signal asks for the planned stop, then make it.
 
     False where the dispatch loop has failed: the process then ends at once,
     so that another takes its place.
     """
-    asked = threading.Event()
+    stop_requested = threading.Event()
 
-    def ask_stop(number: int, frame: types.FrameType | None) -> None:
-        asked.set()
+    def request_stop(number: int, frame: types.FrameType | None) -> None:
+        stop_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, ask_stop)
+        signal.signal(number, request_stop)
     with contextlib.ExitStack() as stack:
-        caller = openings.open_caller(chosen, stack)
-        task = _prepare_claims(chosen, caller, stack)
-        dispatcher = _make_loop(chosen, task.take)
-        _start_loop(dispatcher, asked, stack)
-        task.start(dispatcher.post, stack)
-        door = doors.Door(freshness.Freshness(chosen.customers.revoke_s))
-        links = control.Links(
+        client = resources.open_peer_client(host_settings, stack)
+        claims = _prepare_claims(host_settings, client, stack)
+        dispatcher = _make_loop(host_settings, claims.perform)
+        _start_loop(dispatcher, stop_requested, stack)
+        claims.start(dispatcher.post, stack)
+        authenticator = authenticators.Authenticator(
+            freshness.Freshness(host_settings.customers.revoke_s)
+        )
+        callbacks = control.Callbacks(
             dispatcher.post,
-            task.take_claims,
-            task.note_members,
-            door,
-            lambda: dispatcher.sample.quarantined,
+            claims.handle_claims,
+            claims.update_members,
+            authenticator,
+            lambda: dispatcher.status.quarantined,
         )
-        controller = control.start(chosen, links, caller, stack)
-        host = Host(dispatcher, controller, door)
-        _start_callers(chosen, host, stack)
-        logs.info(PART, 'serving', host=chosen.host.name)
-        asked.wait()
-        if dispatcher.sample.obstacle == 'ended':
+        controller = control.start(host_settings, callbacks, client, stack)
+        host = Host(dispatcher, controller, authenticator)
+        _start_ports(host_settings, host, stack)
+        logs.info(PART, 'serving', host=host_settings.host.name)
+        stop_requested.wait()
+        if dispatcher.status.unready_reason == 'ended':
             logs.error(PART, 'the dispatch loop has failed')
             return False
-        _stop(chosen.limits, host, dispatcher)
+        _stop(host_settings.limits, host, dispatcher)
     return True
 
 
-def _stop(limits: settings.Limits, host: Host, dispatcher: loop.Loop) -> None:
+def _stop(
+    limits: settings.Limits, host: Host, dispatcher: dispatch_loop.DispatchLoop
+) -> None:
     """Stop without cutting a request.
 
     The balancer goes on sending for its lag after it has been told; what it
@@ -129,34 +138,34 @@
     as not run, and what runs is given time to end.
     """
     logs.info(PART, 'leaving', lag_s=limits.balancer_lag_s)
-    host.leave()
+    host.begin_stop()
     time.sleep(limits.balancer_lag_s)
     dispatcher.post(messages.StopRequested())
-    give_up = time.monotonic() + limits.drain_s
-    while _count_unanswered(dispatcher) and time.monotonic() < give_up:
-        time.sleep(DRAIN_CHECK_S)
+    deadline = time.monotonic() + limits.drain_s
+    while _count_unanswered(dispatcher) and time.monotonic() < deadline:
+        time.sleep(DRAIN_POLL_S)
     logs.info(PART, 'stopped', unanswered=_count_unanswered(dispatcher))
 
 
-def _count_unanswered(dispatcher: loop.Loop) -> int:
+def _count_unanswered(dispatcher: dispatch_loop.DispatchLoop) -> int:
     # Before the loop has taken note of the stop, its figure is of before.
-    sample = dispatcher.sample
-    return sample.unanswered or int(sample.obstacle != 'stopping')
+    status = dispatcher.status
+    return status.unanswered or int(status.unready_reason != 'stopping')
 
 
 def _prepare_claims(
-    chosen: settings.Settings,
-    caller: peer_calls.Caller,
+    host_settings: settings.Settings,
+    client: peer_client.PeerClient,
     stack: contextlib.ExitStack,
-) -> claims.Task:
+) -> claim_task.Task:
     def open_store() -> store.Store:
-        return openings.open_store(chosen, stack, claims.LIMITS)
+        return resources.open_store(host_settings, stack, claim_task.LIMITS)
 
-    return claims.Task(open_store, caller.ask_claims)
+    return claim_task.Task(open_store, client.send_claims)
 
 
 def _start_loop(
-    dispatcher: loop.Loop,
+    dispatcher: dispatch_loop.DispatchLoop,
     ended: threading.Event,
     stack: contextlib.ExitStack,
 ) -> None:
@@ -166,60 +175,64 @@
         finally:
             ended.set()
 
-    openings.start_thread(run, 'loop', stack)
-    stack.callback(dispatcher.post, loop.Closed())
+    resources.start_thread(run, 'loop', stack)
+    stack.callback(dispatcher.post, dispatch_loop.StopRequested())
 
 
 def _make_loop(
-    chosen: settings.Settings,
-    claim: Callable[[loop.ClaimAction], None],
-) -> loop.Loop:
-    bounds = loop.Settings(
-        chosen.targets.answer_bytes,
-        chosen.targets.probe_timeout_ms / MILLISECONDS,
-        chosen.targets.connect_timeout_ms / MILLISECONDS,
-        openings.open_identity(chosen.targets, ssl.Purpose.SERVER_AUTH),
+    host_settings: settings.Settings,
+    perform_claim: Callable[[dispatch_loop.ClaimAction], None],
+) -> dispatch_loop.DispatchLoop:
+    loop_settings = dispatch_loop.Settings(
+        host_settings.targets.answer_bytes,
+        host_settings.targets.probe_timeout_ms / MS_PER_S,
+        host_settings.targets.connect_timeout_ms / MS_PER_S,
+        resources.open_identity(host_settings.targets, ssl.Purpose.SERVER_AUTH),
     )
     state = states.make_state(
-        chosen.host.data_centre,
+        host_settings.host.data_centre,
         random.random,
-        policies.POLICIES[chosen.policy.name],
+        policies.POLICIES[host_settings.policy.name],
     )
-    return loop.Loop(state, bounds, claim)
+    return dispatch_loop.DispatchLoop(state, loop_settings, perform_claim)
 
 
-def _start_callers(
-    chosen: settings.Settings,
+def _start_ports(
+    host_settings: settings.Settings,
     host: Host,
     stack: contextlib.ExitStack,
 ) -> None:
-    own = chosen.callers
-    bounds = requests.Bounds(own.body_depth, own.body_items)
-    port = ports.Port(
-        own.address,
-        own.threads,
-        own.listen_queue,
-        own.header_bytes,
-        own.body_bytes,
-        own.read_timeout_ms / MILLISECONDS,
-        own.idle_timeout_s,
-        shared=chosen.host.processes > 1,
-        identity=openings.open_identity(own, ssl.Purpose.CLIENT_AUTH),
+    section = host_settings.callers
+    bounds = caller_requests.BodyBounds(section.body_depth, section.body_items)
+    port_settings = http_server.PortSettings(
+        section.address,
+        section.threads,
+        section.listen_queue,
+        section.header_bytes,
+        section.body_bytes,
+        section.read_timeout_ms / MS_PER_S,
+        section.idle_timeout_s,
+        reuse_port=host_settings.host.processes > 1,
+        identity=resources.open_identity(section, ssl.Purpose.CLIENT_AUTH),
+    )
+    server = http_server.make_server(
+        caller_port.Application(host, bounds), port_settings
     )
-    server = ports.make_server(callers.Application(host, bounds), port)
     server.prepare()
     _serve_port(server, 'callers', stack)
-    if chosen.metrics.address is not None:
-        application = callers.Application(host, bounds, callers.SCRAPERS)
-        bound = openings.bind_next(
-            lambda address: ports.make_server(
+    if host_settings.metrics.address is not None:
+        application = caller_port.Application(
+            host, bounds, caller_port.SCRAPER_ROUTES
+        )
+        bound = resources.bind_free_port(
+            lambda address: http_server.make_server(
                 application,
-                port._replace(
-                    address=address, threads=SCRAPER_THREADS, shared=False
+                port_settings._replace(
+                    address=address, threads=SCRAPER_THREADS, reuse_port=False
                 ),
             ),
-            chosen.metrics.address,
-            chosen.host.processes,
+            host_settings.metrics.address,
+            host_settings.host.processes,
         )
         _serve_port(bound.server, 'metrics', stack)
 
@@ -227,5 +240,5 @@
 def _serve_port(
     server: wsgi.Server, name: str, stack: contextlib.ExitStack
 ) -> None:
-    openings.start_thread(server.serve, name, stack)
+    resources.start_thread(server.serve, name, stack)
     stack.callback(server.stop)
--- a/fuchsiahaven/edge/store.py
+++ b/fuchsiahaven/edge/store.py
@@ -18,26 +18,26 @@
 import urllib3
 
 from fuchsiahaven.core import rates
-from fuchsiahaven.edge import places, store_answers, tls
+from fuchsiahaven.edge import failover_pools, store_answers, tls
 
 Entry = store_answers.Entry
 
-VALUE_LIMIT: Final = 1_000_000
+MAX_VALUE_BYTES: Final = 1_000_000
 # A value grows up to sixfold where JSON escapes its characters; the rest of
 # an answer is small beside it.
-_ANSWER_LIMIT: Final = 7 * VALUE_LIMIT
-_CHUNK: Final = 65_536
-_ANSWERED: Final = frozenset(
+_MAX_ANSWER_BYTES: Final = 7 * MAX_VALUE_BYTES
+_CHUNK_BYTES: Final = 65_536
+_EXPECTED_STATUSES: Final = frozenset(
     (http.HTTPStatus.OK, http.HTTPStatus.NO_CONTENT, http.HTTPStatus.NOT_FOUND)
 )
 # The platform does not say for how long its rate is exceeded.
-_PLATFORM_BACK_OFF_S: Final = 0.1
+_RATE_BACKOFF_S: Final = 0.1
 
 # What is started at once may take a second's worth.
 _READS_PER_S: Final = 200.0
 _WRITES_PER_S: Final = 40.0
-_READS: Final = rates.Rate(_READS_PER_S, burst=_READS_PER_S)
-_WRITES: Final = rates.Rate(_WRITES_PER_S, burst=_WRITES_PER_S)
+_READ_RATE: Final = rates.Rate(_READS_PER_S, burst=_READS_PER_S)
+_WRITE_RATE: Final = rates.Rate(_WRITES_PER_S, burst=_WRITES_PER_S)
 
 _Parsed = TypeVar('_Parsed')
 _Extra = ParamSpec('_Extra')
@@ -117,21 +117,21 @@
     eight hosts. Each waiting watch counts as one read.
     """
 
-    connect_s: float = 0.5
-    read_s: float = 2.0
-    reads: rates.Rate = _READS
-    writes: rates.Rate = _WRITES
+    connect_timeout_s: float = 0.5
+    read_timeout_s: float = 2.0
+    read_rate: rates.Rate = _READ_RATE
+    write_rate: rates.Rate = _WRITE_RATE
 
 
 DEFAULT_LIMITS: Final = Limits()
 
 
-class _Reply(NamedTuple):
+class _Response(NamedTuple):
     status: int
     body: bytes
 
 
-class _TooLong(Exception):
+class _AnswerOutOfBounds(Exception):
     """Report an answer past its bound of bytes or seconds."""
 
 
@@ -154,47 +154,51 @@
         self.date_epoch: float | None = None
         self._limits = limits
         self._clock = clock
-        self._reads = rates.make_full_bucket(limits.reads, clock())
-        self._writes = rates.make_full_bucket(limits.writes, clock())
+        self._read_bucket = rates.make_full_bucket(limits.read_rate, clock())
+        self._write_bucket = rates.make_full_bucket(limits.write_rate, clock())
         urls = (base_urls,) if isinstance(base_urls, str) else base_urls
-        self._places = places.Places(urls, identity)
+        self._failover_pool = failover_pools.FailoverPool(urls, identity)
 
     def close(self) -> None:
         """Close the connection."""
-        self._places.close()
+        self._failover_pool.close()
 
     def read(self, key: str) -> Entry | None:
         """Read a key, None where it does not exist.
 
         Raises StoreUnavailable.
         """
-        reply = self._read('read', _key_path(key))
+        reply = self._read('read', _make_key_path(key))
         if reply.status == http.HTTPStatus.NOT_FOUND:
             return None
-        return _parse_read(store_answers.parse_entry, reply.body, key)
+        return _decode_read(store_answers.decode_entry, reply.body, key)
 
     def list_keys(self, prefix: str) -> tuple[store_answers.KeyRevision, ...]:
         """List the keys that start with a prefix. Raises StoreUnavailable."""
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = self._read('list', f'/v1/keys?{query}')
-        return _parse_read(store_answers.parse_keys, reply.body)
+        return _decode_read(store_answers.decode_keys, reply.body)
 
-    def watch(self, key: str, above: int, wait_s: float) -> Entry | None:
+    def watch(
+        self, key: str, above_revision: int, wait_s: float
+    ) -> Entry | None:
         """Wait for a revision above one; None after `wait_s` without.
 
         Raises StoreUnavailable.
         """
-        query = urllib.parse.urlencode({'above': above, 'wait_s': wait_s})
+        query = urllib.parse.urlencode(
+            {'above': above_revision, 'wait_s': wait_s}
+        )
         path = f'/v1/watch/{urllib.parse.quote(key)}?{query}'
         reply = self._read('watch', path, wait_s)
         if reply.status == http.HTTPStatus.NO_CONTENT:
             return None
-        return _parse_read(store_answers.parse_entry, reply.body, key)
+        return _decode_read(store_answers.decode_entry, reply.body, key)
 
     def list_hosts(self) -> store_answers.HostList:
         """Read the platform's host list. Raises StoreUnavailable."""
         reply = self._read('hosts', '/v1/hosts')
-        return _parse_read(store_answers.parse_hosts, reply.body)
+        return _decode_read(store_answers.decode_hosts, reply.body)
 
     def swap(
         self, key: str, value: str, revision: int, lease: str | None = None
@@ -204,18 +208,20 @@
         Raises StoreConflict, StoreUnavailable and StoreUnclear.
         """
         content = {'value': value, 'revision': revision, 'lease': lease}
-        reply = self._write('swap', 'PUT', _key_path(key), content)
+        reply = self._write('swap', 'PUT', _make_key_path(key), content)
         if reply.status == http.HTTPStatus.NOT_FOUND:
             raise StoreLeaseEnded(f'lease {lease} has ended')
-        written = _parse_written(store_answers.parse_revision, reply.body)
-        return Entry(key, value, written)
+        new_revision = _decode_written(
+            store_answers.decode_revision, reply.body
+        )
+        return Entry(key, value, new_revision)
 
     def delete(self, key: str, revision: int) -> bool:
         """Delete a key at `revision`; False where it does not exist.
 
         Raises StoreConflict, StoreUnavailable and StoreUnclear.
         """
-        path = f'{_key_path(key)}?revision={revision}'
+        path = f'{_make_key_path(key)}?revision={revision}'
         return (
             self._write('delete', 'DELETE', path, None).status
             != http.HTTPStatus.NOT_FOUND
@@ -224,7 +230,7 @@
     def open_lease(self, ttl_s: float) -> str:
         """Open a lease. Raises StoreUnavailable and StoreUnclear."""
         reply = self._write('lease', 'POST', '/v1/leases', {'ttl_s': ttl_s})
-        return _parse_written(store_answers.parse_lease, reply.body)
+        return _decode_written(store_answers.decode_lease, reply.body)
 
     def keep_lease(self, lease: str) -> bool:
         """Renew a lease; False where it has ended.
@@ -237,20 +243,20 @@
             != http.HTTPStatus.NOT_FOUND
         )
 
-    def _read(self, kind: str, path: str, wait_s: float = 0.0) -> _Reply:
-        self._reads = _spend(self._reads, self._clock())
+    def _read(self, kind: str, path: str, wait_s: float = 0.0) -> _Response:
+        self._read_bucket = _take_token(self._read_bucket, self._clock())
         try:
             reply = self._call(kind, 'GET', path, wait_s=wait_s)
-        except (urllib3.exceptions.HTTPError, _TooLong) as error:
+        except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds) as error:
             raise StoreUnavailable(f'{kind}: {error}') from error
-        if reply.status in _ANSWERED:
+        if reply.status in _EXPECTED_STATUSES:
             return reply
-        raise _refusal(kind, reply.status)
+        raise _make_error(kind, reply.status)
 
     def _write(
         self, kind: str, method: str, path: str, content: object
-    ) -> _Reply:
-        self._writes = _spend(self._writes, self._clock())
+    ) -> _Response:
+        self._write_bucket = _take_token(self._write_bucket, self._clock())
         body = None if content is None else json.dumps(content).encode()
         try:
             reply = self._call(kind, method, path, body)
@@ -260,11 +266,11 @@
         ) as error:
             # Without a connection not a byte of the write has left.
             raise StoreUnavailable(f'{kind}: {error}') from error
-        except (urllib3.exceptions.HTTPError, _TooLong) as error:
+        except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds) as error:
             raise StoreUnclear(f'{kind}: {error}') from error
-        if reply.status in _ANSWERED:
+        if reply.status in _EXPECTED_STATUSES:
             return reply
-        raise _write_refusal(kind, reply)
+        raise _make_write_error(kind, reply)
 
     def _call(
         self,
@@ -273,116 +279,116 @@
         path: str,
         body: bytes | None = None,
         wait_s: float = 0.0,
-    ) -> _Reply:
+    ) -> _Response:
         self.calls[kind] += 1
-        read_s = self._limits.read_s + wait_s
+        read_timeout_s = self._limits.read_timeout_s + wait_s
         try:
-            return self._exchange(method, path, body, read_s)
-        except (urllib3.exceptions.HTTPError, _TooLong):
-            self._places.leave()
+            return self._exchange(method, path, body, read_timeout_s)
+        except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds):
+            self._failover_pool.switch_address()
             raise
 
     def _exchange(
-        self, method: str, path: str, body: bytes | None, read_s: float
-    ) -> _Reply:
-        response = self._places.find().urlopen(
+        self, method: str, path: str, body: bytes | None, read_timeout_s: float
+    ) -> _Response:
+        response = self._failover_pool.current_pool().urlopen(
             method,
             path,
             body=body,
-            headers=_headers(body),
+            headers=_make_headers(body),
             retries=False,
             redirect=False,
             # By name: the first argument would bound the whole call.
             timeout=urllib3.Timeout(
-                connect=self._limits.connect_s, read=read_s
+                connect=self._limits.connect_timeout_s, read=read_timeout_s
             ),
             preload_content=False,
             decode_content=False,
         )
         # A socket's timeout starts again with each byte, so an answer that
         # trickles would hold this task for hours without a bound in all.
-        give_up = self._clock() + read_s
+        deadline = self._clock() + read_timeout_s
         try:
-            whole = self._read_body(response, give_up)
+            answer = self._read_body(response, deadline)
         except BaseException:
             response.close()
             raise
         response.release_conn()
-        self.date_epoch = _read_date(response.headers.get('Date', ''))
-        return _Reply(response.status, whole)
+        self.date_epoch = _parse_date(response.headers.get('Date', ''))
+        return _Response(response.status, answer)
 
     def _read_body(
-        self, response: urllib3.BaseHTTPResponse, give_up: float
+        self, response: urllib3.BaseHTTPResponse, deadline: float
     ) -> bytes:
         parts: list[bytes] = []
         size = 0
-        while chunk := response.read1(_CHUNK):
+        while chunk := response.read1(_CHUNK_BYTES):
             parts.append(chunk)
             size += len(chunk)
-            if size > _ANSWER_LIMIT or self._clock() > give_up:
-                raise _TooLong(f'{size} bytes and no end')
+            if size > _MAX_ANSWER_BYTES or self._clock() > deadline:
+                raise _AnswerOutOfBounds(f'{size} bytes and no end')
         return b''.join(parts)
 
 
-def _key_path(key: str) -> str:
+def _make_key_path(key: str) -> str:
     return f'/v1/keys/{urllib.parse.quote(key)}'
 
 
-def _read_date(text: str) -> float | None:
+def _parse_date(text: str) -> float | None:
     try:
         return email.utils.parsedate_to_datetime(text).timestamp()
     except ValueError:
         return None
 
 
-def _headers(body: bytes | None) -> Mapping[str, str]:
+def _make_headers(body: bytes | None) -> Mapping[str, str]:
     return {} if body is None else {'Content-Type': 'application/json'}
 
 
-def _spend(bucket: rates.Bucket, now: float) -> rates.Bucket:
+def _take_token(bucket: rates.Bucket, now: float) -> rates.Bucket:
     bucket, wait = rates.take_token(bucket, now)
     if wait:
         raise StoreOverBudget(wait)
     return bucket
 
 
-def _parse_read(
-    parse_body: Callable[Concatenate[bytes, _Extra], _Parsed],
+def _decode_read(
+    decode: Callable[Concatenate[bytes, _Extra], _Parsed],
     body: bytes,
-    *extra: _Extra.args,
-    **named: _Extra.kwargs,
+    *args: _Extra.args,
+    **kwargs: _Extra.kwargs,
 ) -> _Parsed:
     try:
-        return parse_body(body, *extra, **named)
+        return decode(body, *args, **kwargs)
     except store_answers.MalformedAnswer as error:
         raise StoreUnavailable(str(error)) from error
 
 
-def _parse_written(
-    parse_body: Callable[[bytes], _Parsed], body: bytes
-) -> _Parsed:
+def _decode_written(decode: Callable[[bytes], _Parsed], body: bytes) -> _Parsed:
     # A garbled answer to a write says nothing of whether it took effect.
     try:
-        return parse_body(body)
+        return decode(body)
     except store_answers.MalformedAnswer as error:
         raise StoreUnclear(str(error)) from error
 
 
-def _refusal(kind: str, status: int) -> StoreError:
+def _make_error(kind: str, status: int) -> StoreError:
     if status == http.HTTPStatus.TOO_MANY_REQUESTS:
-        return StoreOverBudget(_PLATFORM_BACK_OFF_S)
+        return StoreOverBudget(_RATE_BACKOFF_S)
     return StoreUnavailable(f'{kind}: status {status}')
 
 
-def _write_refusal(kind: str, reply: _Reply) -> StoreError:
+def _make_write_error(kind: str, reply: _Response) -> StoreError:
     match reply.status:
         case http.HTTPStatus.CONFLICT:
-            revision = _parse_written(store_answers.parse_revision, reply.body)
+            revision = _decode_written(
+                store_answers.decode_revision, reply.body
+            )
             return StoreConflict(revision)
         case (
             http.HTTPStatus.TOO_MANY_REQUESTS
             | http.HTTPStatus.SERVICE_UNAVAILABLE
         ):
             # The protocol keeps these two for calls that had no effect.
-            return _refusal(kind, reply.status)
+            return _make_error(kind, reply.status)
     return StoreUnclear(f'{kind}: status {reply.status}')
--- a/fuchsiahaven/edge/store_answers.py
+++ b/fuchsiahaven/edge/store_answers.py
@@ -51,7 +51,7 @@
     """Report an answer that is not what the protocol promises."""
 
 
-class _Check(Protocol):
+class _Validator(Protocol):
     def __call__(self, answer: object) -> object: ...
 
 
@@ -59,17 +59,17 @@
 _TEXT: Final = {'type': 'string'}
 
 
-def _compile_object(**properties: object) -> _Check:
+def _compile_validator(**properties: object) -> _Validator:
     schema = {
         'type': 'object',
         'properties': properties,
         'required': list(properties),
     }
-    check: _Check = fastjsonschema.compile(schema)
-    return check
+    validator: _Validator = fastjsonschema.compile(schema)
+    return validator
 
 
-def _list_of(**properties: object) -> object:
+def _array_of(**properties: object) -> object:
     return {
         'type': 'array',
         'items': {
@@ -80,16 +80,16 @@
     }
 
 
-_CHECK_ENTRY: Final = _compile_object(
+_VALIDATE_ENTRY: Final = _compile_validator(
     key=_TEXT, value=_TEXT, revision=_REVISION
 )
-_CHECK_KEYS: Final = _compile_object(
-    keys=_list_of(key=_TEXT, revision=_REVISION)
+_VALIDATE_KEYS: Final = _compile_validator(
+    keys=_array_of(key=_TEXT, revision=_REVISION)
 )
-_CHECK_REVISION: Final = _compile_object(revision=_REVISION)
-_CHECK_LEASE: Final = _compile_object(lease=_TEXT)
-_CHECK_HOSTS: Final = _compile_object(
-    hosts=_list_of(
+_VALIDATE_REVISION: Final = _compile_validator(revision=_REVISION)
+_VALIDATE_LEASE: Final = _compile_validator(lease=_TEXT)
+_VALIDATE_HOSTS: Final = _compile_validator(
+    hosts=_array_of(
         name=_TEXT,
         kind={'enum': [kind.value for kind in HostKind]},
         address=_TEXT,
@@ -100,22 +100,22 @@
 )
 
 
-def _parse(check: _Check, body: bytes) -> dict[str, object]:
+def _decode_object(validate: _Validator, body: bytes) -> dict[str, object]:
     try:
         answer = json_texts.load(body)
     except ValueError as error:
         raise MalformedAnswer(str(error)) from error
     try:
-        check(answer)
+        validate(answer)
     except fastjsonschema.JsonSchemaException as error:
         raise MalformedAnswer(str(error)) from error
     assert isinstance(answer, dict)
     return answer
 
 
-def parse_entry(body: bytes, key: str) -> Entry:
+def decode_entry(body: bytes, key: str) -> Entry:
     """Read one entry and refuse one of another key."""
-    answer = _parse(_CHECK_ENTRY, body)
+    answer = _decode_object(_VALIDATE_ENTRY, body)
     entry = Entry(
         str(answer['key']), str(answer['value']), _as_int(answer['revision'])
     )
@@ -124,28 +124,28 @@
     return entry
 
 
-def parse_keys(body: bytes) -> tuple[KeyRevision, ...]:
+def decode_keys(body: bytes) -> tuple[KeyRevision, ...]:
     """Read a list of keys."""
-    answer = _parse(_CHECK_KEYS, body)
+    answer = _decode_object(_VALIDATE_KEYS, body)
     return tuple(
         KeyRevision(str(row['key']), _as_int(row['revision']))
         for row in _as_rows(answer['keys'])
     )
 
 
-def parse_revision(body: bytes) -> int:
+def decode_revision(body: bytes) -> int:
     """Read the revision that a write gave or met."""
-    return _as_int(_parse(_CHECK_REVISION, body)['revision'])
+    return _as_int(_decode_object(_VALIDATE_REVISION, body)['revision'])
 
 
-def parse_lease(body: bytes) -> str:
+def decode_lease(body: bytes) -> str:
     """Read the id of a new lease."""
-    return str(_parse(_CHECK_LEASE, body)['lease'])
+    return str(_decode_object(_VALIDATE_LEASE, body)['lease'])
 
 
-def parse_hosts(body: bytes) -> HostList:
+def decode_hosts(body: bytes) -> HostList:
     """Read the host list."""
-    answer = _parse(_CHECK_HOSTS, body)
+    answer = _decode_object(_VALIDATE_HOSTS, body)
     hosts = tuple(
         ListedHost(
             str(row['name']),
--- a/fuchsiahaven/edge/looks.py
+++ b/fuchsiahaven/edge/target_checks.py
@@ -4,30 +4,32 @@
 from fuchsiahaven.edge import connectors, exchanges
 
 
-class Look:
+class TargetCheck:
     """Own whether the next connection to a target is waited for."""
 
     def __init__(self) -> None:
         """Start without a doubt."""
-        self._waiting = False
+        self._is_pending = False
 
-    def begin(
+    def start(
         self, exchange: exchanges.Exchange, fault: messages.Fault
     ) -> bool:
         """Tell whether the end of an exchange is worth a look."""
-        lost = fault is messages.Fault.CONNECTION_LOST
-        if not lost or not isinstance(exchange.action, messages.Send):
+        is_lost = fault is messages.Fault.CONNECTION_LOST
+        if not is_lost or not isinstance(exchange.action, messages.Send):
             return False
-        self._waiting = True
+        self._is_pending = True
         return True
 
-    def end(self, outcome: connectors.Outcome) -> messages.TargetChecked | None:
+    def finish(
+        self, outcome: connectors.Outcome
+    ) -> messages.TargetChecked | None:
         """Tell what a connection shows that was asked for."""
-        if not self._waiting:
+        if not self._is_pending:
             return None
-        self._waiting = False
+        self._is_pending = False
         match outcome:
-            case connectors.Opened(target):
+            case connectors.ConnectionOpened(target):
                 return messages.TargetChecked(target.name, exited=False)
-            case connectors.Unopened(target, _, refused):
+            case connectors.ConnectionFailed(target, _, refused):
                 return messages.TargetChecked(target.name, exited=refused)
