--- a/fuchsiahaven/edge/searchers.py
+++ b/fuchsiahaven/edge/target_protocol.py
@@ -17,20 +17,20 @@
 SEARCH_PATH: Final = '/v1/search'
 CANCEL_PATH: Final = '/v1/cancel'
 HEALTH_PATH: Final = '/v1/health'
-OK: Final = 200
-UNAVAILABLE: Final = 503
-POSITIONS: Final = 65536
-MILLISECONDS: Final = 1000
+OK_STATUS: Final = 200
+UNAVAILABLE_STATUS: Final = 503
+MAX_POSITIONS: Final = 65536
+MS_PER_S: Final = 1000
 MAX_ROWS: Final = 10_000
 MAX_HOLDINGS: Final = 10_000
 MAX_COUNT: Final = 1_000_000_000_000_000
 
-_FIELDS: Final = (
+_HEADER_FIELDS: Final = (
     ('Content-Type', 'application/json'),
     ('Accept-Encoding', 'identity'),
     ('User-Agent', 'fuchsiahaven'),
 )
-_encode: Final = json.JSONEncoder(separators=(',', ':')).encode
+_encode_json: Final = json.JSONEncoder(separators=(',', ':')).encode
 _STATES: Final = {state.value: state for state in messages.TargetState}
 _REASONS: Final = {reason.value: reason for reason in messages.RefusalReason}
 
@@ -42,7 +42,7 @@
 
 
 #: What reading a body can raise: wrong types show as these as well.
-MALFORMED: Final = (
+DECODE_ERRORS: Final = (
     MalformedBody,
     ValueError,
     TypeError,
@@ -55,11 +55,11 @@
     """Report a body that answers another request than this one."""
 
 
-def write_search(send: messages.Send, now: float) -> bytes:
+def encode_search(send: messages.Send, now: float) -> bytes:
     """Write a sub-request as bytes."""
     request = send.request
-    remaining = max(0, int((request.deadline - now) * MILLISECONDS))
-    body = _encode(
+    remaining_ms = max(0, int((request.deadline - now) * MS_PER_S))
+    body = _encode_json(
         {
             'request_id': request.request_id,
             'class': request.class_name,
@@ -67,48 +67,54 @@
             'shard': request.shard,
             'snapshot': request.snapshot,
             'attempt': request.attempt,
-            'deadline_ms': remaining,
+            'deadline_ms': remaining_ms,
             'at_most_once': request.at_most_once,
             'not_after_epoch': request.not_after_epoch,
             'query': request.terms,
         }
     ).encode()
-    head = frames.write_head(send.target.address, 'POST', SEARCH_PATH, _FIELDS)
-    rest = (
+    head = frames.encode_head(
+        send.target.address, 'POST', SEARCH_PATH, _HEADER_FIELDS
+    )
+    last_fields = (
         f'X-Request-Id: {request.request_id}\r\n'
-        f'X-Deadline-Ms: {remaining}\r\n'
-        f'{_write_customer(request)}'
+        f'X-Deadline-Ms: {remaining_ms}\r\n'
+        f'{_encode_customer(request)}'
         f'Content-Length: {len(body)}\r\n\r\n'
     )
-    return b''.join((head, rest.encode(), body))
+    return b''.join((head, last_fields.encode(), body))
 
 
-def _write_customer(request: messages.PartRequest) -> str:
+def _encode_customer(request: messages.PartRequest) -> str:
     # Names have few letters: none ends the line.
     return f'X-Customer: {request.customer}\r\n' if request.customer else ''
 
 
-def write_cancel(send: messages.Send) -> bytes:
+def encode_cancel(send: messages.Send) -> bytes:
     """Write the cancellation of a sub-request as bytes."""
-    body = _encode(
+    body = _encode_json(
         {
             'request_id': send.request.request_id,
             'shard': send.request.shard,
             'attempt': send.request.attempt,
         }
     ).encode()
-    head = frames.write_head(send.target.address, 'POST', CANCEL_PATH, _FIELDS)
+    head = frames.encode_head(
+        send.target.address, 'POST', CANCEL_PATH, _HEADER_FIELDS
+    )
     length = f'Content-Length: {len(body)}\r\n\r\n'
     return b''.join((head, length.encode(), body))
 
 
-def write_probe(probe: messages.Probe) -> bytes:
+def encode_probe(probe: messages.Probe) -> bytes:
     """Write the question for a target's health as bytes."""
-    head = frames.write_head(probe.target.address, 'GET', HEALTH_PATH, _FIELDS)
+    head = frames.encode_head(
+        probe.target.address, 'GET', HEALTH_PATH, _HEADER_FIELDS
+    )
     return b''.join((head, b'\r\n'))
 
 
-def may_start(request: messages.PartRequest, now: float) -> bool:
+def may_send(request: messages.PartRequest, now: float) -> bool:
     """Tell whether a sub-request may still be sent.
 
     A host that was paused between a claim and its sending would otherwise
@@ -116,45 +122,45 @@
     """
     if now >= request.deadline:
         return False
-    not_after = request.not_after_epoch
-    return not_after is None or time.time() < not_after
+    not_after_epoch = request.not_after_epoch
+    return not_after_epoch is None or time.time() < not_after_epoch
 
 
-def read_search(send: messages.Send, frame: frames.Frame) -> Outcome:
+def decode_search(send: messages.Send, frame: frames.Frame) -> Outcome:
     """Read and check what a target answered to a sub-request."""
     try:
-        return _read_outcome(send, _read_object(frame.body), frame.status)
+        return _decode_outcome(send, _decode_object(frame.body), frame.status)
     except MismatchedBody:
         fault = messages.Fault.MISMATCHED
-    except MALFORMED:
+    except DECODE_ERRORS:
         fault = messages.Fault.MALFORMED
     return messages.PartFailed(send.part, send.target.name, fault)
 
 
-def read_probe(
+def decode_probe(
     probe: messages.Probe, frame: frames.Frame
 ) -> messages.TargetProbed:
     """Read a health report; what is no report is none."""
     name = probe.target.name
     try:
-        health = _read_health(_read_object(frame.body))
-    except MALFORMED:
+        health = _decode_health(_decode_object(frame.body))
+    except DECODE_ERRORS:
         return messages.TargetProbed(name, None)
-    if frame.status != OK or health.name != name:
+    if frame.status != OK_STATUS or health.name != name:
         return messages.TargetProbed(name, None)
     return messages.TargetProbed(name, health)
 
 
-def _read_outcome(
+def _decode_outcome(
     send: messages.Send, body: Mapping[str, Any], status: int
 ) -> messages.PartAnswered | messages.PartRefused:
     request = send.request
-    _match(body, request_id=request.request_id, attempt=request.attempt)
-    if status == UNAVAILABLE:
-        return _read_refusal(send, body)
-    if status != OK:
+    _check_match(body, request_id=request.request_id, attempt=request.attempt)
+    if status == UNAVAILABLE_STATUS:
+        return _decode_refusal(send, body)
+    if status != OK_STATUS:
         raise MalformedBody
-    _match(
+    _check_match(
         body,
         shard=request.shard,
         snapshot=request.snapshot,
@@ -163,31 +169,31 @@
     return messages.PartAnswered(
         send.part,
         send.target.name,
-        _read_rows(body.get('rows')),
-        _read_state(body),
-        _read_load(body.get('load')),
-        _read_version(body),
+        _decode_rows(body.get('rows')),
+        _decode_state(body),
+        _decode_load(body.get('load')),
+        _decode_version(body),
     )
 
 
-def _match(body: Mapping[str, Any], **expected: object) -> None:
+def _check_match(body: Mapping[str, Any], **expected: object) -> None:
     # A target that mixes up its answers would put rows of another request,
     # shard or snapshot into this one.
-    for name, wanted in expected.items():
-        if body.get(name) != wanted:
+    for name, expected_value in expected.items():
+        if body.get(name) != expected_value:
             raise MismatchedBody(name)
 
 
-def _read_refusal(
+def _decode_refusal(
     send: messages.Send, body: Mapping[str, Any]
 ) -> messages.PartRefused:
     reason = _REASONS.get(body.get('reason', ''))
     if reason is None:
         raise MalformedBody
-    after = body.get('retry_after_ms')
+    retry_after_ms = body.get('retry_after_ms')
     retry_after = None
-    if isinstance(after, int | float) and after >= 0:
-        retry_after = after / MILLISECONDS
+    if isinstance(retry_after_ms, int | float) and retry_after_ms >= 0:
+        retry_after = retry_after_ms / MS_PER_S
     return messages.PartRefused(
         send.part,
         send.target.name,
@@ -197,86 +203,89 @@
     )
 
 
-def _read_rows(rows: object) -> tuple[Mapping[str, object], ...]:
+def _decode_rows(rows: object) -> tuple[Mapping[str, object], ...]:
     if not isinstance(rows, list) or len(rows) > MAX_ROWS:
         raise MalformedBody
-    if not all(_is_row(row) for row in rows):
+    if not all(_is_valid_row(row) for row in rows):
         raise MalformedBody
     return tuple(rows)
 
 
-def _is_row(row: Any) -> bool:
+def _is_valid_row(row: Any) -> bool:
     # A rank that cannot be compared would scramble the order of all rows.
     # What is no object or no number raises TypeError here.
     return isinstance(row['id'], str) and math.isfinite(row['rank'])
 
 
-def _read_state(body: Mapping[str, Any]) -> messages.TargetState:
+def _decode_state(body: Mapping[str, Any]) -> messages.TargetState:
     state = _STATES.get(body.get('state', ''))
     if state is None:
         raise MalformedBody
     return state
 
 
-def _read_load(load: object) -> messages.Load | None:
+def _decode_load(load: object) -> messages.Load | None:
     if not isinstance(load, dict):
         return None
     try:
-        figures = [_read_count(load, name) for name in messages.Load._fields]
+        counts = [_decode_count(load, name) for name in messages.Load._fields]
     except MalformedBody:
         return None
-    return messages.Load(*figures)
+    return messages.Load(*counts)
 
 
-def _read_version(body: Mapping[str, Any]) -> int | None:
+def _decode_version(body: Mapping[str, Any]) -> int | None:
     if body.get('health_version') is None:
         return None
-    return _read_count(body, 'health_version')
+    return _decode_count(body, 'health_version')
 
 
-def _read_health(body: Mapping[str, Any]) -> messages.Health:
-    started, holdings = body['started_epoch'], body['holdings']
-    if not math.isfinite(started) or not isinstance(holdings, list):
+def _decode_health(body: Mapping[str, Any]) -> messages.Health:
+    started_epoch, holdings = body['started_epoch'], body['holdings']
+    if not math.isfinite(started_epoch) or not isinstance(holdings, list):
         raise MalformedBody
     if len(holdings) > MAX_HOLDINGS:
         raise MalformedBody
-    held = tuple(_read_holding(holding) for holding in holdings)
+    decoded = tuple(_decode_holding(holding) for holding in holdings)
     # Each snapshot gets a map with a place for each shard; a report of many
     # snapshots would fill the memory of the host.
-    if sum({one.snapshot: one.shards for one in held}.values()) > POSITIONS:
+    if sum({it.snapshot: it.shards for it in decoded}.values()) > MAX_POSITIONS:
         raise MalformedBody
     return messages.Health(
         str(body['name']),
-        _read_state(body),
-        float(started),
-        _read_count(body, 'sequence'),
-        _read_load(body.get('load')) or messages.Load(0, 0, 0),
-        held,
-        _read_version(body),
+        _decode_state(body),
+        float(started_epoch),
+        _decode_count(body, 'sequence'),
+        _decode_load(body.get('load')) or messages.Load(0, 0, 0),
+        decoded,
+        _decode_version(body),
     )
 
 
-def _read_holding(holding: object) -> snapshots.Holding:
+def _decode_holding(holding: object) -> snapshots.Holding:
     if not isinstance(holding, dict):
         raise MalformedBody
-    read = snapshots.Holding(
-        *(_read_count(holding, name) for name in snapshots.Holding._fields)
+    decoded = snapshots.Holding(
+        *(_decode_count(holding, name) for name in snapshots.Holding._fields)
     )
-    if read.shard >= read.shards or not read.low < read.high <= POSITIONS:
+    if (
+        decoded.shard >= decoded.shards
+        or not decoded.low < decoded.high <= MAX_POSITIONS
+    ):
         raise MalformedBody
-    return read
+    return decoded
 
 
-def _read_count(body: Mapping[str, Any], name: str) -> int:
-    figure = body.get(name)
+def _decode_count(body: Mapping[str, Any], name: str) -> int:
+    count = body.get(name)
     # A figure too large for a float would raise in the arithmetic of the
     # dispatch loop and end it.
-    if not isinstance(figure, int) or not 0 <= figure <= MAX_COUNT:
+    if not isinstance(count, int) or not 0 <= count <= MAX_COUNT:
         raise MalformedBody(name)
-    return figure
+    return count
 
 
-def _read_object(body: bytes) -> dict[str, Any]:
+def _decode_object(body: bytes) -> dict[str, Any]:
     parsed = json_texts.load(body)
     if not isinstance(parsed, dict):
         raise MalformedBody
--- a/fuchsiahaven/edge/tls.py
+++ b/fuchsiahaven/edge/tls.py
@@ -14,7 +14,7 @@
 
 PART: Final = 'tls'
 #: Seconds between looks at the files; a new key is in use after that.
-LOOK_S: Final = 5.0
+CHECK_INTERVAL_S: Final = 5.0
 
 
 class Files(NamedTuple):
@@ -38,43 +38,43 @@
     def __init__(
         self,
         files: Files,
-        side: ssl.Purpose,
+        purpose: ssl.Purpose,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """Load the files. Raises OSError, ssl.SSLError among them."""
         self._files = files
-        self._side = side
+        self._purpose = purpose
         self._clock = clock
         self._lock = threading.Lock()
-        self._looked = clock()
-        self._seen = _look(files)
-        self._context = _load(files, side)
+        self._checked_at = clock()
+        self._file_stats = _read_stats(files)
+        self._context = _load_context(files, purpose)
 
-    def context(self) -> ssl.SSLContext:
+    def current_context(self) -> ssl.SSLContext:
         """Return the context for a new connection; any thread may call."""
         with self._lock:
             now = self._clock()
-            if now - self._looked >= LOOK_S:
-                self._looked = now
-                self._follow()
+            if now - self._checked_at >= CHECK_INTERVAL_S:
+                self._checked_at = now
+                self._reload_changed()
             return self._context
 
-    def _follow(self) -> None:
+    def _reload_changed(self) -> None:
         """Take changed files in, or keep what works.
 
         Certificate and key are replaced one after the other; a look between
         the two finds a pair that does not fit, and the next look a good one.
         """
         try:
-            seen = _look(self._files)
-            if seen == self._seen:
+            file_stats = _read_stats(self._files)
+            if file_stats == self._file_stats:
                 return
-            self._context = _load(self._files, self._side)
+            self._context = _load_context(self._files, self._purpose)
         except OSError as error:
             # The error names the kind of fault and never what a key holds.
             logs.error(PART, 'files not usable', fault=type(error).__name__)
             return
-        self._seen = seen
+        self._file_stats = file_stats
         logs.info(PART, 'files reloaded')
 
 
@@ -96,7 +96,7 @@
         here it would be done by the one thread that accepts, and a client
         that connects and says nothing would keep all others out.
         """
-        wrapped = self._identity.context().wrap_socket(
+        wrapped = self._identity.current_context().wrap_socket(
             sock, server_side=True, do_handshake_on_connect=False
         )
         return wrapped, self.get_environ()
@@ -110,14 +110,14 @@
         return makefile.MakeFile(sock, mode, bufsize)
 
 
-def _look(files: Files) -> tuple[tuple[int, int, int], ...]:
-    named = (path for path in files if path is not None)
-    stats = (path.stat() for path in named)
+def _read_stats(files: Files) -> tuple[tuple[int, int, int], ...]:
+    paths = (path for path in files if path is not None)
+    stats = (path.stat() for path in paths)
     return tuple((st.st_mtime_ns, st.st_size, st.st_ino) for st in stats)
 
 
-def _load(files: Files, side: ssl.Purpose) -> ssl.SSLContext:
-    context = ssl.create_default_context(side, cafile=files.authority)
+def _load_context(files: Files, purpose: ssl.Purpose) -> ssl.SSLContext:
+    context = ssl.create_default_context(purpose, cafile=files.authority)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if files.certificate is not None:
         context.load_cert_chain(files.certificate, files.key)
--- a/fuchsiahaven/edge/workers.py
+++ b/fuchsiahaven/edge/worker_pools.py
@@ -7,7 +7,7 @@
 Job = Callable[[], None]
 
 
-class Workers:
+class WorkerPool:
     """Own threads that run jobs in the order in which they are asked for.
 
     The threads never keep a process alive: a call that waits for an answer
@@ -17,19 +17,19 @@
     def __init__(self, name: str, count: int) -> None:
         """Start the threads."""
         self._jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()
-        self._count = count
-        for number in range(count):
+        self._thread_count = count
+        for index in range(count):
             threading.Thread(
-                target=self._run, name=f'{name}-{number}', daemon=True
+                target=self._run, name=f'{name}-{index}', daemon=True
             ).start()
 
-    def ask(self, job: Job) -> None:
+    def submit(self, job: Job) -> None:
         """Run a job as soon as a thread is free."""
         self._jobs.put(job)
 
     def close(self) -> None:
         """Let each thread end after the job that it runs."""
-        for _ in range(self._count):
+        for _ in range(self._thread_count):
             self._jobs.put(None)
 
     def _run(self) -> None:
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -15,7 +15,7 @@
     trees,
 )
 from fuchsiahaven.core.members import patch_codecs
-from fuchsiahaven.edge import editor
+from fuchsiahaven.edge import config_client
 from fuchsiahaven.operate import (
     connections,
     exit_codes,
@@ -54,7 +54,9 @@
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
-        loaded = editor.read_configuration(opened_store, endpoints.patience)
+        loaded = config_client.read_configuration(
+            opened_store, endpoints.patience
+        )
         if isinstance(loaded, errors.Failure):
             submissions.print_failure(loaded, as_json=arguments.json)
             return submissions.choose_exit_code(loaded)
--- a/fuchsiahaven/operate/command_status.py
+++ b/fuchsiahaven/operate/command_status.py
@@ -7,7 +7,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import store_reads
-from fuchsiahaven.edge import editor
+from fuchsiahaven.edge import config_client
 from fuchsiahaven.operate import connections, exit_codes, statuses, tables
 
 EPILOG: Final = (
@@ -36,7 +36,7 @@
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
-        loaded = editor.read_configuration(
+        loaded = config_client.read_configuration(
             opened_store, endpoints.patience, store_reads.select_no_parts
         )
         survey = statuses.survey_hosts(endpoints, opened_store)
--- a/fuchsiahaven/operate/command_watch.py
+++ b/fuchsiahaven/operate/command_watch.py
@@ -9,7 +9,7 @@
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.core.configuration import audit_log, manifests, store_reads
-from fuchsiahaven.edge import editor, store
+from fuchsiahaven.edge import config_client, store
 from fuchsiahaven.operate import (
     command_history,
     connections,
@@ -49,7 +49,7 @@
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
-        loaded = editor.read_configuration(
+        loaded = config_client.read_configuration(
             opened_store, endpoints.patience, store_reads.select_no_parts
         )
         if isinstance(loaded, errors.Failure):
@@ -127,7 +127,7 @@
         )
         return head.revision
     steps = store_reads.read_archived_entries(head.entries, printed_revision)
-    archived = editor.run_steps(steps, opened_store)
+    archived = config_client.run_steps(steps, opened_store)
     if isinstance(archived, errors.Failure):
         submissions.print_failure(archived, as_json=False)
         archived = ()
--- a/fuchsiahaven/operate/connections.py
+++ b/fuchsiahaven/operate/connections.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple
 
 from fuchsiahaven.core import addresses
-from fuchsiahaven.edge import editor, store, tls
+from fuchsiahaven.edge import config_client, store, tls
 from fuchsiahaven.operate import settings_reader
 
 PLATFORM_VARIABLE: Final = 'FUCHSIAHAVEN_PLATFORM'
@@ -34,7 +34,7 @@
 
     platform: Addresses
     hosts: Addresses
-    patience: editor.Patience = editor.PATIENCE
+    patience: config_client.RetryPolicy = config_client.DEFAULT_RETRIES
     platform_identity: tls.Identity | None = None
     peer_identity: tls.Identity | None = None
 
@@ -62,7 +62,7 @@
     parser.add_argument(
         '--timeout',
         type=float,
-        default=editor.PATIENCE.seconds,
+        default=config_client.DEFAULT_RETRIES.timeout_s,
         metavar='SECONDS',
         help='how long to go on while the platform gives nothing',
     )
@@ -76,7 +76,7 @@
     if platform is None or hosts is None:
         print(ADDRESSES_EXPECTED, file=sys.stderr)
         return None
-    patience = editor.Patience(arguments.timeout)
+    patience = config_client.RetryPolicy(arguments.timeout)
     endpoints: Endpoints | None = Endpoints(platform, hosts, patience)
     if arguments.settings is not None:
         endpoints = _read_settings(
@@ -113,14 +113,14 @@
     if host_settings is None:
         return None
     # What opens keys is imported only where there may be some.
-    from fuchsiahaven.edge import openings
+    from fuchsiahaven.edge import resources
 
     purpose = ssl.Purpose.SERVER_AUTH
     try:
-        platform_identity = openings.open_identity(
+        platform_identity = resources.open_identity(
             host_settings.platform, purpose
         )
-        peer_identity = openings.open_identity(host_settings.peers, purpose)
+        peer_identity = resources.open_identity(host_settings.peers, purpose)
     except OSError as error:
         print(f'{path}: a TLS file cannot be used: {error}', file=sys.stderr)
         return None
--- a/fuchsiahaven/operate/lookups.py
+++ b/fuchsiahaven/operate/lookups.py
@@ -13,7 +13,7 @@
     manifests,
     store_reads,
 )
-from fuchsiahaven.edge import editor, store
+from fuchsiahaven.edge import config_client, store
 from fuchsiahaven.operate import connections, exit_codes, submissions, tables
 
 #: Archived entries read one by one when looking for a change by its id.
@@ -41,7 +41,9 @@
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
-        loaded = editor.read_configuration(opened_store, endpoints.patience)
+        loaded = config_client.read_configuration(
+            opened_store, endpoints.patience
+        )
     if isinstance(loaded, errors.Failure):
         submissions.print_failure(loaded, as_json=arguments.json)
         return submissions.choose_exit_code(loaded)
@@ -73,7 +75,7 @@
 
 
 def find_entry(
-    opened_store: store.Store, change: str, patience: editor.Patience
+    opened_store: store.Store, change: str, patience: config_client.RetryPolicy
 ) -> audit_log.Entry | errors.Failure:
     """Find an accepted change by its id or revision, newest first.
 
@@ -96,10 +98,10 @@
 
 
 def iterate_entries(
-    opened_store: store.Store, patience: editor.Patience
+    opened_store: store.Store, patience: config_client.RetryPolicy
 ) -> Iterable[audit_log.Entry | errors.Failure]:
     """Yield audit entries from the newest back, ending after a failure."""
-    loaded = editor.read_configuration(
+    loaded = config_client.read_configuration(
         opened_store, patience, store_reads.select_no_parts
     )
     if isinstance(loaded, errors.Failure):
@@ -109,7 +111,7 @@
     yield from reversed(recent)
     revision = recent[0].previous_revision if recent else 0
     while revision:
-        entry = editor.run_steps(
+        entry = config_client.run_steps(
             store_reads.read_archived_entry(revision), opened_store, patience
         )
         yield entry
--- a/fuchsiahaven/operate/statuses.py
+++ b/fuchsiahaven/operate/statuses.py
@@ -6,7 +6,7 @@
 from typing import Any, Final, NamedTuple
 
 from fuchsiahaven.core import addresses
-from fuchsiahaven.edge import hostlist, store
+from fuchsiahaven.edge import host_list, store
 from fuchsiahaven.operate import connections, host_client
 
 #: Hosts asked at a time; each waits for one answer.
@@ -103,7 +103,7 @@
         'GET',
         path,
         timeout_s=timeout_s,
-        context=identity.context() if identity else None,
+        context=identity.current_context() if identity else None,
     )
 
 
@@ -145,12 +145,12 @@
 
 def _list_hosts(opened_store: store.Store) -> tuple[dict[str, HostStatus], str]:
     try:
-        listing = hostlist.read_hosts(opened_store)
+        listing = host_list.read_host_list(opened_store)
     except store.StoreError as error:
         return {}, f'the platform gave no list of hosts: {error}'
     listed = {
         entry.address: HostStatus(entry.address, entry.name, entry.data_centre)
-        for entry in listing.entries
+        for entry in listing.entry_hosts
         if not entry.leaving
     }
     return listed, ''
--- a/fuchsiahaven/operate/submissions.py
+++ b/fuchsiahaven/operate/submissions.py
@@ -19,7 +19,7 @@
     transactions,
     trees,
 )
-from fuchsiahaven.edge import editor, store
+from fuchsiahaven.edge import config_client, store
 from fuchsiahaven.operate import connections, exit_codes, statuses, waits
 
 OPERATOR_VARIABLE: Final = 'FUCHSIAHAVEN_OPERATOR'
@@ -97,7 +97,7 @@
     request = build_request(arguments, change)
     min_revision = statuses.find_highest_revision(endpoints, opened_store)
     request = request._replace(min_revision=min_revision)
-    outcome = editor.make_change(
+    outcome = config_client.commit_change(
         opened_store, request, time.time(), endpoints.patience
     )
     print_outcome(outcome, as_json=arguments.json)
--- a/tests/edge/test_claims.py
+++ b/tests/edge/test_claim_task.py
@@ -14,18 +14,18 @@
 from fuchsiahaven.core import request_ids
 from fuchsiahaven.core.claims import claims
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import claim_members, claim_platform, store
-from fuchsiahaven.edge import claims as claim_tasks
+from fuchsiahaven.edge import claim_owners, claim_stores, store
+from fuchsiahaven.edge import claim_task as claim_tasks
 from standins import platform as standin
 
 GRANTED = messages.ClaimResult.GRANTED
 EXPIRED = messages.ClaimResult.EXPIRED
 HELD = messages.ClaimResult.HELD
 UNAVAILABLE = messages.ClaimResult.UNAVAILABLE
-SOON_S = 10.0
+ANSWER_TIMEOUT_S = 10.0
 
 
-class World:
+class ClaimSystem:
     """Own the platform's stand-in and the hosts' claims tasks."""
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
@@ -44,33 +44,33 @@
         serving = standin.serve(self.platform, [self.port])
         asyncio.run_coroutine_threadsafe(serving, self.loop).result()
 
-    def order(self, **orders: Any) -> None:
+    def control(self, **settings: Any) -> None:
         """Change the platform's faults or contents."""
-        self.platform.control(orders)
+        self.platform.control(settings)
 
     def open_store(self) -> store.Store:
         """Open a store that gives a silent platform up soon."""
-        limits = store.Limits(read_s=0.2)
+        limits = store.Limits(read_timeout_s=0.2)
         return store.Store(f'http://127.0.0.1:{self.port}', limits)
 
-    def ask_member(
+    def send_to_member(
         self, address: str, body: bytes, timeout_s: float
     ) -> bytes | None:
         """Reach a member by its name; 'lost-x' does it and loses the word."""
-        lost, _, name = address.rpartition('-')
+        loses_answer, _, name = address.rpartition('-')
         member = self.tasks.get(name)
-        answer = member.take_claims(body) if member else None
-        return None if lost else answer
+        answer = member.handle_claims(body) if member else None
+        return None if loses_answer else answer
 
 
-class Dated:
+class TrueDate:
     """Stand for a platform that tells the time in every answer."""
 
     def __get__(self, owner: object, kind: type) -> float:
         """Give the true time."""
         return time.time()
 
-    def __set__(self, owner: object, told: float | None) -> None:
+    def __set__(self, owner: object, value: float | None) -> None:
         """Ignore what the stand-in told."""
 
 
@@ -79,54 +79,58 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClaimSystem,
         name: str = 'a',
-        clocks: claim_platform.Clocks = claim_platform.CLOCKS,
+        clocks: claim_stores.Clocks = claim_stores.CLOCKS,
     ) -> None:
         """Start the task."""
-        self.told: queue.SimpleQueue[messages.ClaimSettled]
-        self.told = queue.SimpleQueue()
-        self.task = claim_tasks.Task(world.open_store, world.ask_member, clocks)
-        self.task.start(self.told.put, world.stack)
+        self.settled: queue.SimpleQueue[messages.ClaimSettled]
+        self.settled = queue.SimpleQueue()
+        self.task = claim_tasks.Task(
+            world.open_store, world.send_to_member, clocks
+        )
+        self.task.start(self.settled.put, world.stack)
         world.tasks[name] = self.task
         self._token = 0
 
-    def ask(self, request_id: str) -> None:
+    def submit(self, request_id: str) -> None:
         """Ask for the right to run a request."""
         self._token += 1
-        deadline = time.monotonic() + SOON_S
-        self.task.take(messages.Claim(self._token, request_id, deadline))
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
+        self.task.perform(messages.Claim(self._token, request_id, deadline))
 
     def claim(self, request_id: str) -> messages.ClaimSettled:
         """Ask and wait for the answer."""
-        self.ask(request_id)
-        return self.told.get(timeout=SOON_S)
+        self.submit(request_id)
+        return self.settled.get(timeout=ANSWER_TIMEOUT_S)
 
     def claim_until(
         self, request_id: str, wanted: messages.ClaimResult = GRANTED
     ) -> messages.ClaimSettled:
         """Ask again until the claim is granted, or is held and done."""
-        give_up = time.monotonic() + SOON_S
-        while time.monotonic() < give_up:
-            told = self.claim(request_id)
-            if told.result is wanted and told.completed == (wanted is HELD):
-                return told
-        raise AssertionError(f'still {told}')
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
+        while time.monotonic() < deadline:
+            settled = self.claim(request_id)
+            if settled.result is wanted and settled.completed == (
+                wanted is HELD
+            ):
+                return settled
+        raise AssertionError(f'still {settled}')
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
+def world() -> Iterator[ClaimSystem]:
     """Run a platform; end it and all tasks with the test."""
     with contextlib.ExitStack() as stack:
-        yield World(stack)
+        yield ClaimSystem(stack)
 
 
-def mint(age_s: float = 0) -> str:
+def make_request_id(age_s: float = 0) -> str:
     """Mint an id of a caller."""
     return request_ids.make_request_id(time.time() - age_s, time.monotonic_ns())
 
 
-def test_the_same_id_at_two_hosts_is_granted_once(world: World) -> None:
+def test_grants_one_id_once_across_hosts(world: ClaimSystem) -> None:
     """Grant one of many attempts that race for one id.
 
     Symptom: a refund runs twice. Sequence: an impatient caller sends it to
@@ -134,25 +138,29 @@
     before either has written it.
     """
     hosts = [Host(world, 'a'), Host(world, 'b')]
-    wanted = [mint() for _ in range(20)]
-    for request_id in wanted:
+    request_ids_sent = [make_request_id() for _ in range(20)]
+    for request_id in request_ids_sent:
         for host in hosts:
-            host.ask(request_id)
-            host.ask(request_id)
-    told = [one.told.get(timeout=SOON_S) for one in hosts for _ in range(40)]
-    granted = [one.request_id for one in told if one.result is GRANTED]
-    assert sorted(granted) == sorted(wanted)
-    assert {one.result for one in told} == {GRANTED, HELD}
-
-
-def test_an_id_out_of_its_window_is_refused(world: World) -> None:
+            host.submit(request_id)
+            host.submit(request_id)
+    settled = [
+        it.settled.get(timeout=ANSWER_TIMEOUT_S)
+        for it in hosts
+        for _ in range(40)
+    ]
+    granted = [it.request_id for it in settled if it.result is GRANTED]
+    assert sorted(granted) == sorted(request_ids_sent)
+    assert {it.result for it in settled} == {GRANTED, HELD}
+
+
+def test_refuses_an_id_outside_its_window(world: ClaimSystem) -> None:
     host = Host(world)
     for age_s in (claims.MAX_ID_AGE_S + 1, -claims.MAX_ID_AHEAD_S - 1):
-        assert host.claim(mint(age_s)).result is EXPIRED
+        assert host.claim(make_request_id(age_s)).result is EXPIRED
     assert not world.platform.calls
 
 
-def test_a_lost_answer_is_read_back(world: World) -> None:
+def test_reads_a_claim_back_after_a_lost_answer(world: ClaimSystem) -> None:
     """Grant a claim whose write took effect though its answer was lost.
 
     Symptom: a refund is refused, and refused again with its own claim.
@@ -162,14 +170,14 @@
     host = Host(world)
     other = Host(world, 'b')
     for _ in range(8):
-        request_id = mint()
-        world.order(lose_writes=1)
+        request_id = make_request_id()
+        world.control(lose_writes=1)
         assert host.claim(request_id).result is GRANTED
         assert other.claim(request_id).result is HELD
     assert world.platform.faults.lose_writes == 0
 
 
-def test_a_platform_that_is_down_refuses_at_once(world: World) -> None:
+def test_refuses_at_once_while_the_platform_is_down(world: ClaimSystem) -> None:
     """Refuse truthfully while the platform is down, then serve again.
 
     Symptom: refunds hang to their deadline, or are told as unknown.
@@ -178,8 +186,8 @@
     taken for a lost answer.
     """
     host = Host(world)
-    world.order(down=True)
-    request_id = mint()
+    world.control(down=True)
+    request_id = make_request_id()
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
     assert not refused.maybe_written
@@ -187,11 +195,11 @@
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
     assert world.platform.calls.total() == calls
-    world.order(down=False)
+    world.control(down=False)
     host.claim_until(request_id)
 
 
-def test_a_repeat_in_an_outage_is_not_told_as_unrun(world: World) -> None:
+def test_reports_a_repeat_as_held_during_an_outage(world: ClaimSystem) -> None:
     """Say of an id that ran that it was claimed, platform or not.
 
     Symptom: a refund is sent with a new id and lands twice. Sequence: its
@@ -201,16 +209,16 @@
     """
     host = Host(world)
     other = Host(world, 'b')
-    other.task.note_members(claim_members.Listed('b', {'a': 'a'}))
-    request_id = mint()
+    other.task.update_members(claim_owners.MemberAddresses('b', {'a': 'a'}))
+    request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.order(down=True)
+    world.control(down=True)
     assert host.claim(request_id).result is HELD
     assert other.claim(request_id).result is HELD
-    assert other.claim(mint()).result is UNAVAILABLE
+    assert other.claim(make_request_id()).result is UNAVAILABLE
 
 
-def test_a_claim_in_doubt_is_told_and_given_back(world: World) -> None:
+def test_reports_and_releases_a_claim_in_doubt(world: ClaimSystem) -> None:
     """Say that a claim may stand, and free its id once that can be done.
 
     Symptom: a refund that never ran answers "unknown" for ever. Sequence:
@@ -219,14 +227,14 @@
     nobody gives its claim back.
     """
     host = Host(world)
-    host.claim(mint())
-    request_id = mint()
-    real = world.platform.call
-
-    def call(*asked: Any, **named: Any) -> standin.Reply:
-        reply = real(*asked, **named)
-        if asked[0] == 'PUT':
-            world.order(down=True)
+    host.claim(make_request_id())
+    request_id = make_request_id()
+    platform_call = world.platform.call
+
+    def call(*args: Any, **kwargs: Any) -> standin.Reply:
+        reply = platform_call(*args, **kwargs)
+        if args[0] == 'PUT':
+            world.control(down=True)
             return reply._replace(lost=True)
         return reply
 
@@ -235,14 +243,14 @@
     assert refused.result is UNAVAILABLE
     assert refused.maybe_written
     assert 'may stand' in refused.detail
-    world.platform.call = real  # type: ignore[method-assign]
+    world.platform.call = platform_call  # type: ignore[method-assign]
     assert Host(world, 'b').claim(request_id).result is UNAVAILABLE
-    world.order(down=False)
+    world.control(down=False)
     # The first host waits a little before it asks a failed platform again.
     Host(world, 'c').claim_until(request_id)
 
 
-def test_an_outcome_outlives_an_outage(world: World) -> None:
+def test_writes_an_outcome_after_an_outage(world: ClaimSystem) -> None:
     """Keep an outcome for a platform that is down when it is recorded.
 
     Symptom: a refund that was answered is told as unknown. Sequence: the
@@ -250,18 +258,18 @@
     Cause: a failed write of an outcome is not made again.
     """
     host = Host(world)
-    request_id = mint()
+    request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.order(down=True)
-    host.task.take(messages.RecordOutcome(request_id, '{"rows": []}'))
-    assert host.claim(mint()).result is UNAVAILABLE
-    world.order(down=False)
-    told = Host(world, 'b').claim_until(request_id, HELD)
-    assert told.outcome == '{"rows": []}'
+    world.control(down=True)
+    host.task.perform(messages.RecordOutcome(request_id, '{"rows": []}'))
+    assert host.claim(make_request_id()).result is UNAVAILABLE
+    world.control(down=False)
+    settled = Host(world, 'b').claim_until(request_id, HELD)
+    assert settled.outcome == '{"rows": []}'
 
 
-def test_a_host_killed_after_its_claim_leaves_it_unknown(
-    world: World,
+def test_keeps_the_claim_of_a_killed_host(
+    world: ClaimSystem,
 ) -> None:
     """Never run a claim again whose holder has vanished.
 
@@ -269,27 +277,27 @@
     its deadline, between claim and send; the caller asks another host; the
     first one wakes. Cause: a claim that ends with its holder.
     """
-    request_id = mint()
+    request_id = make_request_id()
     granted = Host(world).claim(request_id)
     assert granted.result is GRANTED
-    assert granted.not_after_epoch < time.time() + SOON_S
-    clocks = claim_platform.Clocks(epoch=lambda: time.time() + 60)
-    told = Host(world, 'b', clocks).claim(request_id)
-    assert told.result is HELD
-    assert told.start_expired
-    assert not told.completed
+    assert granted.not_after_epoch < time.time() + ANSWER_TIMEOUT_S
+    clocks = claim_stores.Clocks(epoch=lambda: time.time() + 60)
+    settled = Host(world, 'b', clocks).claim(request_id)
+    assert settled.result is HELD
+    assert settled.start_expired
+    assert not settled.completed
 
 
-def test_a_released_id_runs_again(world: World) -> None:
+def test_grants_a_released_id_again(world: ClaimSystem) -> None:
     host = Host(world)
-    request_id = mint()
+    request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    host.task.take(messages.ReleaseClaim(request_id))
+    host.task.perform(messages.ReleaseClaim(request_id))
     assert host.claim(request_id).result is GRANTED
 
 
-def test_a_platform_that_lost_claims_grants_none_of_them(
-    world: World,
+def test_refuses_ids_that_a_restored_platform_may_have_lost(
+    world: ClaimSystem,
 ) -> None:
     """Refuse the ids of the seconds before the platform went back.
 
@@ -298,19 +306,19 @@
     revisions that fall are not noticed.
     """
     host = Host(world)
-    host.claim(mint())
-    world.order(save=True)
-    request_id = mint()
+    host.claim(make_request_id())
+    world.control(save=True)
+    request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.order(restore=True)
+    world.control(restore=True)
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
-    assert refused.detail.startswith(claim_platform.LOST)
+    assert refused.detail.startswith(claim_stores.CLAIMS_LOST)
     assert host.claim(request_id).result is not GRANTED
 
 
-def test_a_host_with_a_wrong_clock_grants_nothing(
-    world: World, monkeypatch: pytest.MonkeyPatch
+def test_grants_nothing_at_a_host_with_a_wrong_clock(
+    world: ClaimSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Refuse claims at a host whose clock is far behind.
 
@@ -318,20 +326,22 @@
     again after an hour, and the clock of the host that it reaches is an
     hour behind. Cause: the id is in that host's window, its key has gone.
     """
-    behind = claim_platform.Clocks(epoch=lambda: time.time() - 3600)
-    host = Host(world, 'a', behind)
-    request_id = mint(age_s=3600)
+    late_clocks = claim_stores.Clocks(epoch=lambda: time.time() - 3600)
+    host = Host(world, 'a', late_clocks)
+    request_id = make_request_id(age_s=3600)
     assert Host(world, 'b').claim(request_id).result is EXPIRED
-    monkeypatch.setattr(store.Store, 'date_epoch', Dated(), raising=False)
+    monkeypatch.setattr(store.Store, 'date_epoch', TrueDate(), raising=False)
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
-    assert claim_platform.ASTRAY in refused.detail
-    host.task.note_members(claim_members.Listed('a', {'b': 'b'}))
+    assert claim_stores.CLOCK_DIFFERS in refused.detail
+    host.task.update_members(claim_owners.MemberAddresses('a', {'b': 'b'}))
     assert host.claim(request_id).result is UNAVAILABLE
 
 
 @pytest.mark.parametrize('address', ['b', 'lost-b', 'nobody'])
-def test_a_member_is_only_a_hint(world: World, address: str) -> None:
+def test_claims_alone_where_the_owner_fails(
+    world: ClaimSystem, address: str
+) -> None:
     """Claim alone where the member that writes for us cannot be asked.
 
     Symptom: refunds are refused, or run twice, while a member is away.
@@ -340,29 +350,31 @@
     """
     host = Host(world)
     Host(world, 'b')
-    host.task.note_members(claim_members.Listed('a', {'b': address}))
-    request_id = mint()
+    host.task.update_members(claim_owners.MemberAddresses('a', {'b': address}))
+    request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
     assert host.claim(request_id).result is HELD
-    host.task.take(messages.RecordOutcome(request_id, '{}'))
+    host.task.perform(messages.RecordOutcome(request_id, '{}'))
     assert host.claim_until(request_id, HELD).outcome == '{}'
 
 
-def test_two_hosts_that_take_each_other_for_the_writer(world: World) -> None:
+def test_claims_where_two_hosts_take_each_other_for_the_owner(
+    world: ClaimSystem,
+) -> None:
     """Write what a member hands on, whoever seems to be the writer.
 
     Symptom: claims of one bucket time out while all hosts are well.
     Sequence: two views of the members differ, and each of two hosts takes
     the other for the writer. Cause: what was handed on is handed on again.
     """
-    one = Host(world, 'a')
+    host = Host(world, 'a')
     other = Host(world, 'b')
-    one.task.note_members(claim_members.Listed('a', {'b': 'b'}))
-    other.task.note_members(claim_members.Listed('b', {'a': 'a'}))
-    assert one.claim(mint()).result is GRANTED
+    host.task.update_members(claim_owners.MemberAddresses('a', {'b': 'b'}))
+    other.task.update_members(claim_owners.MemberAddresses('b', {'a': 'a'}))
+    assert host.claim(make_request_id()).result is GRANTED
 
 
-def test_a_batch_for_the_wrong_key_is_refused(world: World) -> None:
+def test_refuses_a_batch_for_the_wrong_key(world: ClaimSystem) -> None:
     """Refuse steps whose ids belong under another key.
 
     Symptom: a refund runs twice during an upgrade. Sequence: a member that
@@ -370,7 +382,7 @@
     on trust.
     """
     host = Host(world)
-    request_id = mint()
+    request_id = make_request_id()
     time_epoch = request_ids.parse_epoch(request_id)
     assert time_epoch is not None
     key = claims.make_key(request_id, time_epoch - claims.SLOT_S)
@@ -378,4 +390,4 @@
         f'{{"key": "{key}", "steps": [{{"kind": "attempt", "nonce": "n",'
         f' "request_id": "{request_id}", "not_after_epoch": 1}}]}}'
     )
-    assert host.task.take_claims(body.encode()) is None
+    assert host.task.handle_claims(body.encode()) is None
--- a/tests/edge/test_loop.py
+++ b/tests/edge/test_dispatch_loop.py
@@ -9,7 +9,7 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.queries import states
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import loop
+from fuchsiahaven.edge import dispatch_loop
 
 REFUND = configurations.RequestClass(
     'refund', 60_000, repeat=configurations.Repeat.AT_MOST_ONCE
@@ -23,15 +23,17 @@
 )
 
 
-def ask(dispatcher: loop.Loop) -> loop.ReplyQueue:
-    reply_to: loop.ReplyQueue = queue.SimpleQueue()
+def submit_query(
+    dispatcher: dispatch_loop.DispatchLoop,
+) -> dispatch_loop.ReplyQueue:
+    reply_to: dispatch_loop.ReplyQueue = queue.SimpleQueue()
     arrived = time.monotonic()
     query = messages.Query('id', 'refund', {}, None, arrived, arrived + 60)
-    dispatcher.post(loop.Asked(query, reply_to))
+    dispatcher.post(dispatch_loop.QueryReceived(query, reply_to))
     return reply_to
 
 
-def test_failed_loop_leaves_no_caller_waiting() -> None:
+def test_failed_loop_replies_to_every_caller() -> None:
     """Tell every caller at once when the loop has failed.
 
     Symptom: a host answers nothing, and its callers wait for minutes.
@@ -39,37 +41,46 @@
     Cause: replies come from the loop alone.
     """
 
-    def fail(action: loop.ClaimAction) -> None:
+    def fail(action: dispatch_loop.ClaimAction) -> None:
         raise ZeroDivisionError
 
     state = states.make_state('Odori', float)
-    bounds = loop.Settings(answer_bytes=1000, probe_s=1, connect_s=1)
-    dispatcher = loop.Loop(state, bounds, fail)
+    settings = dispatch_loop.Settings(
+        max_answer_bytes=1000, probe_timeout_s=1, connect_timeout_s=1
+    )
+    dispatcher = dispatch_loop.DispatchLoop(state, settings, fail)
     dispatcher.post(messages.ConfigurationReceived(CONFIGURATION))
-    waiting = ask(dispatcher)
+    before_failure = submit_query(dispatcher)
     with pytest.raises(ZeroDivisionError):
         dispatcher.run()
-    late = ask(dispatcher)
-    for reply_to, ran in ((waiting, errors.Ran.UNKNOWN), (late, errors.Ran.NO)):
+    after_failure = submit_query(dispatcher)
+    for reply_to, ran in (
+        (before_failure, errors.Ran.UNKNOWN),
+        (after_failure, errors.Ran.NO),
+    ):
         failure = reply_to.get_nowait().outcome
         assert isinstance(failure, errors.Failure)
         assert failure.kind is errors.Kind.INTERNAL
         assert failure.ran is ran
 
 
-def test_shows_what_is_quarantined() -> None:
+def test_reports_quarantined_queries() -> None:
     """Symptom: operators see refusals, and not of what."""
     state = states.make_state('Odori', float)
     identity = request_identities.identify('refund', b'one')
-    news = suspects.News(
+    report = suspects.News(
         identity, 0, suspects.MIN_QUARANTINE_CRASHES, 60.0, ('t1',)
     )
-    state.tables.suspects.merge_report(news, time.monotonic(), 'host')
-    bounds = loop.Settings(answer_bytes=1000, probe_s=1, connect_s=1)
-    dispatcher = loop.Loop(state, bounds, lambda action: None)
-    assert not dispatcher.sample.quarantined
+    state.tables.suspects.merge_report(report, time.monotonic(), 'host')
+    settings = dispatch_loop.Settings(
+        max_answer_bytes=1000, probe_timeout_s=1, connect_timeout_s=1
+    )
+    dispatcher = dispatch_loop.DispatchLoop(
+        state, settings, lambda action: None
+    )
+    assert not dispatcher.status.quarantined
     # It looks at itself in its first turn, and ends with that.
-    dispatcher.post(loop.Closed())
+    dispatcher.post(dispatch_loop.StopRequested())
     dispatcher.run()
-    (held,) = dispatcher.sample.quarantined
-    assert held.identity == identity
+    (quarantined,) = dispatcher.status.quarantined
+    assert quarantined.identity == identity
--- a/tests/edge/test_path.py
+++ b/tests/edge/test_end_to_end.py
@@ -15,7 +15,7 @@
 
 from fuchsiahaven.core import request_ids
 
-PORTS = 130
+PORT_COUNT = 130
 SETTINGS = """
 [host]
 name = quilicura-01
@@ -34,14 +34,14 @@
 """
 
 
-class Entry(NamedTuple):
+class EntryHost(NamedTuple):
     """Say where an entry host answers callers and gives its metrics."""
 
     callers: str
     metrics: str
 
 
-def wait_for(*statuses: int) -> urllib3.Retry:
+def retry_on(*statuses: int) -> urllib3.Retry:
     """Ask again while the answer has one of these statuses."""
     return urllib3.Retry(
         200,
@@ -52,23 +52,25 @@
     )
 
 
-def find_ports() -> int:
+def find_free_ports() -> int:
     """Find a run of free ports below those of outgoing connections."""
     # Test runs side by side start to look at different places.
-    place = os.getpid() % 100 * PORTS
-    for first in range(12_000 + place, 32_000, PORTS):
+    offset = os.getpid() % 100 * PORT_COUNT
+    for first in range(12_000 + offset, 32_000, PORT_COUNT):
         with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
-            for port in range(first, first + PORTS):
+            for port in range(first, first + PORT_COUNT):
                 probe = stack.enter_context(socket.socket())
                 probe.bind(('127.0.0.1', port))
             return first
     raise AssertionError('no free ports')
 
 
-def start(stack: contextlib.ExitStack, *words: str) -> subprocess.Popen[str]:
+def start_program(
+    stack: contextlib.ExitStack, *arguments: str
+) -> subprocess.Popen[str]:
     """Start a program of this project and end it with the stack."""
     process = subprocess.Popen(
-        (sys.executable, '-m', *words), stdout=subprocess.PIPE, text=True
+        (sys.executable, '-m', *arguments), stdout=subprocess.PIPE, text=True
     )
     stack.enter_context(process)
     stack.callback(process.terminate)
@@ -76,37 +78,39 @@
 
 
 @pytest.fixture(scope='module')
-def entry(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Entry]:
+def entry(tmp_path_factory: pytest.TempPathFactory) -> Iterator[EntryHost]:
     """Run an entry host of Santiago among stand-ins."""
-    first = find_ports()
-    last = first + PORTS
-    platform = last - 1
+    first_port = find_free_ports()
+    end_port = first_port + PORT_COUNT
+    platform = end_port - 1
     settings: Path = tmp_path_factory.mktemp('entry') / 'host.ini'
     settings.write_text(
         SETTINGS.format(
-            callers=last - 2,
-            peers=last - 3,
-            metrics=last - 4,
+            callers=end_port - 2,
+            peers=end_port - 3,
+            metrics=end_port - 4,
             platform=platform,
         )
     )
-    layout = ('--deployment', 'santiago', '--first-port', str(first))
+    layout = ('--deployment', 'santiago', '--first-port', str(first_port))
     with contextlib.ExitStack() as stack:
         parts = [
-            start(
+            start_program(
                 stack, 'standins', 'platform', '--port', str(platform), *layout
             ),
-            start(stack, 'standins', 'searchers', *layout),
+            start_program(stack, 'standins', 'searchers', *layout),
         ]
         for part in parts:
             assert part.stdout and part.stdout.readline().startswith('ready')
-        start(stack, 'fuchsiahaven', 'serve', '--settings', str(settings))
-        address = f'http://127.0.0.1:{last - 2}'
-        urllib3.request('GET', f'{address}/readyz', retries=wait_for(503))
-        yield Entry(address, f'http://127.0.0.1:{last - 4}')
+        start_program(
+            stack, 'fuchsiahaven', 'serve', '--settings', str(settings)
+        )
+        address = f'http://127.0.0.1:{end_port - 2}'
+        urllib3.request('GET', f'{address}/readyz', retries=retry_on(503))
+        yield EntryHost(address, f'http://127.0.0.1:{end_port - 4}')
 
 
-def check_price(entry: Entry) -> Any:
+def check_price(entry: EntryHost) -> Any:
     """Ask a price check; return the answer."""
     return urllib3.request(
         'POST',
@@ -115,7 +119,7 @@
     ).json()
 
 
-def test_price_check_is_complete(entry: Entry) -> None:
+def test_price_check_is_complete(entry: EntryHost) -> None:
     answer = check_price(entry)
     assert answer['status'] == 'complete'
     assert len(answer['rows']) == 3
@@ -123,7 +127,7 @@
     assert answer['snapshots'] == {'lotes-remate': 12, 'socios-web': 12}
 
 
-def test_repeated_id_gets_the_recorded_answer(entry: Entry) -> None:
+def test_replays_the_answer_to_a_repeated_id(entry: EntryHost) -> None:
     """Run a request that may not be repeated once, and answer it twice."""
     request_id = request_ids.make_request_id(time.time(), bits=7)
     body = {
@@ -136,11 +140,11 @@
     first = urllib3.request('POST', url, json=body)
     assert first.status == 200
     # The answer leaves before its record is written.
-    again = urllib3.request('POST', url, json=body, retries=wait_for(409))
-    assert again.json() == {**first.json(), 'replayed': True}
+    repeated = urllib3.request('POST', url, json=body, retries=retry_on(409))
+    assert repeated.json() == {**first.json(), 'replayed': True}
 
 
-def test_metrics_count_answers_on_a_port_of_their_own(entry: Entry) -> None:
+def test_counts_answers_on_the_metrics_port(entry: EntryHost) -> None:
     check_price(entry)
     metrics = urllib3.request('GET', f'{entry.metrics}/metrics').data.decode()
     assert 'fuchsiahaven_answers_total{request_class="price-check"' in metrics
@@ -165,8 +169,8 @@
         (b' ' * 70_000, 413, 'too_large'),
     ],
 )
-def test_bad_request_gets_its_own_error(
-    entry: Entry, body: bytes, status: int, kind: str
+def test_reports_bad_requests(
+    entry: EntryHost, body: bytes, status: int, kind: str
 ) -> None:
     answer = urllib3.request('POST', f'{entry.callers}/v1/search', body=body)
     assert answer.status == status
--- a/tests/edge/test_ports.py
+++ b/tests/edge/test_http_server.py
@@ -9,17 +9,17 @@
 import pytest
 
 from fuchsiahaven.core import addresses
-from fuchsiahaven.edge import ports, requests
+from fuchsiahaven.edge import caller_requests, http_server
 
 HALF_HEAD = b'POST / HTTP/1.1\r\nX: '
 HEAD = b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n'
 LONG_HEAD = b'POST / HTTP/1.1\r\nX: %600d\r\n\r\n'
-PIECES = 200
+PIECE_COUNT = 200
 
 
 def echo(environ: dict[str, Any], start: Any) -> list[bytes]:
     """Answer with the body."""
-    body = requests.read_body(environ)
+    body = caller_requests.read_body(environ)
     start('200 OK', [('Content-Length', str(len(body)))])
     return [body]
 
@@ -28,8 +28,10 @@
 def client() -> Iterator[socket.socket]:
     """Connect to a port that gives a request a tenth of a second."""
     loopback = addresses.Address('127.0.0.1', 0)
-    port = ports.Port(loopback, 2, 5, 500, 1000, read_s=0.1, idle_s=5)
-    server = ports.make_server(echo, port)
+    port = http_server.PortSettings(
+        loopback, 2, 5, 500, 1000, read_timeout_s=0.1, idle_timeout_s=5
+    )
+    server = http_server.make_server(echo, port)
     server.prepare()
     with contextlib.ExitStack() as stack:
         thread = threading.Thread(target=server.serve)
@@ -49,7 +51,7 @@
 
 
 @pytest.mark.parametrize('start', [HALF_HEAD, HEAD % 900])
-def test_trickled_request_is_refused(
+def test_refuses_a_trickled_request(
     client: socket.socket, start: bytes
 ) -> None:
     """End a request whose bytes go on to come, but slowly.
@@ -60,7 +62,7 @@
     """
     client.sendall(start)
     answer = b''
-    for _ in range(PIECES):
+    for _ in range(PIECE_COUNT):
         client.send(b'x')
         if answer := receive(client):
             break
@@ -75,7 +77,7 @@
         (b'nonsense\r\n\r\n', 'bad_request'),
     ],
 )
-def test_bad_head_gets_an_error_of_the_list(
+def test_reports_a_bad_head_in_the_error_format(
     client: socket.socket, request_bytes: bytes, kind: str
 ) -> None:
     client.sendall(request_bytes)
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peer_port.py
@@ -14,36 +14,38 @@
 from fuchsiahaven.core.configuration import patches
 from fuchsiahaven.core.members import gossip_codecs as rows
 from fuchsiahaven.core.members import member_messages, members, patch_codecs
-from fuchsiahaven.edge import peer_calls, peers, tls
+from fuchsiahaven.edge import peer_client, peer_port, tls
 from tests import certificates
 
-LIMIT = 10_000
+MAX_BODY_BYTES = 10_000
 OWN = members.Member('h1', '127.0.0.1:1', 1, members.Standing.ALIVE)
 GOSSIP = member_messages.Gossip(OWN, 'Odori', patches.Stamp(3, 'ab'), 'cd')
 
 
-class Host:
+class EchoHost:
     """Answer gossip with what was told, and nothing else."""
 
-    def exchange(
+    def exchange_gossip(
         self, gossip: member_messages.Gossip
     ) -> member_messages.Gossip:
         """Answer gossip."""
         return gossip
 
-    def take_patches(self, parcel: patch_codecs.PatchMessage) -> patches.Stamp:
+    def handle_patches(
+        self, parcel: patch_codecs.PatchMessage
+    ) -> patches.Stamp:
         """Take patches."""
         return patches.Stamp(len(parcel.patches), parcel.sender)
 
-    def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
+    def list_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
         """Have nothing newer."""
         return ()
 
-    def prove(self) -> bytes:
+    def encode_proof(self) -> bytes:
         """Prove nothing."""
         return b''
 
-    def take_claims(self, body: bytes) -> bytes | None:
+    def handle_claims(self, body: bytes) -> bytes | None:
         """Answer claims."""
         return body
 
@@ -55,10 +57,12 @@
 @contextlib.contextmanager
 def serve(identity: tls.Identity | None) -> Iterator[str]:
     """Serve on a free port; give the address."""
-    application = peers.Application()
-    application.attach('h1', Host())
-    place = addresses.Address('127.0.0.1', 0)
-    server: wsgi.Server = peers.make_server(application, place, LIMIT, identity)
+    application = peer_port.Application()
+    application.attach('h1', EchoHost())
+    own_address = addresses.Address('127.0.0.1', 0)
+    server: wsgi.Server = peer_port.make_server(
+        application, own_address, MAX_BODY_BYTES, identity
+    )
     server.prepare()
     thread = threading.Thread(target=server.serve)
     thread.start()
@@ -69,18 +73,20 @@
         thread.join()
 
 
-def call(
+def send_gossip(
     identity: tls.Identity | None, address: str, body: bytes = b''
 ) -> bytes | None:
     """Send gossip once."""
-    told = body or rows.encode_gossip(GOSSIP)
-    with contextlib.closing(peer_calls.Caller(identity, LIMIT)) as caller:
-        return caller.call(
-            peer_calls.Request('POST', address, '/v1/gossip', told, 5.0)
+    gossip = body or rows.encode_gossip(GOSSIP)
+    with contextlib.closing(
+        peer_client.PeerClient(identity, MAX_BODY_BYTES)
+    ) as client:
+        return client.call(
+            peer_client.Request('POST', address, '/v1/gossip', gossip, 5.0)
         )
 
 
-class Files:
+class TlsFiles:
     """Hold the files of one authority and one host."""
 
     def __init__(self, folder: Path) -> None:
@@ -90,53 +96,55 @@
         pair = self.authority.issue(folder)
         self.files = tls.Files(*pair, self.authority.path)
 
-    def serve(self) -> tls.Identity:
+    def load_for_server(self) -> tls.Identity:
         """Load them for a server."""
         return tls.Identity(self.files, ssl.Purpose.CLIENT_AUTH)
 
-    def call(self) -> tls.Identity:
+    def load_for_client(self) -> tls.Identity:
         """Load them for a caller."""
         return tls.Identity(self.files, ssl.Purpose.SERVER_AUTH)
 
 
 @pytest.fixture
-def files(tmp_path: Path) -> Files:
+def files(tmp_path: Path) -> TlsFiles:
     """Make the files of one host."""
-    return Files(tmp_path)
+    return TlsFiles(tmp_path)
 
 
-def test_both_sides_need_a_certificate(files: Files, tmp_path: Path) -> None:
+def test_requires_certificates_on_both_sides(
+    files: TlsFiles, tmp_path: Path
+) -> None:
     """Refuse whoever shows no certificate of the authority."""
     other = certificates.Authority(tmp_path, 'other')
-    strange = tls.Files(*other.issue(tmp_path, 'strange'), files.files[2])
-    nobody = tls.Files(None, None, files.files[2])
-    with serve(files.serve()) as address:
-        answer = call(files.call(), address)
+    untrusted = tls.Files(*other.issue(tmp_path, 'strange'), files.files[2])
+    no_certificate = tls.Files(None, None, files.files[2])
+    with serve(files.load_for_server()) as address:
+        answer = send_gossip(files.load_for_client(), address)
         assert answer is not None
         assert rows.decode_gossip(answer) == GOSSIP
-        for refused in (strange, nobody):
+        for refused in (untrusted, no_certificate):
             identity = tls.Identity(refused, ssl.Purpose.SERVER_AUTH)
-            assert call(identity, address) is None
-        assert call(None, address) is None
+            assert send_gossip(identity, address) is None
+        assert send_gossip(None, address) is None
     with serve(None) as address:
-        assert call(files.call(), address) is None
+        assert send_gossip(files.load_for_client(), address) is None
 
 
-def test_silent_client_keeps_nobody_out(files: Files) -> None:
+def test_serves_others_beside_a_silent_client(files: TlsFiles) -> None:
     """Answer others while one has connected and says nothing.
 
     Symptom: all members hold a host for dead. Sequence: something connects
     to its peer port and never begins the handshake. Cause: handshakes done
     one after the other where connections are accepted.
     """
-    with serve(files.serve()) as address:
+    with serve(files.load_for_server()) as address:
         host, _, port = address.rpartition(':')
         with socket.create_connection((host, int(port))):
-            assert call(files.call(), address) is not None
+            assert send_gossip(files.load_for_client(), address) is not None
 
 
-def test_new_keys_are_taken_up_without_cutting_a_connection(
-    files: Files,
+def test_reloads_keys_without_closing_connections(
+    files: TlsFiles,
 ) -> None:
     """Follow replaced files, and keep what works while they do not fit.
 
@@ -146,23 +154,23 @@
     """
     now = 0.0
     identity = tls.Identity(files.files, ssl.Purpose.CLIENT_AUTH, lambda: now)
-    first = identity.context()
-    caller = peer_calls.Caller(files.call(), LIMIT)
-    with serve(identity) as address, contextlib.closing(caller):
-        request = peer_calls.Request('GET', address, '/v1/status')
-        assert caller.call(request) == b'{}'
+    first = identity.current_context()
+    client = peer_client.PeerClient(files.load_for_client(), MAX_BODY_BYTES)
+    with serve(identity) as address, contextlib.closing(client):
+        request = peer_client.Request('GET', address, '/v1/status')
+        assert client.call(request) == b'{}'
         assert files.files.certificate is not None
-        kept = files.files.certificate.read_bytes()
+        old_text = files.files.certificate.read_bytes()
         certificate, _ = files.authority.issue(files.folder)
-        fresh = certificate.read_bytes()
-        certificate.write_bytes(kept)
-        now += tls.LOOK_S
-        assert identity.context() is first
-        certificate.write_bytes(fresh)
-        now += tls.LOOK_S
-        assert identity.context() is not first
-        assert caller.call(request) == b'{}'
-        assert call(files.call(), address) is not None
+        new_text = certificate.read_bytes()
+        certificate.write_bytes(old_text)
+        now += tls.CHECK_INTERVAL_S
+        assert identity.current_context() is first
+        certificate.write_bytes(new_text)
+        now += tls.CHECK_INTERVAL_S
+        assert identity.current_context() is not first
+        assert client.call(request) == b'{}'
+        assert send_gossip(files.load_for_client(), address) is not None
 
 
 @pytest.mark.parametrize(
@@ -170,7 +178,7 @@
     [
         b'{',
         b'[]',
-        b'[' * LIMIT,
+        b'[' * MAX_BODY_BYTES,
         b'{"sender": ["h", "x:1", 1, "alive"]}',
         rows.encode_gossip(
             GOSSIP._replace(sender=OWN._replace(address='evil:80'))
@@ -180,11 +188,11 @@
             GOSSIP._replace(sender=OWN._replace(incarnation=-1))
         ),
         rows.encode_gossip(GOSSIP._replace(news=(OWN,) * 100)),
-        b' ' * LIMIT * 2,
+        b' ' * MAX_BODY_BYTES * 2,
     ],
 )
-def test_garbage_is_refused(body: bytes) -> None:
+def test_refuses_malformed_gossip(body: bytes) -> None:
     """Refuse what has not the shape of gossip, and go on serving."""
     with serve(None) as address:
-        assert call(None, address, body) is None
-        assert call(None, address) is not None
+        assert send_gossip(None, address, body) is None
+        assert send_gossip(None, address) is not None
--- a/tests/edge/test_pools.py
+++ b/tests/edge/test_pools.py
@@ -9,46 +9,48 @@
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import connectors, exchanges, links, pools
+from fuchsiahaven.edge import connections, connectors, exchanges, pools
 
 ANSWER = b'HTTP/1.1 503 -\r\nContent-Length: 2\r\n\r\n{}'
 TARGET = configurations.Target('web-0/1', '127.0.0.1:1', 'Quilicura')
 
 
-class Bench:
+class PoolRig:
     """Hold a pool, the target's ends of its connections, and its reports."""
 
     def __init__(self, selector: selectors.BaseSelector) -> None:
-        self.asked = 0
-        self.ends: dict[socket.socket, socket.socket] = {}
+        self.requested_count = 0
+        self.target_ends: dict[socket.socket, socket.socket] = {}
         self.events: list[messages.Event | None] = []
-        shop = pools.Shop(selector, self._ask, self.events.append, 1000)
-        self.pool = pools.Pool(TARGET, shop)
+        context = pools.PoolContext(
+            selector, self._request_connection, self.events.append, 1000
+        )
+        self.pool = pools.Pool(TARGET, context)
 
-    def open_asked(self) -> None:
+    def open_requested(self) -> None:
         """Open the connections that the pool asked for."""
-        while len(self.ends) < self.asked:
+        while len(self.target_ends) < self.requested_count:
             near, far = socket.socketpair()
             near.setblocking(False)
-            connection = urllib3.connection.HTTPConnection('127.0.0.1')
-            connection.sock = near
-            self.ends[near] = far
-            opened = connectors.Opened(TARGET, connection)
-            self.pool.take(opened, 0)
+            http_connection = urllib3.connection.HTTPConnection('127.0.0.1')
+            http_connection.sock = near
+            self.target_ends[near] = far
+            opened = connectors.ConnectionOpened(TARGET, http_connection)
+            self.pool.handle_connection(opened, 0)
 
-    def answer(self, link: links.Link) -> None:
+    def answer(self, connection: connections.Connection) -> None:
         """Let the target answer what is under way on a connection."""
-        self.ends[link.sock].sendall(ANSWER)
-        self.pool.serve(link, selectors.EVENT_READ, 0)
+        self.target_ends[connection.sock].sendall(ANSWER)
+        self.pool.handle_ready(connection, selectors.EVENT_READ, 0)
 
     def close(self) -> None:
         """Close both ends of all connections."""
-        for near, far in self.ends.items():
+        for near, far in self.target_ends.items():
             near.close()
             far.close()
 
-    def _ask(self, target: configurations.Target) -> None:
-        self.asked += 1
+    def _request_connection(self, target: configurations.Target) -> None:
+        self.requested_count += 1
 
     def send(self) -> messages.Send:
         """Send a sub-request on the one connection."""
@@ -57,29 +59,29 @@
             'id-1', 'price-check', 'web', 0, 1, 1, {}, 1.0, at_most_once=False
         )
         send = messages.Send(part, TARGET, request)
-        self.pool.allot(1, 0)
-        self.pool.place(exchanges.Exchange(send, 1.0), 0)
-        self.open_asked()
+        self.pool.limit_connections(1, 0)
+        self.pool.send(exchanges.Exchange(send, 1.0), 0)
+        self.open_requested()
         return send
 
-    def cut(self) -> None:
+    def close_target_ends(self) -> None:
         """Let the target close every connection."""
-        for far in self.ends.values():
+        for far in self.target_ends.values():
             far.close()
-        for link in tuple(self.pool.links):
-            self.pool.serve(link, selectors.EVENT_READ, 0)
+        for connection in tuple(self.pool.connections):
+            self.pool.handle_ready(connection, selectors.EVENT_READ, 0)
 
 
 @pytest.fixture
-def bench() -> Iterator[Bench]:
+def bench() -> Iterator[PoolRig]:
     """Give a pool without sockets of its own."""
     with selectors.DefaultSelector() as selector:
-        made = Bench(selector)
-        yield made
-        made.close()
+        pool_rig = PoolRig(selector)
+        yield pool_rig
+        pool_rig.close()
 
 
-def test_seats_given_up_are_closed_at_the_target(bench: Bench) -> None:
+def test_closes_idle_connections_past_the_limit(bench: PoolRig) -> None:
     """Close idle connections past the seats.
 
     Symptom: a target refuses connections of a host that has just joined.
@@ -87,33 +89,33 @@
     have open stays open.
     Cause: a bound on opening alone.
     """
-    bench.pool.allot(3, 0)
+    bench.pool.limit_connections(3, 0)
     for _ in range(3):
-        bench.pool.place(exchanges.probe(TARGET, 1.0), 0)
-    bench.open_asked()
-    assert len(bench.pool.links) == 3
-    for link in list(bench.pool.links)[:2]:
-        bench.answer(link)
-    bench.pool.allot(2, 0)
-    assert len(bench.pool.links) == 2
-    bench.pool.allot(0, 0)
+        bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    bench.open_requested()
+    assert len(bench.pool.connections) == 3
+    for connection in list(bench.pool.connections)[:2]:
+        bench.answer(connection)
+    bench.pool.limit_connections(2, 0)
+    assert len(bench.pool.connections) == 2
+    bench.pool.limit_connections(0, 0)
     # What is under way is not cut.
-    assert len(bench.pool.links) == 1
+    assert len(bench.pool.connections) == 1
 
 
-def test_without_a_seat_one_probe_passes_and_closes(bench: Bench) -> None:
-    bench.pool.place(exchanges.probe(TARGET, 1.0), 0)
-    bench.pool.place(exchanges.probe(TARGET, 1.0), 0)
-    bench.open_asked()
-    link = next(iter(bench.pool.links))
-    bench.answer(link)
-    bench.answer(link)
-    assert bench.asked == 1
-    assert not bench.pool.links
+def test_sends_one_probe_at_a_limit_of_zero(bench: PoolRig) -> None:
+    bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    bench.open_requested()
+    connection = next(iter(bench.pool.connections))
+    bench.answer(connection)
+    bench.answer(connection)
+    assert bench.requested_count == 1
+    assert not bench.pool.connections
 
 
-def test_a_cancellation_without_idle_connection_keeps_what_it_has(
-    bench: Bench,
+def test_opens_a_connection_for_a_cancellation(
+    bench: PoolRig,
 ) -> None:
     """Open a connection to cancel, and keep the one that is in use.
 
@@ -123,31 +125,35 @@
     has beaten; nothing is idle to send the cancellation on.
     Cause: the connection was closed in place of a cancellation.
     """
-    bench.pool.allot(2, 0)
+    bench.pool.limit_connections(2, 0)
     part = messages.PartKey(1, 'web', 0, 1)
     request = messages.PartRequest(
         'id-1', 'price-check', 'web', 0, 1, 1, {}, 1.0, at_most_once=False
     )
     send = messages.Send(part, TARGET, request)
-    bench.pool.place(exchanges.Exchange(send, 1.0), 0)
-    bench.open_asked()
+    bench.pool.send(exchanges.Exchange(send, 1.0), 0)
+    bench.open_requested()
     cancel = messages.Cancel(part, TARGET.name)
     bench.pool.cancel(exchanges.Exchange(cancel, 1.0), 0)
-    bench.open_asked()
-    assert len(bench.pool.links) == 2
-    sent = [far.recv(1000) for far in bench.ends.values()]
+    bench.open_requested()
+    assert len(bench.pool.connections) == 2
+    sent = [far.recv(1000) for far in bench.target_ends.values()]
     assert sent[1].startswith(b'POST /v1/cancel')
 
 
-@pytest.mark.parametrize('ended', [True, False])
-def test_looks_whether_a_target_has_ended(bench: Bench, ended: bool) -> None:
+@pytest.mark.parametrize('exited', [True, False])
+def test_checks_whether_a_target_has_exited(
+    bench: PoolRig, exited: bool
+) -> None:
     """Guard against an end that is taken for a reset, and the reverse."""
     bench.send()
-    bench.cut()
-    asked = bench.asked
-    assert asked == 2
-    if ended:
-        bench.pool.take(connectors.Unopened(TARGET, 'refused', refused=True), 0)
+    bench.close_target_ends()
+    requested = bench.requested_count
+    assert requested == 2
+    if exited:
+        bench.pool.handle_connection(
+            connectors.ConnectionFailed(TARGET, 'refused', refused=True), 0
+        )
     else:
-        bench.open_asked()
-    assert messages.TargetChecked(TARGET.name, ended) in bench.events
+        bench.open_requested()
+    assert messages.TargetChecked(TARGET.name, exited) in bench.events
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -11,13 +11,13 @@
 
 from fuchsiahaven.core import rates
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import hostlist, store
+from fuchsiahaven.edge import host_list, store
 
-JSON = b'HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n%b'
+JSON_ANSWER = b'HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n%b'
 
 
-def answer(status: int, body: bytes) -> bytes:
-    return JSON % (status, len(body), body)
+def encode_answer(status: int, body: bytes) -> bytes:
+    return JSON_ANSWER % (status, len(body), body)
 
 
 @contextlib.contextmanager
@@ -46,12 +46,12 @@
 
 def test_reads_and_swaps() -> None:
     body = b'{"key": "a/b", "value": "v", "revision": 7, "new_field": 1}'
-    with open_store(answer(200, body)) as platform:
+    with open_store(encode_answer(200, body)) as platform:
         assert platform.read('a/b') == store.Entry('a/b', 'v', 7)
         assert platform.calls['read'] == 1
-    with open_store(answer(200, b'{"revision": 8}')) as platform:
+    with open_store(encode_answer(200, b'{"revision": 8}')) as platform:
         assert platform.swap('a/b', 'w', 7).revision == 8
-    with open_store(answer(409, b'{"revision": 9}')) as platform:
+    with open_store(encode_answer(409, b'{"revision": 9}')) as platform:
         with pytest.raises(store.StoreConflict) as caught:
             platform.swap('a/b', 'w', 7)
         assert caught.value.revision == 9
@@ -62,13 +62,15 @@
     [
         b'',
         b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revi',
-        answer(200, b'{"revision": "eight"}'),
-        answer(500, b''),
-        JSON % (200, 8_000_000, b' ' * 8_000_000),
+        encode_answer(200, b'{"revision": "eight"}'),
+        encode_answer(500, b''),
+        JSON_ANSWER % (200, 8_000_000, b' ' * 8_000_000),
     ],
     ids=['closed', 'truncated', 'garbled', 'failed', 'endless'],
 )
-def test_a_write_without_a_sound_answer_is_unclear(reply: bytes) -> None:
+def test_reports_a_write_without_a_valid_answer_as_unclear(
+    reply: bytes,
+) -> None:
     """Tell a lost answer of a write from a write that was refused.
 
     Symptom: a refund is told as not run, then runs. Sequence: the write
@@ -83,7 +85,7 @@
             platform.read('k')
 
 
-def test_a_write_that_never_left_is_certainly_not_written() -> None:
+def test_reports_an_unsent_write_as_not_written() -> None:
     """Refuse at once, and truthfully, what cannot have been written."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         port = listener.getsockname()[1]
@@ -91,12 +93,12 @@
     with pytest.raises(store.StoreUnavailable):
         platform.swap('k', 'v', 0)
     for status in (429, 503):
-        with open_store(answer(status, b'')) as platform:
+        with open_store(encode_answer(status, b'')) as platform:
             with pytest.raises(store.StoreUnavailable):
                 platform.swap('k', 'v', 0)
 
 
-def test_an_entry_of_another_key_is_refused() -> None:
+def test_refuses_an_entry_of_another_key() -> None:
     """Drop an answer that crossed with another.
 
     Symptom: a host acts on the value of a different key. Sequence: an
@@ -104,22 +106,25 @@
     Cause: the key inside the answer was not compared.
     """
     body = b'{"key": "other", "value": "v", "revision": 7}'
-    with open_store(answer(200, body)) as platform:
+    with open_store(encode_answer(200, body)) as platform:
         with pytest.raises(store.StoreUnavailable):
             platform.read('k')
 
 
-def test_tells_the_clock_of_the_platform() -> None:
+def test_reads_the_clock_of_the_platform() -> None:
     dated = b'HTTP/1.1 404 No\r\nDate: Sun, 06 Nov 1994 08:49:37 GMT\r\n'
-    for reply, told in ((dated, 784111777.0), (b'HTTP/1.1 404 No\r\n', None)):
+    for reply, expected in (
+        (dated, 784111777.0),
+        (b'HTTP/1.1 404 No\r\n', None),
+    ):
         with open_store(b'%bContent-Length: 0\r\n\r\n' % reply) as platform:
             assert platform.read('k') is None
-            assert platform.date_epoch == told
+            assert platform.date_epoch == expected
 
 
-def test_the_budget_holds_calls_back() -> None:
-    slow = store.Limits(writes=rates.Rate(0.01, burst=1))
-    with open_store(answer(200, b'{"revision": 1}'), slow) as platform:
+def test_refuses_calls_past_the_rate() -> None:
+    slow = store.Limits(write_rate=rates.Rate(0.01, burst=1))
+    with open_store(encode_answer(200, b'{"revision": 1}'), slow) as platform:
         platform.swap('k', 'v', 0)
         with pytest.raises(store.StoreOverBudget) as caught:
             platform.swap('k', 'w', 1)
@@ -132,15 +137,15 @@
          "data_centre": "odori", "state": "leaving"},
         {"name": "e1", "kind": "entry", "address": "127.0.0.1:2",
          "data_centre": "odori", "state": "live"}]}"""
-    with open_store(answer(200, body)) as platform:
-        listing = hostlist.read_hosts(platform)
+    with open_store(encode_answer(200, body)) as platform:
+        listing = host_list.read_host_list(platform)
     assert listing.targets == messages.HostListRead(
         leaving=frozenset(('t1',)), live=frozenset()
     )
-    assert [host.name for host in listing.entries] == ['e1']
+    assert [host.name for host in listing.entry_hosts] == ['e1']
 
 
-def test_a_watch_may_wait_longer_than_a_connection(
+def test_lets_a_watch_wait_longer_than_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Give a waiting watch its time, and only connecting the short limit.
@@ -150,19 +155,19 @@
     changes, so the platform rightly holds its answer back. Cause: the limit
     on connecting was given as the limit on the whole call.
     """
-    calls: list[urllib3.Timeout] = []
-    unwatched = urllib3.HTTPConnectionPool.urlopen
+    timeouts: list[urllib3.Timeout] = []
+    original = urllib3.HTTPConnectionPool.urlopen
 
-    def note(
-        pool: urllib3.HTTPConnectionPool, *words: Any, **options: Any
+    def record(
+        pool: urllib3.HTTPConnectionPool, *args: Any, **kwargs: Any
     ) -> urllib3.BaseHTTPResponse:
-        calls.append(options['timeout'])
-        return unwatched(pool, *words, **options)
+        timeouts.append(kwargs['timeout'])
+        return original(pool, *args, **kwargs)
 
-    monkeypatch.setattr(urllib3.HTTPConnectionPool, 'urlopen', note)
+    monkeypatch.setattr(urllib3.HTTPConnectionPool, 'urlopen', record)
     with open_store(b'HTTP/1.1 204 No Content\r\n\r\n') as platform:
         assert platform.watch('k', 1, 30) is None
-    (limit,) = calls
-    assert limit.total is None
-    assert limit.connect_timeout == store.DEFAULT_LIMITS.connect_s
-    assert limit.read_timeout == store.DEFAULT_LIMITS.read_s + 30
+    (timeout,) = timeouts
+    assert timeout.total is None
+    assert timeout.connect_timeout == store.DEFAULT_LIMITS.connect_timeout_s
+    assert timeout.read_timeout == store.DEFAULT_LIMITS.read_timeout_s + 30
--- a/tests/edge/test_untrusted.py
+++ b/tests/edge/test_untrusted.py
@@ -39,17 +39,17 @@
 from fuchsiahaven.core.queries import records
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    answers,
+    caller_replies,
+    caller_requests,
     frames,
-    requests,
-    searchers,
     store_answers,
+    target_protocol,
 )
 from tests.core import rig
 
 ID: Final = '017f22e2-79b0-7cc3-98c4-dc0c0c07398f'
 CLASS: Final = configurations.RequestClass('price-check')
-BOUNDS: Final = requests.Bounds(8, 100)
+BOUNDS: Final = caller_requests.BodyBounds(8, 100)
 MEMBER: Final = ['quilicura-02', '10.0.0.2:7002', 1, 'alive']
 STAMP: Final = [1, 'ab']
 LOAD: Final = {'in_flight': 1, 'queued': 0, 'slots': 2}
@@ -91,7 +91,7 @@
     (configurations.Selector('price-check', 'price-check', 'tier=gold'),),
     (CLASS,),
 )
-ANSWERED: Final = messages.Answer(
+DECODED_ANSWER: Final = messages.Answer(
     ID,
     ({'id': 'a', 'rank': 1.5},),
     {'web': 1},
@@ -120,7 +120,7 @@
 
 
 def read_request(body: bytes) -> object:
-    query = requests.read_query(body, BOUNDS, lambda: ID, 100.0)
+    query = caller_requests.decode_query(body, BOUNDS, lambda: ID, 100.0)
     return rig.Rig(CLASS).handle(messages.QuerySubmitted(1, query))
 
 
@@ -128,7 +128,7 @@
     host = rig.Rig(CLASS)
     send = host.submit()[0]
     frame = frames.Frame(status, body, closes=False)
-    return host.handle(searchers.read_search(send, frame))
+    return host.handle(target_protocol.decode_search(send, frame))
 
 
 def read_refusal(body: bytes) -> object:
@@ -139,7 +139,7 @@
     host = rig.Rig(CLASS)
     target = configurations.Target('web-0/0', '10.0.0.0:1', rig.DATA_CENTRE)
     frame = frames.Frame(200, body, closes=False)
-    host.handle(searchers.read_probe(messages.Probe(target), frame))
+    host.handle(target_protocol.decode_probe(messages.Probe(target), frame))
     return host.submit()
 
 
@@ -147,8 +147,10 @@
     gossip = gossip_codecs.decode_gossip(body)
     if gossip is None:
         return None
-    own = members.Member('h1', '10.0.0.1:1', 1, members.Standing.ALIVE)
-    state = membership.start(own, 'Quilicura', member_states.Timings(), (), 0)
+    own_member = members.Member('h1', '10.0.0.1:1', 1, members.Standing.ALIVE)
+    state = membership.start(
+        own_member, 'Quilicura', member_states.Timings(), (), 0
+    )
     received = member_messages.RequestReceived(1, gossip)
     actions = membership.handle_event(state, received, 1, float)[1]
     for action in actions:
@@ -186,20 +188,20 @@
 
 
 def read_manifest(body: bytes) -> object:
-    found = manifests.decode(body.decode('utf-8', 'replace'))
-    if isinstance(found, errors.Failure):
-        return found
-    for policy in found.configuration.classes:
-        assert 0 <= policy.hedge_share <= 1
-    return manifests.encode(found.configuration, found.entries)
+    decoded = manifests.decode(body.decode('utf-8', 'replace'))
+    if isinstance(decoded, errors.Failure):
+        return decoded
+    for request_class in decoded.configuration.classes:
+        assert 0 <= request_class.hedge_share <= 1
+    return manifests.encode(decoded.configuration, decoded.entries)
 
 
 def read_record(body: bytes) -> object:
-    found = records.decode_answer(body.decode('utf-8', 'replace'))
-    if found is None:
+    decoded = records.decode_answer(body.decode('utf-8', 'replace'))
+    if decoded is None:
         return None
-    reply = messages.Reply(1, found, replayed=True)
-    return answers.write_reply(found.request_id, reply)
+    reply = messages.Reply(1, decoded, replayed=True)
+    return caller_replies.encode_reply(decoded.request_id, reply)
 
 
 STEP: Final = {
@@ -234,7 +236,7 @@
             'key': 'pass-17',
             'query': {'text': 'combi oven', 'limit': 20},
         },
-        requests.Refusal,
+        caller_requests.Refusal,
     ),
     Reader('answer', read_answer, ANSWER),
     Reader('refusal', read_refusal, REFUSAL),
@@ -282,29 +284,31 @@
         read_manifest,
         json.loads(ENCODED.text),
     ),
-    Reader('record', read_record, json.loads(records.encode_answer(ANSWERED))),
+    Reader(
+        'record', read_record, json.loads(records.encode_answer(DECODED_ANSWER))
+    ),
     Reader(
         'entry',
-        lambda body: store_answers.parse_entry(body, 'k'),
+        lambda body: store_answers.decode_entry(body, 'k'),
         {'key': 'k', 'value': 'v', 'revision': 3},
         store_answers.MalformedAnswer,
     ),
     Reader(
         'keys',
-        store_answers.parse_keys,
+        store_answers.decode_keys,
         {'keys': [{'key': 'k', 'revision': 3}]},
         store_answers.MalformedAnswer,
     ),
     Reader(
         'hosts',
-        store_answers.parse_hosts,
+        store_answers.decode_hosts,
         {'hosts': [HOST], 'age_s': 4.0},
         store_answers.MalformedAnswer,
     ),
 )
 
 #: What parsers and comparisons stumble over.
-HOSTILE: Final[tuple[Any, ...]] = (
+HOSTILE_VALUES: Final[tuple[Any, ...]] = (
     None,
     True,
     math.nan,
@@ -320,7 +324,7 @@
     [[]],
 )
 VALUES: Final = st.recursive(
-    st.sampled_from(HOSTILE) | st.integers() | st.text(max_size=3),
+    st.sampled_from(HOSTILE_VALUES) | st.integers() | st.text(max_size=3),
     lambda inner: (
         st.lists(inner, max_size=3)
         | st.dictionaries(st.text(max_size=3), inner, max_size=3)
@@ -329,52 +333,52 @@
 )
 
 
-def list_places(node: Any, above: tuple[Any, ...] = ()) -> list[Any]:
+def list_paths(node: Any, parent_path: tuple[Any, ...] = ()) -> list[Any]:
     """List the paths to every value in a body."""
     if not isinstance(node, dict | list):
-        return [above]
+        return [parent_path]
     keys = node if isinstance(node, dict) else range(len(node))
     return [
-        above,
+        parent_path,
         *(
-            place
+            path
             for key in keys
-            for place in list_places(node[key], (*above, key))
+            for path in list_paths(node[key], (*parent_path, key))
         ),
     ]
 
 
-def put(body: Any, place: tuple[Any, ...], value: Any) -> bytes:
+def replace_value(body: Any, path: tuple[Any, ...], value: Any) -> bytes:
     """Write a body with another value at one place."""
-    whole = [copy.deepcopy(body)]
-    *above, last = (0, *place)
-    functools.reduce(operator.getitem, above, whole)[last] = value
-    return json.dumps(whole[0]).encode()
+    copied = [copy.deepcopy(body)]
+    *parent_path, last_key = (0, *path)
+    functools.reduce(operator.getitem, parent_path, copied)[last_key] = value
+    return json.dumps(copied[0]).encode()
 
 
 @pytest.mark.parametrize('reader', READERS, ids=lambda reader: reader.name)
-def test_a_spoilt_value_is_read_or_refused(reader: Reader) -> None:
+def test_accepts_or_refuses_any_value(reader: Reader) -> None:
     assert reader.read(json.dumps(reader.example).encode()) is not None
-    for place in list_places(reader.example):
-        for value in HOSTILE:
+    for path in list_paths(reader.example):
+        for value in HOSTILE_VALUES:
             with contextlib.suppress(reader.refusal):
-                reader.read(put(reader.example, place, value))
+                reader.read(replace_value(reader.example, path, value))
 
 
 @pytest.mark.parametrize('reader', READERS, ids=lambda reader: reader.name)
 @given(st.data())
-def test_any_body_is_read_or_refused(
+def test_accepts_or_refuses_any_body(
     reader: Reader, data: st.DataObject
 ) -> None:
-    places = st.sampled_from(list_places(reader.example))
-    spoilt = st.builds(put, st.just(reader.example), places, VALUES)
-    body = data.draw(st.binary() | spoilt)
+    paths = st.sampled_from(list_paths(reader.example))
+    altered = st.builds(replace_value, st.just(reader.example), paths, VALUES)
+    body = data.draw(st.binary() | altered)
     with contextlib.suppress(reader.refusal):
         reader.read(body[: data.draw(st.integers(0, len(body)))])
 
 
 @pytest.mark.parametrize('reader', READERS, ids=lambda reader: reader.name)
-def test_a_deep_body_is_refused(reader: Reader) -> None:
+def test_refuses_a_deeply_nested_body(reader: Reader) -> None:
     """Refuse what is nested deeper than the interpreter recurses.
 
     Symptom: a task ends and nothing it owns is served any more. Sequence: a
@@ -397,13 +401,13 @@
         ),
     )
 )
-def test_any_bytes_are_a_frame_or_refused(data: bytes) -> None:
+def test_accepts_or_refuses_any_frame(data: bytes) -> None:
     with contextlib.suppress(frames.FrameError):
-        frame = frames.cut_frame(data, 100)
+        frame = frames.decode_frame(data, 100)
         assert frame is None or len(frame.body) <= 100
 
 
-def test_a_report_of_many_snapshots_is_refused() -> None:
+def test_refuses_a_report_of_many_snapshots() -> None:
     """Bound the memory that one target's report can ask for.
 
     Symptom: a host's memory grows by gigabytes and it is killed. Sequence: a
--- a/tests/operate/test_connections.py
+++ b/tests/operate/test_connections.py
@@ -8,7 +8,7 @@
 
 from fuchsiahaven.core import addresses
 from fuchsiahaven.operate import connections, host_client, statuses
-from tests.edge import test_peers
+from tests.edge import test_peer_port
 
 SETTINGS = """
 [host]
@@ -36,8 +36,8 @@
     tmp_path: Path,
 ) -> None:
     path = tmp_path / 'desk.ini'
-    tls_files = test_peers.Files(tmp_path)
-    with test_peers.serve(tls_files.serve()) as address:
+    tls_files = test_peer_port.TlsFiles(tmp_path)
+    with test_peer_port.serve(tls_files.load_for_server()) as address:
         path.write_text(SETTINGS.format(address=address, files=tls_files.files))
         endpoints = find_endpoints('--settings', str(path))
         assert endpoints is not None
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -18,7 +18,7 @@
     store_reads,
 )
 from fuchsiahaven.core.members import patch_codecs
-from fuchsiahaven.edge import editor, store
+from fuchsiahaven.edge import config_client, store
 from fuchsiahaven.operate import command_watch, commands, exit_codes, statuses
 from standins import platform, wire
 
@@ -112,7 +112,7 @@
 
     def read(self) -> configurations.Configuration:
         with contextlib.closing(store.Store(f'http://{self.address}')) as it:
-            loaded = editor.read_configuration(it)
+            loaded = config_client.read_configuration(it)
         assert isinstance(loaded, store_reads.LoadedManifest)
         return loaded.manifest.configuration
 
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -11,7 +11,7 @@
 
 from fuchsiahaven.core.configuration import changes, configurations, proposals
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import searchers
+from fuchsiahaven.edge import target_protocol
 from tests.scenarios import fakes, world
 
 RequestClass = configurations.RequestClass
@@ -110,7 +110,7 @@
     class Time:
         time = staticmethod(lambda: stage.clock.now)
 
-    monkeypatch.setattr(searchers, 'time', Time)
+    monkeypatch.setattr(target_protocol, 'time', Time)
     return stage
 
 
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -11,13 +11,13 @@
 from fuchsiahaven.core.queries import dispatch, states
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import (
-    claim_platform,
-    claims,
+    claim_stores,
+    claim_task,
     frames,
-    hostlist,
+    host_list,
     manifest_reader,
-    searchers,
     store,
+    target_protocol,
 )
 from tests.core import networks
 from tests.scenarios import fakes, lines
@@ -125,8 +125,8 @@
             self.tell(messages.Tick())
             self.steer(wording.Ticked())
             for worker in self._claims._workers:
-                worker._take_all(0)
-                worker._turn()
+                worker._handle_messages(0)
+                worker._run_once()
 
     def wake(self) -> None:
         """Go on after a pause, with all that has come meanwhile."""
@@ -139,7 +139,7 @@
     def read_list(self) -> None:
         """Read the platform's host list, which may fail."""
         try:
-            listing = hostlist.read_hosts(self._store)
+            listing = host_list.read_host_list(self._store)
         except store.StoreError:
             return
         self.tell(listing.targets)
@@ -157,12 +157,12 @@
             self._backlog.append(act)
         return paused or not self.alive
 
-    def _open_claims(self) -> claims.Task:
+    def _open_claims(self) -> claim_task.Task:
         # The task's own threads are left out: `tick` makes their turns.
-        task = claims.Task(
+        task = claim_task.Task(
             lambda: lines.open_store(self._line, self._clock),
             lambda address, body, timeout_s: None,
-            claim_platform.Clocks(
+            claim_stores.Clocks(
                 lambda: self._clock.now, lambda: self._clock.now
             ),
         )
@@ -187,14 +187,14 @@
                 | messages.RecordOutcome()
                 | messages.ReleaseClaim()
             ):
-                self._claims.take(action)
+                self._claims.perform(action)
 
     def _send(self, send: messages.Send) -> None:
         name, now = send.target.name, self._clock.now
         end = functools.partial(self._end, send)
         self._flying[send.part] = send
         reason = None
-        if not searchers.may_start(send.request, now):
+        if not target_protocol.may_send(send.request, now):
             reason = messages.RefusalReason.DEADLINE
         elif name in self._world.lost:
             reason = messages.RefusalReason.NO_CONNECTION
@@ -205,10 +205,10 @@
         left = send.request.deadline + GRACE_S - now
         late = messages.PartFailed(send.part, name, messages.Fault.TIMED_OUT)
         self._clock.call_later(left, lambda: end(late))
-        payload = searchers.write_search(send, now)
+        payload = target_protocol.encode_search(send, now)
 
         def answer(frame: frames.Frame) -> None:
-            event = searchers.read_search(send, frame)
+            event = target_protocol.decode_search(send, frame)
             self._carry(name, lambda: end(event))
 
         target = self._world.targets[name]
@@ -234,7 +234,7 @@
             missed = messages.TargetProbed(name, None)
             self._clock.call_later(PROBE_S, lambda: self.tell(missed))
             return
-        event = searchers.read_probe(probe, target.report())
+        event = target_protocol.decode_probe(probe, target.report())
         self._clock.call_later(2 * DELAY_S, lambda: self.tell(event))
 
     def _carry(self, target: str, act: Act) -> None:
@@ -255,7 +255,7 @@
             case wording.ReadManifest():
                 self._bring(self._reader.read(self._store))
             case wording.ReadStoreRevision():
-                self._bring(self._reader.check(self._store))
+                self._bring(self._reader.read_revision(self._store))
             case wording.WatchManifest(_, wait_s):
                 self._watch(action, self._clock.now + wait_s)
             case wording.PutInForce(stamped):
--- a/tests/scenarios/lines.py
+++ b/tests/scenarios/lines.py
@@ -14,8 +14,8 @@
 from tests.core import networks
 
 CALL_S: Final = 0.003
-CONNECT_S: Final = store.DEFAULT_LIMITS.connect_s
-READ_S: Final = store.DEFAULT_LIMITS.read_s
+CONNECT_S: Final = store.DEFAULT_LIMITS.connect_timeout_s
+READ_S: Final = store.DEFAULT_LIMITS.read_timeout_s
 
 
 class Line:
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -18,7 +18,7 @@
     transactions,
 )
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import editor
+from fuchsiahaven.edge import config_client
 from standins import platform
 from tests.core import networks
 from tests.scenarios import fakes, hosts, lines
@@ -144,8 +144,10 @@
         request = proposals.ChangeRequest(
             f'{operator}-{number}', operator, change
         )
-        patience = editor.Patience(1.0, lambda: self.clock.now, self.clock.run)
-        return editor.make_change(
+        patience = config_client.RetryPolicy(
+            1.0, lambda: self.clock.now, self.clock.run
+        )
+        return config_client.commit_change(
             self._store,
             request._replace(base_revision=base),
             self.clock.now,
