--- a/fuchsiahaven/relay/encodings.py
+++ b/fuchsiahaven/relay/compression.py
@@ -13,8 +13,8 @@
 DEFLATE: Final = 'deflate'
 #: Asks for compressed answers. A host of another version passes over it, and
 #: its answers come as they are.
-ACCEPT: Final = ('accept-encoding', DEFLATE)
-CONTENT: Final = ('content-encoding', DEFLATE)
+ACCEPT_FIELD: Final = ('accept-encoding', DEFLATE)
+CONTENT_FIELD: Final = ('content-encoding', DEFLATE)
 #: The quickest level; the others take twice the time for a tenth of the bytes.
 LEVEL: Final = 1
 #: A window of 8 KB and little memory, because a host may have dozens of
@@ -23,67 +23,69 @@
 MEMORY_LEVEL: Final = 5
 #: No answer between hosts comes near this; what unpacks to more is nonsense
 #: and would fill the memory.
-MOST_BYTES: Final = 8 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES: Final = 8 * 1024 * 1024
 
 
-def is_accepted(fields: events.Fields) -> bool:
+def accepts_deflate(fields: events.Fields) -> bool:
     """Tell whether whoever asks takes compressed answers."""
-    told = dict(fields).get(ACCEPT[0], '')
-    return DEFLATE in {name.strip() for name in told.split(',')}
+    accepted = dict(fields).get(ACCEPT_FIELD[0], '')
+    return DEFLATE in {name.strip() for name in accepted.split(',')}
 
 
-def is_packed(fields: events.Fields) -> bool:
+def is_compressed(fields: events.Fields) -> bool:
     """Tell whether an answer is compressed."""
-    return dict(fields).get(CONTENT[0]) == DEFLATE
+    return dict(fields).get(CONTENT_FIELD[0]) == DEFLATE
 
 
 @functools.lru_cache(maxsize=1)
-def pack(body: bytes) -> bytes:
+def compress(body: bytes) -> bytes:
     """Compress a whole body; the same one comes many times in a row."""
     return zlib.compress(body, LEVEL)
 
 
-class Packer:
+class Compressor:
     """Own the compression of an answer that is sent in pieces."""
 
     def __init__(self) -> None:
         """Start an answer."""
-        self._packing = zlib.compressobj(
+        self._compressor = zlib.compressobj(
             LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
         )
 
-    def pack(self, piece: bytes, *, last: bool) -> bytes:
+    def compress(self, chunk: bytes, *, last: bool) -> bytes:
         """Compress a piece so that it can be read as soon as it arrives."""
-        packed = self._packing.compress(piece)
-        ending = zlib.Z_FINISH if last else zlib.Z_SYNC_FLUSH
-        return packed + self._packing.flush(ending)
+        compressed = self._compressor.compress(chunk)
+        flush_mode = zlib.Z_FINISH if last else zlib.Z_SYNC_FLUSH
+        return compressed + self._compressor.flush(flush_mode)
 
 
-class Unpacker:
+class Decompressor:
     """Own the reading of a compressed answer."""
 
     def __init__(self) -> None:
         """Start an answer."""
-        self._unpacking = zlib.decompressobj()
-        self._left = MOST_BYTES
+        self._decompressor = zlib.decompressobj()
+        self._remaining_bytes = MAX_DECOMPRESSED_BYTES
 
-    def unpack(self, piece: bytes) -> bytes:
+    def decompress(self, chunk: bytes) -> bytes:
         """Return what has come so far and was not returned yet.
 
         Raises codecs.Malformed.
         """
         try:
-            unpacked = self._unpacking.decompress(piece, self._left + 1)
+            decompressed = self._decompressor.decompress(
+                chunk, self._remaining_bytes + 1
+            )
         except zlib.error as error:
             raise report_codecs.MalformedReport(str(error)) from error
-        self._left -= len(unpacked)
-        if self._left < 0:
+        self._remaining_bytes -= len(decompressed)
+        if self._remaining_bytes < 0:
             raise report_codecs.MalformedReport(
-                f'unpacks to more than {MOST_BYTES} bytes'
+                f'unpacks to more than {MAX_DECOMPRESSED_BYTES} bytes'
             )
-        return unpacked
+        return decompressed
 
 
-def unpack(body: bytes) -> bytes:
+def decompress(body: bytes) -> bytes:
     """Return a whole compressed body as it was; raises codecs.Malformed."""
-    return Unpacker().unpack(body)
+    return Decompressor().decompress(body)
--- a/fuchsiahaven/relay/links.py
+++ b/fuchsiahaven/relay/connections.py
@@ -10,31 +10,31 @@
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import http_codecs
-from fuchsiahaven.relay import traffic, wires
+from fuchsiahaven.relay import fast_http, traffic
 from fuchsiahaven.routing import events
 
 #: The largest answer that is taken in; the largest of a target are 36 kB, a
 #: page of the store is up to 1 MB, in base64 and JSON.
-ANSWER_BYTES: Final = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES: Final = 4 * 1024 * 1024
 #: Bytes that nobody acknowledges for this long break a connection. A cut that
 #: drops packets would otherwise hold requests for minutes; packets that are
 #: lost one by one are repeated within less.
-UNACKNOWLEDGED_MS: Final = 1500
+TCP_USER_TIMEOUT_MS: Final = 1500
 #: A connection on which nothing moves is tried after so many seconds, and
 #: given up after as many tries as often.
-KEEP_ALIVE_S: Final = 2
-KEEP_ALIVE_TRIES: Final = 2
+KEEP_ALIVE_INTERVAL_S: Final = 2
+KEEP_ALIVE_PROBES: Final = 2
 #: Answers of other requests that are passed over before a connection is given
 #: up; a target sends one more than it should, not many.
-MOST_STRAY: Final = 3
+MAX_STRAY_RESPONSES: Final = 3
 OK: Final = 200
 #: The kernel's account of a connection: its state in the first byte, and the
 #: smoothed round trip, in microseconds, after 8 bytes and 15 words.
-TCP_INFO: Final = struct.Struct('B67xI')
+TCP_INFO_LAYOUT: Final = struct.Struct('B67xI')
 #: States of a connection whose peer has closed it, by the kernel's numbers:
 #: TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK and CLOSING.
-LEFT_STATES: Final = frozenset((6, 7, 8, 9, 11))
-MICROSECONDS: Final = 1_000_000
+PEER_CLOSED_STATES: Final = frozenset((6, 7, 8, 9, 11))
+US_PER_S: Final = 1_000_000
 
 
 class Exchange(NamedTuple):
@@ -48,79 +48,85 @@
     target: str
     fields: events.Fields
     body: bytes
-    belongs: Callable[[http_codecs.Message], bool]
-    take_chunk: Callable[[bytes], None] | None = None
+    matches: Callable[[http_codecs.Message], bool]
+    handle_chunk: Callable[[bytes], None] | None = None
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """State what a link tells whoever owns it."""
 
-    def take_message(self, link: 'Link', message: http_codecs.Message) -> None:
+    def handle_response(
+        self, connection: 'Connection', message: http_codecs.Message
+    ) -> None:
         """Take the answer to the exchange."""
 
-    def take_end(self, link: 'Link', fault: messages.Fault) -> None:
+    def handle_close(
+        self, connection: 'Connection', fault: messages.Fault
+    ) -> None:
         """Take the end of the connection, with an exchange or without."""
 
 
-class Link(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """Own one connection and the exchange on it."""
 
     def __init__(
-        self, owner: Owner, tally: traffic.Tally | None = None
+        self,
+        owner: ConnectionOwner,
+        byte_counts: traffic.ByteCounts | None = None,
     ) -> None:
         """Wait for the connection to open; its bytes go into the tally."""
-        self._tally = tally or traffic.Tally()
+        self._byte_counts = byte_counts or traffic.ByteCounts()
         self.exchange: Exchange | None = None
         self.reusable = False
         self.closed = False
         #: Those of the answer that is being read.
-        self.fields: events.Fields = ()
+        self.response_fields: events.Fields = ()
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         # Made only where an exchange is not of the usual shape.
-        self._machine: h11.Connection | None = None
-        self._stream: wires.Stream | None = None
-        self._head: h11.Response | None = None
+        self._parser: h11.Connection | None = None
+        self._stream_head: fast_http.StreamHead | None = None
+        self._response_head: h11.Response | None = None
         self._body = bytearray()
-        self._stray = 0
+        self._stray_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.reusable = True
-        set_options(transport.get_extra_info('socket'))
+        set_socket_options(transport.get_extra_info('socket'))
 
-    def start(self, exchange: Exchange) -> None:
+    def send(self, exchange: Exchange) -> None:
         """Send a request."""
         assert self._transport is not None
         self.exchange = exchange
         self.reusable = False
-        self._stray = 0
-        written = wires.write(
+        self._stray_count = 0
+        encoded = fast_http.encode_request(
             exchange.method, exchange.target, exchange.fields, exchange.body
         )
-        if written is None:
-            self._machine = h11.Connection(h11.CLIENT)
-            written = write(self._machine, exchange)
-        self._tally.sent += len(written)
-        self._transport.write(written)
+        if encoded is None:
+            self._parser = h11.Connection(h11.CLIENT)
+            encoded = encode_request(self._parser, exchange)
+        self._byte_counts.sent += len(encoded)
+        self._transport.write(encoded)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of an answer."""
-        self._tally.received += len(data)
+        self._byte_counts.received += len(data)
         if self.exchange is None:
             # Bytes that nobody asked for would be taken for the answer to
             # the next request.
             self.close(messages.Fault.MISMATCHED)
             return
-        if self._machine is not None or not self._take_usual(data):
-            self._feed(data)
+        if self._parser is not None or not self._decode_fast(data):
+            self._feed_parser(data)
 
     def eof_received(self) -> bool:
         """Take the end of an answer that has no length."""
         if self.exchange is not None:
-            self._feed(b'')
+            self._feed_parser(b'')
         # The connection is not kept half open.
         return False
 
@@ -137,145 +143,153 @@
         if self._transport is not None:
             # What was sent and not answered is not waited for.
             self._transport.abort()
-        self._owner.take_end(self, fault)
+        self._owner.handle_close(self, fault)
 
-    def _take_usual(self, data: bytes) -> bool:
+    def _decode_fast(self, data: bytes) -> bool:
         """Take bytes of an answer of the usual shape; False for others."""
         assert self.exchange is not None
-        if self.exchange.take_chunk is not None:
-            return self._take_pieces(data, self.exchange.take_chunk)
-        message = wires.read(data)
-        if message is None or not self.exchange.belongs(message):
+        if self.exchange.handle_chunk is not None:
+            return self._decode_chunks(data, self.exchange.handle_chunk)
+        message = fast_http.decode_response(data)
+        if message is None or not self.exchange.matches(message):
             return False
-        self.fields = message.fields
-        self._settle(message, whole=True)
+        self.response_fields = message.fields
+        self._finish(message, is_complete=True)
         return True
 
-    def _take_pieces(
-        self, data: bytes, take_chunk: Callable[[bytes], None]
+    def _decode_chunks(
+        self, data: bytes, handle_chunk: Callable[[bytes], None]
     ) -> bool:
         """Take pieces of a body; the machine goes on with what is not whole."""
-        stream = self._stream or wires.read_stream(data)
+        stream = self._stream_head or fast_http.read_stream(data)
         if stream is None or stream.status != OK:
             return False
-        pieces = wires.read_pieces(data if self._stream else stream.rest)
-        self._stream = stream
-        self.fields = stream.fields
-        for body in pieces.bodies:
+        decoded = fast_http.decode_chunks(
+            data if self._stream_head else stream.rest
+        )
+        self._stream_head = stream
+        self.response_fields = stream.fields
+        for chunk in decoded.chunks:
             if not self.closed:
-                take_chunk(body)
+                handle_chunk(chunk)
         if self.closed:
             return True
-        if pieces.ended:
+        if decoded.has_ended:
             message = http_codecs.Message('', OK, stream.fields, b'')
-            self._settle(message, whole=not pieces.rest)
-        elif pieces.rest:
-            self._feed(stream.head + pieces.rest)
+            self._finish(message, is_complete=not decoded.rest)
+        elif decoded.rest:
+            self._feed_parser(stream.head + decoded.rest)
         return True
 
-    def _feed(self, data: bytes) -> None:
+    def _feed_parser(self, data: bytes) -> None:
         assert self.exchange is not None
-        if self._machine is None:
-            self._machine = _begin(self.exchange)
+        if self._parser is None:
+            self._parser = _make_parser(self.exchange)
         try:
-            self._machine.receive_data(data)
-            self._pull()
+            self._parser.receive_data(data)
+            self._handle_events()
         except h11.RemoteProtocolError:
             fault = messages.Fault.MALFORMED
             if not data:
                 fault = messages.Fault.CONNECTION_LOST
             self.close(fault)
 
-    def _pull(self) -> None:
-        while self._machine is not None and not self.closed:
-            event = self._machine.next_event()
+    def _handle_events(self) -> None:
+        while self._parser is not None and not self.closed:
+            event = self._parser.next_event()
             match event:
                 case h11.Response():
-                    self._head = event
-                    self.fields = http_codecs.decode_fields(event.headers)
+                    self._response_head = event
+                    self.response_fields = http_codecs.decode_fields(
+                        event.headers
+                    )
                 case h11.Data():
-                    self._take_data(event.data)
+                    self._handle_data(event.data)
                 case h11.EndOfMessage():
-                    self._end_message()
+                    self._handle_message_end()
                 case h11.ConnectionClosed():
                     self.close(messages.Fault.CONNECTION_LOST)
                 case h11.NEED_DATA | h11.PAUSED:
                     return
 
-    def _take_data(self, chunk: bytes) -> None:
-        assert self._head is not None
+    def _handle_data(self, chunk: bytes) -> None:
+        assert self._response_head is not None
         assert self.exchange is not None
-        take_chunk = self.exchange.take_chunk
-        if take_chunk is not None and self._head.status_code == OK:
-            take_chunk(chunk)
+        handle_chunk = self.exchange.handle_chunk
+        if handle_chunk is not None and self._response_head.status_code == OK:
+            handle_chunk(chunk)
             return
         self._body += chunk
-        if len(self._body) > ANSWER_BYTES:
+        if len(self._body) > MAX_RESPONSE_BYTES:
             self.close(messages.Fault.TOO_LARGE)
 
-    def _end_message(self) -> None:
-        assert self._head is not None
+    def _handle_message_end(self) -> None:
+        assert self._response_head is not None
         assert self.exchange is not None
         message = http_codecs.Message(
             '',
-            self._head.status_code,
-            self.fields,
+            self._response_head.status_code,
+            self.response_fields,
             bytes(self._body),
         )
-        self._head = None
+        self._response_head = None
         self._body.clear()
-        if self.exchange.belongs(message):
-            self._settle(message, whole=_is_whole(self._machine))
+        if self.exchange.matches(message):
+            self._finish(message, is_complete=_is_complete(self._parser))
         else:
-            self._pass_over()
+            self._skip_stray()
 
-    def _settle(self, message: http_codecs.Message, *, whole: bool) -> None:
+    def _finish(
+        self, message: http_codecs.Message, *, is_complete: bool
+    ) -> None:
         self.exchange = None
-        self._machine = None
-        self._stream = None
+        self._parser = None
+        self._stream_head = None
         # What follows an answer belongs to nobody.
-        self.reusable = whole and _is_open(self._transport)
-        self._owner.take_message(self, message)
+        self.reusable = is_complete and _is_reusable(self._transport)
+        self._owner.handle_response(self, message)
         if self.exchange is None and not self.reusable:
             self.close(messages.Fault.CONNECTION_LOST)
 
-    def _pass_over(self) -> None:
+    def _skip_stray(self) -> None:
         """Read on after an answer that belongs to another request.
 
         A target may send an answer twice; the second one comes where the
         next answer is due. Breaking off there would leave the outcome of the
         request under way unknown.
         """
-        assert self._machine is not None
+        assert self._parser is not None
         assert self.exchange is not None
-        before = self._machine
-        self._stray += 1
-        whole = before.their_state is h11.DONE and _is_open(self._transport)
-        if self._stray > MOST_STRAY or not whole:
+        previous = self._parser
+        self._stray_count += 1
+        is_complete = previous.their_state is h11.DONE and _is_reusable(
+            self._transport
+        )
+        if self._stray_count > MAX_STRAY_RESPONSES or not is_complete:
             self.close(messages.Fault.MISMATCHED)
             return
-        self._machine = _begin(self.exchange)
-        rest, _ = before.trailing_data
+        self._parser = _make_parser(self.exchange)
+        rest, _ = previous.trailing_data
         if rest:
-            self._machine.receive_data(rest)
+            self._parser.receive_data(rest)
 
 
-def _begin(exchange: Exchange) -> h11.Connection:
+def _make_parser(exchange: Exchange) -> h11.Connection:
     """Make what reads the answer to a request that was sent already."""
-    machine = h11.Connection(h11.CLIENT)
+    parser = h11.Connection(h11.CLIENT)
     # It has to see a request before an answer.
-    write(machine, exchange)
-    return machine
+    encode_request(parser, exchange)
+    return parser
 
 
-def _is_whole(machine: h11.Connection | None) -> bool:
+def _is_complete(parser: h11.Connection | None) -> bool:
     """Tell whether an answer has ended, with nothing behind it."""
-    if machine is None or machine.their_state is not h11.DONE:
+    if parser is None or parser.their_state is not h11.DONE:
         return False
-    return not machine.trailing_data[0]
+    return not parser.trailing_data[0]
 
 
-def _is_open(transport: asyncio.Transport | None) -> bool:
+def _is_reusable(transport: asyncio.Transport | None) -> bool:
     """Tell whether a connection goes on after an answer."""
     if transport is None or transport.is_closing():
         return False
@@ -284,53 +298,55 @@
     return not transport.get_write_buffer_size()
 
 
-def write(machine: h11.Connection, exchange: Exchange) -> bytes:
+def encode_request(parser: h11.Connection, exchange: Exchange) -> bytes:
     """Write a request of any shape, so that its answer can be read."""
     fields = [
-        (name.encode('latin-1'), told.encode('latin-1'))
-        for name, told in exchange.fields
+        (name.encode('latin-1'), value.encode('latin-1'))
+        for name, value in exchange.fields
     ]
     head = h11.Request(
         method=exchange.method,
         target=exchange.target.encode('latin-1'),
         headers=fields,
     )
-    data = machine.send(head) or b''
+    data = parser.send(head) or b''
     if exchange.body:
-        data += machine.send(h11.Data(data=exchange.body)) or b''
-    data += machine.send(h11.EndOfMessage()) or b''
+        data += parser.send(h11.Data(data=exchange.body)) or b''
+    data += parser.send(h11.EndOfMessage()) or b''
     return data
 
 
-class Way(NamedTuple):
+class PeerState(NamedTuple):
     """Hold what the kernel knows of a connection.
 
     `left` tells whether the peer has closed it, read here or not yet; the
     round trip is in seconds, 0 where it is not known.
     """
 
-    left: bool
-    round_trip: float
+    has_left: bool
+    round_trip_s: float
 
 
-def inspect(sock: socket.socket | None) -> Way:
+def read_peer_state(sock: socket.socket | None) -> PeerState:
     """Return what the kernel knows of a connection."""
     if sock is None:
-        return Way(left=False, round_trip=0.0)
-    told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO.size)
-    if len(told) < TCP_INFO.size:
-        return Way(left=False, round_trip=0.0)
-    state, microseconds = TCP_INFO.unpack(told)
-    return Way(state in LEFT_STATES, microseconds / MICROSECONDS)
+        return PeerState(has_left=False, round_trip_s=0.0)
+    tcp_info = sock.getsockopt(
+        socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAYOUT.size
+    )
+    if len(tcp_info) < TCP_INFO_LAYOUT.size:
+        return PeerState(has_left=False, round_trip_s=0.0)
+    state, microseconds = TCP_INFO_LAYOUT.unpack(tcp_info)
+    return PeerState(state in PEER_CLOSED_STATES, microseconds / US_PER_S)
 
 
-def set_options(sock: socket.socket | None) -> None:
+def set_socket_options(sock: socket.socket | None) -> None:
     """Have the kernel notice a peer that has fallen silent."""
     if sock is None:
         return
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEP_ALIVE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEP_ALIVE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEP_ALIVE_TRIES)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEP_ALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
--- a/fuchsiahaven/relay/openers.py
+++ b/fuchsiahaven/relay/connectors.py
@@ -4,33 +4,33 @@
 from collections.abc import Callable
 from typing import Final
 
-from fuchsiahaven.relay import links
+from fuchsiahaven.relay import connections
 
 #: A connection that is not open by then is not waited for; a new one takes
 #: one round trip, at most 3 ms here, and up to 6 ms of the target's time.
-CONNECT_S: Final = 0.25
+CONNECT_TIMEOUT_S: Final = 0.25
 #: A target past its bound on connections resets new ones; trying again at once
 #: would meet the same.
-BACK_OFF_S: Final = 0.5
+BACKOFF_S: Final = 0.5
 
 
-class Opener:
+class Connector:
     """Own the connections to one address that are not open yet."""
 
     def __init__(
         self,
         address: str,
-        make: Callable[[], links.Link],
-        tell: Callable[[links.Link | None], None],
+        make_connection: Callable[[], connections.Connection],
+        report_result: Callable[[connections.Connection | None], None],
     ) -> None:
         """Tell of each attempt: the link, or None where none was had."""
-        self.opened = 0
-        self.closed_until = 0.0
+        self.opened_count = 0
+        self.backoff_until = 0.0
         #: Whether the last attempt found the port closed.
-        self.refused = False
+        self.was_refused = False
         self._address = address
-        self._make = make
-        self._tell = tell
+        self._make = make_connection
+        self._report_result = report_result
         self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
@@ -39,7 +39,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def count(self) -> int:
+    def count_pending(self) -> int:
         """Count the connections that are being opened."""
         return len(self._tasks)
 
@@ -51,22 +51,24 @@
     async def _connect(self) -> None:
         host, _, port = self._address.rpartition(':')
         loop = asyncio.get_running_loop()
-        link = self._make()
+        connection = self._make()
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await loop.create_connection(lambda: link, host, int(port))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await loop.create_connection(
+                    lambda: connection, host, int(port)
+                )
         except (OSError, TimeoutError) as error:
-            self.refused = isinstance(error, ConnectionRefusedError)
-            self.closed_until = loop.time() + BACK_OFF_S
-            self._settle(None)
+            self.was_refused = isinstance(error, ConnectionRefusedError)
+            self.backoff_until = loop.time() + BACKOFF_S
+            self._finish(None)
             return
-        self.opened += 1
-        self.refused = False
-        self._settle(None if link.closed else link)
+        self.opened_count += 1
+        self.was_refused = False
+        self._finish(None if connection.closed else connection)
 
-    def _settle(self, link: links.Link | None) -> None:
+    def _finish(self, connection: connections.Connection | None) -> None:
         # The attempt is over: whoever is told may begin another one.
         task = asyncio.current_task()
         if task is not None:
             self._tasks.discard(task)
-        self._tell(link)
+        self._report_result(connection)
--- a/fuchsiahaven/relay/decoders.py
+++ b/fuchsiahaven/relay/decoders.py
@@ -9,10 +9,10 @@
 PART: Final = 'news'
 #: Keys of which the last value is kept. Whoever writes under ever new keys
 #: would fill the memory; all of them can be decoded once more.
-MOST_KEPT: Final = 8192
+MAX_CACHED_KEYS: Final = 8192
 
 
-class Decoded(NamedTuple):
+class CachedValue(NamedTuple):
     """Hold a value as it was decoded, and where it was written."""
 
     stamp: facts.Stamp
@@ -25,7 +25,7 @@
     def __init__(self, log: journal.Journal) -> None:
         """Start with nothing decoded."""
         self._log = log
-        self._decoded: dict[facts.Key, Decoded] = {}
+        self._cache: dict[facts.Key, CachedValue] = {}
 
     def decode(
         self, key: facts.Key, stamp: facts.Stamp, encoded: str
@@ -37,20 +37,20 @@
         taken for vanished, because an entry that somebody spoilt says
         nothing of the store.
         """
-        known = self._decoded.get(key)
-        if known is not None and known.stamp == stamp:
-            return known.value
-        read: facts.Value | None
+        cached = self._cache.get(key)
+        if cached is not None and cached.stamp == stamp:
+            return cached.value
+        decoded: facts.Value | None
         try:
-            read = records.decode_value(key, encoded)
+            decoded = records.decode_value(key, encoded)
         except records.MalformedError as error:
-            self._log.tell_request(
+            self._log.log_request(
                 PART, 'a record is malformed', good=False, error=str(error)
             )
-            read = known.value if known is not None else None
-            if isinstance(read, instances.Instance):
-                read = read._replace(leaving=True)
-        if len(self._decoded) >= MOST_KEPT:
-            self._decoded.clear()
-        self._decoded[key] = Decoded(stamp, read)
-        return read
+            decoded = cached.value if cached is not None else None
+            if isinstance(decoded, instances.Instance):
+                decoded = decoded._replace(leaving=True)
+        if len(self._cache) >= MAX_CACHED_KEYS:
+            self._cache.clear()
+        self._cache[key] = CachedValue(stamp, decoded)
+        return decoded
--- a/fuchsiahaven/relay/evacuations.py
+++ b/fuchsiahaven/relay/evacuations.py
@@ -9,14 +9,14 @@
 PART: Final = 'evacuations'
 
 
-class Order(NamedTuple):
+class EvacuationOrder(NamedTuple):
     """Hold the store's revision of an order, and when this host learned it."""
 
     revision: int
-    learned: float
+    learned_at: float
 
 
-class Told(TypedDict):
+class EvacuationStatus(TypedDict):
     """Tell of an order that is in force, for people."""
 
     revision: int
@@ -29,9 +29,9 @@
     def __init__(self, log: journal.Journal) -> None:
         """Start without an order."""
         self._log = log
-        self._orders: dict[str, Order] = {}
+        self._orders: dict[str, EvacuationOrder] = {}
 
-    def take(
+    def update(
         self, orders: Mapping[str, int], data_centres: Collection[str]
     ) -> frozenset[str]:
         """Take the orders there are now; return the data centres they name.
@@ -42,21 +42,23 @@
         now = time.monotonic()
         for name in self._orders.keys() - orders.keys():
             order = self._orders.pop(name)
-            lasted = round(now - order.learned, 1)
-            self._log.tell(PART, 'taken back', data_centre=name, lasted=lasted)
+            duration_s = round(now - order.learned_at, 1)
+            self._log.log_event(
+                PART, 'taken back', data_centre=name, lasted=duration_s
+            )
         for name in sorted(orders.keys() - self._orders.keys()):
             revision = orders[name]
-            self._orders[name] = Order(revision, now)
+            self._orders[name] = EvacuationOrder(revision, now)
             text = 'evacuated' if name in data_centres else 'nothing so named'
-            self._log.tell(PART, text, data_centre=name, revision=revision)
+            self._log.log_event(PART, text, data_centre=name, revision=revision)
         return frozenset(self._orders)
 
-    def tell(self) -> Mapping[str, Told]:
+    def describe(self) -> Mapping[str, EvacuationStatus]:
         """Tell by which revision each is evacuated, and for how long."""
         now = time.monotonic()
         return {
-            name: Told(
-                revision=order.revision, for_s=round(now - order.learned, 1)
+            name: EvacuationStatus(
+                revision=order.revision, for_s=round(now - order.learned_at, 1)
             )
             for name, order in sorted(self._orders.items())
         }
--- a/fuchsiahaven/relay/journal.py
+++ b/fuchsiahaven/relay/journal.py
@@ -13,14 +13,14 @@
 from typing import Final
 
 #: Lines that may wait to be written; at 300 bytes each about 0.6 MB.
-MOST_WAITING: Final = 2000
+MAX_QUEUED_LINES: Final = 2000
 #: Lines a second that tell of requests that went as planned. Failures have
 #: as many again, so that success never crowds them out.
-LINES_A_SECOND: Final = 100
+MAX_REQUEST_LINES_PER_S: Final = 100
 #: How long the end of the process waits for the last lines, in seconds.
-LAST_S: Final = 0.3
+FLUSH_TIMEOUT_S: Final = 0.3
 #: How long lines are gathered before they are written, in seconds.
-GATHER_S: Final = 0.2
+BATCH_DELAY_S: Final = 0.2
 
 
 class Journal:
@@ -31,29 +31,29 @@
         self.left_out = 0
         self._host = host
         self._output = sys.stdout.fileno() if output is None else output
-        self._lines: queue.Queue[bytes | None] = queue.Queue(MOST_WAITING)
+        self._lines: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
         self._second = 0
-        self._written = {True: 0, False: 0}
-        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._line_counts = {True: 0, False: 0}
+        self._thread = threading.Thread(target=self._write_lines, daemon=True)
         self._thread.start()
 
-    def tell(self, part: str, text: str, **fields: object) -> None:
+    def log_event(self, part: str, text: str, **fields: object) -> None:
         """Write a line about the process, however many there are."""
-        self._put(part, text, fields)
+        self._enqueue(part, text, fields)
 
-    def tell_request(
+    def log_request(
         self, part: str, text: str, *, good: bool, **fields: object
     ) -> None:
         """Write a line about a request, unless this second has had many."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
-            self._written = {True: 0, False: 0}
-        if self._written[good] >= LINES_A_SECOND:
+            self._line_counts = {True: 0, False: 0}
+        if self._line_counts[good] >= MAX_REQUEST_LINES_PER_S:
             self.left_out += 1
             return
-        self._written[good] += 1
-        self._put(part, text, fields)
+        self._line_counts[good] += 1
+        self._enqueue(part, text, fields)
 
     def close(self) -> None:
         """Write what waits, but not for long."""
@@ -61,9 +61,9 @@
             self._lines.put_nowait(None)
         except queue.Full:
             return
-        self._thread.join(LAST_S)
+        self._thread.join(FLUSH_TIMEOUT_S)
 
-    def _put(self, part: str, text: str, fields: dict[str, object]) -> None:
+    def _enqueue(self, part: str, text: str, fields: dict[str, object]) -> None:
         line = {
             'time': round(time.time(), 3),
             'up': round(time.monotonic(), 3),
@@ -82,13 +82,13 @@
         else:
             self.left_out = 0
 
-    def _run(self) -> None:
+    def _write_lines(self) -> None:
         ended = False
         while not ended:
             lines = [self._lines.get()]
             if lines[0] is not None:
                 # One write for many lines: each costs a system call.
-                time.sleep(GATHER_S)
+                time.sleep(BATCH_DELAY_S)
             while not self._lines.empty():
                 lines.append(self._lines.get())
             ended = None in lines
--- a/fuchsiahaven/relay/pages.py
+++ b/fuchsiahaven/relay/pages.py
@@ -5,7 +5,7 @@
 
 from prometheus_client import core, exposition, registry
 
-from fuchsiahaven.relay import meters, traffic
+from fuchsiahaven.relay import metrics, traffic
 
 PREFIX: Final = 'fuchsiahaven_relay'
 GAUGES: Final = (
@@ -23,18 +23,18 @@
 )
 
 
-class Page(registry.Collector):
+class MetricsCollector(registry.Collector):
     """Hold what the page is written from."""
 
     def __init__(
         self,
-        counted: meters.Meters,
-        gauges: meters.Gauges,
-        sent: traffic.Traffic,
+        request_metrics: metrics.RequestMetrics,
+        gauges: metrics.Gauges,
+        traffic_counts: traffic.TrafficCounts,
     ) -> None:
         """Take the figures."""
-        self._traffic = sent
-        self._counted = counted
+        self._traffic_counts = traffic_counts
+        self._metrics = request_metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[core.Metric]:
@@ -45,56 +45,56 @@
             None,
             ['result'],
         )
-        for outcome, count in self._counted.outcomes.items():
+        for outcome, count in self._metrics.outcomes.items():
             outcomes.add_metric([outcome], count)
         yield outcomes
         yield core.HistogramMetricFamily(
             f'{PREFIX}_latency_seconds',
             'Time from a whole request to its answer.',
-            buckets=self._counted.list_latencies(),
-            sum_value=self._counted.latency_sum,
+            buckets=self._metrics.list_latency_buckets(),
+            sum_value=self._metrics.latency_sum,
         )
         yield core.CounterMetricFamily(
             f'{PREFIX}_extra_sends',
             'Sendings beyond the first.',
-            self._counted.extra,
+            self._metrics.extra_sends,
         )
         yield core.CounterMetricFamily(
             f'{PREFIX}_missing_parts',
             'Shards left out.',
-            self._counted.missing,
+            self._metrics.missing_parts,
         )
         yield core.CounterMetricFamily(
             f'{PREFIX}_crashes',
             'Requests under way at targets that ended.',
-            self._counted.crashes,
+            self._metrics.crashes,
         )
-        yield from self._count_customers()
-        yield from self._count_waits()
-        yield self._count_bytes()
-        for (name, text), figure in zip(GAUGES, self._gauges, strict=True):
-            if figure is not None:
-                yield core.GaugeMetricFamily(f'{PREFIX}_{name}', text, figure)
+        yield from self._collect_customers()
+        yield from self._collect_queue()
+        yield self._collect_bytes()
+        for (name, text), value in zip(GAUGES, self._gauges, strict=True):
+            if value is not None:
+                yield core.GaugeMetricFamily(f'{PREFIX}_{name}', text, value)
 
-    def _count_customers(self) -> Iterator[core.Metric]:
+    def _collect_customers(self) -> Iterator[core.Metric]:
         """Give the figures of customers where there are any."""
-        counted = self._counted.accounts
-        named = core.CounterMetricFamily(
+        counts = self._metrics.customer_counts
+        by_customer = core.CounterMetricFamily(
             f'{PREFIX}_customer_requests',
             'Requests of the customers that asked most, by how they ended.',
             None,
             ['customer', 'result'],
         )
-        for account in counted.list_largest():
+        for account in counts.list_largest():
             for result, count in account.results.items():
-                named.add_metric([account.customer, result], count)
+                by_customer.add_metric([account.customer, result], count)
         others = core.CounterMetricFamily(
             f'{PREFIX}_other_customers_requests',
             'Requests of all other customers, by how they ended.',
             None,
             ['result'],
         )
-        for result, count in counted.sum_others().items():
+        for result, count in counts.sum_others().items():
             others.add_metric([result], count)
         unknown = core.CounterMetricFamily(
             f'{PREFIX}_unknown_keys',
@@ -102,34 +102,36 @@
             None,
             ['why'],
         )
-        for why, count in counted.unknown.items():
-            unknown.add_metric([why], count)
-        for family in (named, others, unknown):
+        for reason, count in counts.unknown_key_reasons.items():
+            unknown.add_metric([reason], count)
+        for family in (by_customer, others, unknown):
             if family.samples:
                 yield family
 
-    def _count_waits(self) -> Iterator[core.Metric]:
+    def _collect_queue(self) -> Iterator[core.Metric]:
         """Give the figures of new work that waited, where any has."""
-        waits = self._counted.waits
-        waiting = core.GaugeMetricFamily(
+        counts = self._metrics.queue_counts
+        queued = core.GaugeMetricFamily(
             f'{PREFIX}_waiting',
             'New work that waits for its turn, by priority.',
             None,
             ['priority'],
         )
-        seconds = core.SummaryMetricFamily(
+        wait_times = core.SummaryMetricFamily(
             f'{PREFIX}_wait_seconds',
             'Time that new work waited for its turn.',
             None,
             None,
             ['priority'],
         )
-        now_waiting = waits.count_waiting()
-        for priority in sorted({*waits.begun, *now_waiting}):
+        queued_counts = counts.count_waiting()
+        for priority in sorted({*counts.started, *queued_counts}):
             label = [str(priority)]
-            waiting.add_metric(label, now_waiting.get(priority, 0))
-            seconds.add_metric(
-                label, waits.begun[priority], waits.waited.get(priority, 0)
+            queued.add_metric(label, queued_counts.get(priority, 0))
+            wait_times.add_metric(
+                label,
+                counts.started[priority],
+                counts.waited_s.get(priority, 0),
             )
         refused = core.CounterMetricFamily(
             f'{PREFIX}_turns_refused',
@@ -137,13 +139,13 @@
             None,
             ['priority', 'why'],
         )
-        for (priority, why), count in waits.refused.items():
-            refused.add_metric([str(priority), why], count)
-        for family in (waiting, seconds, refused):
+        for (priority, reason), count in counts.refused.items():
+            refused.add_metric([str(priority), reason], count)
+        for family in (queued, wait_times, refused):
             if family.samples:
                 yield family
 
-    def _count_bytes(self) -> core.Metric:
+    def _collect_bytes(self) -> core.Metric:
         """Give the bytes by what they were for and how far they went."""
         flows = core.CounterMetricFamily(
             f'{PREFIX}_bytes',
@@ -151,17 +153,23 @@
             None,
             ['kind', 'data_centre', 'way'],
         )
-        for flow, tally in self._traffic.tallies.items():
-            where = 'other' if flow.far else 'own'
-            flows.add_metric([flow.kind, where, 'sent'], tally.sent)
-            flows.add_metric([flow.kind, where, 'received'], tally.received)
+        for flow, byte_counts in self._traffic_counts.by_flow.items():
+            location = 'other' if flow.cross_centre else 'own'
+            flows.add_metric([flow.kind, location, 'sent'], byte_counts.sent)
+            flows.add_metric(
+                [flow.kind, location, 'received'], byte_counts.received
+            )
         return flows
 
 
 def write(
-    counted: meters.Meters, gauges: meters.Gauges, sent: traffic.Traffic
+    request_metrics: metrics.RequestMetrics,
+    gauges: metrics.Gauges,
+    traffic_counts: traffic.TrafficCounts,
 ) -> bytes:
     """Write the page."""
-    registered = registry.CollectorRegistry()
-    registered.register(Page(counted, gauges, sent))
-    return exposition.generate_latest(registered)
+    collectors = registry.CollectorRegistry()
+    collectors.register(
+        MetricsCollector(request_metrics, gauges, traffic_counts)
+    )
+    return exposition.generate_latest(collectors)
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -14,20 +14,20 @@
 from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.platform import settings as settings_files
 from fuchsiahaven.relay import (
-    confirmations,
-    datagrams,
-    entries,
+    host_entries,
+    internal_api,
     journal,
-    lessons,
-    meters,
-    news,
-    notices,
-    ports,
-    quarantines,
-    questions,
+    key_refresher,
+    listeners,
+    metrics,
+    quarantine_entries,
+    quota_sockets,
     readiness,
-    runner,
-    silences,
+    router_updates,
+    runners,
+    silence_reports,
+    store_sync,
+    suspect_notices,
 )
 from fuchsiahaven.routing import (
     configs,
@@ -42,17 +42,17 @@
 )
 
 PART: Final = 'process'
-STOPPING: Final = questions.STOPPING
+STOPPING: Final = internal_api.STOPPING
 #: How long a host goes on as ever once it is asked to stop: the balancer asks
 #: once a second and passes over a host after two answers that are not 200.
-LAG_S: Final = 2.6
+BALANCER_LAG_S: Final = 2.6
 #: Kept back from the time until the kill, to end what is left in order.
 GRACE_MARGIN_S: Final = 0.7
-CHECK_S: Final = 0.05
+STOP_CHECK_INTERVAL_S: Final = 0.05
 #: How often the settings file is looked at.
 SETTINGS_S: Final = 2.0
 #: What lines tell only where callers show keys.
-KEYED: Final = ('customer', 'why')
+CUSTOMER_FIELDS: Final = ('customer', 'why')
 
 
 class Process:
@@ -64,123 +64,149 @@
         """Prepare without listening."""
         self.settings = settings
         self.log = log
-        self.meters = meters.Meters()
-        self.desk = states.Router(
+        self.metrics = metrics.RequestMetrics()
+        self.router = states.Router(
             settings.host, settings.extra_load, random.random
         )
-        self.desk.reply_margin.link_bytes_per_s = settings.link_bytes_per_s
-        self.desk.warmups.limit = settings.warm_up
-        self.runner = runner.Runner(self.desk, self._tell)
-        self.meters.waits = self.runner.order.figures
-        self.lessons = lessons.Lessons(
+        self.router.reply_margin.link_bytes_per_s = settings.link_bytes_per_s
+        self.router.warmups.limit = settings.warm_up
+        self.runner = runners.Runner(self.router, self._handle_notification)
+        self.metrics.queue_counts = self.runner.work_queue.counts
+        self.router_updater = router_updates.RouterUpdater(
             settings, self.runner, log, self.find_obstacle
         )
-        self.keys = self.desk.controls.freshness
+        self.keys = self.router.controls.freshness
         self.keys.revoke_s = settings.revoke_s
-        self.news = news.News(
-            settings, log, self._learn, self.runner.traffic, self.keys
+        self.store_sync = store_sync.StoreSync(
+            settings,
+            log,
+            self._apply_merge,
+            self.runner.traffic_counts,
+            self.keys,
         )
-        self.confirmations = confirmations.Confirmations(
-            settings, self.news, self.keys, log, self.runner.traffic
+        self.key_refresher = key_refresher.KeyRefresher(
+            settings,
+            self.store_sync,
+            self.keys,
+            log,
+            self.runner.traffic_counts,
         )
-        self.quarantines = quarantines.Quarantines(self.desk, self.news, log)
-        spread = notices.Notices(
-            self.desk,
-            self.quarantines,
+        self.quarantine_entries = quarantine_entries.QuarantineEntries(
+            self.router, self.store_sync, log
+        )
+        notice_sender = suspect_notices.NoticeSender(
+            self.router,
+            self.quarantine_entries,
             log,
-            self.runner.traffic,
+            self.runner.traffic_counts,
             self.runner.post,
         )
-        silence = silences.Silences(self.desk, log, self.runner.traffic)
-        self.told = questions.Told(spread, silence)
-        self._datagrams = datagrams.Datagrams(
+        silence_reporter = silence_reports.SilenceReporter(
+            self.router, log, self.runner.traffic_counts
+        )
+        self.peer_reporters = internal_api.PeerReporters(
+            notice_sender, silence_reporter
+        )
+        self._quota_socket = quota_sockets.QuotaSocket(
             settings,
-            self.desk.controls.quotas,
+            self.router.controls.quotas,
             log,
-            self.runner.traffic,
+            self.runner.traffic_counts,
             self.runner.post,
         )
         self.readiness = readiness.Readiness(self._find_obstacle, log)
-        self.callers = ports.Port(
-            ports.Terms(
-                self._take_request,
-                self._find_limits,
+        self.caller_listener = listeners.Listener(
+            listeners.ListenerOptions(
+                self._handle_request,
+                self._get_limits,
                 self.readiness.is_obstructed,
             )
         )
-        asked = questions.Questions(
+        api = internal_api.InternalApi(
             self.runner,
-            self.news,
-            self.meters,
-            self.lessons.evacuations,
-            self.told,
+            self.store_sync,
+            self.metrics,
+            self.router_updater.evacuations,
+            self.peer_reporters,
             self.find_obstacle,
-            self.readiness.tell_balancer,
+            self.readiness.record_poll,
         )
-        self.balancer = self._make_port(asked.take_probe)
-        self.peers = self._make_port(asked.take)
-        self._entry = entries.Entry(self.news, log)
-        self._stopping = asyncio.Event()
+        self.balancer_listener = self._make_listener(
+            api.handle_balancer_request
+        )
+        self.peer_listener = self._make_listener(api.handle_request)
+        self._host_entry = host_entries.HostEntry(self.store_sync, log)
+        self._stop_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Serve until a signal asks for the planned stop, then make it."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
-        loop.add_signal_handler(signal.SIGINT, self._stopping.set)
+        loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.runner.close)
-            stack.callback(self.news.close)
-            stack.callback(self.confirmations.close)
-            stack.callback(self.quarantines.close)
-            stack.callback(self.told.notices.close)
-            stack.callback(self.told.silences.close)
+            stack.callback(self.store_sync.close)
+            stack.callback(self.key_refresher.close)
+            stack.callback(self.quarantine_entries.close)
+            stack.callback(self.peer_reporters.notice_sender.close)
+            stack.callback(self.peer_reporters.silence_reporter.close)
             await self._listen(stack)
             async with asyncio.TaskGroup() as tasks:
                 running = [
-                    tasks.create_task(self.news.follow()),
-                    tasks.create_task(self._entry.stay()),
-                    tasks.create_task(self.confirmations.stay()),
-                    tasks.create_task(self.told.notices.learn()),
-                    tasks.create_task(self.told.silences.tell()),
-                    tasks.create_task(self.runner.sweep()),
+                    tasks.create_task(self.store_sync.run()),
+                    tasks.create_task(self._host_entry.run()),
+                    tasks.create_task(self.key_refresher.run()),
+                    tasks.create_task(
+                        self.peer_reporters.notice_sender.fetch()
+                    ),
+                    tasks.create_task(
+                        self.peer_reporters.silence_reporter.run()
+                    ),
+                    tasks.create_task(self.runner.run_sweeps()),
                     tasks.create_task(self._watch_settings()),
                 ]
-                self.log.tell(PART, 'started', settings=self.settings)
-                await self._stopping.wait()
+                self.log.log_event(PART, 'started', settings=self.settings)
+                await self._stop_requested.wait()
                 await self._stop()
                 for task in running:
                     task.cancel()
 
     def find_obstacle(self) -> str:
         """Say why no new work should come to this host; empty if it may."""
-        if self._stopping.is_set():
+        if self._stop_requested.is_set():
             return STOPPING
         return self.readiness.find_obstacle()
 
-    def _learn(self, merged: facts.MergeResult) -> None:
-        self.lessons.learn(merged)
+    def _apply_merge(self, merged: facts.MergeResult) -> None:
+        self.router_updater.apply(merged)
         if merged.restore is not None:
-            self._entry.note_restore()
-            self.quarantines.note_restore()
+            self._host_entry.handle_restore()
+            self.quarantine_entries.handle_restore()
 
     def _find_obstacle(self) -> str:
-        if self._stopping.is_set():
+        if self._stop_requested.is_set():
             return STOPPING
-        return dispatch.find_obstacle(self.desk, time.monotonic())
+        return dispatch.find_obstacle(self.router, time.monotonic())
 
     async def _listen(self, stack: contextlib.AsyncExitStack) -> None:
         settings = self.settings
-        peers = await self.peers.listen(settings.host.address)
-        stack.callback(peers.close)
-        stack.callback(self._datagrams.close)
-        await self._datagrams.open()
-        metrics = await self.peers.listen(settings.metrics_address)
-        stack.callback(metrics.close)
-        balancer = await self.balancer.listen(settings.readiness_address)
-        stack.callback(balancer.close)
-        callers = await self.callers.listen(settings.caller_address)
-        stack.callback(callers.close)
+        peer_server = await self.peer_listener.listen(settings.host.address)
+        stack.callback(peer_server.close)
+        stack.callback(self._quota_socket.close)
+        await self._quota_socket.open()
+        metrics_server = await self.peer_listener.listen(
+            settings.metrics_address
+        )
+        stack.callback(metrics_server.close)
+        balancer_server = await self.balancer_listener.listen(
+            settings.readiness_address
+        )
+        stack.callback(balancer_server.close)
+        caller_server = await self.caller_listener.listen(
+            settings.caller_address
+        )
+        stack.callback(caller_server.close)
 
     async def _stop(self) -> None:
         """Stop without cutting a request.
@@ -189,32 +215,34 @@
         in that time is served, and each answer ends its connection. Idle
         connections are closed only then, when hardly any request can cross.
         """
-        began = time.monotonic()
-        last = began + self.settings.grace_s - GRACE_MARGIN_S
-        self.log.tell(PART, 'stopping', waiting=self.runner.count_waiting())
-        self.callers.stop()
-        await asyncio.sleep(LAG_S)
-        self.callers.close_idle()
-        while self.runner.count_waiting() and time.monotonic() < last:
-            await asyncio.sleep(CHECK_S)
-            self.callers.close_idle()
-        self.runner.order.refuse_all()
-        self.log.tell(
+        began_at = time.monotonic()
+        deadline = began_at + self.settings.grace_s - GRACE_MARGIN_S
+        self.log.log_event(
+            PART, 'stopping', waiting=self.runner.count_pending()
+        )
+        self.caller_listener.stop()
+        await asyncio.sleep(BALANCER_LAG_S)
+        self.caller_listener.close_idle()
+        while self.runner.count_pending() and time.monotonic() < deadline:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_S)
+            self.caller_listener.close_idle()
+        self.runner.work_queue.refuse_all()
+        self.log.log_event(
             PART,
             'stopped',
-            took=round(time.monotonic() - began, 3),
-            waiting=self.runner.count_waiting(),
+            took=round(time.monotonic() - began_at, 3),
+            waiting=self.runner.count_pending(),
         )
 
     async def _watch_settings(self) -> None:
         """Notice changes of the settings file that no signal tells."""
         path = settings_files.find_path()
-        read = _find_time(path)
+        loaded_ns = _read_modified_ns(path)
         while path is not None:
             await asyncio.sleep(SETTINGS_S)
-            changed = _find_time(path)
-            if changed != read:
-                read = changed
+            modified_ns = _read_modified_ns(path)
+            if modified_ns != loaded_ns:
+                loaded_ns = modified_ns
                 self._reload()
 
     def _reload(self) -> None:
@@ -224,90 +252,96 @@
         reading = settings_files.read_file(path)
         if reading.settings is None:
             # What was in force stays; a file may be seen half written.
-            self.log.tell(PART, 'settings are wrong', faults=reading.faults)
+            self.log.log_event(
+                PART, 'settings are wrong', faults=reading.faults
+            )
             return
         self.settings = reading.settings
-        self.news.settings = reading.settings
-        self.lessons.settings = reading.settings
-        self.desk.update_extra_load(reading.settings.extra_load)
-        self.desk.warmups.limit = reading.settings.warm_up
+        self.store_sync.settings = reading.settings
+        self.router_updater.settings = reading.settings
+        self.router.update_extra_load(reading.settings.extra_load)
+        self.router.warmups.limit = reading.settings.warm_up
         self.keys.revoke_s = reading.settings.revoke_s
-        self._datagrams.reload(reading.settings)
-        self.log.tell(PART, 'reloaded', settings=self.settings)
+        self._quota_socket.update_settings(reading.settings)
+        self.log.log_event(PART, 'reloaded', settings=self.settings)
 
-    def _make_port(self, handle: ports.Handler) -> ports.Port:
-        return ports.Port(ports.Terms(handle, self._find_limits))
+    def _make_listener(
+        self, handle_request: listeners.RequestHandler
+    ) -> listeners.Listener:
+        return listeners.Listener(
+            listeners.ListenerOptions(handle_request, self._get_limits)
+        )
 
-    def _find_limits(self) -> configs.Limits:
-        return self.desk.index.configuration.limits
+    def _get_limits(self) -> configs.Limits:
+        return self.router.index.configuration.limits
 
-    def _take_request(
-        self, message: http_codecs.Message, caller: ports.Caller
+    def _handle_request(
+        self, message: http_codecs.Message, caller: listeners.Caller
     ) -> Callable[[], None]:
         request = http_codecs.decode_request(
-            message, time.monotonic(), caller.inspect().round_trip
+            message, time.monotonic(), caller.read_peer_state().round_trip_s
         )
 
         def reply(outcome: events.Outcome) -> None:
-            advised = self.readiness.advise(outcome)
+            advised = self.readiness.adjust_retry_after(outcome)
             if advised is not outcome and isinstance(advised, errors.Failure):
                 now = time.monotonic()
                 advised = retry_times.spread_retry_after(
-                    self.desk, advised, request, now
+                    self.router, advised, request, now
                 )
-            caller.answer(http_codecs.encode_outcome(advised))
+            caller.respond(http_codecs.encode_outcome(advised))
 
-        number = self.runner.ask(request, reply)
-        return lambda: self.runner.abandon(number)
+        request_number = self.runner.submit_request(request, reply)
+        return lambda: self.runner.abandon(request_number)
 
-    def _tell(self, told: events.Notification) -> None:
-        match told:
+    def _handle_notification(self, notification: events.Notification) -> None:
+        match notification:
             case quota_messages.SendMessage():
                 own = self.settings.host.data_centre
-                near = self.desk.centre_health.list_hosts(own)
-                self._datagrams.tell(told, near)
+                local_hosts = self.router.centre_health.list_hosts(own)
+                self._quota_socket.send(notification, local_hosts)
             case events.RequestSummary():
-                self._tell_story(told)
+                self._record_summary(notification)
             case events.CrashReport():
-                row = told._replace(took=round(told.took, 4))
-                self.meters.crashes += 1
-                self.log.tell_request(
+                row = notification._replace(took=round(notification.took, 4))
+                self.metrics.crashes += 1
+                self.log.log_request(
                     'targets',
                     'ended under a request',
                     good=False,
                     **row._asdict(),
                 )
-            case events.SuspicionChanged(found, passed_on):
-                self._tell_suspicion(found)
-                if passed_on:
-                    self.told.notices.tell(found)
-            case events.TargetStatusReport(target, text, why):
-                self.log.tell_request(
-                    'targets', text, good=False, target=target, why=why
+            case events.SuspicionChanged(report, is_forwarded):
+                self._log_suspicion(report)
+                if is_forwarded:
+                    self.peer_reporters.notice_sender.publish(report)
+            case events.TargetStatusReport(target, text, reason):
+                self.log.log_request(
+                    'targets', text, good=False, target=target, why=reason
                 )
 
-    def _tell_suspicion(self, found: suspects.News) -> None:
-        self.log.tell_request(
-            notices.PART,
-            suspects.get_state_name(found),
+    def _log_suspicion(self, report: suspects.News) -> None:
+        self.log.log_request(
+            suspect_notices.PART,
+            suspects.get_state_name(report),
             good=False,
-            **suspect_codecs.encode_report(found),
+            **suspect_codecs.encode_report(report),
         )
 
-    def _tell_story(self, story: events.RequestSummary) -> None:
-        self.meters.note(story)
-        age = time.monotonic() - self.news.ledger.read_at
-        good = story.result in {'complete', 'partial', 'relayed 200'}
-        told = story._replace(took=round(story.took, 4))._asdict()
-        for name in KEYED:
-            if not told[name]:
-                told.pop(name)
-        self.log.tell_request(
-            'request', 'ended', good=good, news_age=round(age, 1), **told
+    def _record_summary(self, summary: events.RequestSummary) -> None:
+        self.metrics.record_request(summary)
+        age = time.monotonic() - self.store_sync.view.read_at
+        good = summary.result in {'complete', 'partial', 'relayed 200'}
+        row = summary._replace(took=round(summary.took, 4))._asdict()
+        for name in CUSTOMER_FIELDS:
+            if not row[name]:
+                row.pop(name)
+        self.log.log_request(
+            'request', 'ended', good=good, news_age=round(age, 1), **row
         )
 
 
-def _find_time(path: Path | None) -> int:
+def _read_modified_ns(path: Path | None) -> int:
     """Find when a file was written, in nanoseconds; 0 if it is not there."""
     try:
         return path.stat().st_mtime_ns if path is not None else 0
--- a/fuchsiahaven/relay/readiness.py
+++ b/fuchsiahaven/relay/readiness.py
@@ -11,7 +11,7 @@
 PART: Final = 'readiness'
 #: How long an obstacle that was worked out counts, in seconds. It is asked for
 #: with each answer, and all shards are looked at for it.
-FRESH_S: Final = 0.1
+OBSTACLE_LIFETIME_S: Final = 0.1
 RETRY_DIGITS: Final = 2
 
 
@@ -25,15 +25,15 @@
         self._find_obstacle = find_obstacle
         self._log = log
         self._obstacle = ''
-        self._until = float('-inf')
-        self._rotation = balancer_polls.BalancerPolls()
+        self._expires_at = float('-inf')
+        self._polls = balancer_polls.BalancerPolls()
 
     def find_obstacle(self) -> str:
         """Say why callers should go elsewhere; empty if they should not."""
         now = time.monotonic()
-        if now >= self._until:
-            self._until = now + FRESH_S
-            self._change(self._find_obstacle())
+        if now >= self._expires_at:
+            self._expires_at = now + OBSTACLE_LIFETIME_S
+            self._update_obstacle(self._find_obstacle())
         return self._obstacle
 
     def is_obstructed(self) -> bool:
@@ -46,15 +46,15 @@
         """
         return bool(self.find_obstacle())
 
-    def tell_balancer(self) -> str:
+    def record_poll(self) -> str:
         """Take a question of the balancer; return the obstacle, if any."""
         obstacle = self.find_obstacle()
-        self._rotation = balancer_polls.record_poll(
-            self._rotation, time.monotonic(), ready=not obstacle
+        self._polls = balancer_polls.record_poll(
+            self._polls, time.monotonic(), ready=not obstacle
         )
         return obstacle
 
-    def advise(self, outcome: events.Outcome) -> events.Outcome:
+    def adjust_retry_after(self, outcome: events.Outcome) -> events.Outcome:
         """Have a caller that is refused come back when others take it."""
         if not isinstance(outcome, errors.Failure) or not self.is_obstructed():
             return outcome
@@ -63,14 +63,14 @@
         if outcome.kind is errors.Kind.QUARANTINED:
             # No other host would take it sooner.
             return outcome
-        when = balancer_polls.estimate_removal_delay(
-            self._rotation, time.monotonic()
+        delay_s = balancer_polls.estimate_removal_delay(
+            self._polls, time.monotonic()
         )
-        return outcome._replace(retry_after=round(when, RETRY_DIGITS))
+        return outcome._replace(retry_after=round(delay_s, RETRY_DIGITS))
 
-    def _change(self, obstacle: str) -> None:
+    def _update_obstacle(self, obstacle: str) -> None:
         if obstacle == self._obstacle:
             return
         self._obstacle = obstacle
         text = 'not ready' if obstacle else 'ready'
-        self._log.tell(PART, text, why=obstacle)
+        self._log.log_event(PART, text, why=obstacle)
--- a/fuchsiahaven/relay/restores.py
+++ b/fuchsiahaven/relay/restores.py
@@ -7,29 +7,31 @@
 
 PART: Final = 'news'
 #: Facts that one line names.
-MOST_NAMED: Final = 8
+MAX_LOGGED_NAMES: Final = 8
 
 
-def tell(log: journal.Journal, merged: facts.MergeResult, source: str) -> None:
+def log_restore(
+    log: journal.Journal, merged: facts.MergeResult, source: str
+) -> None:
     """Write lines for a restore and for what it has dropped."""
     if merged.restore is not None:
-        told = merged.restore
-        log.tell(
+        restore = merged.restore
+        log.log_event(
             PART,
             'the store came back from a copy',
-            era_before=told.before.era,
-            era=told.after.era,
-            revision_before=told.before.revision,
-            revision=told.after.revision,
-            kept=told.kept,
-            taken=told.changed,
+            era_before=restore.before.era,
+            era=restore.after.era,
+            revision_before=restore.before.revision,
+            revision=restore.after.revision,
+            kept=restore.kept,
+            taken=restore.changed,
             source=source,
         )
     if merged.dropped:
         names = [f'{key.subject} {key.name}' for key in merged.dropped]
-        log.tell(
+        log.log_event(
             PART,
             'dropped after a restore',
             count=len(names),
-            names=names[:MOST_NAMED],
+            names=names[:MAX_LOGGED_NAMES],
         )
--- a/fuchsiahaven/relay/intakes.py
+++ b/fuchsiahaven/relay/server_codecs.py
@@ -8,10 +8,10 @@
 from fuchsiahaven.platform import http_codecs
 from fuchsiahaven.routing import configs, events
 
-GO_ON: Final = h11.InformationalResponse(status_code=100, headers=[])
+CONTINUE: Final = h11.InformationalResponse(status_code=100, headers=[])
 
 
-class Improper(Exception):
+class InvalidRequest(Exception):
     """Report bytes that are no proper request, and the status that says so."""
 
     def __init__(self, status: int) -> None:
@@ -20,89 +20,91 @@
         self.status = status
 
 
-class Intake:
+class ServerCodec:
     """Own what was received on a connection and not yet taken as a request."""
 
     def __init__(self, limits: configs.Limits) -> None:
         """Start with nothing received."""
         self.limits = limits
-        self._machine = h11.Connection(
+        self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.head_bytes
         )
         self._head: h11.Request | None = None
         self._body = bytearray()
 
-    def feed(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take bytes; raises Improper."""
         try:
-            self._machine.receive_data(data)
+            self._h11.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise Improper(error.error_status_hint) from error
+            raise InvalidRequest(error.error_status_hint) from error
 
-    def take(self) -> http_codecs.Message | bytes:
+    def decode_request(self) -> http_codecs.Message | bytes:
         """Take a whole request, or what to send so that more may come.
 
         Raises Improper.
         """
         try:
-            return self._take()
+            return self._decode_request()
         except h11.RemoteProtocolError as error:
-            raise Improper(error.error_status_hint) from error
+            raise InvalidRequest(error.error_status_hint) from error
 
-    def write(self, written: http_codecs.EncodedAnswer, *, ends: bool) -> bytes:
+    def encode_response(
+        self, response: http_codecs.EncodedAnswer, *, closes: bool
+    ) -> bytes:
         """Write an answer; `ends` tells that it is the connection's last."""
-        if self._machine.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
+        if self._h11.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return b''
         fields = [
-            (name.encode('latin-1'), told.encode('latin-1'))
-            for name, told in written.fields
+            (name.encode('latin-1'), value.encode('latin-1'))
+            for name, value in response.fields
         ]
-        length = str(len(written.body)).encode()
+        length = str(len(response.body)).encode()
         fields.append((b'content-length', length))
-        if ends:
+        if closes:
             fields.append((b'connection', b'close'))
         head = h11.Response(
-            status_code=written.status,
+            status_code=response.status,
             headers=fields,
-            reason=_name_status(written.status),
+            reason=_get_reason(response.status),
         )
-        body = h11.Data(data=written.body)
-        return self._write(head, body, h11.EndOfMessage())
+        body = h11.Data(data=response.body)
+        return self._encode(head, body, h11.EndOfMessage())
 
-    def begin_stream(self, more: events.Fields) -> bytes:
+    def encode_stream_head(self, extra_fields: events.Fields) -> bytes:
         """Write the head of an answer whose body comes in pieces."""
         fields = [
             (b'content-type', b'application/json'),
             (b'transfer-encoding', b'chunked'),
-            *[(name.encode(), told.encode()) for name, told in more],
+            *[(name.encode(), value.encode()) for name, value in extra_fields],
         ]
         head = h11.Response(status_code=HTTPStatus.OK, headers=fields)
-        return self._write(head)
+        return self._encode(head)
 
-    def write_piece(self, piece: bytes, *, last: bool) -> bytes:
+    def encode_chunk(self, chunk: bytes, *, last: bool) -> bytes:
         """Write a piece of a body."""
-        data = self._write(h11.Data(data=piece))
+        data = self._encode(h11.Data(data=chunk))
         if last:
-            data += self._write(h11.EndOfMessage())
+            data += self._encode(h11.EndOfMessage())
         return data
 
-    def goes_on(self) -> bool:
+    def start_next_request(self) -> bool:
         """Make ready for the next request; False if there will be none."""
-        if self._machine.our_state is not h11.DONE:
+        if self._h11.our_state is not h11.DONE:
             return False
-        if self._machine.their_state is not h11.DONE:
+        if self._h11.their_state is not h11.DONE:
             return False
-        self._machine.start_next_cycle()
+        self._h11.start_next_cycle()
         return True
 
-    def has_more(self) -> bool:
+    def has_buffered_bytes(self) -> bool:
         """Tell whether bytes of a next request have come."""
-        return bool(self._machine.trailing_data[0])
+        return bool(self._h11.trailing_data[0])
 
-    def _take(self) -> http_codecs.Message | bytes:
+    def _decode_request(self) -> http_codecs.Message | bytes:
         event: object = None
         while not (event is h11.NEED_DATA or event is h11.PAUSED):
-            event = self._machine.next_event()
+            event = self._h11.next_event()
             match event:
                 case h11.Request():
                     self._head = event
@@ -113,14 +115,14 @@
                     return self._build()
                 case h11.ConnectionClosed():
                     return b''
-        if self._machine.they_are_waiting_for_100_continue:
-            return self._write(GO_ON)
+        if self._h11.they_are_waiting_for_100_continue:
+            return self._encode(CONTINUE)
         return b''
 
     def _append(self, chunk: bytes) -> None:
         self._body += chunk
         if len(self._body) > self.limits.body_bytes:
-            raise Improper(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            raise InvalidRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def _build(self) -> http_codecs.Message:
         assert self._head is not None
@@ -132,11 +134,11 @@
             self._head.method.decode('latin-1'),
         )
 
-    def _write(self, *sent: h11.Event) -> bytes:
-        return b''.join(self._machine.send(one) or b'' for one in sent)
+    def _encode(self, *h11_events: h11.Event) -> bytes:
+        return b''.join(self._h11.send(event) or b'' for event in h11_events)
 
 
-def _name_status(status: int) -> bytes:
+def _get_reason(status: int) -> bytes:
     try:
         return HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/fuchsiahaven/relay/traffic.py
+++ b/fuchsiahaven/relay/traffic.py
@@ -28,10 +28,10 @@
     """Identify connections; `far` ones lead to another data centre."""
 
     kind: Kind
-    far: bool
+    cross_centre: bool
 
 
-class Tally:
+class ByteCounts:
     """Own the count of one flow, in bytes."""
 
     def __init__(self) -> None:
@@ -40,13 +40,13 @@
         self.received = 0
 
 
-class Traffic:
+class TrafficCounts:
     """Own the counts of one process."""
 
     def __init__(self) -> None:
         """Start at zero."""
-        self.tallies: dict[Flow, Tally] = {}
+        self.by_flow: dict[Flow, ByteCounts] = {}
 
-    def find(self, kind: Kind, *, far: bool) -> Tally:
+    def get_counts(self, kind: Kind, *, cross_centre: bool) -> ByteCounts:
         """Find the count of a flow."""
-        return self.tallies.setdefault(Flow(kind, far), Tally())
+        return self.by_flow.setdefault(Flow(kind, cross_centre), ByteCounts())
--- a/tests/relay/worlds.py
+++ b/tests/relay/clusters.py
@@ -10,12 +10,12 @@
 from fuchsiahaven.relay import journal, process
 from fuchsiahaven.routing import deployments
 from standins import histories, metadata_store
-from tests.relay import peers
+from tests.relay import servers
 
 SHARDS: Final = ('shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e')
 #: How soon an accepted configuration is promised to be in force.
-IN_FORCE_S: Final = 3.0
-EXTRA: Final = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
+MAX_APPLY_S: Final = 3.0
+EXTRA_LOAD: Final = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
 
 
 def make_configuration(version: int, **changed: Any) -> dict[str, Any]:
@@ -54,24 +54,24 @@
     }
 
 
-class World:
+class Cluster:
     """Own a store, targets and hosts on loopback."""
 
     def __init__(self, stack: contextlib.AsyncExitStack) -> None:
         """Prepare without anything running."""
         self.store = metadata_store.Store()
-        self.targets: dict[str, peers.Server] = {}
+        self.targets: dict[str, servers.Server] = {}
         self.hosts: list[process.Process] = []
         #: Where hosts that are started write their logs.
-        self.log = os.devnull
-        self.revoke: float | None = None
+        self.log_path = os.devnull
+        self.revoke_s: float | None = None
         self._stack = stack
         self._address = ''
 
     async def start(self) -> None:
         """Start the store and a target of each service."""
         listening = await asyncio.start_server(
-            self.store.serve, peers.LOOPBACK, 0
+            self.store.serve, servers.LOOPBACK, 0
         )
         self._stack.callback(listening.close)
         host, port = listening.sockets[0].getsockname()
@@ -84,11 +84,11 @@
         )
         self.store.put('op/config', make_configuration(3))
 
-    async def add_target(self, name: str, service: str) -> peers.Server:
+    async def add_target(self, name: str, service: str) -> servers.Server:
         """Start a target and enter it."""
         body = service[-1].encode() * 16
         server = await self._stack.enter_async_context(
-            peers.listen(peers.answer_with(body))
+            servers.listen(servers.make_script(body))
         )
         self.targets[name] = server
         self.store.put_target(name, service, server.address)
@@ -99,7 +99,7 @@
     ) -> process.Process:
         """Start a host and wait until it is ready, if it can be."""
         ports = [hosts.find_port() for _ in range(4)]
-        addresses = [f'{peers.LOOPBACK}:{port}' for port in ports]
+        addresses = [f'{servers.LOOPBACK}:{port}' for port in ports]
         seeds = tuple(host.settings.host.address for host in self.hosts)
         settings = deployments.Settings(
             deployments.Host(name, addresses[0], data_centre),
@@ -109,48 +109,48 @@
             addresses[3],
             seeds,
             self._address,
-            EXTRA,
+            EXTRA_LOAD,
             1.2,
             6.0,
-            revoke_s=self.revoke,
+            revoke_s=self.revoke_s,
         )
-        output = os.open(self.log, os.O_WRONLY | os.O_APPEND)
+        output = os.open(self.log_path, os.O_WRONLY | os.O_APPEND)
         log = journal.Journal(name, output)
         self._stack.callback(log.close)
         host = process.Process(settings, log)
         task = asyncio.create_task(host.run())
-        self._stack.push_async_callback(end, task)
+        self._stack.push_async_callback(kill, task)
         self.hosts.append(host)
-        await peers.wait_for(lambda: not (ready and host.find_obstacle()))
+        await servers.wait_for(lambda: not (ready and host.find_obstacle()))
         return host
 
     async def add_hosts(self, *names: str) -> None:
         """Start hosts and wait until all know of each other."""
         await asyncio.gather(*[self.add_host(name) for name in names])
-        await self.settle()
+        await self.wait_for_hosts()
 
-    async def settle(self) -> None:
+    async def wait_for_hosts(self) -> None:
         """Wait until all hosts have entered themselves and know it."""
-        await peers.wait_for(
+        await servers.wait_for(
             lambda: all(
-                host.news.ledger.revision == self.store.revision
+                host.store_sync.view.revision == self.store.revision
                 and f'fuchsiahaven/hosts/{host.settings.host.name}'
                 in self.store.items
                 for host in self.hosts
             )
         )
 
-    async def accept(self, version: int) -> None:
+    async def put_version(self, version: int) -> None:
         """Accept a version and wait until it is in force."""
         self.store.put('op/config', make_configuration(version))
         await self.wait_for_version(version)
 
     async def wait_for_version(self, version: int) -> None:
         """Wait until all hosts have a version in force, as long as promised."""
-        async with asyncio.timeout(IN_FORCE_S):
-            await peers.wait_for(
+        async with asyncio.timeout(MAX_APPLY_S):
+            await servers.wait_for(
                 lambda: all(
-                    host.desk.index.configuration.version == version
+                    host.router.index.configuration.version == version
                     for host in self.hosts
                 )
             )
@@ -168,15 +168,15 @@
 
 
 @contextlib.asynccontextmanager
-async def make() -> AsyncIterator[World]:
+async def make() -> AsyncIterator[Cluster]:
     """Make a world with its store and targets."""
     async with contextlib.AsyncExitStack() as stack:
-        world = World(stack)
-        await world.start()
-        yield world
+        cluster = Cluster(stack)
+        await cluster.start()
+        yield cluster
 
 
-async def end(task: asyncio.Task[None]) -> None:
+async def kill(task: asyncio.Task[None]) -> None:
     """End a host as a kill would."""
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
@@ -201,5 +201,5 @@
     writer.write(request.encode())
     answer = await reader.read()
     writer.close()
-    head, _, body = answer.partition(peers.END_OF_HEAD)
+    head, _, body = answer.partition(servers.HEAD_END)
     return int(head.split(b' ')[1]), head.decode().lower(), body
--- a/tests/relay/peers.py
+++ b/tests/relay/servers.py
@@ -9,8 +9,8 @@
 
 LOOPBACK: Final = '127.0.0.1'
 #: A test that takes longer than this hangs.
-LONGEST_S: Final = 20.0
-END_OF_HEAD: Final = b'\r\n\r\n'
+MAX_TEST_S: Final = 20.0
+HEAD_END: Final = b'\r\n\r\n'
 
 Result = TypeVar('Result')
 #: Takes the head of a request and writes what the script says.
@@ -19,7 +19,7 @@
 
 def run(test: Coroutine[Any, Any, Result]) -> Result:
     """Run a test's coroutine, and end it if it hangs."""
-    return asyncio.run(asyncio.wait_for(test, LONGEST_S))
+    return asyncio.run(asyncio.wait_for(test, MAX_TEST_S))
 
 
 class Server:
@@ -28,8 +28,8 @@
     def __init__(self, script: Script) -> None:
         """Prepare without listening."""
         self.address = ''
-        self.heads: list[bytes] = []
-        self.connections = 0
+        self.request_heads: list[bytes] = []
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
         self._script = script
 
@@ -37,12 +37,12 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Answer one connection."""
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                head = await reader.readuntil(END_OF_HEAD)
-                self.heads.append(head)
+                head = await reader.readuntil(HEAD_END)
+                self.request_heads.append(head)
                 await self._script(head, writer)
                 await writer.drain()
 
@@ -78,18 +78,18 @@
 def find_field(head: bytes, name: str) -> str:
     """Find a field in the head of a request."""
     for line in head.decode().split('\r\n'):
-        found, _, told = line.partition(': ')
-        if found.lower() == name:
-            return told
+        field, _, value = line.partition(': ')
+        if field.lower() == name:
+            return value
     return ''
 
 
-def find_id(head: bytes) -> str:
+def find_request_id(head: bytes) -> str:
     """Find the request's id."""
     return find_field(head, 'fuchsiahaven-request-id')
 
 
-def write_answer(
+def encode_response(
     request_id: str, body: bytes = b'', fields: tuple[str, ...] = ()
 ) -> bytes:
     """Write a signed answer to a request."""
@@ -105,11 +105,11 @@
     return '\r\n'.join(lines).encode() + body
 
 
-def answer_with(body: bytes) -> Script:
+def make_script(body: bytes) -> Script:
     """Answer every request with a body."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(write_answer(find_id(head), body))
+        writer.write(encode_response(find_request_id(head), body))
 
     return script
 
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -8,11 +8,11 @@
 
 from bench.soak import hosts
 from fuchsiahaven.relay import process
-from tests.relay import peers, worlds
+from tests.relay import clusters, servers
 
 KEY: Final = 'wbr9bc582dm2buc7takh'
-SHOWN: Final = f'Authorization: Token {KEY}'
-FORGED: Final = 'FuchsiaHaven-Tenant: bank'
+KEY_FIELD: Final = f'Authorization: Token {KEY}'
+FORGED_FIELD: Final = 'FuchsiaHaven-Tenant: bank'
 SHOP: Final = {'name': 'shop', 'api_keys': [KEY]}
 CUSTOMERS: Final = (
     SHOP,
@@ -20,146 +20,156 @@
 )
 
 
-def write(
+def make_configuration(
     version: int, customers: tuple[object, ...] = CUSTOMERS, **changed: Any
 ) -> dict[str, Any]:
     """Write a configuration with customers."""
-    written = worlds.make_configuration(version, **changed)
+    written = clusters.make_configuration(version, **changed)
     return {**written, 'tenants': list(customers)}
 
 
-def find_customer(head: bytes) -> str:
+def find_customer_field(head: bytes) -> str:
     """Find the customer that a target is shown."""
-    return peers.find_field(head, 'fuchsiahaven-tenant')
+    return servers.find_field(head, 'fuchsiahaven-tenant')
 
 
-async def put(world: worlds.World, written: dict[str, Any]) -> None:
+async def put_configuration(
+    cluster: clusters.Cluster, written: dict[str, Any]
+) -> None:
     """Accept a version and wait until it is in force."""
-    world.store.put('op/config', written)
-    await world.wait_for_version(written['version'])
+    cluster.store.put('op/config', written)
+    await cluster.wait_for_version(written['version'])
 
 
-async def ask(
-    asked: Iterable[process.Process], *requests: tuple[str, ...]
+async def fetch_statuses(
+    hosts_asked: Iterable[process.Process], *requests: tuple[str, ...]
 ) -> list[int]:
     """Ask hosts for paths, with fields; return the statuses."""
     answers = await asyncio.gather(
         *[
-            worlds.fetch(host.settings.caller_address, *request)
-            for host in asked
+            clusters.fetch(host.settings.caller_address, *request)
+            for host in hosts_asked
             for request in requests
         ]
     )
     return [status for status, _, _ in answers]
 
 
-async def change(world: worlds.World, written: dict[str, Any]) -> list[int]:
+async def put_and_fetch(
+    cluster: clusters.Cluster, written: dict[str, Any]
+) -> list[int]:
     """Accept a version; return what each host answers to a key then."""
-    await put(world, written)
-    return await ask(world.hosts, ('/one/1', SHOWN))
+    await put_configuration(cluster, written)
+    return await fetch_statuses(cluster.hosts, ('/one/1', KEY_FIELD))
 
 
-async def add_pair(world: worlds.World) -> list[process.Process]:
+async def add_distant_pair(cluster: clusters.Cluster) -> list[process.Process]:
     """Start a host near the targets, and one that has it gather parts."""
-    near = await world.add_host('host-1')
-    far = await world.add_host('host-2', 'north')
-    await peers.wait_for(lambda: far.desk.hosts)
+    near = await cluster.add_host('host-1')
+    far = await cluster.add_host('host-2', 'north')
+    await servers.wait_for(lambda: far.router.hosts)
     return [near, far]
 
 
-async def tell(host: process.Process) -> list[str]:
+async def fetch_reports(host: process.Process) -> list[str]:
     """Return all that a host tells: its state, metrics, and news."""
     pages = await asyncio.gather(
         *[
-            worlds.fetch(host.settings.metrics_address, path)
+            clusters.fetch(host.settings.metrics_address, path)
             for path in ('/v1/state', '/metrics', '/v1/facts?after=0')
         ]
     )
     return [body.decode() for _, _, body in pages]
 
 
-async def turn_away(world: worlds.World, host: process.Process) -> None:
+async def spoil_configuration(
+    cluster: clusters.Cluster, host: process.Process
+) -> None:
     """Have the store turn a host away, accept a version, and be spoilt."""
-    address = host.news.store.address
-    host.news.store.address = f'127.0.0.1:{hosts.find_port()}'
-    host.news.store.close()
-    await put(world, write(6))
+    address = host.store_sync.store_client.address
+    host.store_sync.store_client.address = f'127.0.0.1:{hosts.find_port()}'
+    host.store_sync.store_client.close()
+    await put_configuration(cluster, make_configuration(6))
     doubled = (*CUSTOMERS, {'name': 'mill', 'api_keys': [KEY]})
-    world.store.put('op/config', write(7, doubled))
-    host.news.store.address = address
-    host.news.store.close()
-    await world.settle()
-    await peers.wait_for(lambda: not host.news.lost)
+    cluster.store.put('op/config', make_configuration(7, doubled))
+    host.store_sync.store_client.address = address
+    host.store_sync.store_client.close()
+    await cluster.wait_for_hosts()
+    await servers.wait_for(lambda: not host.store_sync.store_lost)
 
 
-def list_heads(world: worlds.World) -> list[bytes]:
+def list_heads(cluster: clusters.Cluster) -> list[bytes]:
     """List what all targets were sent."""
-    return [head for it in world.targets.values() for head in it.heads]
+    return [
+        head for it in cluster.targets.values() for head in it.request_heads
+    ]
 
 
-def test_serves_whoever_shows_a_key() -> None:
+def test_serves_callers_with_a_key() -> None:
     """Targets see the customer's name, whatever name the caller sends."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            host = await world.add_host('host-1')
-            await put(world, write(5))
-            statuses = await ask(
+        async with clusters.make() as cluster:
+            host = await cluster.add_host('host-1')
+            await put_configuration(cluster, make_configuration(5))
+            statuses = await fetch_statuses(
                 [host],
                 ('/one/1',),
                 ('/one/1', 'Authorization: Token x'),
                 ('/none/1',),
-                ('/one/1', SHOWN, FORGED),
-                ('/search/1', SHOWN, FORGED),
+                ('/one/1', KEY_FIELD, FORGED_FIELD),
+                ('/search/1', KEY_FIELD, FORGED_FIELD),
             )
             assert statuses == [401, 401, 404, 200, 200]
-            heads = list_heads(world)
-            assert len(heads) == 1 + len(worlds.SHARDS)
-            assert {find_customer(head) for head in heads} == {'shop'}
+            heads = list_heads(cluster)
+            assert len(heads) == 1 + len(clusters.SHARDS)
+            assert {find_customer_field(head) for head in heads} == {'shop'}
             assert KEY.encode() not in b''.join(heads)
             assert b'bank' not in b''.join(heads)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_goes_by_the_version_in_force() -> None:
+def test_applies_removed_and_added_keys() -> None:
     """A key that is taken away is refused, and is served when it is back."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_host('host-1')
+        async with clusters.make() as cluster:
+            await cluster.add_host('host-1')
             emptied = ({**SHOP, 'api_keys': []},)
-            assert await change(world, write(5)) == [200]
-            assert await change(world, write(6, emptied)) == [401]
-            assert await change(world, write(7)) == [200]
+            assert await put_and_fetch(cluster, make_configuration(5)) == [200]
+            assert await put_and_fetch(
+                cluster, make_configuration(6, emptied)
+            ) == [401]
+            assert await put_and_fetch(cluster, make_configuration(7)) == [200]
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_a_public_route_turns_nobody_away() -> None:
+def test_public_route_needs_no_key() -> None:
     """It needs no key, and whatever is shown there goes to no target."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            host = await world.add_host('host-1')
-            await put(world, write(5, public=True))
+        async with clusters.make() as cluster:
+            host = await cluster.add_host('host-1')
+            await put_configuration(cluster, make_configuration(5, public=True))
             strange = 'Authorization: Token strange'
-            statuses = await ask(
+            statuses = await fetch_statuses(
                 [host],
                 ('/one/1',),
                 ('/one/1', strange),
-                ('/one/1', FORGED, strange, SHOWN),
+                ('/one/1', FORGED_FIELD, strange, KEY_FIELD),
                 ('/search/1',),
             )
             assert statuses == [200, 200, 200, 401]
-            heads = list_heads(world)
-            assert {find_customer(head) for head in heads} == {''}
+            heads = list_heads(cluster)
+            assert {find_customer_field(head) for head in heads} == {''}
             assert b'Token' not in b''.join(heads)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_helpers_show_the_name_and_nobody_tells_the_key(
+def test_no_host_reveals_a_key(
     tmp_path: Path,
 ) -> None:
     """Symptom: a key stands in a line, or in what hosts send each other.
@@ -171,68 +181,75 @@
     log.touch()
 
     async def check() -> list[str]:
-        async with worlds.make() as world:
-            world.log = str(log)
-            near, far = await add_pair(world)
-            await put(world, write(5))
-            statuses = await ask(
+        async with clusters.make() as cluster:
+            cluster.log_path = str(log)
+            near, far = await add_distant_pair(cluster)
+            await put_configuration(cluster, make_configuration(5))
+            statuses = await fetch_statuses(
                 [far],
-                ('/search/1', SHOWN),
+                ('/search/1', KEY_FIELD),
                 ('/one/1',),
                 ('/one/1', f'Authorization: {KEY}'),
             )
             assert statuses == [200, 401, 401]
-            assert not far.runner.fleet.count_opened()
-            heads = list_heads(world)
-            assert {find_customer(head) for head in heads} == {'shop'}
-            return [*await tell(near), *await tell(far)]
+            assert not far.runner.target_pools.count_opened()
+            heads = list_heads(cluster)
+            assert {find_customer_field(head) for head in heads} == {'shop'}
+            return [*await fetch_reports(near), *await fetch_reports(far)]
 
-    told = peers.run(check())
+    pages = servers.run(check())
     lines = [json.loads(it) for it in log.read_text().splitlines()]
-    assert KEY not in f'{told} {lines}'
+    assert KEY not in f'{pages} {lines}'
     ended = {it['result']: it for it in lines if it['part'] == 'request'}
     assert ended['complete']['customer'] == 'shop'
     assert ended['unknown_key']['route'] == 'one'
     assert 'customer' not in ended['unknown_key']
-    customers = json.loads(told[3])['customers']
+    customers = json.loads(pages[3])['customers']
     assert customers['known'] == 2
     assert customers['largest'] == {'shop': {'complete': 1}}
     assert set(customers['unknown_keys']) == {
         'no key was shown',
         'what was shown is no key',
     }
-    assert 'customer="shop",result="complete"' in told[4]
+    assert 'customer="shop",result="complete"' in pages[4]
 
 
-def test_a_spoilt_version_neither_counts_nor_hides_the_next() -> None:
+def test_ignores_an_invalid_version() -> None:
     """Symptom: one customer that is written wrongly ends all service.
 
     The second host has heard of the version in force from the first only.
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_hosts('host-1', 'host-2')
-            assert await change(world, write(5)) == [200, 200]
-            second = world.hosts[1]
-            await turn_away(world, second)
-            assert await ask(world.hosts, ('/one/1', SHOWN)) == [200, 200]
-            assert second.desk.index.configuration.version == 6
-            assert await change(world, write(8, CUSTOMERS[1:])) == [401, 401]
-
-    peers.run(check())
-
-
-def test_a_host_that_starts_on_a_spoilt_version_takes_the_next() -> None:
+        async with clusters.make() as cluster:
+            await cluster.add_hosts('host-1', 'host-2')
+            assert await put_and_fetch(cluster, make_configuration(5)) == [
+                200,
+                200,
+            ]
+            second = cluster.hosts[1]
+            await spoil_configuration(cluster, second)
+            assert await fetch_statuses(
+                cluster.hosts, ('/one/1', KEY_FIELD)
+            ) == [200, 200]
+            assert second.router.index.configuration.version == 6
+            assert await put_and_fetch(
+                cluster, make_configuration(8, CUSTOMERS[1:])
+            ) == [401, 401]
+
+    servers.run(check())
+
+
+def test_starts_on_an_invalid_version() -> None:
     """Until then it knows no key, and says when to come back."""
 
     async def check() -> None:
-        async with worlds.make() as world:
+        async with clusters.make() as cluster:
             spoilt = ({**SHOP, 'api_keys': KEY},)
-            world.store.put('op/config', write(5, spoilt))
-            host = await world.add_host('host-1', ready=False)
-            await peers.wait_for(lambda: host.news.ledger.revision)
-            assert await ask([host], ('/one/1', SHOWN)) == [503]
-            assert await change(world, write(6)) == [200]
+            cluster.store.put('op/config', make_configuration(5, spoilt))
+            host = await cluster.add_host('host-1', ready=False)
+            await servers.wait_for(lambda: host.store_sync.view.revision)
+            assert await fetch_statuses([host], ('/one/1', KEY_FIELD)) == [503]
+            assert await put_and_fetch(cluster, make_configuration(6)) == [200]
 
-    peers.run(check())
+    servers.run(check())
--- a/tests/relay/test_decoders.py
+++ b/tests/relay/test_decoders.py
@@ -18,22 +18,22 @@
 }
 
 
-class Log(journal.Journal):
+class RecordingLog(journal.Journal):
     """Keep what is told in place of writing it."""
 
     def __init__(self) -> None:
         """Start with nothing told."""
-        self.told: list[dict[str, object]] = []
+        self.lines: list[dict[str, object]] = []
 
-    def tell(self, part: str, text: str, **fields: object) -> None:
+    def log_event(self, part: str, text: str, **fields: object) -> None:
         """Keep a line."""
-        self.told.append(fields)
+        self.lines.append(fields)
 
-    def tell_request(
+    def log_request(
         self, part: str, text: str, *, good: bool, **fields: object
     ) -> None:
         """Keep a line."""
-        self.told.append(fields)
+        self.lines.append(fields)
 
 
 def encode(row: Any) -> str:
@@ -41,27 +41,27 @@
     return base64.b64encode(json.dumps(row).encode()).decode()
 
 
-def test_takes_a_target_with_a_spoilt_entry_for_leaving() -> None:
+def test_invalid_target_entry_counts_as_leaving() -> None:
     """Symptom: requests go to a target whose entry nobody can read.
 
     Another writer spoils the entry of a target. It gets no new work until it
     writes a good one, and it is no vanished target, of which many at once
     would be taken for a fault of the store.
     """
-    log = Log()
+    log = RecordingLog()
     decoder = decoders.Decoder(log)
     good = decoder.decode(KEY, facts.Stamp(1, 1), encode(ENTRY))
-    spoilt = decoder.decode(
+    invalid = decoder.decode(
         KEY, facts.Stamp(1, 2), encode({**ENTRY, 'slots': 'two'})
     )
     assert isinstance(good, instances.Instance)
-    assert spoilt == good._replace(leaving=True)
+    assert invalid == good._replace(leaving=True)
     assert decoder.decode(KEY, facts.Stamp(1, 3), encode(ENTRY)) == good
 
 
-def test_tells_of_a_spoilt_entry_once() -> None:
+def test_logs_an_invalid_entry_once() -> None:
     """It is listed again and again; the line names the key and is short."""
-    log = Log()
+    log = RecordingLog()
     decoder = decoders.Decoder(log)
     for _ in range(3):
         assert (
@@ -70,16 +70,16 @@
             )
             is None
         )
-    (line,) = log.told
+    (line,) = log.lines
     assert 'i-1' in str(line['error'])
     assert len(str(line['error'])) <= 200
 
 
-def test_decodes_a_revision_of_another_era_anew() -> None:
+def test_decodes_a_revision_again_in_another_era() -> None:
     """A store that came back gives revisions out again, for other values."""
-    decoder = decoders.Decoder(Log())
+    decoder = decoders.Decoder(RecordingLog())
     decoder.decode(KEY, facts.Stamp(1, 5), encode(ENTRY))
     leaving = {**ENTRY, 'state': 'draining'}
-    found = decoder.decode(KEY, facts.Stamp(2, 5), encode(leaving))
-    assert isinstance(found, instances.Instance)
-    assert found.leaving
+    decoded = decoder.decode(KEY, facts.Stamp(2, 5), encode(leaving))
+    assert isinstance(decoded, instances.Instance)
+    assert decoded.leaving
--- a/tests/relay/test_wires.py
+++ b/tests/relay/test_fast_http.py
@@ -12,9 +12,9 @@
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.platform import http_codecs
-from fuchsiahaven.relay import links, wires
+from fuchsiahaven.relay import connections, fast_http
 
-USUAL: Final = (
+COMMON_RESPONSE: Final = (
     b'HTTP/1.1 200 OK\r\n'
     b'Fuchsiahaven-Request-Id: request-number-1\r\n'
     b'Content-Length: 4\r\n\r\nbody'
@@ -25,7 +25,7 @@
     ('fuchsiahaven-request-id', 'request-number-1'),
 )
 #: Pieces of which answers are made, right ones and wrong ones.
-PIECES: Final = (
+RESPONSE_PARTS: Final = (
     b'HTTP/1.1 200 OK\r\n',
     b'HTTP/1.1 200\r\n',
     b'HTTP/1.1 204 No Content\r\n',
@@ -59,17 +59,17 @@
     b'4\r\nbody\r\n0\r\n\r\n',
     b'x',
 )
-ANSWERS: Final = st.one_of(
+RESPONSES: Final = st.one_of(
     st.binary(max_size=80),
-    st.lists(st.sampled_from(PIECES), max_size=8).map(b''.join),
-    st.lists(st.sampled_from(PIECES[8:25]), max_size=4).map(
-        lambda found: b''.join((PIECES[0], *found, b'\r\nbody'))
+    st.lists(st.sampled_from(RESPONSE_PARTS), max_size=8).map(b''.join),
+    st.lists(st.sampled_from(RESPONSE_PARTS[8:25]), max_size=4).map(
+        lambda found: b''.join((RESPONSE_PARTS[0], *found, b'\r\nbody'))
     ),
     st.builds(
         lambda start, new, gone: b''.join(
-            (USUAL[:start], new, USUAL[start + gone :])
+            (COMMON_RESPONSE[:start], new, COMMON_RESPONSE[start + gone :])
         ),
-        st.integers(0, len(USUAL)),
+        st.integers(0, len(COMMON_RESPONSE)),
         st.binary(max_size=3),
         st.integers(0, 2),
     ),
@@ -114,10 +114,10 @@
     return http_codecs.Message('', head.status_code, fields, body)
 
 
-@given(ANSWERS)
-def test_takes_nothing_that_h11_would_not_take(data: bytes) -> None:
+@given(RESPONSES)
+def test_decodes_responses_as_h11_does(data: bytes) -> None:
     """Symptom: a target's odd bytes are taken for an answer, or otherwise."""
-    message = wires.read(data)
+    message = fast_http.decode_response(data)
     if message is not None:
         assert message == read_with_h11(data)
 
@@ -130,53 +130,61 @@
     ),
     st.sampled_from((b'', b'body')),
 )
-def test_writes_nothing_that_h11_would_not_write(
+def test_encodes_requests_as_h11_does(
     method: str, target: str, fields: tuple[tuple[str, str], ...], body: bytes
 ) -> None:
     """Symptom: one odd field of a caller becomes two for a target."""
-    written = wires.write(method, target, fields, body)
-    if written is None:
+    encoded = fast_http.encode_request(method, target, fields, body)
+    if encoded is None:
         return
-    exchange = links.Exchange(method, target, fields, body, lambda _: True)
-    assert written == links.write(h11.Connection(h11.CLIENT), exchange)
+    exchange = connections.Exchange(
+        method, target, fields, body, lambda _: True
+    )
+    assert encoded == connections.encode_request(
+        h11.Connection(h11.CLIENT), exchange
+    )
 
 
-def test_takes_an_answer_of_the_usual_shape() -> None:
+def test_decodes_a_common_response() -> None:
     """Left to h11, each answer costs twice what all the rest does."""
-    assert wires.read(USUAL) == read_with_h11(USUAL)
+    assert fast_http.decode_response(COMMON_RESPONSE) == read_with_h11(
+        COMMON_RESPONSE
+    )
 
 
 @pytest.mark.parametrize(
     'data',
     [
-        b'%sx' % USUAL,
-        USUAL[:-1],
-        USUAL.replace(b'200 OK', b'204 No Content'),
-        USUAL.replace(b'200 OK', b'100 Continue'),
-        USUAL.replace(b'1.1', b'1.0'),
-        USUAL.replace(b'Fuchsiahaven-Request-Id', b'Connection'),
-        USUAL.replace(b'Fuchsiahaven-Request-Id', b'Transfer-Encoding'),
-        USUAL.replace(
+        b'%sx' % COMMON_RESPONSE,
+        COMMON_RESPONSE[:-1],
+        COMMON_RESPONSE.replace(b'200 OK', b'204 No Content'),
+        COMMON_RESPONSE.replace(b'200 OK', b'100 Continue'),
+        COMMON_RESPONSE.replace(b'1.1', b'1.0'),
+        COMMON_RESPONSE.replace(b'Fuchsiahaven-Request-Id', b'Connection'),
+        COMMON_RESPONSE.replace(
+            b'Fuchsiahaven-Request-Id', b'Transfer-Encoding'
+        ),
+        COMMON_RESPONSE.replace(
             b'Fuchsiahaven-Request-Id: request', b'Content-Length: 4'
         ),
-        USUAL.replace(b'Fuchsiahaven-Request-Id', b'X' * 9000),
+        COMMON_RESPONSE.replace(b'Fuchsiahaven-Request-Id', b'X' * 9000),
     ],
 )
-def test_leaves_all_else_to_h11(data: bytes) -> None:
+def test_leaves_other_responses_to_h11(data: bytes) -> None:
     """What is cut, longer, without a body or not kept open is read in full."""
-    assert wires.read(data) is None
+    assert fast_http.decode_response(data) is None
 
 
-def test_writes_a_request_of_the_usual_shape() -> None:
+def test_encodes_a_common_request() -> None:
     """The host goes first, as h11 has it, and a body goes with its length."""
-    assert wires.write('GET', '/a/1', FIELDS, b'') == (
+    assert fast_http.encode_request('GET', '/a/1', FIELDS, b'') == (
         b'GET /a/1 HTTP/1.1\r\nhost: shop.example\r\naccept: */*\r\n'
         b'fuchsiahaven-request-id: request-number-1\r\n\r\n'
     )
     sized = (*FIELDS, ('content-length', '4'))
-    written = wires.write('POST', '/a/1', sized, b'body')
-    assert written is not None
-    assert written.endswith(b'content-length: 4\r\n\r\nbody')
+    encoded = fast_http.encode_request('POST', '/a/1', sized, b'body')
+    assert encoded is not None
+    assert encoded.endswith(b'content-length: 4\r\n\r\nbody')
 
 
 @pytest.mark.parametrize(
@@ -191,11 +199,11 @@
         (FIELDS, b'body'),
     ],
 )
-def test_leaves_odd_requests_to_h11(
+def test_leaves_other_requests_to_h11(
     fields: tuple[tuple[str, str], ...], body: bytes
 ) -> None:
     """What does not say where it ends, or would say more, is checked."""
-    assert wires.write('POST', '/a/1', fields, body) is None
+    assert fast_http.encode_request('POST', '/a/1', fields, body) is None
 
 
 CHUNKED: Final = (
@@ -221,39 +229,45 @@
 ).map(b''.join)
 
 
-class Taker:
+class RecordingOwner:
     """Own a link and keep what it tells; it holds an exchange of pieces."""
 
     def __init__(self) -> None:
         """Send a request whose answer comes in pieces."""
-        self.told: list[object] = []
-        self.link = links.Link(self)
+        self.received: list[object] = []
+        self.connection = connections.Connection(self)
         transport = mock.Mock(spec=asyncio.Transport)
         transport.get_extra_info.return_value = None
         transport.is_closing.return_value = False
         transport.get_write_buffer_size.return_value = 0
-        self.link.connection_made(transport)
-        self.link.start(
-            links.Exchange(
-                'GET', '/', FIELDS, b'', lambda _: True, self.told.append
+        self.connection.connection_made(transport)
+        self.connection.send(
+            connections.Exchange(
+                'GET', '/', FIELDS, b'', lambda _: True, self.received.append
             )
         )
 
-    def take_message(
-        self, link: links.Link, message: http_codecs.Message
+    def handle_response(
+        self, connection: connections.Connection, message: http_codecs.Message
     ) -> None:
         """Keep the end of an answer, and whether the connection goes on."""
-        self.told.append((message.status, message.fields, link.reusable))
+        self.received.append(
+            (message.status, message.fields, connection.reusable)
+        )
 
-    def take_end(self, link: links.Link, fault: messages.Fault) -> None:
+    def handle_close(
+        self, connection: connections.Connection, fault: messages.Fault
+    ) -> None:
         """Keep the end of the connection."""
-        self.told.append(fault)
+        self.received.append(fault)
 
-    def join(self) -> list[object]:
+    def join_chunks(self) -> list[object]:
         """Return what was told, the pieces of the body as one."""
-        bodies = [it for it in self.told if isinstance(it, bytes | bytearray)]
+        bodies = [
+            it for it in self.received if isinstance(it, bytes | bytearray)
+        ]
         others = [
-            it for it in self.told if not isinstance(it, bytes | bytearray)
+            it for it in self.received if not isinstance(it, bytes | bytearray)
         ]
         return [b''.join(bodies), *others]
 
@@ -263,7 +277,7 @@
     STREAMS,
     st.lists(st.integers(0, 200), max_size=3),
 )
-def test_takes_pieces_as_h11_does(
+def test_decodes_chunks_as_h11_does(
     before: bytes, body: bytes, cuts: list[int]
 ) -> None:
     """Symptom: what a host gathered is lost, or read as something else.
@@ -271,12 +285,12 @@
     The answer comes cut anywhere, once for the state machine alone.
     """
     data = before + CHUNKED + body
-    places = sorted({0, *(min(it, len(data)) for it in cuts), len(data)})
-    found = []
-    for usual in (wires.read_stream, lambda _: None):
-        taker = Taker()
-        with mock.patch.object(wires, 'read_stream', usual):
-            for start, end in itertools.pairwise(places):
-                taker.link.data_received(data[start:end])
-        found.append(taker.join())
-    assert found[0] == found[1]
+    boundaries = sorted({0, *(min(it, len(data)) for it in cuts), len(data)})
+    outcomes = []
+    for decode_head in (fast_http.read_stream, lambda _: None):
+        owner = RecordingOwner()
+        with mock.patch.object(fast_http, 'read_stream', decode_head):
+            for start, end in itertools.pairwise(boundaries):
+                owner.connection.data_received(data[start:end])
+        outcomes.append(owner.join_chunks())
+    assert outcomes[0] == outcomes[1]
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -6,9 +6,9 @@
 from fuchsiahaven.relay import journal
 
 
-def read_lines(end: int) -> list[dict[str, object]]:
+def read_lines(descriptor: int) -> list[dict[str, object]]:
     """Read what was written so far."""
-    data = os.read(end, 1_000_000)
+    data = os.read(descriptor, 1_000_000)
     return [json.loads(line) for line in data.splitlines()]
 
 
@@ -16,7 +16,7 @@
     """A line is one JSON object that says who tells it."""
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
-    log.tell('process', 'started', version=3)
+    log.log_event('process', 'started', version=3)
     log.close()
     (line,) = read_lines(reader)
     assert line['host'] == 'host-1'
@@ -27,7 +27,7 @@
     )
 
 
-def test_goes_on_where_nobody_reads() -> None:
+def test_drops_lines_while_the_pipe_is_full() -> None:
     """Symptom: a host stops serving because its log is stuck.
 
     The pipe is full and nobody reads: the thread that writes waits, lines
@@ -36,8 +36,8 @@
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
     left_out = 0
-    for number in range(3 * journal.MOST_WAITING):
-        log.tell('process', 'x' * 200, number=number)
+    for number in range(3 * journal.MAX_QUEUED_LINES):
+        log.log_event('process', 'x' * 200, number=number)
         # The first batch is taken meanwhile, and the next line tells of them.
         left_out = max(left_out, log.left_out)
     assert left_out > 0
@@ -45,15 +45,15 @@
     os.close(reader)
 
 
-def test_keeps_failures_where_successes_are_left_out() -> None:
+def test_limits_successes_and_failures_apart() -> None:
     """In one second there may be as many lines of either kind."""
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
-    for number in range(3 * journal.LINES_A_SECOND):
-        log.tell_request('request', 'ended', good=True, number=number)
-    log.tell_request('request', 'failed', good=False)
+    for number in range(3 * journal.MAX_REQUEST_LINES_PER_S):
+        log.log_request('request', 'ended', good=True, number=number)
+    log.log_request('request', 'failed', good=False)
     log.close()
     lines = read_lines(reader)
     assert lines[-1]['text'] == 'failed'
-    assert len(lines) <= 2 * journal.LINES_A_SECOND + 1
+    assert len(lines) <= 2 * journal.MAX_REQUEST_LINES_PER_S + 1
     assert lines[-1]['left_out']
--- a/tests/relay/test_ports.py
+++ b/tests/relay/test_listeners.py
@@ -7,43 +7,45 @@
 import pytest
 
 from fuchsiahaven.platform import http_codecs
-from fuchsiahaven.relay import ports
+from fuchsiahaven.relay import listeners
 from fuchsiahaven.routing import configs
-from tests.relay import peers
+from tests.relay import servers
 
 LIMITS = configs.Limits(400, 50, 0.2, 0.3)
-PIECE = 40
+SEGMENT_BYTES = 40
 CHUNKED = b'Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n3\r\ndef\r\n0\r\n\r\n'
 GET = b'GET /a/1 HTTP/1.1\r\nHost: shop\r\n\r\n'
 
 
-class Host:
+class ListenerRig:
     """Own a port; answer at once unless told to hold."""
 
     def __init__(self) -> None:
         """Take nothing yet."""
-        self.taken: list[http_codecs.Message] = []
-        self.left = 0
-        self.held: list[ports.Caller] | None = None
-        self.port = ports.Port(ports.Terms(self.handle, lambda: LIMITS))
+        self.messages: list[http_codecs.Message] = []
+        self.abandoned_count = 0
+        self.held_callers: list[listeners.Caller] | None = None
+        self.listener = listeners.Listener(
+            listeners.ListenerOptions(self.handle_request, lambda: LIMITS)
+        )
         self.address = ('', 0)
 
-    def handle(
-        self, message: http_codecs.Message, caller: ports.Caller
+    def handle_request(
+        self, message: http_codecs.Message, caller: listeners.Caller
     ) -> Callable[[], None]:
         """Take a request."""
-        self.taken.append(message)
-        if self.held is None:
-            caller.answer(
+        self.messages.append(message)
+        if self.held_callers is None:
+            caller.respond(
                 http_codecs.EncodedAnswer(200, (('x-a', 'b'),), message.body)
             )
         else:
-            self.held.append(caller)
-        return self.leave
+            self.held_callers.append(caller)
+        return self.abandon
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Note that the caller has left."""
-        self.left += 1
+        self.abandoned_count += 1
 
     async def connect(
         self,
@@ -53,51 +55,53 @@
 
 
 @contextlib.asynccontextmanager
-async def serve() -> AsyncIterator[Host]:
+async def serve() -> AsyncIterator[ListenerRig]:
     """Run a port."""
-    host = Host()
-    server = await host.port.listen(f'{peers.LOOPBACK}:0')
+    host = ListenerRig()
+    server = await host.listener.listen(f'{servers.LOOPBACK}:0')
     host.address = server.sockets[0].getsockname()
     yield host
     server.close()
 
 
-async def ask(host: Host, sent: bytes) -> bytes:
+async def exchange_bytes(host: ListenerRig, sent: bytes) -> bytes:
     """Send bytes in small pieces; return all that comes back."""
     reader, writer = await host.connect()
-    for start in range(0, len(sent), PIECE):
-        writer.write(sent[start : start + PIECE])
+    for start in range(0, len(sent), SEGMENT_BYTES):
+        writer.write(sent[start : start + SEGMENT_BYTES])
     answer = await reader.read()
     writer.close()
     return answer
 
 
-def test_takes_requests_one_after_the_other() -> None:
+def test_answers_pipelined_requests_in_order() -> None:
     """Two requests sent at once get two answers, in order."""
 
     async def check() -> None:
         async with serve() as host:
-            answer = await ask(host, GET + GET.replace(b'/1', b'/2'))
+            answer = await exchange_bytes(host, GET + GET.replace(b'/1', b'/2'))
             assert answer.count(b'HTTP/1.1 200 OK') == 2
-            assert [it.uri for it in host.taken] == ['/a/1', '/a/2']
+            assert [it.uri for it in host.messages] == ['/a/1', '/a/2']
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_takes_bodies_with_a_length_and_in_chunks() -> None:
+def test_decodes_sized_and_chunked_bodies() -> None:
     """A body comes out whole, however it was cut on the way."""
     head = b'POST /a/1 HTTP/1.1\r\nHost: shop\r\n'
 
     async def check() -> None:
         async with serve() as host:
-            await ask(host, b'%sContent-Length: 6\r\n\r\nabcdef' % head)
-            await ask(host, b'%s%s' % (head, CHUNKED))
-            assert [it.body for it in host.taken] == [b'abcdef'] * 2
+            await exchange_bytes(
+                host, b'%sContent-Length: 6\r\n\r\nabcdef' % head
+            )
+            await exchange_bytes(host, b'%s%s' % (head, CHUNKED))
+            assert [it.body for it in host.messages] == [b'abcdef'] * 2
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_tells_a_caller_that_waits_to_go_on() -> None:
+def test_sends_a_continue_response() -> None:
     """A caller may ask first whether its body is wanted."""
     head = (
         b'POST /a/1 HTTP/1.1\r\nHost: shop\r\nContent-Length: 2\r\n'
@@ -108,13 +112,13 @@
         async with serve() as host:
             reader, writer = await host.connect()
             writer.write(head)
-            told = await reader.readuntil(b'\r\n\r\n')
-            assert told.startswith(b'HTTP/1.1 100')
+            interim = await reader.readuntil(b'\r\n\r\n')
+            assert interim.startswith(b'HTTP/1.1 100')
             writer.write(b'ok')
             assert (await reader.read()).startswith(b'HTTP/1.1 200')
             writer.close()
 
-    peers.run(check())
+    servers.run(check())
 
 
 @pytest.mark.parametrize(
@@ -136,46 +140,48 @@
         ),
     ],
 )
-def test_refuses_what_is_no_proper_request(sent: bytes, status: int) -> None:
+def test_rejects_invalid_requests(sent: bytes, status: int) -> None:
     """Two lengths, no host, too much or too slow: refused, nothing runs."""
 
     async def check() -> None:
         async with serve() as host:
-            answer = await ask(host, sent)
+            answer = await exchange_bytes(host, sent)
             assert answer.startswith(f'HTTP/1.1 {status} '.encode())
-            assert not host.taken
+            assert not host.messages
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_closes_a_connection_that_stays_idle() -> None:
+def test_closes_an_idle_connection() -> None:
     """No answer is sent on a connection without a request."""
 
     async def check() -> None:
         async with serve() as host:
-            assert not await ask(host, b'')
+            assert not await exchange_bytes(host, b'')
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_tells_when_a_caller_leaves_before_its_answer() -> None:
+def test_reports_a_caller_that_leaves() -> None:
     """Symptom: targets work on for callers that have long gone."""
 
     async def check() -> None:
         async with serve() as host:
-            host.held = []
+            host.held_callers = []
             _, writer = await host.connect()
             writer.write(GET)
-            await peers.wait_for(lambda: host.held)
+            await servers.wait_for(lambda: host.held_callers)
             writer.close()
-            await peers.wait_for(lambda: host.left)
+            await servers.wait_for(lambda: host.abandoned_count)
             # An answer that is ready now finds nobody.
-            host.held[0].answer(http_codecs.EncodedAnswer(200, (), b'late'))
+            host.held_callers[0].respond(
+                http_codecs.EncodedAnswer(200, (), b'late')
+            )
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_parts_with_callers_where_the_host_is_cut_off() -> None:
+def test_closes_connections_when_not_ready() -> None:
     """Symptom: callers are refused for as long as a data centre is cut off.
 
     The balancer moves new connections to other hosts; callers that keep
@@ -188,37 +194,39 @@
             writer.write(GET)
             head = await reader.readuntil(b'\r\n\r\n')
             assert b'connection: close' not in head.lower()
-            host.port.terms = host.port.terms._replace(parts=lambda: True)
+            host.listener.options = host.listener.options._replace(
+                closes_connections=lambda: True
+            )
             writer.write(GET)
             answer = (await reader.read()).lower()
             assert b'connection: close' in answer
             writer.close()
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_measures_how_far_callers_are_away() -> None:
+def test_measures_the_round_trip() -> None:
     """The first request of a connection has one round trip more behind it."""
 
     async def check() -> None:
         async with serve() as host:
-            host.held = []
+            host.held_callers = []
             _, writer = await host.connect()
             writer.write(GET)
-            await peers.wait_for(lambda: host.held)
-            (caller,) = host.held
-            first = caller.inspect().round_trip
+            await servers.wait_for(lambda: host.held_callers)
+            (caller,) = host.held_callers
+            first = caller.read_peer_state().round_trip_s
             assert 0 < first < 0.1
-            caller.answer(http_codecs.EncodedAnswer(200, (), b''))
+            caller.respond(http_codecs.EncodedAnswer(200, (), b''))
             writer.write(GET)
-            await peers.wait_for(lambda: len(host.held or ()) == 2)
-            assert 0 < caller.inspect().round_trip < 0.1
+            await servers.wait_for(lambda: len(host.held_callers or ()) == 2)
+            assert 0 < caller.read_peer_state().round_trip_s < 0.1
             writer.close()
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_ends_each_connection_with_its_answer_while_stopping() -> None:
+def test_closes_connections_while_stopping() -> None:
     """Symptom: a planned stop cuts requests.
 
     A request under way when the stop begins is answered in full, the answer
@@ -227,23 +235,25 @@
 
     async def check() -> None:
         async with serve() as host:
-            host.held = []
+            host.held_callers = []
             reader, writer = await host.connect()
             writer.write(GET)
-            await peers.wait_for(lambda: host.held)
-            host.port.stop()
-            host.port.close_idle()
-            assert host.port.count_busy() == 1
-            host.held[0].answer(http_codecs.EncodedAnswer(200, (), b'whole'))
+            await servers.wait_for(lambda: host.held_callers)
+            host.listener.stop()
+            host.listener.close_idle()
+            assert host.listener.count_busy() == 1
+            host.held_callers[0].respond(
+                http_codecs.EncodedAnswer(200, (), b'whole')
+            )
             answer = (await reader.read()).lower()
             assert b'connection: close' in answer
             assert answer.endswith(b'whole')
             writer.close()
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_knows_that_a_caller_has_left_before_it_reads_so() -> None:
+def test_detects_a_closed_peer_before_reading() -> None:
     """Symptom: a host that stood still works for callers that are gone.
 
     Request and end of the connection wait together; the request is read
@@ -252,15 +262,15 @@
 
     async def check() -> None:
         async with serve() as host:
-            host.held = []
+            host.held_callers = []
             _, writer = await host.connect()
             writer.write(GET)
-            await peers.wait_for(lambda: host.held)
-            (caller,) = host.held
-            assert not caller.inspect().left
+            await servers.wait_for(lambda: host.held_callers)
+            (caller,) = host.held_callers
+            assert not caller.read_peer_state().has_left
             writer.write_eof()
             # No turn of the loop lies between: nothing was read meanwhile.
-            assert caller.inspect().left
+            assert caller.read_peer_state().has_left
             writer.close()
 
-    peers.run(check())
+    servers.run(check())
--- a/tests/relay/test_listings.py
+++ b/tests/relay/test_listings.py
@@ -11,7 +11,7 @@
 )
 
 
-def make_ledger(revision: int) -> facts.StoreView:
+def make_view(revision: int) -> facts.StoreView:
     """Make what a host knows after it has read the store."""
     name = f'host-{revision}'
     host = deployments.Host(name, '10.0.0.1:7000', 'north')
@@ -22,40 +22,40 @@
     ).view
 
 
-def test_writes_a_listing_once_for_all_that_ask() -> None:
+def test_encodes_a_listing_once() -> None:
     """Symptom: hosts that start together are ready one after the other.
 
     All hosts of a data centre have just started and ask the first one for
     everything; it writes the same 190 kB for each of them.
     """
-    written = listings.Listings(freshness.Freshness())
-    ledger = make_ledger(5)
-    first = written.write(ledger, 10, lost=False)
-    assert written.write(ledger, 10.05, lost=False) is first
+    cache = listings.ListingCache(freshness.Freshness())
+    view = make_view(5)
+    first = cache.encode(view, 10, store_lost=False)
+    assert cache.encode(view, 10.05, store_lost=False) is first
     assert report_codecs.decode_report(first).full
 
 
-def test_writes_what_has_changed_anew() -> None:
+def test_encodes_a_changed_view_again() -> None:
     """News, the loss of the store and time make another listing."""
-    written = listings.Listings(freshness.Freshness())
-    ledger = make_ledger(5)
-    first = written.write(ledger, 10, lost=False)
+    cache = listings.ListingCache(freshness.Freshness())
+    view = make_view(5)
+    first = cache.encode(view, 10, store_lost=False)
     assert report_codecs.decode_report(
-        written.write(ledger, 10, lost=True)
+        cache.encode(view, 10, store_lost=True)
     ).store_lost
-    later = written.write(ledger, 12, lost=False)
+    later = cache.encode(view, 12, store_lost=False)
     assert (
         report_codecs.decode_report(later).age
         - report_codecs.decode_report(first).age
         == 2
     )
-    newer = ledger._replace(cursor=facts.Cursor(1, 9), facts={})
+    newer = view._replace(cursor=facts.Cursor(1, 9), facts={})
     assert not report_codecs.decode_report(
-        written.write(newer, 12, lost=False)
+        cache.encode(newer, 12, store_lost=False)
     ).facts
 
 
-def test_proves_no_more_to_whoever_asks_while_it_is_kept() -> None:
+def test_proof_allows_for_the_age_of_a_listing() -> None:
     """Symptom: who asks late counts what was proved as so much fresher."""
     now = 50.0
     keys = freshness.Freshness(5, lambda: now)
@@ -63,19 +63,19 @@
         configs.EMPTY_CONFIGURATION._replace(customers=())
     )
     keys.record_read(now, facts.NO_ERA)
-    written = listings.Listings(keys)
-    told = report_codecs.decode_report(
-        written.write(make_ledger(5), 10, lost=False)
+    cache = listings.ListingCache(keys)
+    report = report_codecs.decode_report(
+        cache.encode(make_view(5), 10, store_lost=False)
     )
-    assert told.proof is not None
-    assert told.proof.lead_s <= -listings.FRESH_S
+    assert report.proof is not None
+    assert report.proof.lead_s <= -listings.MAX_LISTING_AGE_S
 
 
-def test_writes_anew_after_the_host_was_suspended() -> None:
+def test_encodes_again_after_a_suspension() -> None:
     """Symptom: the same, as the steady clock stood still meanwhile."""
     uptime = [50.0]
-    written = listings.Listings(freshness.Freshness(5, lambda: uptime[0]))
-    ledger = make_ledger(5)
-    first = written.write(ledger, 10, lost=False)
+    cache = listings.ListingCache(freshness.Freshness(5, lambda: uptime[0]))
+    view = make_view(5)
+    first = cache.encode(view, 10, store_lost=False)
     uptime[0] += 3
-    assert written.write(ledger, 10, lost=False) is not first
+    assert cache.encode(view, 10, store_lost=False) is not first
--- a/tests/relay/test_pools.py
+++ b/tests/relay/test_pools.py
@@ -9,9 +9,9 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.relay import pools
 from fuchsiahaven.routing import events
-from tests.relay import peers
+from tests.relay import servers
 
-ENDS = (
+END_EVENTS = (
     events.TargetAnswered,
     events.TargetRefused,
     events.AttemptBroken,
@@ -19,110 +19,112 @@
 )
 
 
-class Bench:
+class PoolRig:
     """Own a pool to one server and keep what it reports."""
 
-    def __init__(self, server: peers.Server, seats: int = 2) -> None:
+    def __init__(
+        self, server: servers.Server, max_connections: int = 2
+    ) -> None:
         """Start without a connection."""
-        self.reported: list[events.Event] = []
+        self.posted: list[events.Event] = []
         self.instance = server.as_instance()
         self.pool = pools.Pool(
-            self.instance, self.reported.append, time.monotonic
+            self.instance, self.posted.append, time.monotonic
         )
-        self.pool.seats = seats
-        self._last = 0
+        self.pool.max_connections = max_connections
+        self._last_number = 0
 
     def send(
         self, wait: float = 5, *, fresh: bool = False
     ) -> events.AttemptKey:
         """Send a request that ends after so many seconds."""
-        self._last += 1
+        self._last_number += 1
         now = time.monotonic()
         request = events.Request(
-            f'id-{self._last}',
+            f'id-{self._last_number}',
             'GET',
             '/a/1',
             'shop.example',
             (
                 ('host', 'shop.example'),
-                ('fuchsiahaven-request-id', f'id-{self._last}'),
+                ('fuchsiahaven-request-id', f'id-{self._last_number}'),
             ),
             b'',
             now,
             now + wait,
         )
-        key = events.AttemptKey(self._last, 'records', 1)
-        self.pool.place(
+        key = events.AttemptKey(self._last_number, 'records', 1)
+        self.pool.send(
             events.SendAttempt(key, self.instance, request, now + wait, fresh)
         )
         return key
 
     def count(self, kind: type[events.Event]) -> int:
         """Count the reports of one kind; different kinds may be equal."""
-        return sum(isinstance(event, kind) for event in self.reported)
+        return sum(isinstance(event, kind) for event in self.posted)
 
-    def list_ends(self) -> list[events.Event]:
+    def list_end_events(self) -> list[events.Event]:
         """List how sendings ended."""
-        return [event for event in self.reported if isinstance(event, ENDS)]
+        return [event for event in self.posted if isinstance(event, END_EVENTS)]
 
-    async def take_end(self, count: int = 1) -> events.Event:
+    async def wait_for_end(self, count: int = 1) -> events.Event:
         """Wait until so many sendings have ended; return the last end."""
-        await peers.wait_for(lambda: len(self.list_ends()) >= count)
-        return self.list_ends()[-1]
+        await servers.wait_for(lambda: len(self.list_end_events()) >= count)
+        return self.list_end_events()[-1]
 
 
-def test_keeps_a_connection_and_names_the_target() -> None:
+def test_reuses_a_connection() -> None:
     """Two requests one after the other share a connection."""
 
     async def check() -> None:
-        async with peers.listen(peers.answer_with(b'x' * 16)) as server:
-            bench = Bench(server)
-            bench.send()
-            first = await bench.take_end()
+        async with servers.listen(servers.make_script(b'x' * 16)) as server:
+            rig = PoolRig(server)
+            rig.send()
+            first = await rig.wait_for_end()
             assert isinstance(first, events.TargetAnswered)
             assert first.answer.body == b'x' * 16
-            bench.send()
-            await bench.take_end(2)
-            assert server.connections == 1
-            told = peers.find_field(
-                server.heads[0], 'fuchsiahaven-target-instance'
+            rig.send()
+            await rig.wait_for_end(2)
+            assert server.connection_count == 1
+            target_name = servers.find_field(
+                server.request_heads[0], 'fuchsiahaven-target-instance'
             )
-            assert told == bench.instance.name
+            assert target_name == rig.instance.name
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_takes_a_body_without_length_to_its_end() -> None:
+def test_reads_a_body_until_the_connection_closes() -> None:
     """An answer may end with its connection."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
         text = (
             'HTTP/1.1 200 OK\r\n'
-            f'Fuchsiahaven-Request-Id: {peers.find_id(head)}\r\n'
+            f'Fuchsiahaven-Request-Id: {servers.find_request_id(head)}\r\n'
             'Fuchsiahaven-Response-Signature: signed\r\n\r\n'
         )
         writer.write(text.encode() + b'y' * 32)
         writer.close()
 
     async def check() -> None:
-        async with peers.listen(script) as server:
-            bench = Bench(server)
-            bench.send()
-            end = await bench.take_end()
+        async with servers.listen(script) as server:
+            rig = PoolRig(server)
+            rig.send()
+            end = await rig.wait_for_end()
             assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'y' * 32
 
-    peers.run(check())
+    servers.run(check())
 
 
-async def cut_short(head: bytes, writer: asyncio.StreamWriter) -> None:
+async def truncate(head: bytes, writer: asyncio.StreamWriter) -> None:
     """Promise more than is sent."""
-    whole = peers.write_answer(peers.find_id(head), b'z' * 64)
+    whole = servers.encode_response(servers.find_request_id(head), b'z' * 64)
     writer.write(whole[:-10])
     writer.close()
 
 
-async def write_rubbish(head: bytes, writer: asyncio.StreamWriter) -> None:
+async def write_garbage(head: bytes, writer: asyncio.StreamWriter) -> None:
     """Write what is no answer."""
     writer.write(b'\x16\x03\x01 no answer at all\r\n\r\n')
 
@@ -138,7 +140,7 @@
     """Begin an answer without length, and reset."""
     text = (
         'HTTP/1.1 200 OK\r\n'
-        f'Fuchsiahaven-Request-Id: {peers.find_id(head)}\r\n'
+        f'Fuchsiahaven-Request-Id: {servers.find_request_id(head)}\r\n'
         'Fuchsiahaven-Response-Signature: signed\r\n\r\n'
     )
     writer.write(text.encode() + b'y' * 32)
@@ -152,9 +154,9 @@
 
 
 @pytest.mark.parametrize(
-    'script', [cut_short, write_rubbish, reset, reset_without_length]
+    'script', [truncate, write_garbage, reset, reset_without_length]
 )
-def test_takes_nothing_that_is_not_whole(script: peers.Script) -> None:
+def test_incomplete_response_breaks_the_attempt(script: servers.Script) -> None:
     """Symptom: a caller gets half of an answer that looks complete.
 
     Whatever breaks off after the request has left ends with an unknown
@@ -162,19 +164,19 @@
     """
 
     async def check() -> None:
-        async with peers.listen(script) as server:
-            bench = Bench(server)
-            bench.send()
-            assert isinstance(await bench.take_end(), events.AttemptBroken)
-            bench.send()
-            assert isinstance(await bench.take_end(2), events.AttemptBroken)
-            assert len(server.heads) == 2
-            assert server.connections >= 2
+        async with servers.listen(script) as server:
+            rig = PoolRig(server)
+            rig.send()
+            assert isinstance(await rig.wait_for_end(), events.AttemptBroken)
+            rig.send()
+            assert isinstance(await rig.wait_for_end(2), events.AttemptBroken)
+            assert len(server.request_heads) == 2
+            assert server.connection_count >= 2
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_passes_over_an_answer_that_comes_twice() -> None:
+def test_skips_a_duplicate_response() -> None:
     """Symptom: a caller gets the answer of another caller.
 
     The target sends its first answer twice, the second time just before the
@@ -183,47 +185,49 @@
     """
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-        number = peers.find_id(head)
+        number = servers.find_request_id(head)
         if number == 'id-2':
-            writer.write(peers.write_answer('id-1', b'1' * 16))
-        writer.write(peers.write_answer(number, number.encode()))
+            writer.write(servers.encode_response('id-1', b'1' * 16))
+        writer.write(servers.encode_response(number, number.encode()))
 
     async def check() -> None:
-        async with peers.listen(script) as server:
-            bench = Bench(server)
-            bench.send()
-            await bench.take_end()
-            bench.send()
-            end = await bench.take_end(2)
+        async with servers.listen(script) as server:
+            rig = PoolRig(server)
+            rig.send()
+            await rig.wait_for_end()
+            rig.send()
+            end = await rig.wait_for_end(2)
             assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'id-2'
-            assert server.connections == 1
+            assert server.connection_count == 1
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_uses_no_connection_that_holds_more_bytes() -> None:
+def test_closes_a_connection_with_extra_bytes() -> None:
     """Bytes after an answer belong to nobody: the connection is closed."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(peers.write_answer(peers.find_id(head), b'ok'))
+        writer.write(
+            servers.encode_response(servers.find_request_id(head), b'ok')
+        )
         writer.write(b'more')
 
     async def check() -> None:
-        async with peers.listen(script) as server:
-            bench = Bench(server)
-            bench.send()
-            end = await bench.take_end()
+        async with servers.listen(script) as server:
+            rig = PoolRig(server)
+            rig.send()
+            end = await rig.wait_for_end()
             assert isinstance(end, events.TargetAnswered)
             assert end.answer.body == b'ok'
-            bench.send()
-            await bench.take_end(2)
-            assert server.connections == 2
+            rig.send()
+            await rig.wait_for_end(2)
+            assert server.connection_count == 2
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_sends_what_runs_once_on_a_connection_that_works() -> None:
+def test_non_idempotent_needs_a_proven_connection() -> None:
     """Symptom: a refund's outcome is unknown because a connection was stale.
 
     The kept connection has been idle for longer than it proves to work; the
@@ -231,104 +235,104 @@
     """
 
     async def check() -> None:
-        async with peers.listen(peers.answer_with(b'')) as server:
-            bench = Bench(server)
-            bench.send()
-            await bench.take_end()
-            bench.send(fresh=True)
-            await bench.take_end(2)
-            assert server.connections == 1
+        async with servers.listen(servers.make_script(b'')) as server:
+            rig = PoolRig(server)
+            rig.send()
+            await rig.wait_for_end()
+            rig.send(fresh=True)
+            await rig.wait_for_end(2)
+            assert server.connection_count == 1
             await asyncio.sleep(0.25)
-            bench.send(fresh=True)
-            await bench.take_end(3)
-            assert server.connections == 2
+            rig.send(fresh=True)
+            await rig.wait_for_end(3)
+            assert server.connection_count == 2
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_opens_no_more_connections_than_it_has_seats() -> None:
+def test_bounds_its_connections() -> None:
     """Ten requests at once share two connections, and all are answered."""
 
     async def check() -> None:
-        async with peers.listen(peers.answer_with(b'')) as server:
-            bench = Bench(server)
+        async with servers.listen(servers.make_script(b'')) as server:
+            rig = PoolRig(server)
             for _ in range(10):
-                bench.send()
-            await bench.take_end(10)
-            assert server.connections == 2
-            assert len(bench.list_ends()) == 10
+                rig.send()
+            await rig.wait_for_end(10)
+            assert server.connection_count == 2
+            assert len(rig.list_end_events()) == 10
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_tells_that_nothing_left_where_nobody_listens() -> None:
+def test_refused_connection_means_not_sent() -> None:
     """A refused connection proves that the request did not run."""
 
     async def check() -> None:
-        async with peers.listen(peers.answer_with(b'')) as server:
-            bench = Bench(server)
-        key = bench.send()
-        assert await bench.take_end() == events.AttemptUnsent(
+        async with servers.listen(servers.make_script(b'')) as server:
+            rig = PoolRig(server)
+        key = rig.send()
+        assert await rig.wait_for_end() == events.AttemptUnsent(
             key, unreachable=True
         )
 
-    peers.run(check())
+    servers.run(check())
 
 
-async def say_nothing(head: bytes, writer: asyncio.StreamWriter) -> None:
+async def never_respond(head: bytes, writer: asyncio.StreamWriter) -> None:
     """Leave a request without an answer."""
 
 
-def test_gives_up_a_silent_target_after_the_time_of_the_request() -> None:
+def test_times_out_after_the_deadline() -> None:
     """What nobody answers ends as broken, a little after its time."""
 
     async def check() -> None:
-        async with peers.listen(say_nothing) as server:
-            bench = Bench(server)
-            key = bench.send(0.05)
-            await peers.wait_for(lambda: server.heads)
-            bench.pool.sweep(time.monotonic() + 0.1)
-            assert not bench.list_ends()
-            bench.pool.sweep(time.monotonic() + 0.5)
+        async with servers.listen(never_respond) as server:
+            rig = PoolRig(server)
+            key = rig.send(0.05)
+            await servers.wait_for(lambda: server.request_heads)
+            rig.pool.expire(time.monotonic() + 0.1)
+            assert not rig.list_end_events()
+            rig.pool.expire(time.monotonic() + 0.5)
             timed_out = events.AttemptBroken(key, messages.Fault.TIMED_OUT)
-            assert bench.list_ends() == [timed_out]
+            assert rig.list_end_events() == [timed_out]
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_breaks_off_work_for_a_caller_that_left() -> None:
+def test_cancels_work_of_an_absent_caller() -> None:
     """The connection closes soon, so that the target stops working."""
 
     async def check() -> None:
-        async with peers.listen(say_nothing) as server:
-            bench = Bench(server)
-            key = bench.send()
-            await peers.wait_for(lambda: server.heads)
-            bench.pool.stop(key, also_sent=True)
-            bench.pool.sweep(time.monotonic() + 0.3)
-            assert len(bench.list_ends()) == 1
+        async with servers.listen(never_respond) as server:
+            rig = PoolRig(server)
+            key = rig.send()
+            await servers.wait_for(lambda: server.request_heads)
+            rig.pool.cancel(key, also_sent=True)
+            rig.pool.expire(time.monotonic() + 0.3)
+            assert len(rig.list_end_events()) == 1
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_withdraws_what_waits_for_a_connection() -> None:
+def test_withdraws_a_queued_attempt() -> None:
     """What has not left ends as not sent; what has left goes on."""
 
     async def check() -> None:
-        async with peers.listen(say_nothing) as server:
-            bench = Bench(server, seats=1)
-            first = bench.send()
-            second = bench.send()
-            await peers.wait_for(lambda: server.heads)
-            bench.pool.stop(first, also_sent=False)
-            bench.pool.stop(second, also_sent=False)
+        async with servers.listen(never_respond) as server:
+            rig = PoolRig(server, max_connections=1)
+            first = rig.send()
+            second = rig.send()
+            await servers.wait_for(lambda: server.request_heads)
+            rig.pool.cancel(first, also_sent=False)
+            rig.pool.cancel(second, also_sent=False)
             unsent = events.AttemptUnsent(second, False, withdrawn=True)
-            assert bench.list_ends() == [unsent]
+            assert rig.list_end_events() == [unsent]
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_tells_that_a_target_has_ended() -> None:
+def test_detects_an_exited_target() -> None:
     """Symptom: a process that ended looks like a connection that broke.
 
     The port is closed when the pool looks, right after the connection of a
@@ -338,35 +342,35 @@
     async def check() -> None:
         async with contextlib.AsyncExitStack() as stack:
             target = await asyncio.start_server(
-                lambda reader, writer: None, peers.LOOPBACK, 0
+                lambda reader, writer: None, servers.LOOPBACK, 0
             )
             stack.callback(target.close)
             host, port = target.sockets[0].getsockname()
-            server = peers.Server(peers.answer_with(b''))
+            server = servers.Server(servers.make_script(b''))
             server.address = f'{host}:{port}'
-            bench = Bench(server)
-            bench.send()
-            await peers.wait_for(lambda: bench.pool.count_links() == 1)
-            await peers.wait_for(lambda: bench.count(events.TargetConnected))
+            rig = PoolRig(server)
+            rig.send()
+            await servers.wait_for(lambda: rig.pool.count_connections() == 1)
+            await servers.wait_for(lambda: rig.count(events.TargetConnected))
             target.close()
-            for link in tuple(bench.pool._busy):
-                link.connection_lost(None)
-            await peers.wait_for(lambda: bench.count(events.TargetExited))
+            for connection in tuple(rig.pool._active):
+                connection.connection_lost(None)
+            await servers.wait_for(lambda: rig.count(events.TargetExited))
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_looks_at_a_target_whose_connection_was_reset() -> None:
+def test_reconnects_after_a_reset() -> None:
     """A target that accepts the next connection is told to be reached."""
 
     async def check() -> None:
-        async with peers.listen(reset) as server:
-            bench = Bench(server)
-            bench.send()
-            assert isinstance(await bench.take_end(), events.AttemptBroken)
-            await peers.wait_for(
-                lambda: bench.count(events.TargetConnected) == 2
+        async with servers.listen(reset) as server:
+            rig = PoolRig(server)
+            rig.send()
+            assert isinstance(await rig.wait_for_end(), events.AttemptBroken)
+            await servers.wait_for(
+                lambda: rig.count(events.TargetConnected) == 2
             )
-            assert not bench.count(events.TargetExited)
+            assert not rig.count(events.TargetExited)
 
-    peers.run(check())
+    servers.run(check())
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -10,66 +10,66 @@
 )
 
 
-class Log(journal.Journal):
+class RecordingLog(journal.Journal):
     """Keep what is told in place of writing it."""
 
     def __init__(self) -> None:
         """Start with nothing told."""
-        self.told: list[str] = []
+        self.texts: list[str] = []
 
-    def tell(self, part: str, text: str, **fields: object) -> None:
+    def log_event(self, part: str, text: str, **fields: object) -> None:
         """Keep a line."""
-        self.told.append(text)
+        self.texts.append(text)
 
 
-class Host:
+class ReadinessRig:
     """Own a host's readiness and what stands in its way."""
 
     def __init__(self) -> None:
         """Start ready."""
-        self.log = Log()
+        self.log = RecordingLog()
         self.obstacle = ''
         self.readiness = readiness.Readiness(lambda: self.obstacle, self.log)
 
-    def change(self, obstacle: str) -> None:
+    def change_obstacle(self, obstacle: str) -> None:
         """Have something stand in the way; wait until that is worked out."""
         self.obstacle = obstacle
         end = time.monotonic() + 5
         while self.readiness.find_obstacle() != obstacle:
             assert time.monotonic() < end
 
-    def advise(self) -> float | None:
+    def get_retry_after(self) -> float | None:
         """Return when a caller that is refused is told to come back."""
-        advised = self.readiness.advise(FAILURE)
+        advised = self.readiness.adjust_retry_after(FAILURE)
         assert isinstance(advised, errors.Failure)
         return advised.retry_after
 
 
-def test_tells_refused_callers_when_others_take_them() -> None:
+def test_retry_after_follows_the_balancer() -> None:
     """Symptom: callers of a host that is cut off are refused twice.
 
     The balancer asks once a second and moves them after two answers; before
     that they are told to wait for it, and to come back at once after.
     """
-    host = Host()
-    assert host.advise() == 7.0
-    host.change('cut off')
-    first = host.advise()
+    host = ReadinessRig()
+    assert host.get_retry_after() == 7.0
+    host.change_obstacle('cut off')
+    first = host.get_retry_after()
     assert first is not None
     assert 1.5 < first < 2.5
-    host.readiness.tell_balancer()
-    host.readiness.tell_balancer()
-    last = host.advise()
+    host.readiness.record_poll()
+    host.readiness.record_poll()
+    last = host.get_retry_after()
     assert last is not None
     assert last < 0.2
-    host.change('')
-    assert host.advise() == 7.0
+    host.change_obstacle('')
+    assert host.get_retry_after() == 7.0
 
 
 def test_logs_each_change_once() -> None:
     """The log says when a host became ready or not."""
-    host = Host()
-    host.change('cut off')
-    host.change('')
+    host = ReadinessRig()
+    host.change_obstacle('cut off')
+    host.change_obstacle('')
     host.readiness.find_obstacle()
-    assert host.log.told == ['not ready', 'ready']
+    assert host.log.texts == ['not ready', 'ready']
--- a/tests/relay/test_restores.py
+++ b/tests/relay/test_restores.py
@@ -4,12 +4,12 @@
 import time
 
 from fuchsiahaven.core import suspects
-from tests.relay import peers, test_notices, worlds
+from tests.relay import clusters, servers, test_suspect_notices
 
 HOST_KEY = 'fuchsiahaven/hosts/host-1'
 
 
-def test_has_each_version_in_force_soon_after_a_restore() -> None:
+def test_applies_versions_after_a_restore() -> None:
     """Symptom: accepted configurations are not in force for many seconds.
 
     The store comes back with lower revisions and gives them out again; what is
@@ -17,20 +17,22 @@
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_host('host-1')
-            await world.add_host('host-2')
-            copy = world.store.copy()
+        async with clusters.make() as cluster:
+            await cluster.add_host('host-1')
+            await cluster.add_host('host-2')
+            copy = cluster.store.copy()
             for version in (5, 7, 9):
-                world.store.put('op/config', worlds.make_configuration(version))
-            await world.wait_for_version(9)
-            world.store.restore(copy)
-            await world.accept(12)
+                cluster.store.put(
+                    'op/config', clusters.make_configuration(version)
+                )
+            await cluster.wait_for_version(9)
+            cluster.store.restore(copy)
+            await cluster.put_version(12)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_reads_a_value_anew_at_a_revision_that_was_given_out_before() -> None:
+def test_decodes_a_reused_revision_again() -> None:
     """Symptom: a host takes the version before for the one that it reads.
 
     What was decoded is remembered by its revision, which the store gives out
@@ -38,18 +40,18 @@
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_host('host-1')
-            await world.settle()
-            copy = world.store.copy()
-            await world.accept(9)
-            world.store.restore(copy)
-            await world.accept(12)
+        async with clusters.make() as cluster:
+            await cluster.add_host('host-1')
+            await cluster.wait_for_hosts()
+            copy = cluster.store.copy()
+            await cluster.put_version(9)
+            cluster.store.restore(copy)
+            await cluster.put_version(12)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_enters_itself_again_under_a_lease_of_its_own() -> None:
+def test_writes_its_entry_under_a_new_lease() -> None:
     """Symptom: a host is missing to the others, though its lease is renewed.
 
     The lease was lost with the entry, and its number is another's now: neither
@@ -57,131 +59,140 @@
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_host('host-1')
-            await world.settle()
-            copy = worlds.copy_without(world.store, 'fuchsiahaven/hosts/')
-            world.store.restore(copy)
-            other = world.store.history.open_lease(60, time.monotonic())
-            held = world.store.history.leases[other]
-            await peers.wait_for(lambda: HOST_KEY in world.store.items)
-            assert world.store.items[HOST_KEY]['lease'] != other
-            assert world.store.history.leases[other] == held
-            assert not world.store.calls[f'/kv-keep/{other}']
-
-    peers.run(check())
-
-
-def test_keeps_counting_hosts_that_enter_themselves_again() -> None:
+        async with clusters.make() as cluster:
+            await cluster.add_host('host-1')
+            await cluster.wait_for_hosts()
+            copy = clusters.copy_without(cluster.store, 'fuchsiahaven/hosts/')
+            cluster.store.restore(copy)
+            other = cluster.store.history.open_lease(60, time.monotonic())
+            held = cluster.store.history.leases[other]
+            await servers.wait_for(lambda: HOST_KEY in cluster.store.items)
+            assert cluster.store.items[HOST_KEY]['lease'] != other
+            assert cluster.store.history.leases[other] == held
+            assert not cluster.store.calls[f'/kv-keep/{other}']
+
+    servers.run(check())
+
+
+def test_keeps_the_host_count_after_a_restore() -> None:
     """Symptom: after a restore each host takes all of the bound on repeats."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_hosts('host-1', 'host-2', 'host-3')
-            copy = worlds.copy_without(world.store, 'fuchsiahaven/hosts/')
-            world.store.restore(copy)
-            await world.settle()
-            assert all(it.desk.host_count == 3 for it in world.hosts)
+        async with clusters.make() as cluster:
+            await cluster.add_hosts('host-1', 'host-2', 'host-3')
+            copy = clusters.copy_without(cluster.store, 'fuchsiahaven/hosts/')
+            cluster.store.restore(copy)
+            await cluster.wait_for_hosts()
+            assert all(it.router.host_count == 3 for it in cluster.hosts)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_does_not_enter_itself_under_a_lease_of_another_era() -> None:
+def test_rejects_a_lease_of_another_era() -> None:
     """Symptom: the entry goes with somebody else's lease.
 
     The store comes back between the two calls that make an entry.
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            copy = world.store.copy()
-            found: list[int] = []
+        async with clusters.make() as cluster:
+            copy = cluster.store.copy()
+            foreign_leases: list[int] = []
 
-            def come_back(_: int) -> None:
-                if not found:
-                    world.store.restore(copy)
+            def restore_store(_: int) -> None:
+                if not foreign_leases:
+                    cluster.store.restore(copy)
                     now = time.monotonic()
-                    found.append(world.store.history.open_lease(60, now))
+                    foreign_leases.append(
+                        cluster.store.history.open_lease(60, now)
+                    )
 
-            world.store.on_lease = come_back
-            await world.add_host('host-1')
-            await peers.wait_for(
+            cluster.store.on_lease = restore_store
+            await cluster.add_host('host-1')
+            await servers.wait_for(
                 lambda: (
-                    HOST_KEY in world.store.items
-                    and world.store.items[HOST_KEY]['lease'] not in found
+                    HOST_KEY in cluster.store.items
+                    and cluster.store.items[HOST_KEY]['lease']
+                    not in foreign_leases
                 )
             )
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_enters_quarantines_again() -> None:
+def test_writes_quarantines_again() -> None:
     """Symptom: a host that starts ends one target of each shard anew."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            host = await world.add_host('host-1')
-            await world.settle()
-            copy = world.store.copy()
-            test_notices.find_out(host, suspects.MIN_QUARANTINE_CRASHES)
-            await peers.wait_for(lambda: test_notices.KEY in world.store.items)
-            world.store.restore(copy)
-            await peers.wait_for(lambda: test_notices.KEY in world.store.items)
+        async with clusters.make() as cluster:
+            host = await cluster.add_host('host-1')
+            await cluster.wait_for_hosts()
+            copy = cluster.store.copy()
+            test_suspect_notices.report_crashes(
+                host, suspects.MIN_QUARANTINE_CRASHES
+            )
+            await servers.wait_for(
+                lambda: test_suspect_notices.KEY in cluster.store.items
+            )
+            cluster.store.restore(copy)
+            await servers.wait_for(
+                lambda: test_suspect_notices.KEY in cluster.store.items
+            )
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_passes_a_restore_on_to_a_host_that_the_store_turns_away() -> None:
+def test_forwards_a_restore_to_a_cut_off_host() -> None:
     """Symptom: one host stays in the era before, and at its version."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_hosts('host-1', 'host-2')
-            second = world.hosts[1]
-            second.news.store.address = '127.0.0.1:1'
-            second.news.store.close()
-            copy = world.store.copy()
-            await world.accept(9)
-            world.store.restore(copy)
-            await world.accept(12)
-            assert second.news.ledger.era == world.store.era
+        async with clusters.make() as cluster:
+            await cluster.add_hosts('host-1', 'host-2')
+            second = cluster.hosts[1]
+            second.store_sync.store_client.address = '127.0.0.1:1'
+            second.store_sync.store_client.close()
+            copy = cluster.store.copy()
+            await cluster.put_version(9)
+            cluster.store.restore(copy)
+            await cluster.put_version(12)
+            assert second.store_sync.view.era == cluster.store.era
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_follows_two_restores_within_a_second() -> None:
+def test_handles_two_restores_within_a_second() -> None:
     """Symptom: the second return is taken for the first one."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_hosts('host-1', 'host-2')
-            older = world.store.copy()
-            await world.accept(9)
-            newer = world.store.copy()
-            world.store.put('op/config', worlds.make_configuration(10))
-            world.store.restore(newer)
+        async with clusters.make() as cluster:
+            await cluster.add_hosts('host-1', 'host-2')
+            older = cluster.store.copy()
+            await cluster.put_version(9)
+            newer = cluster.store.copy()
+            cluster.store.put('op/config', clusters.make_configuration(10))
+            cluster.store.restore(newer)
             await asyncio.sleep(0.3)
-            world.store.restore(older, 2)
-            await world.accept(12)
-            assert all(it.news.ledger.era == 4 for it in world.hosts)
+            cluster.store.restore(older, 2)
+            await cluster.put_version(12)
+            assert all(it.store_sync.view.era == 4 for it in cluster.hosts)
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_a_host_that_starts_after_a_restore_is_not_set_back() -> None:
+def test_a_started_host_gets_the_latest_version() -> None:
     """Symptom: a host that restarts serves the version of the copy.
 
     The operator has not written again yet; the other host has the version.
     """
 
     async def check() -> None:
-        async with worlds.make() as world:
-            first = await world.add_host('host-1')
-            copy = world.store.copy()
-            await world.accept(9)
-            world.store.restore(copy)
-            await peers.wait_for(lambda: first.news.ledger.era == 2)
-            await world.add_host('host-2')
-            await world.wait_for_version(9)
-
-    peers.run(check())
+        async with clusters.make() as cluster:
+            first = await cluster.add_host('host-1')
+            copy = cluster.store.copy()
+            await cluster.put_version(9)
+            cluster.store.restore(copy)
+            await servers.wait_for(lambda: first.store_sync.view.era == 2)
+            await cluster.add_host('host-2')
+            await cluster.wait_for_version(9)
+
+    servers.run(check())
--- a/tests/relay/test_silences.py
+++ b/tests/relay/test_silence_reports.py
@@ -4,48 +4,51 @@
 
 import pytest
 
-from fuchsiahaven.relay import process, silences
+from fuchsiahaven.relay import process, silence_reports
 from fuchsiahaven.routing import centre_health, events
-from tests.relay import peers, worlds
+from tests.relay import clusters, servers
 
 
 def put_customers(host: process.Process) -> None:
     """Have a host know that customers compete."""
-    configuration = host.desk.index.configuration._replace(
+    configuration = host.router.index.configuration._replace(
         version=1_000_000, customers=()
     )
     host.runner.post(events.ConfigurationReceived(configuration))
 
 
-def lose_north(host: process.Process) -> None:
+def silence_north(host: process.Process) -> None:
     """Have a host hear nothing of what it has sent to the north."""
     for name in ('a', 'b', 'c'):
-        host.desk.centre_health.record_sent('north', name, time.monotonic())
+        host.router.centre_health.record_sent('north', name, time.monotonic())
 
 
-def test_tells_the_hosts_beside_it_and_takes_it_back() -> None:
+def test_reports_and_withdraws_silence() -> None:
     """Symptom: only some hosts of a data centre that is cut off say so."""
 
     async def check() -> None:
-        async with worlds.make() as world:
-            await world.add_hosts('host-0', 'host-1', 'host-2')
-            *finders, asked = world.hosts
-            for host in finders:
+        async with clusters.make() as cluster:
+            await cluster.add_hosts('host-0', 'host-1', 'host-2')
+            *reporters, receiver = cluster.hosts
+            for host in reporters:
                 put_customers(host)
-                lose_north(host)
-            known = asked.desk.centre_health
-            await peers.wait_for(lambda: known.is_silent('north'))
-            assert not known.list_observed()
-            finders[0].desk.centre_health.record_contact('north')
-            await peers.wait_for(lambda: not known.is_silent('north'))
+                silence_north(host)
+            health = receiver.router.centre_health
+            await servers.wait_for(lambda: health.is_silent('north'))
+            assert not health.list_observed()
+            reporters[0].router.centre_health.record_contact('north')
+            await servers.wait_for(lambda: not health.is_silent('north'))
 
-    peers.run(check())
+    servers.run(check())
 
 
-def test_the_word_survives_the_way() -> None:
+def test_encodes_and_decodes_a_report() -> None:
     """What is read is what was written."""
-    word = centre_health.SilenceReport('host-1', 'south', ('north', 'west'))
-    assert silences.read(silences.write(word)) == word
+    report = centre_health.SilenceReport('host-1', 'south', ('north', 'west'))
+    assert (
+        silence_reports.decode_report(silence_reports.encode_report(report))
+        == report
+    )
 
 
 @pytest.mark.parametrize(
@@ -63,7 +66,7 @@
         % b','.join([b'"a"'] * 300),
     ],
 )
-def test_refuses_what_is_no_word(text: bytes) -> None:
+def test_rejects_malformed_reports(text: bytes) -> None:
     """Nonsense of another host takes no data centre out of service."""
     with pytest.raises(ValueError):
-        silences.read(text)
+        silence_reports.decode_report(text)
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fuchsiahaven.relay import askers, readers
+from fuchsiahaven.relay import long_polls, store_readers
 from fuchsiahaven.routing import configs, facts, freshness
 from tests.routing import freshness_model
 
@@ -142,7 +142,7 @@
         if now >= self._answered_at:
             self.freshness.record_read(self._sent_at, facts.NO_ERA)
             wait = self.freshness.limit_time(
-                readers.WATCH_S, freshness.WATCH_FRACTION
+                store_readers.WATCH_WAIT_S, freshness.WATCH_FRACTION
             )
             self._sent_at = now + self.freshness.limit_time(
                 1, freshness.PAUSE_FRACTION
@@ -175,7 +175,10 @@
         elif poll.proof is None and now >= poll.arrives_at:
             other = self._other
             is_worth_sending = other.is_proof_useful(poll.arrives_at, poll.age)
-            if is_worth_sending or now >= poll.arrives_at + askers.HOLD_S:
+            if (
+                is_worth_sending
+                or now >= poll.arrives_at + long_polls.MAX_HOLD_S
+            ):
                 returns_at = now + self._draw.uniform(0, self._max_delay_s)
                 proof = other.make_proof(poll.arrives_at)
                 self._poll = poll._replace(returns_at=returns_at, proof=proof)
--- a/tests/standins/test_metadata_store.py
+++ b/tests/standins/test_metadata_store.py
@@ -7,9 +7,9 @@
 from typing import Any, NamedTuple
 
 from fuchsiahaven.platform import store as calls
-from fuchsiahaven.relay import calls as clients
+from fuchsiahaven.relay import http_clients as clients
 from standins import metadata_store
-from tests.relay import peers
+from tests.relay import servers
 
 
 class Told(NamedTuple):
@@ -58,7 +58,7 @@
 @contextlib.asynccontextmanager
 async def connect(store: metadata_store.Store) -> AsyncIterator[Client]:
     """Serve a store and connect to it."""
-    server = await asyncio.start_server(store.serve, peers.LOOPBACK, 0)
+    server = await asyncio.start_server(store.serve, servers.LOOPBACK, 0)
     host, port = server.sockets[0].getsockname()
     client = clients.Client(f'{host}:{port}')
     try:
@@ -87,7 +87,7 @@
             told = await client.watch(last)
             assert (told.status, told.body['events'], told.era) == (200, [], 2)
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_tells_its_era_in_each_answer() -> None:
@@ -104,7 +104,7 @@
             store.era = None
             assert (await client.call('GET', '/kv-range?prefix=')).era is None
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_loses_the_leases_of_after_the_copy() -> None:
@@ -119,7 +119,7 @@
             assert (await client.call('POST', f'/kv-keep/{mine}')).status == 404
             assert await client.put('mine', mine) == 404
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_gives_numbers_of_leases_out_again() -> None:
@@ -140,7 +140,7 @@
             await client.call('DELETE', f'/kv-lease-end/{mine}')
             assert not store.items
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_ends_leases_with_their_keys() -> None:
@@ -154,7 +154,7 @@
             told = await client.watch(store.revision, 1000)
             assert told.body['events'][0]['deleted']
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_writes_on_a_condition() -> None:
@@ -167,7 +167,7 @@
             assert await client.put('one', 0, (new,)) == 200
             assert await client.put('one', 0, (new,)) == 412
 
-    peers.run(check())
+    servers.run(check())
 
 
 def test_cuts_watches_when_it_comes_back() -> None:
@@ -177,10 +177,10 @@
         store = metadata_store.Store()
         async with connect(store) as client:
             waiting = asyncio.create_task(client.watch(store.revision, 5000))
-            await peers.wait_for(lambda: store.calls['/kv-watch'])
+            await servers.wait_for(lambda: store.calls['/kv-watch'])
             store.restore(store.copy())
             done, _ = await asyncio.wait([waiting], timeout=2)
             assert isinstance(waiting.exception(), clients.CallFailed)
             assert done
 
-    peers.run(check())
+    servers.run(check())
