--- a/fuchsiahaven/core/claims/__init__.py
+++ b/fuchsiahaven/core/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Let a request that must not be repeated run once at most."""
+"""Ensure that an at-most-once request runs at most once."""
--- a/fuchsiahaven/core/claims/claim_calls.py
+++ b/fuchsiahaven/core/claims/claim_calls.py
@@ -1,4 +1,4 @@
-"""Define what passes between a key's commits, the platform and members."""
+"""Define the calls that commit claims, and their results."""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +8,11 @@
 
 
 class Uncertainty(enum.IntFlag):
-    """Say why an attempt may stand although nobody has told us so."""
+    """List why an attempt may be in the ledger without a result that says so.
+
+    UNCLEAR_WRITE: a write that contained it got no trusted answer. FORWARDED:
+    a member was asked to write it and did not say what became of it.
+    """
 
     NONE = 0
     UNCLEAR_WRITE = 1
@@ -16,11 +20,13 @@
 
 
 class PendingStep(NamedTuple):
-    """Hold one step that waits until `give_up`, in monotonic seconds.
+    """Hold one step that waits to be written.
 
-    `own` tells a step of this host from one that a member asked us to write.
-    Nobody waits for an outcome, so until `hurry` it starts no write of its
-    own but goes along with a claim's.
+    `deadline` is the time at which the step is given up, and `write_at` the
+    time from which it causes a write by itself, both in monotonic seconds.
+    Before `write_at` the step is written only together with others: no
+    caller waits for the write of an outcome. `is_own` is false for a step
+    that a member asked this host to write.
     """
 
     step: claims.Step
@@ -31,9 +37,12 @@
 
 
 class StepResult(NamedTuple):
-    """Hold what came of one step.
+    """Hold the result of one step.
 
-    Steps other than attempts settle as GRANTED once noted.
+    The result of an outcome or a return is GRANTED once the step is applied.
+    `claim` is the claim under the request id that decided the result.
+    `maybe_written` is true where an attempt that was not granted may still be
+    in the ledger.
     """
 
     pending: PendingStep
@@ -44,20 +53,23 @@
 
 
 class ForwardSteps(NamedTuple):
-    """Ask that a member writes the steps; it saves writes, no more."""
+    """Ask a member to write the steps.
+
+    Forwarding only saves writes; the host could write the steps itself.
+    """
 
     key: str
     steps: tuple[claims.Step, ...]
 
 
 class ReadKey(NamedTuple):
-    """Ask for the value and revision of a key."""
+    """Read the value and the revision of a key."""
 
     key: str
 
 
 class CompareAndSwap(NamedTuple):
-    """Ask for a write of a key at a revision."""
+    """Write a key if it still has this revision."""
 
     key: str
     value: str
@@ -68,50 +80,50 @@
 
 
 class ForwardAnswered(NamedTuple):
-    """Bring the member's verdicts on some of the steps."""
+    """Report the member's results for some or all of the steps."""
 
     results: tuple[StepResult, ...]
 
 
 class ForwardLost(NamedTuple):
-    """Bring that the member may have the steps and said nothing."""
+    """Report that the member may have the steps but did not answer."""
 
 
 class ForwardRefused(NamedTuple):
-    """Bring that the member certainly does not have the steps."""
+    """Report that the member certainly does not have the steps."""
 
 
 class KeyRead(NamedTuple):
-    """Bring a key as read; revision 0 where it does not exist."""
+    """Report the key as read; the revision is 0 if it does not exist."""
 
     value: str | None
     revision: int
 
 
 class KeyWritten(NamedTuple):
-    """Bring the revision that a write gave."""
+    """Report a successful write and the new revision of the key."""
 
     revision: int
 
 
 class WriteConflict(NamedTuple):
-    """Bring that the key had moved on; nothing was written."""
+    """Report that the key had another revision; nothing was written."""
 
 
 class CallFailed(NamedTuple):
-    """Bring that a read gave nothing or a write had no effect."""
+    """Report that a read failed or that a write had no effect."""
 
     detail: str
 
 
 class WriteDistrusted(NamedTuple):
-    """Bring that a write took effect but grants nothing."""
+    """Report a write that took effect but must not grant any claim."""
 
     detail: str
 
 
 class WriteUnclear(NamedTuple):
-    """Bring that the answer to a write was lost."""
+    """Report a write without an answer; it may or may not take effect."""
 
 
 Result = (
--- a/fuchsiahaven/core/claims/claim_codecs.py
+++ b/fuchsiahaven/core/claims/claim_codecs.py
@@ -1,4 +1,4 @@
-"""Write and read what hosts send each other about claims."""
+"""Encode and decode the claim messages between hosts as JSON."""
 
 import json
 from typing import Any, Final, NamedTuple
@@ -62,20 +62,20 @@
 
 
 class Batch(NamedTuple):
-    """Hold the steps that one host asks another to write under a key."""
+    """Hold the steps that a host asks another host to write under a key."""
 
     key: str
     steps: tuple[claims.Step, ...]
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Write a batch as JSON."""
+    """Encode a batch as JSON."""
     rows = [{'kind': _get_kind(step), **step._asdict()} for step in batch.steps]
     return json.dumps({'key': batch.key, 'steps': rows}).encode()
 
 
 def decode_batch(body: bytes) -> Batch | None:
-    """Read a batch; None where it is not well formed."""
+    """Decode a batch; return None if it is malformed."""
     try:
         content = _VALIDATE_BATCH(json_texts.load(body))
         steps = tuple(_decode_step(row) for row in content['steps'])
@@ -85,7 +85,7 @@
 
 
 def encode_results(results: claim_calls.StepResults) -> bytes:
-    """Write what came of the steps of a batch as JSON."""
+    """Encode the results of the steps of a batch as JSON."""
     rows = [
         {
             'nonce': result.pending.step.nonce,
@@ -103,7 +103,10 @@
 def decode_results(
     body: bytes, steps: tuple[claims.Step, ...]
 ) -> claim_calls.ForwardAnswered | None:
-    """Read what came of these steps; None where it is not well formed."""
+    """Decode the results of these steps; return None if malformed.
+
+    Steps without a result in the body are left out.
+    """
     try:
         rows = _VALIDATE_RESULTS(json_texts.load(body))['settled']
     except (ValueError, fastjsonschema.JsonSchemaException):
--- a/fuchsiahaven/core/claims/claims.py
+++ b/fuchsiahaven/core/claims/claims.py
@@ -1,8 +1,9 @@
-"""Decide who may run an at-most-once request: claims in time slots.
+"""Decide which attempt may run an at-most-once request.
 
-Every host computes the same key for the same id, and a claim is an entry
-added to the value of that key by compare-and-swap. Whoever adds it may run
-the request; nobody else ever may, however long the first one is paused.
+Claims are kept in ledgers, one for each key. Every host computes the same
+key from the same request id, and a claim is an entry added to the ledger of
+that key by compare-and-swap. The attempt that adds the entry may run the
+request; no other attempt ever may, however long the first one is paused.
 """
 
 import enum
@@ -15,24 +16,25 @@
 
 from fuchsiahaven.core import json_texts
 
-# Hosts that disagree on these two would claim one id under two keys, and it
-# would run twice. A change needs a new key prefix and one window's pause.
+# Hosts that disagree on these two values claim one id under two keys, and the
+# request runs twice. A change needs a new key prefix and a pause of
+# MAX_ID_AGE_S.
 BUCKET_COUNT: Final = 4
 SLOT_S: Final = 2
 
-# An id is refused once it is this old, in seconds, or this far ahead.
+# An id is refused if its time is further in the past or in the future.
 MAX_ID_AGE_S: Final = 300.0
 MAX_ID_AHEAD_S: Final = 5.0
-# Clocks of hosts may differ by this much from the platform's, in seconds.
+# Largest difference between the clock of a host and that of the platform.
 MAX_CLOCK_SKEW_S: Final = 30.0
 
-# The platform holds values of 1 MB. Recorded answers may fill only a part of
-# it, so that they never keep a new claim out.
+# The platform stores values of up to 1 MB. Outcomes are recorded only while
+# the ledger stays below a smaller size, so that they never keep out a claim.
 MAX_LEDGER_BYTES: Final = 950_000
 MAX_OUTCOME_LEDGER_BYTES: Final = 600_000
 MAX_OUTCOME_BYTES: Final = 8_000
 
-# What a caller is told whose attempt was not run though its claim may stand.
+# Error detail for an attempt that did not run but may have claimed its id.
 MAYBE_CLAIMED_DETAIL: Final = (
     'not run, but the claim may stand: if this id now brings an unknown '
     'outcome, and no other request had it, nothing ran; use a new id'
@@ -42,17 +44,18 @@
 
 
 class Stage(enum.IntEnum):
-    """Say how far a claimed request is known to have come."""
+    """List the stages of a claimed request."""
 
     CLAIMED = 0
     DONE = 1
 
 
 class Claim(NamedTuple):
-    """Hold one claim: whose attempt, valid until when, how it ended.
+    """Hold one claim.
 
-    `outcome` is JSON text; a request can be DONE without one where the
-    answer was too large to keep.
+    `nonce` names the attempt, `not_after_epoch` is the time up to which the
+    attempt is valid. `outcome` is the answer as JSON text; it is missing for
+    a request that is DONE if the answer was too large to keep.
     """
 
     nonce: str
@@ -62,14 +65,17 @@
 
 
 class Ledger(NamedTuple):
-    """Hold the claims under one key; `size` bounds the text in bytes."""
+    """Hold the claims under one key, by request id.
+
+    `size_bytes` is an upper bound of the encoded size.
+    """
 
     claims: Mapping[str, Claim]
     size_bytes: int
 
 
 class Attempt(NamedTuple):
-    """Ask for an id under a nonce that no other attempt has."""
+    """Claim an id under a nonce that no other attempt has."""
 
     request_id: str
     nonce: str
@@ -77,7 +83,7 @@
 
 
 class Outcome(NamedTuple):
-    """Say that an attempt ran to its end, with its answer as JSON text."""
+    """Record that an attempt has run, with its answer as JSON text."""
 
     request_id: str
     nonce: str
@@ -85,7 +91,7 @@
 
 
 class Return(NamedTuple):
-    """Say that an attempt ran nothing and never will."""
+    """Return the claim of an attempt that ran nothing and never will."""
 
     request_id: str
     nonce: str
@@ -95,7 +101,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """List what a ledger says to a step."""
+    """List the verdicts on a step."""
 
     GRANTED = 'granted'
     HELD = 'held'
@@ -104,7 +110,7 @@
 
 
 class Decision(NamedTuple):
-    """Hold the verdict on one step and the claim it met."""
+    """Hold the verdict on one step and the claim under its id."""
 
     step: Step
     verdict: Verdict
@@ -112,19 +118,20 @@
 
 
 class AppliedBatch(NamedTuple):
-    """Hold the ledger after a batch, and one ruling for each step."""
+    """Hold the ledger after a batch, and one decision for each step."""
 
     ledger: Ledger
     decisions: tuple[Decision, ...]
 
 
 class MalformedLedger(Exception):
-    """Report a value that is not a ledger; its claims are unknown."""
+    """Raised for a value that is not a ledger; its claims are unknown."""
 
 
 EMPTY_LEDGER: Final = Ledger({}, 0)
 
-# A time too large for a float would end the thread that adds to it.
+# An integer too large for a float raises OverflowError in arithmetic, which
+# would end the thread.
 _MAX_EPOCH_S: Final = 1_000_000_000_000
 EPOCH_SCHEMA: Final[Mapping[str, object]] = {
     'type': 'number',
@@ -158,34 +165,38 @@
 
 
 def is_claimable(time_epoch: float, now_epoch: float) -> bool:
-    """Tell whether an id of that time may still be claimed."""
+    """Return whether an id of that time may be claimed now."""
     return -MAX_ID_AHEAD_S <= now_epoch - time_epoch <= MAX_ID_AGE_S
 
 
 def compute_bucket(request_id: str) -> int:
-    """Spread ids evenly over the buckets, whatever their random part."""
+    """Return the bucket of an id.
+
+    Hashing spreads ids evenly however their random part is made.
+    """
     digest = hashlib.sha256(request_id.encode()).digest()
     return int.from_bytes(digest[:2], 'big') % BUCKET_COUNT
 
 
 def make_key(request_id: str, time_epoch: float) -> str:
-    """Name the one key under which an id is claimed."""
+    """Return the key under which an id is claimed."""
     slot_epoch = int(time_epoch // SLOT_S) * SLOT_S
     return f'claims/{compute_bucket(request_id)}/{slot_epoch}'
 
 
 def compute_key_expiry(time_epoch: float) -> float:
-    """Say until when, as an epoch, a key of that time must be kept.
+    """Return the epoch until which a key of that time must be kept.
 
-    A key that goes while some host still takes its ids lets one of them run
-    twice; the host's clock may be behind the platform's.
+    A key that expires while a host still accepts its ids lets a request run
+    twice. The clock of that host may be behind the platform's clock, and the
+    clock of the host that sets the lease ahead of it.
     """
     slot_epoch = time_epoch // SLOT_S * SLOT_S
     return slot_epoch + SLOT_S + MAX_ID_AGE_S + 2 * MAX_CLOCK_SKEW_S
 
 
 def apply_steps(ledger: Ledger, batch: Iterable[Step]) -> AppliedBatch:
-    """Apply a batch of steps; applying one twice changes nothing more."""
+    """Apply a batch of steps; applying a step again changes nothing."""
     claims = dict(ledger.claims)
     size_bytes = ledger.size_bytes
     decisions = []
@@ -212,8 +223,8 @@
         if new_size_bytes > MAX_LEDGER_BYTES:
             return Decision(step, Verdict.FULL)
         return Decision(step, Verdict.GRANTED, claim)
-    # Our own nonce is there when the answer to our write was lost, or when a
-    # member wrote it for us and could not say so.
+    # The ledger already has this nonce if the answer to the write was lost, or
+    # if a member wrote the step and its answer was lost.
     is_own = before.nonce == step.nonce
     return Decision(step, Verdict.GRANTED if is_own else Verdict.HELD, before)
 
@@ -230,8 +241,8 @@
         case Outcome():
             return _record_outcome(before, step.text, size_bytes)
         case Return():
-            # Only its own attempt may give a claim back, and not once it has
-            # said that it ran.
+            # Only the attempt itself may return its claim, and not after it
+            # has recorded an outcome.
             return before if before.stage else None
 
 
@@ -242,7 +253,7 @@
 
 
 def encode_ledger(ledger: Ledger) -> str:
-    """Write a ledger as JSON text."""
+    """Encode a ledger as JSON text."""
     rows = [(request_id, *claim) for request_id, claim in ledger.claims.items()]
     return json.dumps(
         {'version': _FORMAT_VERSION, 'claims': rows}, separators=(',', ':')
@@ -250,7 +261,11 @@
 
 
 def decode_ledger(text: str) -> Ledger:
-    """Read a ledger. Raises MalformedLedger."""
+    """Decode a ledger.
+
+    Raises:
+        MalformedLedger: the text is not a ledger.
+    """
     try:
         content = _VALIDATE_LEDGER(json_texts.load(text))
     except (ValueError, fastjsonschema.JsonSchemaException) as error:
--- a/fuchsiahaven/core/claims/commits.py
+++ b/fuchsiahaven/core/claims/commits.py
@@ -1,13 +1,14 @@
-"""Commit steps of one claims key in groups: one call in flight, rest queued.
+"""Commit the steps of one claims key in groups.
 
-`next_call` says which call the edge is to make and `note_result` takes what
-came of it. Between the two nothing else touches the state of that key.
+One call is in flight at a time; further steps are queued. `choose_next_call`
+returns the call that the edge makes, and `handle_result` receives its result.
+Nothing else changes the state of that key between the two.
 
-An attempt is granted only by a write that surely took effect or by a read
-that shows its nonce. After a write without an answer the key is read back:
-at a higher revision the write has either taken effect or never will; at the
-same revision it may still be on its way, so the same steps are written again
-at that revision, which either of the two writes can win without harm.
+An attempt is granted only by a write that certainly took effect or by a read
+that shows its nonce. After a write without an answer the key is read again.
+At a higher revision the write has either taken effect or never will. At the
+same revision it may still be under way, so the same steps are written again
+at that revision: only one of the two writes can succeed, and either may.
 """
 
 import math
@@ -17,12 +18,12 @@
 from fuchsiahaven.core.targets import messages
 
 MAX_BATCH_STEPS: Final = 2000
-# For so many writes after a conflict others are taken to write the key too.
+# After a conflict the key counts as contended for this many writes.
 CONTENDED_WRITES: Final = 8
 
 
 class LedgerRevision(NamedTuple):
-    """Hold a key as last read or written."""
+    """Hold the ledger of a key and its revision."""
 
     ledger: claims.Ledger
     revision: int
@@ -31,10 +32,19 @@
 class KeyState(NamedTuple):
     """Hold the state of one key on one host.
 
-    `fresh` tells that `known` was read after the steps in flight arrived;
-    `seen` is what the key held when it was last known;
-    `doubtful` is the revision at which a write without an answer was made;
-    `contended` counts the writes for which others may write the key as well.
+    Attributes:
+        queued: steps for later writes.
+        in_flight: steps of the call under way.
+        base: the key as last read or written, on which the next write is
+            based; None if the key has to be read first.
+        last_ledger: the ledger as last read or written.
+        is_fresh: whether `base` was read after the steps in flight arrived.
+        is_forwarding: whether a member is asked to write the steps.
+        unclear_revision: the revision at which a write without an answer was
+            made.
+        contended_writes: the number of writes for which other hosts are
+            assumed to write the key as well.
+        applied: the ledger and decisions of the write under way.
     """
 
     key: str
@@ -59,9 +69,10 @@
 def choose_next_call(
     state: KeyState, now: float, *, forward: bool
 ) -> tuple[KeyState, claim_calls.Call | None, claim_calls.StepResults]:
-    """Choose the next call; None where nothing is left to be done.
+    """Choose the next call; it is None if no call is due.
 
-    `forward` says that a member should be asked first.
+    With `forward` a member is asked to write the steps first. The results
+    are those of steps that have expired or need no call.
     """
     state, expired = _expire_steps(state, now)
     if not state.in_flight and compute_next_write_at(state) > now:
@@ -72,9 +83,8 @@
             in_flight=state.queued[:MAX_BATCH_STEPS],
             is_fresh=False,
         )
-        # What a member asked us to write is not handed on: two hosts that
-        # each take the other for the one that writes would hand it on for
-        # ever.
+        # Steps received from a member are not forwarded again: two hosts that
+        # each take the other for the writer would forward them in a loop.
         all_own = all(pending.is_own for pending in state.in_flight)
         state = state._replace(is_forwarding=forward and all_own)
     steps = tuple(pending.step for pending in state.in_flight)
@@ -99,19 +109,21 @@
 
 
 def compute_next_write_at(state: KeyState) -> float:
-    """Say when the next write is due; infinity where nothing waits."""
+    """Return the monotonic time from which a call is due.
+
+    It is 0 while steps are in flight and infinity if no step is queued.
+    """
     if state.in_flight:
         return 0.0
     return min((pending.write_at for pending in state.queued), default=math.inf)
 
 
 def record_delay(state: KeyState) -> KeyState:
-    """Take note that the next write comes later than the last read.
+    """Record that the next write comes some time after the last read.
 
-    Where other hosts write the key as well, a write at the revision of then
-    is lost, and the turn with it: every host would read, wait for its budget
-    of writes, and come too late, again and again, until claims time out
-    although nothing is down. Such a key is read right before each write.
+    A contended key is then read again right before the write. Otherwise every
+    host would read the key, wait for its write budget and write at a revision
+    that has passed, until claims time out although nothing is down.
     """
     return state._replace(base=None) if state.contended_writes else state
 
@@ -119,7 +131,7 @@
 def handle_result(
     state: KeyState, result: claim_calls.Result, now: float
 ) -> tuple[KeyState, claim_calls.StepResults]:
-    """Take what came of the last call."""
+    """Handle the result of the last call."""
     match result:
         case claim_calls.ForwardAnswered():
             return _handle_forward_answer(state, result)
@@ -162,7 +174,7 @@
 
 
 def has_attempts(state: KeyState) -> bool:
-    """Tell whether an attempt waits or is in flight."""
+    """Return whether an attempt is queued or in flight."""
     unfinished = state.in_flight + state.queued
     return any(
         isinstance(pending.step, claims.Attempt) for pending in unfinished
@@ -172,7 +184,7 @@
 def refuse_attempts(
     state: KeyState, detail: str, now: float
 ) -> tuple[KeyState, claim_calls.StepResults]:
-    """Refuse all attempts of a key at once; other steps go on waiting."""
+    """Refuse all attempts of a key at once; other steps stay queued."""
     in_flight = state.in_flight + state.queued
     return _fail_attempts(
         state._replace(in_flight=in_flight, queued=()), detail, now
@@ -180,8 +192,8 @@
 
 
 def _needs_reread(applied: claims.AppliedBatch) -> bool:
-    # A claim may have been given back or have got its outcome since it was
-    # last read; telling "unknown" from memory would then be untrue.
+    # The claim may have been returned, or its outcome recorded, since the key
+    # was last read; "outcome unknown" would then be wrong.
     return any(
         decision.verdict is claims.Verdict.HELD
         and decision.claim is not None
@@ -214,8 +226,8 @@
         state.unclear_revision is not None
         and state.unclear_revision != key_read.revision
     ):
-        # The key moved on, so a write at the older revision is decided: what
-        # it would have added stands now or never will.
+        # The key has a new revision, so the write at the older revision is
+        # decided: its steps are in this ledger or will never be written.
         state = state._replace(
             unclear_revision=None,
             in_flight=tuple(
@@ -232,8 +244,8 @@
 ) -> claim_calls.PendingStep:
     claim = ledger.claims.get(pending.step.request_id)
     if claim is not None and claim.nonce == pending.step.nonce:
-        # Its deadline may still pass before it is settled as granted, and to
-        # call it "not written" then would be untrue.
+        # The claim is written. Its deadline may pass before it is granted, and
+        # the result must not say "not written" then.
         return pending
     return pending._replace(
         uncertainty=pending.uncertainty & claim_calls.Uncertainty.FORWARDED
@@ -272,7 +284,7 @@
                 pending,
                 messages.ClaimResult.UNAVAILABLE,
                 maybe_written=bool(pending.uncertainty),
-                detail='too many claims in these seconds',
+                detail='too many claims in this time slot',
             )
     return claim_calls.StepResult(
         pending, messages.ClaimResult.GRANTED, decision.claim
@@ -313,7 +325,7 @@
         pending for pending in state.in_flight if pending not in attempts
     )
     state = state._replace(
-        # Outcomes and returns lose nothing by waiting for the platform.
+        # Outcomes and returns have no caller and can wait for the platform.
         queued=others + state.queued,
         in_flight=(),
         base=None,
@@ -357,8 +369,8 @@
 ) -> claim_calls.StepResult:
     claim = state.last_ledger.claims.get(pending.step.request_id)
     if claim is not None and claim.nonce != pending.step.nonce:
-        # "Not run" would be understood of the id, and its caller would send
-        # a new one; that it was claimed before is true whatever came since.
+        # A caller would take "not run" to mean the id, and repeat the request
+        # under a new one. That the id was claimed before stays true.
         return claim_calls.StepResult(
             pending, messages.ClaimResult.HELD, claim, bool(pending.uncertainty)
         )
@@ -373,10 +385,10 @@
 def _queue_returns(
     state: KeyState, results: claim_calls.StepResults, now: float
 ) -> KeyState:
-    # An attempt that is told as not run may stand in the platform, and its
-    # id would answer "unknown" for ever. Only the host of the attempt may
-    # give it back: a member that wrote it for another host can lose an answer
-    # although that host has found its claim and runs.
+    # An attempt that is reported as not run may be in the stored ledger, and
+    # its id would have an unknown outcome for ever. Only the host of the
+    # attempt may return the claim: a member that wrote it for another host
+    # can miss an answer although that host has read its claim and runs.
     steps = [result.pending.step for result in results if _needs_return(result)]
     returns = tuple(
         claim_calls.PendingStep(
