--- a/fuchsiahaven/core/members/__init__.py
+++ b/fuchsiahaven/core/members/__init__.py
@@ -1,1 +1,1 @@
-"""Find out which hosts of a data centre take part, and pass news on."""
+"""Track which hosts of a data centre take part, and gossip with them."""
--- a/fuchsiahaven/core/members/gossip_codecs.py
+++ b/fuchsiahaven/core/members/gossip_codecs.py
@@ -1,4 +1,4 @@
-"""Write gossip as JSON and read it, refusing what has not its shape."""
+"""Encode gossip as JSON, and decode it with validation."""
 
 import functools
 import json
@@ -13,7 +13,7 @@
 from fuchsiahaven.core.members import member_tables as tables
 from fuchsiahaven.core.members import members
 
-#: Names stand in logs and metrics, so their letters are few.
+#: Names appear in logs and metrics, so only a few characters are allowed.
 NAME_PATTERN: Final = r'^[A-Za-z0-9]([-A-Za-z0-9_./]{0,62}[A-Za-z0-9])?\Z'
 DIGEST_PATTERN: Final = r'^[0-9a-f]{0,64}\Z'
 _MAX_ADDRESS_LENGTH: Final = 64
@@ -53,7 +53,7 @@
         'digest': {'type': 'string', 'pattern': DIGEST_PATTERN},
         'news': {
             'type': 'array',
-            # The buckets that differ, what is new, and the asker itself.
+            # Differing buckets, news, and the entry of the receiver.
             'maxItems': tables.MAX_DIFFERING_ENTRIES + tables.MAX_NEWS + 1,
             'items': _MEMBER_SCHEMA,
         },
@@ -70,7 +70,7 @@
 
 
 def encode_gossip(gossip: messages.Gossip) -> bytes:
-    """Write gossip; what is empty is left out."""
+    """Encode gossip; empty fields are left out."""
     row = {
         name: field
         for name, field in gossip._asdict().items()
@@ -80,7 +80,7 @@
 
 
 def decode_gossip(body: bytes) -> messages.Gossip | None:
-    """Read gossip; None where it is not of the right shape."""
+    """Decode gossip; return None if it is malformed."""
     try:
         row = _compile_validator()(json_texts.load(body))
     except (ValueError, fastjsonschema.JsonSchemaValueException):
@@ -108,7 +108,7 @@
 
 def _decode_member(row: list[Any]) -> members.Member:
     name, address, incarnation, standing = row
-    # JSON schema takes 3.0 for an integer.
+    # JSON schema accepts 3.0 as an integer.
     return members.Member(
         name, address, int(incarnation), members.Standing(standing)
     )
@@ -116,7 +116,8 @@
 
 @functools.cache
 def _compile_validator() -> Callable[[object], Mapping[str, Any]]:
-    # Compiling takes milliseconds, which the operator's commands never pay.
+    # Compiled on first use: it takes milliseconds, and the operator's commands
+    # do not need it.
     validate: Callable[[object], Mapping[str, Any]]
     validate = fastjsonschema.compile(_GOSSIP_SCHEMA)
     return validate
--- a/fuchsiahaven/core/members/member_messages.py
+++ b/fuchsiahaven/core/members/member_messages.py
@@ -7,12 +7,12 @@
 
 
 class Gossip(NamedTuple):
-    """Hold what one host tells another, as a request or as its answer.
+    """Hold a gossip message, which is a request or the answer to one.
 
-    `digest` is the sum of all members that take part; `buckets` its parts,
-    where the sums differ. `news` are members that the sender heard of lately
-    or that stand in a bucket that differs. `relay` asks the receiver to try
-    that member; `reached` is the answer to it.
+    `digest` is the digest of all members that take part; `buckets` are the
+    digests by bucket, sent where the digests differ. `news` are members with
+    recent changes, or in a bucket that differs. `relay` asks the receiver to
+    probe that member; `reached` is the answer to it.
     """
 
     sender: members.Member
@@ -26,45 +26,45 @@
 
 
 class RequestReceived(NamedTuple):
-    """Bring a request; `token` names who waits for the answer."""
+    """Report a request; `token` identifies it in the `Respond` action."""
 
     token: int
     gossip: Gossip
 
 
 class ExchangeAnswered(NamedTuple):
-    """Bring the answer to what was asked under `token`."""
+    """Report the answer to the request sent under `token`."""
 
     token: int
     gossip: Gossip
 
 
 class ExchangeFailed(NamedTuple):
-    """Bring the end of what was asked under `token` without an answer."""
+    """Report that the request sent under `token` ended without an answer."""
 
     token: int
 
 
 class SeedsFound(NamedTuple):
-    """Bring addresses at which other hosts of the data centre may be."""
+    """Report addresses at which other hosts of the data centre may be."""
 
     addresses: tuple[str, ...]
 
 
 class ConfigurationInForce(NamedTuple):
-    """Bring the stamp of the configuration in force on this host."""
+    """Report the stamp of the configuration in force on this host."""
 
     stamp: patches.Stamp
 
 
 class TrafficReceived(NamedTuple):
-    """Bring a sign of life that came with other traffic of a member."""
+    """Report traffic of a member other than gossip, as a sign of life."""
 
     name: str
 
 
 class LeaveRequested(NamedTuple):
-    """Announce a planned stop; the host goes on serving for now."""
+    """Announce a planned stop; the host still serves."""
 
 
 class ServingEnded(NamedTuple):
@@ -72,11 +72,11 @@
 
 
 class Tick(NamedTuple):
-    """Bring the passing of time."""
+    """Report that time has passed."""
 
 
 class SendRequest(NamedTuple):
-    """Ask the edge to send gossip; `Answered` or `Lost` follows.
+    """Send gossip; `ExchangeAnswered` or `ExchangeFailed` follows.
 
     `timeout_s` bounds the whole exchange.
     """
@@ -88,28 +88,28 @@
 
 
 class Respond(NamedTuple):
-    """Give the answer to a request."""
+    """Answer a request."""
 
     token: int
     gossip: Gossip
 
 
 class MembersListed(NamedTuple):
-    """Tell the other tasks who takes part; `staying` are not about to stop."""
+    """List the members that take part; those in `staying` plan no stop."""
 
     live: tuple[str, ...]
     staying: tuple[str, ...]
 
 
 class StampReceived(NamedTuple):
-    """Tell the configuration task what a member has in force."""
+    """Report the stamp of the configuration in force on a member."""
 
     name: str
     stamp: patches.Stamp
 
 
 class ReportMember(NamedTuple):
-    """Tell the operator what happened to a member."""
+    """Report an event of a member to the operator."""
 
     text: str
     name: str
--- a/fuchsiahaven/core/members/member_states.py
+++ b/fuchsiahaven/core/members/member_states.py
@@ -1,4 +1,4 @@
-"""Hold the state of membership and the exchanges under way."""
+"""Hold the state of membership, and start and end exchanges."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -10,23 +10,30 @@
 from fuchsiahaven.core.members import members
 
 MAX_SLOWNESS: Final = 8
-#: A slow host waits longer for others, up to this many times as long.
+#: A slow host lengthens its timeouts by up to this factor.
 MAX_TIMEOUT_FACTOR: Final = 4
-#: Seconds after which an exchange counts as lost whose end nobody reported.
+#: Time after its timeout at which an exchange without a reported end expires.
 EXCHANGE_GRACE_S: Final = 5.0
 
 
 class Timings(NamedTuple):
     """Hold the times of membership, in seconds.
 
-    One partner is probed each `period_s`. A suspect has `suspicion_s`, times
-    the decimal logarithm of the members, to refute. A tick that comes
-    `late_s` after the last one shows that this host stood still. Without a
-    word from anybody for `isolated_s` the others are taken for gone although
-    nobody is left to confirm it. `lost_s` lies between tries to find members
-    again that are gone or were never met; `forget_s` is how long gone ones
-    are remembered. `count_traffic` says whether other traffic of a member is
-    a sign of its life.
+    Attributes:
+        probe_period_s: interval between probes; each probes one partner.
+        probe_timeout_s: time within which a member answers a probe.
+        suspicion_timeout_s: time that a suspect has to refute, multiplied by
+            the decimal logarithm of the number of members.
+        min_pause_s: gap between two ticks that shows that this host was
+            paused.
+        isolation_timeout_s: time without a message from any host after which
+            members become suspects although no helper can confirm it.
+        seek_interval_s: interval between attempts to reach members that are
+            dead or were never reached.
+        flush_interval_s: shortest interval between sending the news to all
+            partners, and between exchanges of tables that differ.
+        forget_after_s: time after which a member that is gone is removed.
+        count_traffic: whether other traffic of a member is a sign of life.
     """
 
     probe_period_s: float = 1.0
@@ -43,10 +50,11 @@
 class Exchange(NamedTuple):
     """Hold one exchange that is under way.
 
-    `name` is empty where an address is tried of which nobody is known.
-    `helps` names the member that the asked one is to try; `serves` is the
-    token of the request that this exchange is to answer. `until` is when it
-    is taken for lost although the edge has not said so.
+    `name` is the member to which the request goes, empty where only an
+    address is known. `probed_member` is the member that it probes for this
+    host as a helper. `reply_token` is the token of another host's request
+    that is answered when this exchange ends. `deadline` is the time at which
+    the exchange counts as failed even if the edge has not reported its end.
     """
 
     name: str
@@ -56,7 +64,11 @@
 
 
 class IndirectProbe(NamedTuple):
-    """Count what helpers say of a member that did not answer this host."""
+    """Count the answers of helpers about a member that missed a probe.
+
+    `unreached_count` counts helpers that got no answer from the member
+    either, `failed_count` helpers that did not answer this host.
+    """
 
     helper_count: int
     unreached_count: int = 0
@@ -64,11 +76,14 @@
 
 
 class State(NamedTuple):
-    """Hold what membership knows.
-
-    `health` is 0 where this host is well and grows with each sign that it is
-    slow itself. `doubtful` is set after a pause until another host answers:
-    what went unanswered meanwhile says nothing of the others.
+    """Hold the state of membership on this host.
+
+    `slowness` is 0 for a healthy host and grows with each sign that this host
+    itself is slow. `is_resuming` is set after a pause of this host until
+    another host answers: failed exchanges of the pause are no evidence
+    against other members. `last_match_at` is the time at which another
+    host's digest was last the same, `last_sync_at` that of the last exchange
+    of buckets.
     """
 
     data_centre: str
@@ -100,25 +115,25 @@
 
 
 def adjust_slowness(state: State, change: int) -> State:
-    """Count signs of this host's own trouble up or down."""
+    """Change the slowness score of this host within its bounds."""
     slowness = min(MAX_SLOWNESS, max(0, state.slowness + change))
     return state._replace(slowness=slowness)
 
 
 def scale_timeout(state: State, timeout_s: float) -> float:
-    """Lengthen a time by this host's own trouble."""
+    """Lengthen a timeout according to the slowness of this host."""
     return timeout_s * min(MAX_TIMEOUT_FACTOR, 1 + state.slowness)
 
 
 def append_actions(
     transition: Transition, *actions: messages.Action
 ) -> Transition:
-    """Add actions to a step."""
+    """Append actions to a transition."""
     return transition[0], (*transition[1], *actions)
 
 
 def schedule_flush(state: State, now: float) -> State:
-    """Have the news told to all partners soon, but not too often."""
+    """Schedule sending the news to all partners, at a limited rate."""
     due_at = max(now, state.last_flush_at + state.timings.flush_interval_s)
     if state.next_flush_at is not None:
         due_at = min(due_at, state.next_flush_at)
@@ -131,7 +146,7 @@
     *,
     buckets: bool = False,
 ) -> tuple[State, messages.Gossip]:
-    """Build what to tell next; `extra` goes besides the news."""
+    """Build the next message; `extra` members are sent besides the news."""
     table, news = tables.choose_news(state.table)
     reports = tuple(dict.fromkeys((*extra, *news)))
     gossip = messages.Gossip(
@@ -153,11 +168,11 @@
     *,
     buckets: bool = False,
 ) -> Transition:
-    """Begin an exchange."""
+    """Start an exchange."""
     state, gossip = build_gossip(state, extra, buckets=buckets)
     timeout_s = scale_timeout(state, state.timings.probe_timeout_s)
     if exchange.probed_member:
-        # The one asked waits for another in its turn.
+        # The helper has to wait for the probed member in turn.
         gossip = gossip._replace(
             relay=tables.find_member(state.table, exchange.probed_member)
         )
@@ -170,7 +185,7 @@
 
 
 def end_exchange(state: State, token: int) -> tuple[State, Exchange | None]:
-    """End an exchange; None where it was given up before."""
+    """Remove an exchange; it is None if it has expired before."""
     exchange = state.exchanges.get(token)
     remaining = {key: it for key, it in state.exchanges.items() if key != token}
     return state._replace(exchanges=remaining), exchange
--- a/fuchsiahaven/core/members/member_tables.py
+++ b/fuchsiahaven/core/members/member_tables.py
@@ -1,4 +1,4 @@
-"""Keep the table of members, the news to pass on and the partners."""
+"""Keep the table of members, the news to send and the partners."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -7,20 +7,20 @@
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.core.members import members
 
-#: Each host talks to its successor in so many rings. Few partners keep few
-#: connections open, and hosts that each talk to three others at random spread
-#: news about as fast as hosts that talk to anybody.
+#: Each host gossips with its successor in this many rings. Few partners need
+#: few open connections, and hosts that each gossip with three random partners
+#: spread news about as fast as hosts that gossip with any member.
 RING_COUNT: Final = 3
-#: How often one piece of news is sent, times the logarithm of the members.
+#: News are sent this often, times the binary logarithm of the member count.
 RETRANSMIT_FACTOR: Final = 2
 MAX_NEWS: Final = 8
-#: Bounds one message and one table, whatever members send.
+#: Bounds of one message and of one table, whatever other hosts send.
 MAX_DIFFERING_ENTRIES: Final = 40
 MAX_MEMBERS: Final = 1000
 
 
 class Entry(NamedTuple):
-    """Hold one member, since when it stands so and when it was heard.
+    """Hold one member, the time of its standing and of its last message.
 
     Both times are seconds on this host's monotonic clock.
     """
@@ -33,8 +33,8 @@
 class Table(NamedTuple):
     """Hold all members, this host included.
 
-    `news` counts how often each member is still to be told; `partners` are
-    the members that this host talks to in turn.
+    `sends_left` counts how often each member is still to be sent as news;
+    `partners` are the members that this host probes in turn.
     """
 
     own_name: str
@@ -45,7 +45,7 @@
 
 
 def build_table(own: members.Member, now: float) -> Table:
-    """Start with this host alone."""
+    """Build a table that holds this host alone."""
     entries = {own.name: Entry(own, now, now)}
     return Table(
         own.name, entries, {own.name: 1}, members.compute_digest((own,))
@@ -53,7 +53,7 @@
 
 
 def get_own(table: Table) -> members.Member:
-    """Return this host as it reports itself."""
+    """Return the entry of this host as it reports itself."""
     return table.entries[table.own_name].member
 
 
@@ -64,13 +64,13 @@
 
 
 def find_member(table: Table, name: str) -> members.Member | None:
-    """Return a member, or None."""
+    """Find a member by name."""
     entry = table.entries.get(name)
     return entry.member if entry else None
 
 
 def set_member(table: Table, member: members.Member, now: float) -> Table:
-    """Set a member and have it passed on."""
+    """Set a member and schedule sending it as news."""
     previous = table.entries.get(member.name)
     last_heard_at = previous.last_heard_at if previous else now
     entries = {**table.entries, member.name: Entry(member, now, last_heard_at)}
@@ -85,10 +85,10 @@
 def merge_reports(
     table: Table, reports: Iterable[members.Member], now: float
 ) -> tuple[Table, tuple[members.Member, ...]]:
-    """Take newer reports in; give them back, and leave this host's alone.
+    """Merge newer reports into the table, and return them.
 
-    An older report is answered by telling the newer one again: whoever sent
-    it missed that.
+    Reports about this host itself are ignored. An older report schedules
+    sending the newer one again, because its sender has missed that.
     """
     accepted = []
     for report in reports:
@@ -104,13 +104,13 @@
 
 
 def schedule_send(table: Table, name: str) -> Table:
-    """Have a member passed on at least once more."""
+    """Schedule sending a member at least once more."""
     remaining = max(1, table.sends_left.get(name, 0))
     return table._replace(sends_left={**table.sends_left, name: remaining})
 
 
 def record_sign_of_life(table: Table, name: str, now: float) -> Table:
-    """Note a sign of life."""
+    """Record a sign of life of a member."""
     entry = table.entries.get(name)
     if entry is None:
         return table
@@ -119,7 +119,10 @@
 
 
 def choose_news(table: Table) -> tuple[Table, tuple[members.Member, ...]]:
-    """Choose what to tell next, the least told first, and count it."""
+    """Choose the news of the next message, and count the sending.
+
+    News that were sent least often come first.
+    """
     names = sorted(
         (name for name in table.sends_left if name in table.entries),
         key=lambda name: (-table.sends_left[name], name),
@@ -136,7 +139,7 @@
 def list_differing(
     table: Table, buckets: tuple[str, ...]
 ) -> tuple[members.Member, ...]:
-    """List the members of the buckets in which another table differs."""
+    """List the members of the buckets in which the other table differs."""
     own_buckets = table.digest.buckets
     differing = {
         bucket
@@ -153,13 +156,13 @@
 
 
 def reset_standing_since(table: Table, name: str, now: float) -> Table:
-    """Begin the time anew that a member has stood as it does."""
+    """Restart the time since which a member has its standing."""
     entry = table.entries[name]._replace(standing_since=now)
     return table._replace(entries={**table.entries, name: entry})
 
 
 def shift_times(table: Table, gap_s: float) -> Table:
-    """Leave a pause of this host out of all times."""
+    """Shift all times by the length of a pause of this host."""
     entries = {
         name: entry._replace(
             standing_since=entry.standing_since + gap_s,
@@ -170,8 +173,8 @@
     return table._replace(entries=entries)
 
 
-def forget_gone(table: Table, now: float, forget_after_s: float) -> Table:
-    """Forget members that have been gone for long."""
+def expire_gone(table: Table, now: float, forget_after_s: float) -> Table:
+    """Remove members that have been gone for `forget_after_s`."""
     kept = {
         name: entry
         for name, entry in table.entries.items()
@@ -191,8 +194,8 @@
 ) -> bool:
     if report.name == table.own_name or report == current:
         return True
-    # Strangers that are gone are of no use, and a member that sends garbage
-    # must not fill the memory.
+    # Unknown members that are gone are of no use, and a faulty member must not
+    # fill the memory with invented ones.
     is_full = len(table.entries) >= MAX_MEMBERS
     return current is None and (report.is_gone or is_full)
 
--- a/fuchsiahaven/core/members/members.py
+++ b/fuchsiahaven/core/members/members.py
@@ -1,24 +1,27 @@
-"""Hold what is known of one member, and say which of two reports is newer."""
+"""Define a member, the order of its reports and the digest of a table."""
 
 import enum
 import hashlib
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-#: Members are compared in groups by name, so that two hosts whose tables
-#: differ exchange a part of them and not the whole.
+#: Members are grouped into buckets by name, so that two hosts whose tables
+#: differ exchange only the buckets that differ.
 BUCKET_COUNT: Final = 16
 _TABLE_DIGEST_BYTES: Final = 6
 _BUCKET_DIGEST_BYTES: Final = 2
 _INCARNATION_BITS: Final = 40
-#: A report may raise an incarnation this far; a forged one could otherwise
-#: use up the numbers and leave its victim without an answer.
+#: Largest increase of an incarnation that a report may bring. A forged report
+#: could otherwise use up the numbers, and the member could not refute it.
 MAX_INCARNATION_INCREASE: Final = 10_000
 MAX_INCARNATION: Final = 1 << _INCARNATION_BITS
 
 
 class Standing(enum.StrEnum):
-    """Say how a member stands; within one incarnation the later one wins."""
+    """List the states of a member.
+
+    Within one incarnation a later one in this list takes precedence.
+    """
 
     ALIVE = 'alive'
     LEAVING = 'leaving'
@@ -32,10 +35,12 @@
 
 
 class Member(NamedTuple):
-    """Report one member, as it is passed on.
+    """Report one member, as hosts pass it on.
 
-    Only the member itself raises its incarnation, so that its own word beats
-    what others said of it before.
+    Only the member itself raises its incarnation, so its own reports take
+    precedence over earlier reports of other hosts. The digest hashes the repr
+    of members, so hosts must agree on the names of this class, its fields and
+    the standings.
     """
 
     name: str
@@ -45,19 +50,19 @@
 
     @property
     def is_gone(self) -> bool:
-        """Tell whether the member takes no part any more."""
+        """Return whether the member no longer takes part."""
         return self.standing in _GONE_STANDINGS
 
 
 class TableDigest(NamedTuple):
-    """Sum up the members that take part: all together, and by bucket."""
+    """Hold the digests of the members that take part: of all, and by bucket."""
 
     table: str
     buckets: tuple[str, ...]
 
 
 def is_newer(report: Member, current: Member) -> bool:
-    """Tell whether a report replaces what is known of its member."""
+    """Return whether a report replaces the current entry of its member."""
     increase = report.incarnation - current.incarnation
     if increase:
         return 0 < increase <= MAX_INCARNATION_INCREASE
@@ -65,17 +70,17 @@
 
 
 def compute_bucket(name: str) -> int:
-    """Say in which bucket a member is."""
+    """Return the bucket of a member."""
     return (
         hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
     )
 
 
 def compute_digest(members: Iterable[Member]) -> TableDigest:
-    """Sum up a table.
+    """Compute the digest of a table.
 
-    Members that are gone are left out: each host forgets them at a time of
-    its own, and tables that differ by that alone are alike.
+    Members that are gone are left out, because each host removes them at
+    another time. Tables that differ only in them have the same digest.
     """
     rows: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
     for member in members:
--- a/fuchsiahaven/core/members/membership.py
+++ b/fuchsiahaven/core/members/membership.py
@@ -1,9 +1,10 @@
 """Decide which hosts of one data centre take part.
 
-Each host probes a few partners in turn and tells them the news. A partner
-that does not answer is tried through others; only when one of them cannot
-reach it either does it become suspect, and dead when it has not refuted that
-in time. A host that notices that it is slow itself accuses nobody.
+Each host probes a few partners in turn and sends them the news. A partner
+that does not answer is probed through helpers. It becomes suspect only if a
+helper cannot reach it either, and dead if it does not refute the suspicion in
+time. A host that detects that it was paused makes no member suspect or dead
+until another host answers.
 """
 
 from typing import Final
@@ -14,16 +15,16 @@
 from fuchsiahaven.core.members import members, probes
 
 MAX_SEEDS: Final = 256
-#: Seeds tried at a time while nobody is known.
+#: Seeds contacted at a time while no other member is known.
 MAX_SEEDS_AT_ONCE: Final = 3
-#: Tables that differ for so many periods are compared by buckets: news still
-#: under way explain a shorter difference.
+#: Tables that differ for this many periods are compared by bucket. News that
+#: are still under way explain a shorter difference.
 MIN_DIFFERING_PERIODS: Final = 2
-#: A restart at another address meets its old entry a few times; a second
-#: process under the same name goes on for ever.
+#: A host restarted at another address receives its old entry a few times; a
+#: second process under the same name causes conflicts without end.
 MAX_NAME_CONFLICTS: Final = 8
 _PAUSE_SLOWNESS: Final = 2
-#: Probes of hosts that started together drift apart.
+#: Spreads the probes of hosts that started together.
 PROBE_JITTER_FRACTION: Final = 0.2
 
 
@@ -34,7 +35,7 @@
     seeds: tuple[str, ...],
     now: float,
 ) -> states.State:
-    """Begin alone, with addresses at which others may be."""
+    """Create the state of a host that knows only the addresses of seeds."""
     table = tables.build_table(own, now)
     state = states.State(data_centre, timings, table, last_contact_at=now)
     return _add_seeds(state, seeds)
@@ -46,7 +47,7 @@
     now: float,
     draw_fraction: states.DrawFraction,
 ) -> states.Transition:
-    """Take one event in and say what is to be done."""
+    """Handle one event, and return the new state and the actions."""
     match event:
         case messages.Tick():
             transition = _handle_tick(state, now, draw_fraction)
@@ -118,7 +119,7 @@
     next_probe_at = now + timings.probe_period_s * (
         1 + PROBE_JITTER_FRACTION * (draw_fraction() - 0.5)
     )
-    table = tables.forget_gone(state.table, now, timings.forget_after_s)
+    table = tables.expire_gone(state.table, now, timings.forget_after_s)
     state, actions = probes.probe_next_partner(
         state._replace(next_probe_at=next_probe_at, table=table)
     )
@@ -130,10 +131,10 @@
     now: float,
     draw_fraction: states.DrawFraction,
 ) -> states.Transition:
-    """Look for members that are gone or were never met.
+    """Contact addresses of members that are dead or were never reached.
 
-    After a cut is healed both sides hold each other for dead, and nobody
-    would ever talk to the other side again.
+    After a network partition both sides hold each other for dead, and without
+    this they would never exchange messages again.
     """
     state, actions = transition
     if now < state.next_seek_at:
@@ -165,13 +166,13 @@
 def _handle_pause(
     state: states.State, gap_s: float, now: float
 ) -> states.State:
-    """Take a pause of this host into account.
+    """Adjust the state after a pause of this host.
 
-    It heard nothing meanwhile, so all others look silent to it; what it
-    believes is as old as the pause. Without this a host that was frozen for
-    a minute accuses everybody when it wakes. A clock that fell back, as on
-    a host moved to another machine, is a pause below zero: all that is due
-    would otherwise wait for the clock to come by again.
+    During the pause this host received nothing, so all other members look
+    silent and its table is out of date. Without this a host that was frozen
+    for a minute would suspect every member. A clock that jumps back, as on a
+    host moved to another machine, is handled as a pause of negative length:
+    every timer would otherwise wait until the clock reaches it again.
     """
     state = states.adjust_slowness(state, _PAUSE_SLOWNESS)
     state = state._replace(
@@ -188,8 +189,8 @@
     )
     if gap_s < state.timings.forget_after_s / 2:
         return state._replace(table=tables.shift_times(state.table, gap_s))
-    # The others have forgotten what this host still holds: its old news
-    # would bring back members that left long ago.
+    # The other hosts have removed members that this host still holds; its old
+    # news would bring back members that left long ago.
     present = tables.list_present(state.table)
     state = _add_seeds(state, tuple(member.address for member in present))
     own = tables.get_own(state.table)
@@ -216,13 +217,13 @@
 def _choose_extra(
     state: states.State, gossip: messages.Gossip
 ) -> tuple[members.Member, ...]:
-    """Choose what the asker has to hear whatever else is news."""
+    """Choose the members to send to the sender besides the news."""
     extra: tuple[members.Member, ...] = ()
     if gossip.buckets:
         extra = tables.list_differing(state.table, gossip.buckets)
     current = tables.find_member(state.table, gossip.sender.name)
     if current is not None and current != gossip.sender:
-        # It can only refute what it hears is held against it.
+        # A member can refute a report only if it receives the report.
         return (current, *extra)
     return extra
 
@@ -240,7 +241,7 @@
         return state, actions
     state = state._replace(is_resuming=False)
     if exchange.name and exchange.name != gossip.sender.name:
-        # The address is another host's by now.
+        # The address now belongs to another host.
         state, more = probes.handle_failed_exchange(
             state, exchange, now, draw_fraction
         )
@@ -270,7 +271,7 @@
 def _sync_tables(
     state: states.State, gossip: messages.Gossip, now: float
 ) -> states.Transition:
-    """Exchange what differs with a member whose table stays different."""
+    """Exchange the differing buckets with a member if tables stay different."""
     timings = state.timings
     has_differed_long = (
         now - state.last_match_at
@@ -326,7 +327,7 @@
 def _refute(
     transition: states.Transition, report: members.Member, now: float
 ) -> states.Transition:
-    """Answer what others hold of this host that is not so."""
+    """Refute a wrong report about this host by a higher incarnation."""
     state, actions = transition
     own = tables.get_own(state.table)
     increase = report.incarnation - own.incarnation
@@ -356,7 +357,7 @@
 def _raise_incarnation(
     state: states.State, increase: int, standing: members.Standing, now: float
 ) -> states.State:
-    """Speak for this host under a new incarnation, which beats all others."""
+    """Set this host's standing under a new, higher incarnation."""
     own = tables.get_own(state.table)
     raised = own._replace(
         incarnation=own.incarnation + increase + 1, standing=standing
--- a/fuchsiahaven/core/members/patch_codecs.py
+++ b/fuchsiahaven/core/members/patch_codecs.py
@@ -1,4 +1,4 @@
-"""Write patches as JSON and read them, refusing what has not their shape."""
+"""Encode patches as JSON, and decode them with validation."""
 
 import functools
 import json
@@ -45,14 +45,14 @@
 
 
 class PatchMessage(NamedTuple):
-    """Hold patches and the member that sends them."""
+    """Hold patches and the name of the member that sends them."""
 
     sender: str
     patches: tuple[patches.Patch, ...]
 
 
 def encode_patches(message: PatchMessage) -> bytes:
-    """Write patches."""
+    """Encode patches as JSON."""
     row = {
         'sender': message.sender,
         'patches': [_encode_patch(patch) for patch in message.patches],
@@ -61,7 +61,7 @@
 
 
 def decode_patches(body: bytes) -> PatchMessage | None:
-    """Read patches; None where they are not of the right shape."""
+    """Decode patches; return None if they are malformed."""
     try:
         row = _compile_validator()(json_texts.load(body))
     except (ValueError, fastjsonschema.JsonSchemaValueException):
--- a/fuchsiahaven/core/members/probes.py
+++ b/fuchsiahaven/core/members/probes.py
@@ -1,9 +1,10 @@
-"""Find out whether members answer, and accuse those that do not.
+"""Probe members, and suspect those that do not answer.
 
-A host that misses an answer cannot tell whether the other is gone, the path
-between them is cut or it is in trouble itself. So it asks helpers, and takes
-a member for suspect only when a helper says that it got no answer either: a
-half-open cut is gone around, and a host cut off from all accuses nobody.
+A host that misses an answer cannot tell whether the member is gone, the path
+between them is cut or the host itself is faulty. So it asks helpers to probe
+the member, and makes it suspect only if a helper reports that it got no answer
+either. A cut in one direction is thus bypassed, and a host that is cut off
+from all others suspects nobody until `isolation_timeout_s` has passed.
 """
 
 import math
@@ -15,9 +16,9 @@
 from fuchsiahaven.core.members import members
 
 MAX_HELPERS: Final = 3
-#: After a word from a member this many periods pass before it is accused,
-#: and more after it has refuted an accusation: some cannot reach it, others
-#: can, and it would be accused again and again.
+#: A member is not suspected for this many periods after its last message, and
+#: for more periods after it has refuted a suspicion. If some hosts can reach a
+#: member and others cannot, it would otherwise be suspected again and again.
 CONTACT_GRACE_PERIODS: Final = 2
 REFUTED_GRACE_PERIODS: Final = 10
 _LOGARITHM_BASE: Final = 10
@@ -41,7 +42,7 @@
 
 
 def flush_news(state: states.State, now: float) -> states.Transition:
-    """Tell the news to all partners."""
+    """Send the news to all partners."""
     transition: states.Transition = (
         state._replace(next_flush_at=None, last_flush_at=now),
         (),
@@ -55,7 +56,7 @@
 def relay_probe(
     state: states.State, token: int, member: members.Member
 ) -> states.Transition:
-    """Try a member for another host that misses its answer."""
+    """Probe a member for another host that got no answer from it."""
     return states.start_exchange(
         state, member.address, states.Exchange(member.name, reply_token=token)
     )
@@ -67,7 +68,7 @@
     now: float,
     draw_fraction: states.DrawFraction,
 ) -> states.Transition:
-    """Go on after an exchange without an answer."""
+    """Handle an exchange that ended without an answer."""
     if exchange.reply_token is not None:
         state, gossip = states.build_gossip(state)
         gossip = gossip._replace(reached=False)
@@ -92,10 +93,10 @@
 def expire_exchanges(
     state: states.State, now: float, draw_fraction: states.DrawFraction
 ) -> states.Transition:
-    """End exchanges whose end the edge never reported.
+    """Expire exchanges whose end the edge never reported.
 
-    A trial that waits for one would be open for ever, and its member, dead
-    or not, would never be tried again.
+    An indirect probe that waits for such an exchange would stay open for
+    ever, and its member, dead or not, would never be probed again.
     """
     transition: states.Transition = (state, ())
     for token, exchange in state.exchanges.items():
@@ -112,7 +113,7 @@
 def handle_helper_answer(
     state: states.State, name: str, reached: bool, now: float
 ) -> states.Transition:
-    """Take in what a helper found."""
+    """Handle the answer of a helper about a member."""
     if reached:
         table = tables.record_sign_of_life(state.table, name, now)
         return _remove_indirect_probe(state, name)._replace(table=table), ()
@@ -130,7 +131,7 @@
 
 
 def expire_suspects(state: states.State, now: float) -> states.Transition:
-    """Take suspects for dead that have had their time."""
+    """Declare suspects dead that have not refuted in time."""
     if state.is_resuming:
         return state, ()
     timings = state.timings
@@ -157,8 +158,8 @@
         state.timings.count_traffic
         and entry.last_heard_at > entry.standing_since
     ):
-        # It lives; its answer to the suspicion is on its way, or it cannot
-        # be reached by some. Taking its place would be wrong in both cases.
+        # The member is alive: its refutation is under way, or some hosts
+        # cannot reach it. Declaring it dead is wrong in both cases.
         table = tables.reset_standing_since(state.table, member.name, now)
         return state._replace(table=table), transition[1]
     return _set_standing(transition, member, members.Standing.DEAD, now)
@@ -210,7 +211,7 @@
         now - state.last_contact_at >= state.timings.isolation_timeout_s
     )
     if not indirect_probe.unreached_count and not is_isolated:
-        # Nobody could be asked, so the trouble may be on this side.
+        # No helper answered, so the fault may be on this host.
         return states.adjust_slowness(state, 1), ()
     if member.standing is members.Standing.SUSPECT:
         return state, ()
@@ -239,10 +240,10 @@
 
 
 def _has_recent_traffic(state: states.State, name: str, now: float) -> bool:
-    """Tell whether other traffic speaks for a member that missed a probe.
+    """Return whether a member that missed a probe is still presumed alive.
 
-    Following Kea's high availability, a silent partner is held against the
-    traffic that comes from it before anything is done about it.
+    As in Kea's high availability, the traffic that comes from a silent
+    partner is checked before the partner counts as failed.
     """
     entry = state.table.entries.get(name)
     if entry is None or not state.timings.count_traffic:
