--- a/tests/core/claims/__init__.py
+++ b/tests/core/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package claims of the core."""
+"""Test the package `fuchsiahaven.core.claims`."""
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Test the rules of claims: ids, keys, ledgers, and single sequences."""
+"""Test request ids, keys and ledgers of claims, and sequences of calls."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 def start_write(
     attempt: claims.Attempt, *, own: bool = True, value: str | None = None
 ) -> commits.KeyState:
-    """Bring a key to where a write of the attempt is under way."""
+    """Return the state of a key with a write of the attempt under way."""
     pending = claim_calls.PendingStep(attempt, deadline=10, is_own=own)
     state = commits.add_steps(commits.KeyState('k'), (pending,))
     state, _, _ = commits.choose_next_call(state, 0, forward=False)
@@ -36,11 +36,12 @@
 
 
 def test_keys_outlive_the_ids_they_hold() -> None:
-    """Keep a key for as long as any host takes one of its ids.
+    """Keep a key for as long as any host accepts one of its ids.
 
-    Symptom: a refund runs twice, five minutes apart. Sequence: the key goes
-    with its lease while a host whose clock is behind still takes the id.
-    Cause: the lease ended with the window and left no room for the clocks.
+    Guards against a refund that runs twice, five minutes apart: the key
+    expires with its lease while a host whose clock is behind still accepts
+    the id. The lease then ended together with the maximum age of an id and
+    left no margin for the difference of clocks.
     """
     last_epoch = ID_EPOCH + claims.MAX_ID_AGE_S
     assert claims.is_claimable(ID_EPOCH, last_epoch)
@@ -74,10 +75,10 @@
     ],
 )
 def test_other_attempts_cannot_return_or_end_a_claim(step: claims.Step) -> None:
-    """Let only an attempt itself give its claim back or end it.
+    """Let only the attempt itself return its claim or record an outcome.
 
-    Symptom: a refund runs twice. Sequence: a refused second attempt gives
-    the id back while the first one runs. Cause: no nonce was compared.
+    Guards against a refund that runs twice: a refused second attempt returns
+    the id while the first one runs, because the nonces are not compared.
     """
     ledger, _ = apply_steps(FIRST_ATTEMPT, step)
     assert ledger.claims[REQUEST_ID] == claims.Claim(
@@ -86,11 +87,11 @@
 
 
 def test_a_claim_that_ran_cannot_be_returned() -> None:
-    """Keep a claim whose attempt has said that it ran.
+    """Keep a claim whose attempt has recorded an outcome.
 
-    Symptom: a refund runs twice. Sequence: an outcome is recorded, then a
-    stale return of the same attempt arrives through a member. Cause: the
-    return looked at the nonce alone.
+    Guards against a refund that runs twice: an outcome is recorded, then a
+    stale return of the same attempt arrives through a member, and only the
+    nonce of the return is checked.
     """
     outcome = claims.Outcome(REQUEST_ID, 'first', '{}')
     ledger, _ = apply_steps(
@@ -100,11 +101,11 @@
 
 
 def test_a_full_ledger_refuses_claims_and_drops_long_outcomes() -> None:
-    """Refuse a claim beyond the value's bound, and keep what stands.
+    """Refuse new claims in a full ledger, and keep the existing ones.
 
-    Symptom: the platform refuses every write of a slot, and recorded
-    claims can no longer be added to. Sequence: very many claims or long
-    answers within ten seconds. Cause: a value without a bound.
+    Guards against a platform that refuses every write of a slot, so that
+    outcomes of its claims can no longer be recorded. It happens after very
+    many claims or long answers within ten seconds if the value is unbounded.
     """
     long_outcome = claims.Outcome(
         REQUEST_ID, 'first', 'x' * claims.MAX_OUTCOME_BYTES
@@ -133,12 +134,12 @@
 
 
 def test_a_write_under_way_may_be_written() -> None:
-    """Say of a claim that may still arrive that it may stand.
+    """Report a claim whose write may still arrive as maybe written.
 
-    Symptom: a caller is told that the id is free, and it never is again.
-    Sequence: a write without an answer; the key reads unchanged; the
-    platform goes down; the write arrives. Cause: a read at the same
-    revision was taken for proof that the write was lost.
+    Guards against a caller that is told that the id is free although it is
+    claimed for ever: a write gets no answer, the key reads unchanged, the
+    platform goes down, and then the write arrives. A read at the same
+    revision does not prove that the write was lost.
     """
     state, _ = commits.handle_result(
         start_write(FIRST_ATTEMPT), claim_calls.WriteUnclear(), 0
@@ -152,18 +153,18 @@
     )
     assert results[0].result is messages.ClaimResult.UNAVAILABLE
     assert results[0].maybe_written
-    # The host offers the id again by giving the claim back later on.
+    # The host releases the id by returning the claim later.
     returns = [pending.step for pending in state.queued]
     assert returns == [claims.Return(REQUEST_ID, 'first')]
 
 
 def test_a_member_never_returns_the_claim_of_another_host() -> None:
-    """Leave a claim alone that was written for another host.
+    """Never return a claim that was written for another host.
 
-    Symptom: a refund runs twice. Sequence: a member writes the claim for a
-    host and loses the answer; the host reads the claim back and sends; the
-    member gives the claim back, and a third host claims and sends. Cause:
-    the member took its own lost answer for the host's.
+    Guards against a refund that runs twice: a member writes the claim for a
+    host and gets no answer; the host reads the claim and sends the request;
+    the member returns the claim, and a third host claims the id and sends as
+    well. That the member got no answer says nothing about the host.
     """
     state, _ = commits.handle_result(
         start_write(FIRST_ATTEMPT, own=False), claim_calls.WriteUnclear(), 0
@@ -176,12 +177,12 @@
 
 
 def test_a_held_claim_is_reread_before_it_counts_as_unknown() -> None:
-    """Read a held claim again before calling its outcome unknown.
+    """Read a held claim again before its outcome is reported as unknown.
 
-    Symptom: a repeat is told that the outcome is unknown although it has
-    been recorded for seconds. Sequence: this host read the key, another
-    recorded the outcome, the repeat arrives here. Cause: the answer came
-    from the copy of the last read.
+    Guards against a retry that is told that the outcome is unknown although
+    it was recorded seconds ago: this host reads the key, another host records
+    the outcome, and the retry arrives here and is answered from the last
+    read.
     """
     ledger, _ = apply_steps(FIRST_ATTEMPT)
     state = commits.KeyState('k', base=commits.LedgerRevision(ledger, 4))
@@ -193,12 +194,12 @@
 
 
 def test_a_contended_key_is_reread_before_a_delayed_write() -> None:
-    """Read a key anew where the write had to wait and others write it too.
+    """Read a contended key again if its write had to wait.
 
-    Symptom: claims time out although nothing is down. Sequence: several
-    hosts read a key, wait for their budget of writes, and write at a
-    revision that has passed; then again. Cause: the wait lay between the
-    read and the write.
+    Guards against claims that time out although nothing is down: several
+    hosts read a key, wait for their write budget, write at a revision that
+    has passed, and start over. The wait must not lie between the read and the
+    write.
     """
     state, _ = commits.handle_result(
         start_write(FIRST_ATTEMPT), claim_calls.WriteConflict(), 0
--- a/tests/core/claims/test_commits.py
+++ b/tests/core/claims/test_commits.py
@@ -17,7 +17,7 @@
 
 
 class CallOutcome(NamedTuple):
-    """Say how one call goes: taking effect now, later or never; answered."""
+    """Define when a call takes effect, and whether it gets an answer."""
 
     effect: str
     answered: bool
@@ -38,7 +38,7 @@
 
 
 class Platform:
-    """Hold one key, and the writes that are still on their way."""
+    """Model the platform: one key, and the writes still under way."""
 
     def __init__(self) -> None:
         """Start without the key."""
@@ -47,7 +47,7 @@
         self.delayed: list[claim_calls.CompareAndSwap] = []
 
     def swap(self, call: claim_calls.CompareAndSwap) -> bool:
-        """Write if the revision is the key's."""
+        """Write the key if it has the revision of the call."""
         if call.revision != self.revision:
             return False
         self.value = call.value
@@ -55,7 +55,7 @@
         return True
 
     def list_nonces(self) -> set[str]:
-        """Show whose claims stand."""
+        """List the nonces of the claims in the ledger."""
         if self.value is None:
             return set()
         claims_by_id = claims.decode_ledger(self.value).claims
@@ -63,10 +63,10 @@
 
 
 class Host:
-    """Hold one host: its key, its call under way, what it may run."""
+    """Hold the state of one host, its call under way and its grants."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start without any state of the key."""
         self.state = commits.KeyState(KEY)
         self.call: claim_calls.Call | None = None
         self.granted_attempts: list[claims.Attempt] = []
@@ -75,16 +75,16 @@
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
-    """Claim two ids at three hosts while everything goes wrong.
+    """Claim two ids at three hosts under all kinds of failures.
 
-    Symptom: a refund runs twice, or is told as not run and runs. Sequence:
-    any interleaving of claims, lost and delayed writes, lost forwards,
-    crashes, returns and passed deadlines. Cause: any rule of claims or
-    commits that trusts a write whose fate it does not know.
+    Guards against a refund that runs twice, or that is reported as not run
+    and runs. The test interleaves claims, lost and delayed writes, lost
+    forwards, crashes, returns and passed deadlines, and finds rules of claims
+    or commits that trust a write whose outcome is not known.
     """
 
     def __init__(self) -> None:
-        """Start with hosts that know nothing."""
+        """Start with hosts without state."""
         super().__init__()
         self.platform = Platform()
         self.hosts = [Host() for _ in range(HOST_COUNT)]
@@ -95,9 +95,9 @@
 
     @stateful.rule(
         host=HOST_INDEXES,
-        names=some.sampled_from(ID_BATCHES),
-        fates=CALL_OUTCOME_LISTS,
-        deed=some.sampled_from(('pause', 'record', 'die', 'return')),
+        request_ids=some.sampled_from(ID_BATCHES),
+        call_outcomes=CALL_OUTCOME_LISTS,
+        ending=some.sampled_from(('pause', 'record', 'die', 'return')),
         forward=some.booleans(),
     )
     def run_host(
@@ -108,9 +108,9 @@
         ending: str,
         forward: bool,
     ) -> None:
-        """Ask for ids, make calls, run or return what is granted.
+        """Claim ids, make calls, and run or return a granted attempt.
 
-        The last call may stay under way, and a granted claim unsent.
+        The last call may stay under way, and a granted attempt unsent.
         """
         chosen = self.hosts[host]
         for request_id in request_ids:
@@ -131,13 +131,13 @@
 
     @stateful.rule()
     def apply_delayed_write(self) -> None:
-        """Let a write arrive long after its sender gave it up."""
+        """Apply a delayed write that its sender gave up long before."""
         if self.platform.delayed:
             self.platform.swap(self.platform.delayed.pop(0))
 
     @stateful.rule(host=HOST_INDEXES)
     def crash(self, host: int) -> None:
-        """Lose a host with all it knows, also between claim and send."""
+        """Replace a host by one without state, also between claim and send."""
         lost = self.hosts[host]
         self.hosts[host] = Host()
         for other in self.hosts:
@@ -147,17 +147,17 @@
 
     @stateful.rule()
     def pass_deadlines_of_attempts(self) -> None:
-        """Let time pass beyond the deadlines of all attempts."""
+        """Advance the time beyond the deadlines of all attempts."""
         self.now += 20
 
     @stateful.invariant()
     def every_id_runs_at_most_once(self) -> None:
-        """No id runs twice."""
+        """Check that no id runs twice."""
         assert max(self.run_counts.values()) <= 1
 
     @stateful.invariant()
     def unwritten_attempts_hold_no_claim(self) -> None:
-        """What is told as certainly not written never stands."""
+        """Check that attempts reported as not written have no claim."""
         unwritten = {
             nonce
             for nonce, result in self.results.items()
--- a/tests/core/members/__init__.py
+++ b/tests/core/members/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package members of the core."""
+"""Test the package `fuchsiahaven.core.members`."""
--- a/tests/core/members/test_membership.py
+++ b/tests/core/members/test_membership.py
@@ -1,4 +1,4 @@
-"""Check which hosts a data centre takes for live, over a cut network."""
+"""Test which hosts of a data centre are live, over a faulty network."""
 
 import pytest
 from hypothesis import settings, stateful
@@ -13,7 +13,7 @@
 
 
 def wait_for_convergence(network: networks.Network) -> None:
-    """Let time pass until all agree; fail where they do not."""
+    """Run the network until all hosts agree; fail if they do not in time."""
     deadline = network.now + CONVERGENCE_TIMEOUT_S
     while not network.has_converged() and network.now < deadline:
         network.run(1)
@@ -22,7 +22,7 @@
 
 
 def list_accused(network: networks.Network) -> set[str]:
-    """Name the members that anybody held for suspect or dead."""
+    """List the members that any host reported as suspect or dead."""
     return {
         report.name
         for _, _, report in network.reports
@@ -31,7 +31,7 @@
 
 
 def start_network(count: int) -> networks.Network:
-    """Start hosts and let them find each other."""
+    """Start hosts and run them until they have found each other."""
     network = networks.Network(count)
     wait_for_convergence(network)
     network.run(5)
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize('count', [2, 8, 30])
 def test_members_killed_together_are_declared_dead(count: int) -> None:
-    """Take hosts for dead that were killed together.
+    """Declare hosts dead that were killed together.
 
-    Symptom: seats at the targets stay dealt to hosts that are gone.
-    Sequence: a rack goes, a third of the members with it, helpers among
-    them. Cause: helpers that are dead themselves confirm nothing.
+    Guards against connections of targets that stay allocated to dead hosts.
+    A rack fails and with it a third of the members, helpers among them, and
+    dead helpers confirm nothing.
     """
     network = start_network(count)
     for number in range(max(1, count // 3)):
@@ -54,11 +54,11 @@
 
 
 def test_one_way_cut_makes_no_suspect() -> None:
-    """Go around a cut in one direction between two hosts.
+    """Bypass a cut in one direction between two hosts.
 
-    Symptom: a healthy host is held for dead. Sequence: h1 cannot open
-    connections to h2, while h2 reaches h1. Cause: one host's failed probe
-    taken for proof.
+    Guards against a healthy host that is declared dead: h1 cannot open
+    connections to h2, while h2 reaches h1, and the failed probes of one host
+    are taken for proof.
     """
     network = start_network(8)
     network.is_cut = lambda one, other: (one, other) == ('h1', 'h2')
@@ -67,11 +67,11 @@
 
 
 def test_unreachable_member_is_not_suspected_repeatedly() -> None:
-    """Believe a member that speaks although nobody can connect to it.
+    """Presume a member alive that sends messages but cannot be reached.
 
-    Symptom: news of one member fill all messages for as long as its port is
-    cut off. Sequence: h5 reaches all and refutes, none reaches h5, and the
-    next probe accuses it again. Cause: its own word counts for nothing.
+    Guards against news of one member that fill all messages while its port
+    is cut off: h5 reaches all hosts and refutes, no host reaches h5, and the
+    next probe makes it suspect again because its own messages do not count.
     """
     network = start_network(8)
     network.is_cut = lambda one, other: other == 'h5'
@@ -84,11 +84,11 @@
 
 
 def test_exchange_without_a_reported_end_expires() -> None:
-    """Bury a member although the end of an exchange was never reported.
+    """Declare a member dead although the end of an exchange is not reported.
 
-    Symptom: a dead member is live for ever. Sequence: an error in a thread
-    of the edge swallows the end of a helper's probe. Cause: a trial that
-    waits for it.
+    Guards against a dead member that stays live for ever: an error in a
+    thread of the edge loses the end of a helper's exchange, and the indirect
+    probe waits for it without a limit.
     """
     network = start_network(3)
     network.dropped_relays = 2
@@ -100,9 +100,9 @@
 def test_lossy_network_makes_no_member_dead() -> None:
     """Give suspects time to refute.
 
-    Symptom: seats are dealt anew all the time on a bad network. Sequence: a
-    third of the messages is lost, so that probes and helpers fail together
-    now and then. Cause: death without a time to answer the suspicion.
+    Guards against connections that are reallocated all the time on a bad
+    network: a third of the messages is lost, so probes and helpers sometimes
+    fail together, and members are declared dead without time to refute.
     """
     network = start_network(12)
     network.loss_fraction = 0.3
@@ -113,10 +113,11 @@
 
 
 def test_isolated_host_makes_no_suspects_at_first() -> None:
-    """Let a host doubt itself while no helper answers either.
+    """Make no member suspect while no helper answers either.
 
-    Symptom: a host whose own network blinks tells, once back, that all
-    others are suspect. Cause: silence of everybody taken for their fault.
+    Guards against a host that, after a short failure of its own network,
+    reports all other members as suspect, because it takes the silence of all
+    hosts for their failure.
     """
     network = start_network(8)
     network.is_cut = lambda one, other: 'h3' in {one, other}
@@ -126,11 +127,11 @@
 
 
 def test_sender_gets_its_own_entry_despite_much_news() -> None:
-    """Tell a member that it is held for dead however much else is new.
+    """Send a member its own entry however much other news there is.
 
-    Symptom: a healthy host stays dead while a rack is being replaced.
-    Sequence: more members change than one message carries, and the one that
-    asks is dead here. Cause: only what it hears can it refute.
+    Guards against a healthy host that stays dead while a rack is replaced:
+    more members change than one message holds, and the sender is dead in the
+    table of the receiver. A member can refute only the reports it receives.
     """
     state = start_network(20).hosts['h0']
     sender = state.table.entries['h7'].member
@@ -141,7 +142,7 @@
         other = table.entries[f'h{number}'].member
         table = tables.set_member(table, other._replace(incarnation=9), 0)
     gossip = messages.Gossip(sender, networks.DATA_CENTRE, state.stamp, '')
-    # Its own entry has been told often enough to be out of the news.
+    # Its own entry was sent so often that other news come first.
     table = table._replace(sends_left={**table.sends_left, 'h7': 1})
     _, actions = membership.handle_event(
         state._replace(table=table),
@@ -157,11 +158,11 @@
 
 @pytest.mark.parametrize('pause_s', [3, 60, 1000])
 def test_paused_host_makes_no_suspects_after_the_pause(pause_s: float) -> None:
-    """Let a host that stood still find its own fault.
+    """Let a host detect its own pause.
 
-    Symptom: one paused host has healthy ones declared dead. Sequence: h3
-    stands still with probes under way, wakes, and finds them all overdue.
-    Cause: what went unanswered meanwhile says nothing of the others.
+    Guards against a paused host that has healthy hosts declared dead: h3 is
+    paused with probes under way, resumes, and finds them all overdue. Probes
+    that fail during a pause are no evidence against other members.
     """
     network = start_network(8)
     network.frozen.add('h3')
@@ -173,11 +174,11 @@
 
 
 def test_both_halves_merge_after_a_cut() -> None:
-    """Find each other again after both halves buried the other.
+    """Merge two halves again after each declared the other dead.
 
-    Symptom: after a cut each half goes on alone for ever. Sequence: two
-    halves are cut off for five minutes, then healed. Cause: dead members
-    are probed no more, so nobody would ever hear of them again.
+    Guards against halves that stay separate for ever after a cut: two halves
+    cannot reach each other for five minutes, then the network recovers. Dead
+    members are not probed, so no message would reach the other half.
     """
     network = start_network(8)
     half = {'h0', 'h1', 'h2', 'h3'}
@@ -189,10 +190,11 @@
 
 
 def test_stale_news_does_not_bring_back_a_member_that_left() -> None:
-    """Keep a member gone that a host woken from a pause still holds.
+    """Keep a member gone that a host still holds after a pause.
 
-    Symptom: seats are dealt to a host that left. Sequence: h3 is paused;
-    h5 leaves; h3 wakes and tells that h5 lives. Cause: news without order.
+    Guards against connections allocated to a host that left: h3 is paused,
+    h5 leaves, h3 resumes and reports h5 as alive, and stale reports are
+    merged without regard to their order.
     """
     network = start_network(8)
     network.frozen.add('h3')
@@ -221,11 +223,11 @@
 
 @pytest.mark.parametrize('at_once', [True, False])
 def test_all_hosts_replaced(at_once: bool) -> None:
-    """Agree on the new hosts when all are replaced under their names.
+    """Agree on the new hosts when all are replaced under the same names.
 
-    Symptom: new hosts are taken for their dead predecessors. Sequence: all
-    are killed, one after another or at once, and started anew with the
-    first incarnation. Cause: others remember a higher incarnation as dead.
+    Guards against new hosts that are taken for their dead predecessors: all
+    hosts are killed, one after another or at once, and started again with
+    the first incarnation, while others hold a higher incarnation as dead.
     """
     network = start_network(8)
     for number in range(8):
@@ -241,12 +243,12 @@
 
 
 def test_forged_reports_have_no_lasting_effect() -> None:
-    """Survive a member that calls all others dead under high incarnations.
+    """Recover from reports that all members are dead in high incarnations.
 
-    Symptom: a member that runs wild takes every other out for good.
-    Sequence: reports of death with incarnations near and far above the
-    known ones, and hundreds of members that do not exist. Cause: whoever
-    names the highest number would be believed for ever.
+    Guards against a faulty member that removes all others for good. It sends
+    reports of death with incarnations slightly and far above the current
+    ones, and hundreds of members that do not exist. Without a bound the
+    report with the highest incarnation takes precedence for ever.
     """
     network = start_network(4)
     state = network.hosts['h0']
@@ -273,7 +275,7 @@
 
 
 def test_probing_continues_after_the_clock_jumps_back() -> None:
-    """Go on probing after a monotonic clock of a moved host fell back."""
+    """Continue probing after the monotonic clock of a moved host jumps back."""
     network = start_network(3)
     state = network.hosts['h0']
     start = network.now - 500
@@ -292,7 +294,7 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Kill, add, freeze and cut hosts; in the end all agree."""
+    """Kill, add, freeze and cut off hosts; in the end all agree."""
 
     def __init__(self) -> None:
         """Start five hosts."""
@@ -302,14 +304,14 @@
 
     @stateful.rule(name=st.integers(2, 4), seconds=st.integers(0, 20))
     def kill(self, name: int, seconds: int) -> None:
-        """Kill a host that is no seed."""
+        """Kill a host that is not a seed."""
         self.network.hosts.pop(f'h{name}', None)
         self.network.frozen.discard(f'h{name}')
         self.network.run(seconds)
 
     @stateful.rule(name=st.integers(2, 4))
     def restart(self, name: int) -> None:
-        """Start a host anew."""
+        """Start a killed host again."""
         if f'h{name}' not in self.network.hosts:
             self.network.add(f'h{name}')
 
@@ -323,13 +325,13 @@
     @stateful.rule(
         one=st.integers(0, 4),
         other=st.integers(0, 4),
-        loss=st.floats(0, 0.4),
+        loss_fraction=st.floats(0, 0.4),
         seconds=st.integers(0, 60),
     )
     def cut(
         self, one: int, other: int, loss_fraction: float, seconds: int
     ) -> None:
-        """Cut one direction, or one host off if both ends are the same."""
+        """Cut one direction, or cut off one host if both ends are the same."""
         self.network.loss_fraction = loss_fraction
         ends = (f'h{one}', f'h{other}')
         self.network.is_cut = lambda a, b: (
@@ -338,7 +340,7 @@
         self.network.run(seconds)
 
     def teardown(self) -> None:
-        """Heal the network and demand that all agree."""
+        """Restore the network and check that all hosts agree."""
         self.network.loss_fraction = 0
         self.network.is_cut = lambda one, other: False
         wait_for_convergence(self.network)
--- a/tests/core/members/test_probes.py
+++ b/tests/core/members/test_probes.py
@@ -1,4 +1,4 @@
-"""Test how seldom a target is asked for its health."""
+"""Test how often the health of a target is probed."""
 
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.core.targets import messages
@@ -8,7 +8,7 @@
 
 
 class _ProbedTarget:
-    """Drive one target that answers every tenth of a second."""
+    """Simulate one target that answers ten times a second."""
 
     def __init__(self, version: int | None = 7) -> None:
         self.rig = rig.Rig(SEARCH, shards=1, replicas=1)
@@ -16,7 +16,7 @@
         self.rig.report(0, 0, 1, sequence=2, version=version)
 
     def answer_for(self, duration_s: int, version: int | None) -> int:
-        """Answer for a while; return how often its health was asked."""
+        """Answer for some seconds; return the number of health probes."""
         return sum(self._answer_once(version) for _ in range(duration_s * 10))
 
     def _answer_once(self, version: int | None) -> int:
@@ -31,23 +31,23 @@
 
 
 def test_answers_that_confirm_the_report_replace_probes() -> None:
-    """A busy target costs a probe a second although nothing changes.
+    """Replace probes of a busy target by answers that confirm its report.
 
-    Symptom: at hundreds of targets a host's probes alone exceed what control
-    may cost. Sequence: a target answers many times a second, and is asked
-    for its health every second as well. Cause: answers said nothing of what
-    the health report would say.
+    Guards against a probe a second for each target although nothing changes:
+    a target answers many times a second and is probed every second as well,
+    so that with hundreds of targets the probes of a host exceed the budget
+    of control traffic. Answers carry the version of the health report.
     """
     assert _ProbedTarget().answer_for(20, version=7) <= 1
 
 
 def test_a_changed_version_is_probed_within_a_second() -> None:
-    """New holdings of a busy target go unseen while its answers go on.
+    """Probe a busy target soon after the version in its answers changes.
 
-    Symptom: a new snapshot is not used though all replicas hold it.
-    Sequence: probes rest because answers confirm an old report; the target
-    loads a snapshot. Cause: the confirmation was believed without comparing
-    what it confirms.
+    Guards against a new snapshot that is not used although all replicas hold
+    it: probes pause because answers confirm an old report, the target loads a
+    snapshot, and the version in its answers is not compared with that of the
+    report.
     """
     target = _ProbedTarget()
     target.answer_for(5, version=7)
@@ -55,20 +55,20 @@
 
 
 def test_a_target_without_versions_is_probed_every_second() -> None:
-    """A target that tells no version is believed to be unchanged.
+    """Probe a target every second if its answers have no version.
 
-    Symptom: its leaving is seen late. Sequence: it answers, and its health
-    endpoint alone says that it leaves. Cause: an answer without a version
-    counted as a confirmation.
+    Guards against a target whose leaving is detected late: it answers
+    requests, and only its health endpoint reports that it leaves. An answer
+    without a version must not count as a confirmation.
     """
     assert _ProbedTarget(version=None).answer_for(10, version=None) >= 9
 
 
 def test_a_target_is_probed_from_time_to_time_despite_answers() -> None:
-    """A wrong confirmation is believed for ever.
+    """Bound the time for which answers can replace probes.
 
-    Symptom: a target keeps a version although its holdings changed, and the
-    host never learns. Sequence: it confirms on and on. Cause: nothing
-    bounded how long answers can stand for reports.
+    Guards against a wrong confirmation that is accepted for ever: a target
+    keeps its version although its holdings have changed, and its answers
+    confirm the old report without a limit.
     """
     assert _ProbedTarget().answer_for(70, version=7) >= 2
--- a/tests/core/model_store.py
+++ b/tests/core/model_store.py
@@ -1,4 +1,4 @@
-"""Model the platform's service for tests of decisions: no time, no sockets."""
+"""Model the platform's key-value service without time and sockets."""
 
 import enum
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class CallOutcome(enum.Enum):
-    """List what can become of one call."""
+    """List the outcomes of a call."""
 
     DONE = 'done'
     FAILED = 'failed'
@@ -19,7 +19,7 @@
 
 
 class ModelStore:
-    """Hold keys and the writes that are still under way."""
+    """Hold keys, and the writes that are still under way."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -34,7 +34,7 @@
         call: store_calls.Call,
         outcome: CallOutcome = CallOutcome.DONE,
     ) -> store_calls.Result:
-        """Answer one call as its fate wills."""
+        """Return the result of one call according to its outcome."""
         if outcome is CallOutcome.DONE or isinstance(call, store_calls.Backoff):
             return self._apply(call)
         is_write = isinstance(
@@ -52,13 +52,13 @@
         return store_calls.WriteUnclear('no answer')
 
     def apply_delayed(self, index: int) -> None:
-        """Let a delayed write arrive."""
+        """Apply a delayed write."""
         self._apply(self.delayed.pop(index))
 
     def run_steps(
         self, steps: StoreSteps, call: store_calls.Call | None = None
     ) -> Any:
-        """Run steps to their end without faults, from a call if one waits."""
+        """Run steps to their end without faults, from `call` if given."""
         while True:
             try:
                 call = steps.send(self.call(call)) if call else next(steps)
