--- a/fuchsiahaven/__init__.py
+++ b/fuchsiahaven/__init__.py
@@ -1,4 +1,4 @@
-"""Answer searches over many shards, completely or honestly partially."""
+"""Answer searches over many shards, and report each shard not covered."""
 
 from typing import Final
 
--- a/fuchsiahaven/__main__.py
+++ b/fuchsiahaven/__main__.py
@@ -1,4 +1,4 @@
-"""Start the command line."""
+"""Run the command line."""
 
 import sys
 
--- a/fuchsiahaven/platform/__init__.py
+++ b/fuchsiahaven/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate names, formats and calls of the users' platform; decide nothing."""
+"""Translate the platform's names, formats and calls; hold no decisions."""
--- a/fuchsiahaven/platform/headers.py
+++ b/fuchsiahaven/platform/headers.py
@@ -3,24 +3,24 @@
 from typing import Final
 
 REQUEST_ID: Final = 'fuchsiahaven-request-id'
-#: How many milliseconds whoever asks will wait.
+#: Milliseconds that the sender will wait for the answer.
 DEADLINE_MS: Final = 'fuchsiahaven-deadline-ms'
-#: The identity of the one process that may run a request.
+#: The only target process that may run a request.
 INSTANCE: Final = 'fuchsiahaven-target-instance'
-#: What a target puts on each answer; a caller checks it.
+#: The target's signature of an answer, which callers verify.
 SIGNATURE: Final = 'fuchsiahaven-response-signature'
-#: A target's word that it has not run a request and never will.
+#: States that the target has not run the request and never will.
 NOT_RUN: Final = 'fuchsiahaven-not-executed'
-#: Requests running, waiting, and slots; further figures may follow.
+#: Requests in flight, requests queued and slots; more values may follow.
 LOAD: Final = 'fuchsiahaven-server-load'
-#: The signatures of the parts that an answer holds.
+#: The signatures of the parts of which an answer is merged.
 PART_SIGNATURES: Final = 'fuchsiahaven-part-signatures'
-#: How many shards an answer lacks.
+#: The number of shards that an answer does not cover.
 MISSING_PARTS: Final = 'fuchsiahaven-missing-parts'
-#: The key of a customer, where callers have to show one.
+#: The customer's key, where callers need one.
 AUTHORIZATION: Final = 'authorization'
-#: The name of the customer whose request it is.
+#: The name of the customer that sent the request.
 CUSTOMER: Final = 'fuchsiahaven-tenant'
 RETRY_AFTER: Final = 'retry-after'
-#: Rises each time the store comes back from an older copy of itself.
+#: The store's era, which rises each time an older copy is restored.
 STORE_ERA: Final = 'store-era'
--- a/fuchsiahaven/platform/http_codecs.py
+++ b/fuchsiahaven/platform/http_codecs.py
@@ -1,4 +1,4 @@
-"""Translate between HTTP messages and the events of the decisions."""
+"""Convert HTTP messages to and from the events of `routing`."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -12,21 +12,21 @@
 from fuchsiahaven.routing import events
 
 MS_PER_S: Final = 1000
-#: What a caller waits that does not say; as long as most routes allow.
+#: Deadline of a request that states none; most routes allow as much.
 DEFAULT_DEADLINE_S: Final = 2.0
-#: Statuses that promise that a request has not run and will not.
+#: Statuses that promise that the request has not run and will not run.
 NOT_RUN_STATUSES: Final = frozenset((408, 421, 429, 503))
 MISDIRECTED_STATUS: Final = 421
-#: Where the balancer asks whether to send requests here.
+#: Path at which the load balancer asks whether this host takes requests.
 READINESS_PATH: Final = '/ready'
 LOAD_VALUES: Final = 3
 
-#: How callers show their keys, in any case.
+#: Authentication scheme of customer keys, in any letter case.
 AUTH_SCHEME: Final = 'token'
 MAX_KEY_BYTES: Final = keys.MAX_KEY_BYTES
 digest_key: Final = keys.compute_digest
 
-#: Fields that concern one connection only, or that are written anew here.
+#: Hop-by-hop header fields, and fields that are encoded anew here.
 _HOP_BY_HOP: Final = frozenset(
     (
         'connection',
@@ -42,14 +42,14 @@
         'upgrade',
     )
 )
-#: Fields that this host sets itself, whatever a caller has sent.
+#: Header fields that only this host sets; a caller's values are dropped.
 _HOST_CONTROLLED: Final = _HOP_BY_HOP | {
     headers.CUSTOMER,
     headers.DEADLINE_MS,
     headers.INSTANCE,
     headers.AUTHORIZATION,
 }
-#: Fields of a target's answer that speak to this host and not to callers.
+#: Header fields of a target's answer that are not relayed to callers.
 _NOT_RELAYED: Final = _HOP_BY_HOP | {
     headers.LOAD,
     headers.RETRY_AFTER,
@@ -61,7 +61,11 @@
 
 
 class Message(NamedTuple):
-    """Hold a whole HTTP message that was received; names are lower case."""
+    """Hold a complete HTTP message that was received.
+
+    Names of header fields are lower case. `uri` and `method` are set in
+    requests, `status` in answers.
+    """
 
     uri: str
     status: int
@@ -71,7 +75,7 @@
 
 
 class EncodedAnswer(NamedTuple):
-    """Hold an HTTP answer to be sent."""
+    """Hold an HTTP answer that is ready to be sent."""
 
     status: int
     fields: events.Fields
@@ -79,7 +83,7 @@
 
 
 def decode_fields(raw_fields: RawFields) -> events.Fields:
-    """Read header fields as text; any byte is kept as it came."""
+    """Decode header fields to text, one character for each byte."""
     return tuple(
         (name.decode('latin-1').lower(), value.decode('latin-1'))
         for name, value in raw_fields
@@ -89,7 +93,11 @@
 def decode_request(
     message: Message, now: float, distance_s: float = 0.0
 ) -> events.Request:
-    """Read the request of a caller, who is so many seconds away in all."""
+    """Decode a caller's request.
+
+    `distance_s` is the time that the request and its answer spend outside this
+    host, in seconds.
+    """
     fields = dict(message.fields)
     host = fields.get('host', '').partition(':')[0].lower()
     relayed = _list_relayed(message.fields, fields, _HOST_CONTROLLED)
@@ -115,7 +123,7 @@
 
 
 def add_identity(request: events.Request) -> events.Request:
-    """Give a request the identity that each host works out for it."""
+    """Return the request with its identity, which is equal on all hosts."""
     identity = request_identities.identify(
         request.customer or _name_caller(request),
         request.method.encode('latin-1'),
@@ -126,7 +134,7 @@
 
 
 def _name_caller(request: events.Request) -> str:
-    """Name who asks: whoever shows a key, or else whose name is asked at."""
+    """Name the caller by a digest of its key, or else by the host asked."""
     all_fields = (*request.credentials, *request.fields)
     for name, value in all_fields:
         if name == headers.AUTHORIZATION:
@@ -138,7 +146,7 @@
 
 
 def _decode_key_digest(key_fields: events.Fields) -> str:
-    """Read the digest of the one key that a caller shows, empty without."""
+    """Return the digest of the only key in the fields, or an empty text."""
     return keys.parse_key_digest(
         [value for _, value in key_fields], AUTH_SCHEME
     )
@@ -147,7 +155,7 @@
 def encode_request_fields(
     send: events.SendAttempt, now: float
 ) -> events.Fields:
-    """Write the header fields of a request to a target."""
+    """Encode the header fields of a request to a target."""
     request = send.request
     remaining_ms = max(
         1, int((min(send.deadline, request.deadline) - now) * MS_PER_S)
@@ -158,14 +166,15 @@
         *_encode_length(request),
     )
     if request.customer:
-        # Fields are written byte by byte.
+        # Header fields are sent as Latin-1, so each UTF-8 byte becomes one
+        # character here.
         name = request.customer.encode('utf-8').decode('latin-1')
         host_fields = ((headers.CUSTOMER, name), *host_fields)
     return (*request.fields, *request.credentials, *host_fields)
 
 
 def is_answer_to(message: Message, request: events.Request) -> bool:
-    """Tell whether a target's answer belongs to a request."""
+    """Check whether a target's answer belongs to a request."""
     request_id = dict(message.fields).get(headers.REQUEST_ID)
     return request_id == request.request_id
 
@@ -173,7 +182,7 @@
 def decode_answer(
     send: events.SendAttempt, message: Message
 ) -> events.TargetAnswered | events.TargetRefused | events.AttemptBroken:
-    """Read what a target answered."""
+    """Decode a target's answer to an attempt."""
     fields = dict(message.fields)
     load = _decode_load(fields.get(headers.LOAD))
     if message.status == MISDIRECTED_STATUS:
@@ -184,10 +193,11 @@
         return events.TargetRefused(send.key, messages.RefusalReason.SHED, load)
     signature = fields.get(headers.SIGNATURE, '')
     if not signature or 'content-encoding' in fields:
-        # Without the signature a success is not the target's own word.
+        # Without the signature the answer may not come from the target.
         return events.AttemptBroken(send.key, messages.Fault.MALFORMED)
     if message.status in NOT_RUN_STATUSES:
-        # It promises what the target has not said: that it did not run.
+        # The status promises that the request did not run, but the field by
+        # which a target states so is missing.
         return events.AttemptBroken(send.key, messages.Fault.MALFORMED)
     relayed = _list_relayed(message.fields, fields, _NOT_RELAYED)
     return events.TargetAnswered(
@@ -197,7 +207,7 @@
 
 
 def encode_outcome(outcome: events.Outcome) -> EncodedAnswer:
-    """Write what a caller is told."""
+    """Encode the answer to a caller."""
     match outcome:
         case events.RelayedAnswer(answer):
             return EncodedAnswer(answer.status, answer.fields, answer.body)
@@ -216,7 +226,11 @@
 
 
 def encode_failure(failure: errors.Failure) -> EncodedAnswer:
-    """Write a failure; a status that promises is used only if it is true."""
+    """Encode a failure.
+
+    A status that promises that the request did not run is used only where
+    that is known.
+    """
     properties = errors.KIND_PROPERTIES[failure.kind]
     status = properties.status
     if status in NOT_RUN_STATUSES and failure.ran is not errors.Ran.NO:
--- a/fuchsiahaven/platform/records.py
+++ b/fuchsiahaven/platform/records.py
@@ -1,4 +1,4 @@
-"""Decode what operators, targets and hosts keep in the platform's store."""
+"""Decode and encode the records of the platform's store."""
 
 import base64
 import ipaddress
@@ -22,18 +22,18 @@
 CONFIGURATION_KEY: Final = 'op/config'
 INSTANCE_PREFIX: Final = 'servers/'
 HOST_PREFIX: Final = 'fuchsiahaven/hosts/'
-#: By the digest of a request that ends the targets that run it.
+#: Followed by the digest of a request that crashes the targets that run it.
 QUARANTINE_PREFIX: Final = 'fuchsiahaven/quarantines/'
-#: Keys by which operators have data centres evacuated; removing one takes the
-#: order back.
+#: Followed by a data centre that operators evacuate; removing the key ends the
+#: evacuation.
 EVACUATION_PREFIX: Final = 'op/evacuate/'
 MS_PER_S: Final = 1000
-#: What a target says of itself, and whether it is leaving then. Any other
-#: word is not known, and an entry with it names no target to use.
+#: The states that a target reports, and whether it is leaving in each. An
+#: instance with any other state is malformed.
 LEAVING_BY_STATE: Final = {'ready': False, 'draining': True}
 MAX_PORT: Final = 65_535
-#: What reading a value raises where its bytes or its shape are wrong. Text
-#: nested too deeply ends in the last.
+#: Exceptions that decoding a malformed value raises. JSON that is nested too
+#: deeply raises RecursionError.
 DECODE_ERRORS: Final = (
     ValueError,
     KeyError,
@@ -42,7 +42,7 @@
     OverflowError,
     RecursionError,
 )
-#: Characters of a reason that are kept: it may quote what was written.
+#: Characters of an error text that are kept, as it may quote the value.
 MAX_REASON_LENGTH: Final = 200
 REPEAT_BY_TYPE: Final = {
     'idempotent': configurations.Repeat.IDEMPOTENT,
@@ -51,11 +51,11 @@
 
 
 class MalformedError(Exception):
-    """Report a record or an answer that is not as documented."""
+    """Report a record or an answer of the store that cannot be decoded."""
 
 
 def parse_key(text: str) -> facts.Key | None:
-    """Tell what a key of the store is about; None if it is not ours to read."""
+    """Parse a key of the store; return None for a key of another system."""
     if text == CONFIGURATION_KEY:
         return facts.Key(facts.Subject.CONFIGURATION, '')
     if text.startswith(INSTANCE_PREFIX):
@@ -74,10 +74,10 @@
 
 
 def decode_value(key: facts.Key, encoded: str) -> facts.Value:
-    """Decode the value of a key; raises Malformed."""
+    """Decode the value of a key. Raises MalformedError."""
     if key.subject is facts.Subject.EVACUATION:
-        # The key alone is the order. Were a value that somebody spoilt to
-        # undo it, targets would get work that operators have forbidden.
+        # The key alone orders the evacuation. If a malformed value cancelled
+        # it, targets would get work that operators have forbidden.
         return deployments.Evacuation(key.name)
     try:
         row = json.loads(base64.b64decode(encoded, validate=True))
@@ -88,7 +88,7 @@
 
 
 def decode_configuration(text: bytes) -> configs.Configuration:
-    """Read a configuration as operators write it; raises Malformed."""
+    """Decode a configuration in JSON. Raises MalformedError."""
     key = facts.Key(facts.Subject.CONFIGURATION, '')
     decoded = decode_value(key, base64.b64encode(text).decode())
     assert isinstance(decoded, configs.Configuration)
@@ -96,9 +96,9 @@
 
 
 def describe_error(error: Exception) -> str:
-    """Describe a fault of what was read, without the text itself.
+    """Describe a decoding error without the decoded text.
 
-    The error of an encoding holds all that was read, and with it keys.
+    The repr of a UnicodeError contains all of the input, including keys.
     """
     if isinstance(error, UnicodeError):
         return f'{type(error).__name__}()'
@@ -106,7 +106,7 @@
 
 
 def encode_host(host: deployments.Host) -> tuple[str, str]:
-    """Write the key and the value by which other hosts find this one."""
+    """Encode the key and value by which other hosts find this host."""
     row: dict[str, str | float] = {
         'address': host.address,
         'zone': host.data_centre,
@@ -117,7 +117,7 @@
 
 
 def encode_quarantine(report: suspects.News) -> tuple[str, str]:
-    """Write the key and the value by which hosts learn of a quarantine."""
+    """Encode the key and value that announce a quarantine to all hosts."""
     text = json.dumps(suspect_codecs.encode_report(report))
     key = f'{QUARANTINE_PREFIX}{report.identity.digest}'
     return key, base64.b64encode(text.encode()).decode()
@@ -156,11 +156,14 @@
 
 
 def _decode_rate(value: object) -> float:
-    """Read a rate strictly: shares of it are counted in whole requests."""
+    """Decode a rate; one that is not finite and 0 or more is malformed.
+
+    Fractions of the rate are later converted to whole requests.
+    """
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         if math.isfinite(value) and value >= 0:
             return float(value)
-    raise ValueError(f'no rate: {value!r}')
+    raise ValueError(f'not a rate: {value!r}')
 
 
 def _decode_limits(row: Mapping[str, Any]) -> configs.Limits:
@@ -180,11 +183,11 @@
         row['name'],
         row['host'].lower(),
         row['prefix'],
-        # The field is named type; it says only whether a request may repeat.
+        # The field `type` states only whether a request may be repeated.
         REPEAT_BY_TYPE[row['type']],
         row['timeout_ms'] / MS_PER_S,
-        # Also the time within which a merged answer is worth most, not the
-        # mean latency that its name suggests.
+        # Not a mean latency, as the name suggests, but also the time within
+        # which a merged answer has its full value.
         row['target_latency_ms'] / MS_PER_S,
         int(row.get('max_attempts', 1)),
         int(row.get('priority', 0)),
@@ -209,10 +212,10 @@
 
 
 def _decode_instance(name: str, row: Mapping[str, Any]) -> instances.Instance:
-    """Read a target's entry strictly: anybody may have written it.
+    """Decode a target's entry, and check the type of each field.
 
-    A value of another type that is taken as it comes would fail only when
-    the target is chosen, as an error in the middle of a query.
+    Other writers can put entries there. A value of a wrong type that is
+    accepted here would raise an error when a query selects the target.
     """
     born_ms = _decode_integer(row.get('born', 0))
     slots = _decode_integer(row['slots'])
@@ -234,27 +237,27 @@
 def _decode_quarantine(digest: str, row: Mapping[str, Any]) -> suspects.News:
     report = suspect_codecs.decode_report(row)
     if report.identity.digest != digest:
-        raise ValueError('the entry of another request')
+        raise ValueError('the entry is of another request')
     return report
 
 
 def _decode_text(value: object) -> str:
     if isinstance(value, str) and value:
         return value
-    raise ValueError(f'no text: {value!r}')
+    raise ValueError(f'not a text or empty: {value!r}')
 
 
 def _decode_integer(value: object) -> int:
-    # A truth value is a number in this language, but not in an entry.
+    # In Python bool is a subclass of int.
     if isinstance(value, int) and not isinstance(value, bool):
         if 0 <= value <= tenants.MAX_EXACT_INTEGER:
             return value
-    raise ValueError(f'no whole number: {value!r}')
+    raise ValueError(f'not an integer within bounds: {value!r}')
 
 
 def _decode_address(value: object) -> str:
     ip, _, port = _decode_text(value).rpartition(':')
     ipaddress.IPv4Address(ip)
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise ValueError(f'no port: {value!r}')
+        raise ValueError(f'not a port: {value!r}')
     return f'{ip}:{port}'
--- a/fuchsiahaven/platform/settings.py
+++ b/fuchsiahaven/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform gives each process."""
+"""Parse the settings file that the platform gives each process."""
 
 import math
 import os
@@ -11,9 +11,9 @@
 PATH_VARIABLE: Final = 'FUCHSIAHAVEN_SETTINGS'
 MS_PER_S: Final = 1000
 BYTES_PER_MEGABIT: Final = 125_000
-#: Writes a second that the store takes where that is not told.
+#: Writes a second that the store accepts, where the file does not state it.
 DEFAULT_WRITES_PER_S: Final = 400.0
-#: Names that every settings file has.
+#: Keys that every settings file must have.
 REQUIRED_KEYS: Final = (
     'node',
     'zone',
@@ -28,9 +28,9 @@
     'bounds.grace_s',
     'heartbeat_ms',
 )
-#: Names that only files have whose deployments bound cold targets.
+#: Keys of deployments that limit requests to cold targets.
 WARM_UP_KEYS: Final = ('bounds.warmup_overage', 'bounds.warmup_slack')
-#: Names that only files have whose deployments bound customers' requests.
+#: Keys of deployments that limit customers' requests.
 QUOTA_KEYS: Final = (
     'bounds.quota_window_s',
     'bounds.quota_overage',
@@ -39,27 +39,27 @@
 
 
 class Fault(NamedTuple):
-    """Say what is wrong with one line of a settings file."""
+    """Describe what is wrong with one key of a settings file."""
 
     name: str
     text: str
 
 
 class Reading(NamedTuple):
-    """Return the settings, or every fault that was found."""
+    """Hold the settings, or None and every fault that was found."""
 
     settings: deployments.Settings | None
     faults: tuple[Fault, ...]
 
 
 def find_path() -> Path | None:
-    """Find the settings file that the environment names."""
+    """Find the path of the settings file in the environment."""
     path = os.environ.get(PATH_VARIABLE)
     return Path(path) if path else None
 
 
 def read_file(path: Path) -> Reading:
-    """Read a settings file."""
+    """Read and parse a settings file."""
     try:
         text = path.read_text()
     except OSError as error:
@@ -68,7 +68,7 @@
 
 
 def parse_text(text: str) -> Reading:
-    """Read the lines `a.b=value`; names that are not known are ignored."""
+    """Parse lines of the form `a.b=value`; unknown keys are ignored."""
     values = dict(
         line.strip().split('=', 1) for line in text.splitlines() if '=' in line
     )
@@ -103,8 +103,8 @@
     values: Mapping[str, str], numbers: Mapping[str, float]
 ) -> deployments.Settings:
     ports = values['internal_ports'].split(',')
-    # Other hosts are told the seeds' addresses, so the port that the seeds
-    # name is the one where this host answers other hosts.
+    # The seeds are listed with their control ports, so this host answers
+    # other hosts at its own control port.
     peer_address = values.get('listen.control') or f'{values["ip"]}:{ports[0]}'
     return deployments.Settings(
         deployments.Host(
@@ -147,7 +147,7 @@
 
 
 def _parse_capacity(values: Mapping[str, str]) -> float:
-    """Read what this host can do, in cores; UNTOLD where it is not told."""
+    """Parse this host's capacity in cores; UNKNOWN_CAPACITY if not given."""
     try:
         cores = float(values.get('limits.cores', '1'))
         capacity = cores * float(values['limits.cpu_share'])
@@ -159,10 +159,10 @@
 def _parse_quota(
     values: Mapping[str, str],
 ) -> deployments.QuotaTolerance | None:
-    """Read by how much quotas may be exceeded; not every deployment has any."""
+    """Parse by how much quotas may be exceeded; None if not given."""
     try:
         window_s, overage, slack = [
-            float(values.get(number, '')) for number in QUOTA_KEYS
+            float(values.get(key, '')) for key in QUOTA_KEYS
         ]
     except ValueError:
         return None
@@ -176,7 +176,10 @@
 
 
 def _parse_revoke_s(values: Mapping[str, str]) -> float | None:
-    """Read how soon a key is dead everywhere; None where that may take long."""
+    """Parse the seconds after which a removed key is refused on all hosts.
+
+    Return None where the deployment does not bound that time.
+    """
     if values.get('bounds.strict_revoke') != 'true':
         return None
     revoke_ms = _parse_positive(values.get('bounds.revoke_ms', ''), 0)
@@ -184,7 +187,7 @@
 
 
 def _parse_warm_up(values: Mapping[str, str]) -> deployments.WarmUpLimit | None:
-    """Read the bound on cold targets; not every deployment has one."""
+    """Parse the limit on requests to cold targets; None if not given."""
     texts = [values.get(name, '') for name in WARM_UP_KEYS]
     try:
         overage, slack = [max(0.0, float(text)) for text in texts]
@@ -195,7 +198,7 @@
 
 
 def _parse_positive(text: str, default: float) -> float:
-    """Read a figure above 0; one that is not told is as usual."""
+    """Parse a number above 0; return the default for anything else."""
     try:
         number = float(text)
     except ValueError:
@@ -204,7 +207,7 @@
 
 
 def _parse_link_rate(text: str) -> float:
-    """Read what a host's link carries; one that is not told is not known."""
+    """Parse the rate of a host's link, in bytes a second; 0 if not given."""
     try:
         return max(0.0, float(text)) * BYTES_PER_MEGABIT
     except ValueError:
--- a/fuchsiahaven/platform/store.py
+++ b/fuchsiahaven/platform/store.py
@@ -1,4 +1,4 @@
-"""Write the calls to the platform's metadata store and read its answers."""
+"""Build calls to the platform's metadata store and decode its answers."""
 
 import json
 import urllib.parse
@@ -12,18 +12,18 @@
 OK: Final = 200
 NOT_FOUND: Final = 404
 CONFLICT: Final = 412
-#: The store has forgotten what has changed since then.
+#: Status where the store no longer has the changes since a revision.
 HISTORY_GONE: Final = 410
 MS_PER_S: Final = 1000
-#: Digits of an era; more are no count.
+#: An era has fewer digits than this.
 ERA_DIGITS_LIMIT: Final = 16
 
-#: Decodes a value, or returns it as decoded before.
+#: Decodes a value, or returns a cached result of decoding it.
 ValueDecoder = Callable[[facts.Key, facts.Stamp, str], facts.Value | None]
 
 
 class Call(NamedTuple):
-    """Hold one call: method, path with its query, and the body to send."""
+    """Hold one HTTP call: method, path with query, and body."""
 
     method: str
     path: str
@@ -33,8 +33,8 @@
 class Page(NamedTuple):
     """Hold one page of a listing.
 
-    `revision` is the store's when the page was read; `after` is where the
-    next page begins, or None after the last.
+    `revision` is the store's revision when the page was read. The next page
+    begins after the key `next_after`, which is None on the last page.
     """
 
     revision: int
@@ -43,20 +43,20 @@
 
 
 def decode_era(fields: events.Fields) -> int | None:
-    """Read the era that an answer is from; None where none is told.
+    """Decode the store's era in an answer; None if the field is missing.
 
-    Raises records.Malformed where it is no number.
+    Raises records.MalformedError if it is not a number.
     """
     text = dict(fields).get(headers.STORE_ERA)
     if text is None:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < ERA_DIGITS_LIMIT):
-        raise records.MalformedError(f'no era: {text[:ERA_DIGITS_LIMIT]!r}')
+        raise records.MalformedError(f'not an era: {text[:ERA_DIGITS_LIMIT]!r}')
     return int(text)
 
 
 def build_list_call(after: str) -> Call:
-    """Ask for the page after a key of everything that the store holds."""
+    """Build the call that lists all keys of the store after a key."""
     query = {'prefix': ''}
     if after:
         query['after'] = after
@@ -64,7 +64,7 @@
 
 
 def build_configuration_call() -> Call:
-    """Ask for the configuration alone."""
+    """Build the call that reads only the configuration."""
     query = urllib.parse.urlencode({'key': records.CONFIGURATION_KEY})
     return Call('GET', f'/kv-key?{query}')
 
@@ -72,7 +72,7 @@
 def decode_item(
     body: bytes, era: int, decode: ValueDecoder
 ) -> facts.Fact | None:
-    """Read one item of an era; raises records.Malformed."""
+    """Decode an answer with one item. Raises records.MalformedError."""
     try:
         return _decode_item_row(json.loads(body), era, decode)
     except (ValueError, KeyError, TypeError) as error:
@@ -80,7 +80,7 @@
 
 
 def decode_page(body: bytes, era: int, decode: ValueDecoder) -> Page:
-    """Read a page of an era; raises records.Malformed."""
+    """Decode a page of a listing. Raises records.MalformedError."""
     try:
         return _decode_page_row(json.loads(body), era, decode)
     except (ValueError, KeyError, TypeError) as error:
@@ -101,9 +101,9 @@
 
 
 def build_watch_call(after: int, wait_s: float) -> Call:
-    """Ask for what has changed after a revision, or wait until something has.
+    """Build the call that lists the changes after a revision.
 
-    `wait` is in seconds.
+    The store waits up to `wait_s` seconds for the first change.
     """
     query = {
         'prefix': '',
@@ -114,7 +114,7 @@
 
 
 def decode_events(body: bytes, era: int, decode: ValueDecoder) -> Page:
-    """Read what has changed in an era; raises records.Malformed."""
+    """Decode a list of changes. Raises records.MalformedError."""
     try:
         answer = json.loads(body)
         decoded = [
@@ -128,13 +128,13 @@
 
 
 def build_open_lease_call(duration_s: float) -> Call:
-    """Ask for a lease."""
+    """Build the call that opens a lease."""
     body = json.dumps({'ttl_ms': int(duration_s * MS_PER_S)})
     return Call('POST', '/kv-lease', body.encode())
 
 
 def decode_lease(body: bytes) -> int:
-    """Read the number of a lease; raises records.Malformed."""
+    """Decode the id of a lease. Raises records.MalformedError."""
     try:
         return int(json.loads(body)['lease'])
     except (ValueError, KeyError, TypeError) as error:
@@ -142,24 +142,24 @@
 
 
 def build_renew_lease_call(lease: int) -> Call:
-    """Ask for a lease to last on."""
+    """Build the call that renews a lease."""
     return Call('POST', f'/kv-keep/{lease}', b'{}')
 
 
 def build_put_host_call(host: deployments.Host, lease: int) -> Call:
-    """Ask for the entry by which other hosts find this one."""
-    # Under no condition: the entry is this host's alone.
+    """Build the call that writes this host's entry under a lease."""
+    # Unconditional, as only this host writes the entry.
     return _build_put_call(records.encode_host(host), lease)
 
 
 def build_put_quarantine_call(report: suspects.News, lease: int) -> Call:
-    """Ask for the entry by which all hosts learn of a quarantine."""
-    # Under no condition: what is known most ranks first wherever it is read.
+    """Build the call that announces a quarantine to all hosts."""
+    # Unconditional, as every reader keeps the report that ranks highest.
     return _build_put_call(records.encode_quarantine(report), lease)
 
 
 def build_end_lease_call(lease: int) -> Call:
-    """Ask for a lease and its keys to go."""
+    """Build the call that ends a lease, which removes its keys."""
     return Call('DELETE', f'/kv-lease-end/{lease}')
 
 
--- a/fuchsiahaven/platform/tenants.py
+++ b/fuchsiahaven/platform/tenants.py
@@ -1,4 +1,4 @@
-"""Decode the customers of a configuration; no key leaves here in clear."""
+"""Decode the customers of a configuration, with digests in place of keys."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -13,15 +13,15 @@
 def decode_customers(
     row: Mapping[str, Any],
 ) -> tuple[configs.Customer, ...] | None:
-    """Read the customers; None where callers need no key.
+    """Decode the customers; None where callers need no key.
 
-    Raises ValueError, which names the customer that is spoilt and no key.
+    Raises ValueError, which names the invalid customer but no key.
     """
     if 'tenants' not in row:
         return None
     rows = row['tenants']
     if not isinstance(rows, list):
-        raise ValueError('customers are no list')
+        raise ValueError('customers are not a list')
     decoded = tuple(
         _decode_customer(value, position) for position, value in enumerate(rows)
     )
@@ -32,16 +32,16 @@
 
 
 def decode_public(row: Mapping[str, Any]) -> bool:
-    """Read whether a route takes requests without a key."""
+    """Decode whether a route accepts requests without a key."""
     public = row.get('public', False)
     if isinstance(public, bool):
         return public
-    raise ValueError('a route is neither public nor not')
+    raise ValueError('the public field of a route is not a boolean')
 
 
 def _decode_customer(value: object, position: int) -> configs.Customer:
     if not isinstance(value, dict):
-        raise ValueError(f'customer {position} is no object')
+        raise ValueError(f'customer {position} is not an object')
     name = value.get('name')
     if not customers.is_valid_name(name):
         raise ValueError(f'customer {position} has no name that can be sent')
@@ -61,31 +61,31 @@
 
 def _decode_keys(value: object) -> tuple[str, ...]:
     if not isinstance(value, list):
-        raise ValueError('keys are no list')
+        raise ValueError('keys are not a list')
     digests = tuple(_compute_digest(key) for key in value)
     if len(set(digests)) < len(digests):
-        raise ValueError('a key is there twice')
+        raise ValueError('a key is listed twice')
     return digests
 
 
 def _compute_digest(key: object) -> str:
     if not isinstance(key, str) or not key:
-        raise ValueError('a key is no text')
+        raise ValueError('a key is not a text or is empty')
     try:
         return keys.compute_digest(key)
     except UnicodeEncodeError:
-        # The error itself would tell the key.
-        raise ValueError('a key is no text') from None
+        # The original error contains the key.
+        raise ValueError('a key cannot be encoded') from None
 
 
 def _decode_priority(value: object) -> int:
     if customers.is_valid_priority(value):
         return value
-    raise ValueError('the priority is no whole number')
+    raise ValueError('the priority is not an integer of 0 or more')
 
 
 def _decode_quantity(row: Mapping[str, Any], name: str) -> float:
-    """Read a rate or a burst; one that is not told is no limit."""
+    """Decode a rate or a burst; 0, the default, means no limit."""
     value = row.get(name, 0)
     if customers.is_valid_quantity(value):
         return float(value)
--- a/tests/platform/test_http_codecs.py
+++ b/tests/platform/test_http_codecs.py
@@ -1,4 +1,4 @@
-"""Test how HTTP messages and the events of the decisions translate."""
+"""Test the conversion of HTTP messages to and from events."""
 
 from collections.abc import Mapping
 
@@ -15,20 +15,20 @@
 LONG_KEY = 'k' * 8192
 KEY = 'wbr9bc582dm2buc7takh'
 KEY_DIGEST = http_codecs.digest_key(KEY)
-#: What bytes that are no text are digested to; no configuration can hold it.
-NON_ASCII_DIGEST = request_identities.identify('', b'\xff\x00\x80').digest
+#: Digest of a key that is not valid UTF-8, which no configuration can hold.
+NON_UTF8_DIGEST = request_identities.identify('', b'\xff\x00\x80').digest
 (INSTANCE,) = router_rig.make_instances(['records'], 1)
 
 
 def make_message(
     status: int, fields: Mapping[str, str], body: bytes = b''
 ) -> http_codecs.Message:
-    """Make a message that was received."""
+    """Make a received message."""
     return http_codecs.Message('/a/1?x=y', status, tuple(fields.items()), body)
 
 
 def make_attempt(fields: Mapping[str, str]) -> events.SendAttempt:
-    """Make a sending of a request with the fields given."""
+    """Make an attempt of a request with the given fields."""
     message = make_message(0, fields)._replace(method='GET')
     request = http_codecs.decode_request(message, 50.0)
     key = events.AttemptKey(1, 'records', 1)
@@ -40,14 +40,14 @@
 def decode_answer(
     status: int, fields: Mapping[str, str]
 ) -> events.TargetAnswered | events.TargetRefused | events.AttemptBroken:
-    """Read an answer of a target."""
+    """Decode an answer of a target."""
     return http_codecs.decode_answer(
         make_attempt({}), make_message(status, fields)
     )
 
 
 def test_relays_a_request_without_hop_by_hop_fields() -> None:
-    """Fields that the connection names go as well; the rest is unchanged."""
+    """Fields listed in `connection` are dropped too; others are unchanged."""
     attempt = make_attempt(
         {
             'host': 'Shop.Example:80',
@@ -74,7 +74,7 @@
 
 
 def test_sends_the_earlier_of_two_deadlines() -> None:
-    """The ask ends before the caller's deadline: that counts."""
+    """The attempt's deadline is earlier than the caller's, so it is sent."""
     attempt = make_attempt({headers.DEADLINE_MS: '9000'})
     assert (
         dict(http_codecs.encode_request_fields(attempt, 50.25))[
@@ -85,7 +85,7 @@
 
 
 def test_relays_an_answer_unchanged() -> None:
-    """Status, body and signature go on; what speaks to this host does not."""
+    """Status, body and signature are relayed; fields for this host are not."""
     fields = {
         **SIGNED,
         headers.LOAD: '3,1,8,100',
@@ -111,10 +111,10 @@
 def test_rejects_an_unsigned_answer_or_unproven_promise(
     status: int, fields: Mapping[str, str]
 ) -> None:
-    """Symptom: a caller is told not run by a target that has not said so.
+    """Guard against telling a caller that its request did not run.
 
-    A success without signature, or a promise without the target's word for
-    it, leaves the outcome unknown.
+    After a success without signature, or a status that promises not run
+    without the field that states it, the outcome is unknown.
     """
     event = decode_answer(status, fields)
     assert isinstance(event, events.AttemptBroken)
@@ -122,7 +122,7 @@
 
 
 def test_decodes_a_refusal_that_states_not_run() -> None:
-    """Full, and another process at the address: neither has run it."""
+    """An overloaded target and a new process at its address did not run it."""
     shed = decode_answer(503, {headers.NOT_RUN: '1', headers.LOAD: '2,12,2'})
     assert isinstance(shed, events.TargetRefused)
     assert shed.reason is messages.RefusalReason.SHED
@@ -146,7 +146,7 @@
 def test_a_not_run_status_is_sent_only_if_true(
     kind: errors.Kind, ran: errors.Ran, status: int
 ) -> None:
-    """503 says not run; where that is not known another status is used."""
+    """503 promises not run; another status is used where that is unknown."""
     failure = errors.make_failure(kind, 'test', retry_after=0.1, ran=ran)
     encoded = http_codecs.encode_failure(failure)
     assert encoded.status == status
@@ -154,7 +154,7 @@
 
 
 def test_merged_answer_lists_its_part_signatures() -> None:
-    """Signatures and the number missing stand in the head."""
+    """Signatures and the number of missing parts are in header fields."""
     merged = events.MergedAnswer(('a', 'b'), 1, b'x' * 16)
     fields = dict(http_codecs.encode_outcome(merged).fields)
     assert fields[headers.PART_SIGNATURES] == 'a, b'
@@ -165,13 +165,13 @@
     """Return the identity of a request with these fields."""
     message = make_message(0, fields, body)._replace(method='GET')
     request = http_codecs.decode_request(message, 50.0)
-    # A host that gathers parts works it out from what it was passed.
+    # A helper host computes the same identity from the delegated request.
     assert http_codecs.add_identity(request).identity == request.identity
     return request.identity
 
 
 def test_identity_depends_on_caller_and_content() -> None:
-    """A repeat comes under another id, with less time left, over any way."""
+    """A repeated request has another id, less time left and other fields."""
     first = {
         'host': 'Shop.Example:80',
         headers.REQUEST_ID: 'id-1',
@@ -195,7 +195,7 @@
 
 
 def test_identity_does_not_reveal_the_key() -> None:
-    """Symptom: a key that opens everything stands in the log."""
+    """Guard against a customer's key in the log, which has the identity."""
     message = make_message(
         0, {headers.AUTHORIZATION: 'Token secret', 'host': 'a'}
     )
@@ -211,7 +211,7 @@
         ([f'TOKEN {KEY}'], KEY_DIGEST),
         ([f' \tToken \t {KEY} \t'], KEY_DIGEST),
         (['Token cl\xc3\xa9'], http_codecs.digest_key('cl\xe9')),
-        (['Token \xff\x00\x80'], NON_ASCII_DIGEST),
+        (['Token \xff\x00\x80'], NON_UTF8_DIGEST),
         ([f'Token {LONG_KEY}'], ''),
         ([KEY], ''),
         (['Token'], ''),
@@ -231,7 +231,7 @@
 def test_decodes_the_only_key_of_a_request(
     values: list[str], expected: str
 ) -> None:
-    """Any other field shows no key, and is no error of the program."""
+    """Any other value has no key, and raises no exception."""
     fields = tuple((headers.AUTHORIZATION, value) for value in values)
     message = http_codecs.Message('/a/1', 0, fields, b'', 'GET')
     assert http_codecs.decode_request(message, 50.0).key_digest == expected
@@ -239,7 +239,7 @@
 
 @given(strategies.lists(strategies.binary(max_size=40), max_size=3))
 def test_any_authorization_bytes_are_a_key_or_none(values: list[bytes]) -> None:
-    """Symptom: a caller's bytes end in an answer 500."""
+    """Guard against an answer 500 for invalid bytes of a caller."""
     raw = [(headers.AUTHORIZATION.encode(), value) for value in values]
     fields = http_codecs.decode_fields(raw)
     message = http_codecs.Message('/a/1', 0, fields, b'', 'GET')
@@ -250,7 +250,7 @@
 
 
 def test_drops_a_customer_name_sent_by_a_caller() -> None:
-    """Symptom: a caller is taken for another customer by the target."""
+    """Guard against a caller that claims to be another customer."""
     raw = [
         (b'Fuchsiahaven-Tenant', b'bank'),
         (b'FUCHSIAHAVEN-TENANT', b'shop'),
@@ -263,7 +263,7 @@
 
 
 def test_encodes_a_non_ascii_customer_name() -> None:
-    """Symptom: requests of a customer end in an error of the program."""
+    """Guard against an exception for each request of such a customer."""
     attempt = make_attempt({})
     named = attempt._replace(
         request=attempt.request._replace(customer='Cl\xe9')
@@ -273,7 +273,7 @@
 
 
 def test_relays_credentials_where_no_key_is_required() -> None:
-    """What a deployment without customers sends stays as it was."""
+    """A deployment without customers may use the field for itself."""
     fields = {headers.AUTHORIZATION: 'Basic abc', 'host': 'shop.example'}
     encoded = dict(
         http_codecs.encode_request_fields(make_attempt(fields), 50.0)
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Test how records of the platform's store are decoded."""
+"""Test the decoding of the records of the platform's store."""
 
 import base64
 import contextlib
@@ -32,7 +32,7 @@
 
 
 def make_route(**action: Any) -> dict[str, Any]:
-    """Write a route of the operator."""
+    """Make a route as operators write it."""
     return {
         'name': 'r-1',
         'host': 'Shop.Example',
@@ -63,7 +63,7 @@
 def test_decodes_a_configuration(
     action: dict[str, Any], expected: configs.RouteAction
 ) -> None:
-    """Times come out in seconds, host names in lower case."""
+    """Times are converted to seconds, host names to lower case."""
     row = {
         'version': 7,
         'routes': [make_route(**action)],
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize('rate', [-1, float('inf'), float('nan'), '4', None])
 def test_rejects_an_invalid_rate(rate: object) -> None:
-    """Symptom: a query ends in an error of the program, at a cold target."""
+    """Guard against an exception when a query selects a cold target."""
     service = {'name': 'one', 'max_connections': 26, 'warmup_per_s': rate}
     row = {'version': 7, 'routes': [], 'services': [service]}
     with pytest.raises(records.MalformedError):
@@ -96,7 +96,7 @@
 
 
 def test_decodes_an_instance() -> None:
-    """A target that says anything but ready is leaving."""
+    """A target that is draining is leaving."""
     row = {**ENTRY, 'state': 'draining', 'warmup_left_ms': 12}
     decoded = records.decode_value(INSTANCE, encode(row))
     assert decoded == instances.Instance(
@@ -113,9 +113,9 @@
 
 @pytest.mark.parametrize('encoded', ['e30=', '', 'no base64', 'bnVsbA=='])
 def test_decodes_an_evacuation_with_any_value(encoded: str) -> None:
-    """Symptom: targets get work that operators have forbidden.
+    """Guard against work for targets of an evacuated data centre.
 
-    The key alone is the order; a value that is spoilt undoes nothing.
+    The key alone orders the evacuation; a malformed value does not cancel it.
     """
     key = records.parse_key('op/evacuate/north')
     assert key == facts.Key(facts.Subject.EVACUATION, 'north')
@@ -123,7 +123,7 @@
 
 
 def test_decodes_the_removal_of_an_evacuation() -> None:
-    """An order that is taken back is news of its removal."""
+    """A removed key is decoded as a fact without a value."""
     row = {'key': 'op/evacuate/north', 'revision': 9, 'deleted': True}
     body = json.dumps({'events': [row], 'store_revision': 9}).encode()
     page = store.decode_events(body, 3, lambda *_: None)
@@ -132,7 +132,7 @@
 
 
 def test_each_start_of_a_target_has_its_own_name() -> None:
-    """A target starts again under its id; requests still name it by that."""
+    """A restarted target has a new name, but requests still use its id."""
     first = records.decode_value(INSTANCE, encode({**ENTRY, 'born': 1_000}))
     second = records.decode_value(INSTANCE, encode({**ENTRY, 'born': 2_000}))
     assert isinstance(first, instances.Instance)
@@ -169,10 +169,10 @@
 def test_rejects_an_instance_with_an_invalid_field(
     field: str, value: object
 ) -> None:
-    """Symptom: a query ends with an error while it chooses a target.
+    """Guard against an exception when a query selects a target.
 
-    Something else than a target wrote an entry whose fields are of another
-    type; it was taken as it came, and failed only when it was used.
+    Another writer puts an entry with fields of wrong types. If it is accepted,
+    it fails only when it is used.
     """
     with pytest.raises(records.MalformedError):
         records.decode_value(INSTANCE, encode({**ENTRY, field: value}))
@@ -182,7 +182,7 @@
     'field', ['service', 'address', 'zone', 'slots', 'state', 'warmup_left_ms']
 )
 def test_rejects_an_instance_without_a_field(field: str) -> None:
-    """An entry names a target only where all of it is there."""
+    """All fields of an entry are required."""
     row = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises(records.MalformedError):
         records.decode_value(INSTANCE, encode(row))
@@ -208,7 +208,7 @@
 def test_decodes_or_rejects_any_value(
     row: object, subject: facts.Subject
 ) -> None:
-    """Whatever an entry holds ends as a value or in one kind of error."""
+    """Any JSON is decoded, or raises MalformedError."""
     if isinstance(row, dict):
         row = {**ENTRY, **row}
     with contextlib.suppress(records.MalformedError):
@@ -217,7 +217,7 @@
 
 @given(strategies.binary())
 def test_decodes_or_rejects_any_bytes(raw: bytes) -> None:
-    """Bytes that cannot be read end in the same error."""
+    """Any bytes are decoded, or raise MalformedError."""
     encoded = base64.b64encode(raw).decode()
     for text in (encoded, raw.decode('latin-1'), '[' * 100_000):
         with contextlib.suppress(records.MalformedError):
@@ -226,13 +226,13 @@
 
 @pytest.mark.parametrize('text', ['%', encode([]), encode({'version': 1})])
 def test_rejects_a_malformed_record(text: str) -> None:
-    """Wrong base64, wrong JSON and missing fields end in one error."""
+    """Invalid base64 or JSON and missing fields raise MalformedError."""
     with pytest.raises(records.MalformedError):
         records.decode_value(CONFIGURATION, text)
 
 
 def test_decodes_a_page_and_skips_foreign_keys() -> None:
-    """Keys of others are no facts; the next page begins after the last key."""
+    """Keys of other systems are skipped, also as the last key of the page."""
     host = deployments.Host('host-1', '10.0.0.1:7', 'north')
     key, encoded = records.encode_host(host)
     rows = [
@@ -256,7 +256,7 @@
 
 
 def test_puts_the_entry_of_a_host_under_its_lease() -> None:
-    """The entry goes when the lease ends."""
+    """The entry is removed when the lease ends."""
     call = store.build_put_host_call(
         deployments.Host('host-1', '10.0.0.1:7', 'north'), 77
     )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Test how the platform's settings file is read."""
+"""Test the parsing of the platform's settings file."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 def test_parses_a_file() -> None:
-    """Times come out in seconds, lists as tuples, other fields are ignored."""
+    """Times are converted to seconds; unknown keys are ignored."""
     reading = settings.parse_text(TEXT)
     assert reading.settings is not None
     assert reading.settings.host.name == 'front-north-1'
@@ -44,14 +44,14 @@
 def test_parses_whether_the_whole_system_starts(
     line: str, expected: bool
 ) -> None:
-    """A file that does not tell is of a host that starts again."""
+    """Without the key the host starts in a running system."""
     reading = settings.parse_text(f'{TEXT}{line}\n')
     assert reading.settings is not None
     assert reading.settings.first_start == expected
 
 
 def test_parses_the_limit_on_cold_targets() -> None:
-    """Not every deployment has one."""
+    """The limit is optional; one that is not finite is ignored."""
     limit = 'bounds.warmup_overage=1.5\nbounds.warmup_slack=5\n'
     infinite = limit.replace('=5', '=inf')
     for text, expected in (
@@ -69,7 +69,7 @@
     [('150', 150), ('many', 400), ('0', 400), ('nan', 400)],
 )
 def test_parses_the_write_rate_of_the_store(rate: str, expected: float) -> None:
-    """What is no rate is read as the usual one; hosts wait by it."""
+    """An invalid rate is replaced by the default."""
     text = f'{TEXT}platform.writes_per_s={rate}\n'
     reading = settings.parse_text(text)
     assert reading.settings is not None
@@ -83,7 +83,7 @@
 def test_delays_scale_with_the_apply_bound(
     apply_ms: str, delay_factor: float
 ) -> None:
-    """Pauses are as short as the promise needs them to be."""
+    """Delays shrink for a bound below the default, and never grow."""
     reading = settings.parse_text(f'{TEXT}bounds.config_apply_ms={apply_ms}\n')
     assert reading.settings is not None
     assert reading.settings.delay_factor == delay_factor
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize('name', settings.REQUIRED_KEYS)
 def test_names_a_missing_key(name: str) -> None:
-    """A file without a field that is needed is refused by that name."""
+    """A file without a required key is rejected with the key's name."""
     lines = [it for it in TEXT.splitlines() if not it.startswith(f'{name}=')]
     reading = settings.parse_text('\n'.join(lines))
     assert reading.settings is None
@@ -99,14 +99,14 @@
 
 
 def test_names_every_fault_at_once() -> None:
-    """Two fields are no numbers: both are told."""
+    """Two values are not numbers: both are reported."""
     text = TEXT.replace('=56', '=many').replace('=1200', '=often')
     names = {fault.name for fault in settings.parse_text(text).faults}
     assert names == {'bounds.retry_slack', 'heartbeat_ms'}
 
 
 def test_peer_address_defaults_to_the_first_internal_port() -> None:
-    """Without an address for control hosts meet at the first inner port."""
+    """Without `listen.control` peers use the first of `internal_ports`."""
     lines = [it for it in TEXT.splitlines() if 'listen.control' not in it]
     reading = settings.parse_text('\n'.join(lines))
     assert reading.settings is not None
@@ -128,7 +128,7 @@
     ],
 )
 def test_parses_the_capacity_of_this_host(lines: str, expected: float) -> None:
-    """Cores count times the share of each; untold without the share."""
+    """Capacity is cores times the CPU share; unknown without the share."""
     reading = settings.parse_text(TEXT + lines)
     assert reading.settings is not None
     assert reading.settings.host.capacity == expected
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -1,4 +1,4 @@
-"""Test how the customers of a configuration are decoded."""
+"""Test the decoding of the customers of a configuration."""
 
 import base64
 import json
@@ -26,14 +26,14 @@
     'service': 'one',
 }
 KEY_COUNT = 100_000
-#: Bytes of memory for each key: its digest as text, and its place in a map.
+#: Memory for each key: its digest as text and an entry in a dictionary.
 MAX_BYTES_PER_KEY = 500
 
 
 def decode_configuration(
     row: dict[str, Any], *, route: dict[str, Any] = ROUTE
 ) -> configs.Configuration:
-    """Read a configuration with what is given besides one route."""
+    """Decode a configuration with one route and the given fields."""
     configuration = {'version': 7, 'routes': [route], 'services': [], **row}
     text = json.dumps(configuration).encode()
     decoded = records.decode_value(
@@ -44,12 +44,12 @@
 
 
 def format_error(error: Exception) -> str:
-    """Tell an error with all that led to it, as a traceback would."""
+    """Format an error with its causes, as in a traceback."""
     return ''.join(traceback.format_exception(error))
 
 
 def test_decodes_customers_with_digests_instead_of_keys() -> None:
-    """What a customer leaves out is no limit and no priority of its own."""
+    """Without the fields there is no limit and no priority of its own."""
     bank = {
         'name': 'Société bank',
         'api_keys': ['k-1', 'clé'],
@@ -72,7 +72,7 @@
 
 
 def test_no_customer_list_differs_from_an_empty_one() -> None:
-    """Symptom: all keys are taken away, and everybody is served."""
+    """Guard against serving all callers after all customers were removed."""
     assert decode_configuration({}).customers is None
     assert decode_configuration({'tenants': []}).customers == ()
     assert decode_configuration({'tenants': [{'name': 'shop'}]}).customers == (
@@ -81,7 +81,7 @@
 
 
 def test_decodes_which_routes_are_public() -> None:
-    """A route that does not say so is not."""
+    """A route is not public by default; other types are rejected."""
     assert not decode_configuration({}).routes[0].public
     assert (
         decode_configuration({}, route={**ROUTE, 'public': True})
@@ -121,7 +121,7 @@
 def test_rejects_a_version_with_an_invalid_customer(
     invalid: dict[str, Any],
 ) -> None:
-    """The error names the customer and shows no key."""
+    """The error names the customer but contains no key."""
     bank = {'name': 'bank', 'api_keys': ['k-1']}
     with pytest.raises(
         records.MalformedError, match="customer 'shop'"
@@ -142,15 +142,15 @@
         ([{**SHOP, 'name': ' shop'}], 'customer 0 has no name'),
         ([{**SHOP, 'name': 'a\r\nHost: b'}], 'customer 0 has no name'),
         ([{**SHOP, 'name': 'a' * 200}], 'customer 0 has no name'),
-        ([KEY], 'customer 0 is no object'),
-        (None, 'customers are no list'),
-        ({'shop': [KEY]}, 'customers are no list'),
+        ([KEY], 'customer 0 is not an object'),
+        (None, 'customers are not a list'),
+        ({'shop': [KEY]}, 'customers are not a list'),
     ],
 )
 def test_rejects_indistinguishable_customers(
     rows: object, expected: str
 ) -> None:
-    """Symptom: a request counts for whichever customer was read last."""
+    """Guard against counting requests for the wrong customer."""
     with pytest.raises(records.MalformedError, match=expected) as raised:
         decode_configuration({'tenants': rows})
     assert KEY not in str(raised.value)
@@ -158,9 +158,9 @@
 
 @pytest.mark.parametrize('suffix', [b'\xff', b'"', b'\x00', b'}'])
 def test_decode_errors_reveal_no_key(suffix: bytes) -> None:
-    """Symptom: a byte that is wrong brings all keys into the log.
+    """Guard against all keys in the log after one invalid byte.
 
-    The error of an encoding holds the whole text.
+    The repr of a UnicodeError contains the whole input.
     """
     text = b'{"tenants": [{"name": "shop", "api_keys": ["%s"]}]}' % KEY.encode()
     encoded = base64.b64encode(text + suffix).decode()
@@ -191,7 +191,7 @@
 
 @given(JSON)
 def test_decodes_or_rejects_any_customers(customers: object) -> None:
-    """Symptom: an error of the program stops the reading of the store."""
+    """Guard against an exception that stops the reading of the store."""
     try:
         decoded = decode_configuration({'tenants': customers})
     except records.MalformedError:
@@ -202,10 +202,10 @@
 def test_decodes_many_keys_in_linear_work(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: hosts stand still while a large configuration is read.
+    """Guard against hosts that block while they decode a large configuration.
 
-    Each key is digested once, and neither comparing keys nor finding a
-    customer by one goes through others.
+    Each key is digested once. Comparing keys and finding a customer by a key
+    do not iterate over other keys.
     """
     digest_calls = 0
     digest = keys.compute_digest
