--- a/fuchsiahaven/operate/__init__.py
+++ b/fuchsiahaven/operate/__init__.py
@@ -1,1 +1,1 @@
-"""Serve the operators: command line, settings, logs and metrics."""
+"""Provide the operators' interfaces: commands, settings, logs and metrics."""
--- a/fuchsiahaven/operate/command_apply.py
+++ b/fuchsiahaven/operate/command_apply.py
@@ -1,4 +1,4 @@
-"""Put a whole description in force as one change."""
+"""Apply a whole description as one change."""
 
 import argparse
 from typing import Final
@@ -9,8 +9,8 @@
   fuchsiahaven apply santiago.ini --dry-run
   fuchsiahaven apply santiago.ini --from 31 --wait
 
-Give --from the revision that `plan` showed: a field that somebody has changed
-since is a conflict, and nothing is applied.
+Give --from the revision that `plan` showed: a field that was changed since
+then is a conflict, and nothing is applied.
 
 {submissions.EXIT_CODES}"""
 
--- a/fuchsiahaven/operate/command_check.py
+++ b/fuchsiahaven/operate/command_check.py
@@ -1,4 +1,4 @@
-"""Check a settings file or a configuration without starting anything."""
+"""Check a settings file or a configuration without starting a host."""
 
 import argparse
 import json
@@ -17,7 +17,7 @@
 
 
 class Finding(NamedTuple):
-    """Hold the faults as rows and as lines."""
+    """Hold the faults as JSON rows and as lines of text."""
 
     rows: list[dict[str, object]]
     lines: list[str]
@@ -37,12 +37,12 @@
     kinds.add_argument(
         '--configuration',
         action='store_true',
-        help="the file is a version for the platform's store (JSON)",
+        help="the file is a configuration for the platform's store (JSON)",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print every fault; succeed if there is none."""
+    """Print every fault; return SUCCESS if there is none."""
     finding = _check_file(arguments)
     if arguments.json:
         report = {'file': str(arguments.file), 'faults': finding.rows}
@@ -66,7 +66,7 @@
 
 
 def _check_configuration(path: Path) -> Finding:
-    """Find the first fault, by which hosts refuse the whole version."""
+    """Find the first fault, for which hosts reject the whole version."""
     try:
         decoded = records.decode_configuration(path.read_bytes())
     except (OSError, records.MalformedError) as error:
--- a/fuchsiahaven/operate/command_class.py
+++ b/fuchsiahaven/operate/command_class.py
@@ -1,4 +1,4 @@
-"""List, show, set and delete classes of request."""
+"""Implement `class`: list, show, set and delete classes of request."""
 
 import argparse
 import sys
--- a/fuchsiahaven/operate/command_customer.py
+++ b/fuchsiahaven/operate/command_customer.py
@@ -1,4 +1,4 @@
-"""List, show, set and delete customers; add and remove their keys."""
+"""Implement `customer`: manage customers and their keys."""
 
 import argparse
 import sys
@@ -21,9 +21,9 @@
   fuchsiahaven customer remove-keys shop --digest 9f02...
   fuchsiahaven customer digest --keys key.txt
 
-fields: {', '.join(value_parsing.CUSTOMER_FIELDS)}; a rate of 0 is no limit, priority=none
-leaves it to the class. Keys are read from a file, one a line; only their
-digests are stored or shown.
+fields: {', '.join(value_parsing.CUSTOMER_FIELDS)}; a rate of 0 is no limit,
+priority=none uses that of the class. Keys are read from a file, one a line;
+only their digests are stored or shown.
 
 {submissions.EXIT_CODES}"""
 
@@ -42,12 +42,10 @@
     )
     verbs.add_change_verb(subparsers, 'delete', 'delete one with its keys')
     _add_key_arguments(
-        verbs.add_change_verb(subparsers, 'add-keys', 'give keys to one')
+        verbs.add_change_verb(subparsers, 'add-keys', 'add keys to one')
     )
     _add_key_arguments(
-        verbs.add_change_verb(
-            subparsers, 'remove-keys', 'take keys away from one'
-        )
+        verbs.add_change_verb(subparsers, 'remove-keys', 'remove keys from one')
     )
     _add_key_arguments(
         subparsers.add_parser('digest', help='print the digests of keys')
@@ -99,12 +97,12 @@
     )
     digests = (*arguments.digest, *file_digests)
     if not all(key_files.is_digest(it) for it in digests):
-        # Told what was typed, a key given by mistake would be on the screen.
+        # The message omits the value, which may be a key given by mistake.
         raise argparse.ArgumentTypeError(key_files.DIGEST_FORMAT)
     if not digests:
         raise argparse.ArgumentTypeError('expected --keys FILE or --digest')
     if len(set(digests)) < len(digests):
-        raise argparse.ArgumentTypeError('a key is there twice')
+        raise argparse.ArgumentTypeError('a key is listed twice')
     return digests
 
 
--- a/fuchsiahaven/operate/command_group.py
+++ b/fuchsiahaven/operate/command_group.py
@@ -1,4 +1,4 @@
-"""List, show, create, label, set and delete groups."""
+"""Implement `group`: list, show, create, label, set and delete groups."""
 
 import argparse
 import collections
--- a/fuchsiahaven/operate/command_history.py
+++ b/fuchsiahaven/operate/command_history.py
@@ -1,4 +1,4 @@
-"""Show the audit trail: which changes were accepted, newest first."""
+"""Show the accepted changes of the audit trail, newest first."""
 
 import argparse
 import contextlib
@@ -20,7 +20,7 @@
   fuchsiahaven history show 31
   fuchsiahaven history show 0193b2c4-... --json
 
-exit codes: 0 shown; 1 no such change, or one of the trail cannot be read;
+exit codes: 0 shown; 1 no such change, or an entry cannot be read;
 3 the platform was not reached
 """
 
@@ -32,7 +32,7 @@
         'show',
         nargs='*',
         metavar='show CHANGE|REVISION',
-        help='show one change whole, by its id or its revision',
+        help='show one change in full, by its id or its revision',
     )
     parser.add_argument(
         '--last',
@@ -57,10 +57,10 @@
         opened_store = connections.open_store(endpoints, stack)
         if operands:
             entry = lookups.find_entry(
-                opened_store, operands[1], endpoints.patience
+                opened_store, operands[1], endpoints.retries
             )
             return _show(entry, as_json=arguments.json)
-        entries = lookups.iterate_entries(opened_store, endpoints.patience)
+        entries = lookups.iterate_entries(opened_store, endpoints.retries)
         return _list(entries, arguments.last, as_json=arguments.json)
 
 
@@ -69,7 +69,8 @@
     exit_code = exit_codes.SUCCESS
     for result in itertools.islice(results, limit):
         if isinstance(result, errors.Failure):
-            # What was found is shown all the same; the hole is named.
+            # The entries before the failure are still printed, and the exit
+            # code shows that the list is not complete.
             submissions.print_failure(result, as_json=False)
             exit_code = submissions.choose_exit_code(result)
         else:
@@ -109,6 +110,6 @@
 
 
 def format_time(epoch_s: float) -> str:
-    """Write a wall-clock time for a person, in UTC."""
+    """Format a wall-clock time in UTC; `epoch_s` is in seconds."""
     moment = datetime.datetime.fromtimestamp(epoch_s, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%SZ')
--- a/fuchsiahaven/operate/command_inspect.py
+++ b/fuchsiahaven/operate/command_inspect.py
@@ -1,4 +1,4 @@
-"""Show what a host on the platform believes."""
+"""Show the state that a host on the platform reports."""
 
 import argparse
 import json
@@ -12,7 +12,7 @@
   fuchsiahaven inspect --at 10.1.0.9:8106
   fuchsiahaven inspect --at 10.1.0.9:8106 --json
 """
-TIMEOUT_S: Final = 3.0
+STATE_TIMEOUT_S: Final = 3.0
 SHOWN_FIELDS: Final = (
     'ready',
     'version',
@@ -31,7 +31,7 @@
         '--at',
         required=True,
         metavar='IP:PORT',
-        help='where the host answers other hosts',
+        help='the address at which the host answers other hosts',
     )
     parser.add_argument(
         '--json', action='store_true', help='print one JSON object'
@@ -39,10 +39,10 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask the host and print its answer."""
+    """Fetch the state of the host and print it."""
     import urllib3
 
-    pool = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
+    pool = urllib3.PoolManager(retries=False, timeout=STATE_TIMEOUT_S)
     try:
         answer = pool.request('GET', f'http://{arguments.at}/v1/state')
         state = answer.json()
@@ -57,8 +57,8 @@
 
 
 def format_state(state: dict[str, Any]) -> list[str]:
-    """List what a host believes, a line for each thing."""
-    # A host of the version before tells no era.
+    """Format the state of a host, one line for each field or service."""
+    # Hosts of the previous version report no era.
     lines = [
         f'{name}: {state.get(name, NOT_REPORTED)}' for name in SHOWN_FIELDS
     ]
@@ -75,7 +75,7 @@
 
 
 def format_quarantined(rows: Iterable[Mapping[str, Any]]) -> list[str]:
-    """List the requests that are refused as they end their targets."""
+    """Format the requests that are refused because they crash targets."""
     return [
         f'quarantined: {row["digest"]} for {row["wait"]:.0f} s, targets ended '
         f'at {row["crashes"]} moments: {", ".join(row["targets"])}'
@@ -84,7 +84,7 @@
 
 
 def format_customers(report: Mapping[str, Any] | None) -> list[str]:
-    """List how customers' requests ended, where there are customers."""
+    """Format the results of requests by customer; empty without customers."""
     if report is None:
         return []
     rows = {
--- a/fuchsiahaven/operate/command_plan.py
+++ b/fuchsiahaven/operate/command_plan.py
@@ -1,4 +1,4 @@
-"""Show what a whole description would change, without changing anything."""
+"""Show what a whole description would change, without applying it."""
 
 import argparse
 import json
@@ -22,10 +22,10 @@
   [class NAME]                  deadline_ms, needs, repeat, fan_out, priority,
                                 hedge_share, retry_share, public
   [customer NAME]               keys (digests), priority, rate, burst
-What it leaves out is deleted; marks of leaving targets are kept.
+Objects that it omits are deleted; marks of leaving targets are kept.
 
-exit codes: 0 nothing would change; 1 something would, or it is refused;
-2 the file has faults; 3 the platform was not reached
+exit codes: 0 nothing would change; 1 something would change, or the change is
+refused; 2 the file has faults; 3 the platform was not reached
 """
 
 
@@ -37,7 +37,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the difference, then every problem."""
+    """Print the difference, then the problems."""
     change = read_change(arguments.file)
     if change is None:
         return exit_codes.USAGE
@@ -57,7 +57,7 @@
 
 
 def show_plan(arguments: argparse.Namespace, change: changes.Change) -> int:
-    """Print what a change would do to what the platform has now."""
+    """Print what a change would do to the platform's configuration."""
     return lookups.show_manifest(
         arguments, lambda it: _print(arguments, it, change)
     )
@@ -69,7 +69,7 @@
     change: changes.Change,
 ) -> int:
     request = submissions.build_request(arguments, change)
-    # What has problems is shown too: they are easier to see in the difference.
+    # A change with problems is shown too, as the difference explains them.
     forced = proposals.prepare_change(
         manifest, request._replace(force=True), time.time()
     )
--- a/fuchsiahaven/operate/command_query.py
+++ b/fuchsiahaven/operate/command_query.py
@@ -1,4 +1,4 @@
-"""Ask a running host a query and show the answer."""
+"""Send a query to a running host and show the answer."""
 
 import argparse
 import json
@@ -15,12 +15,12 @@
   fuchsiahaven query --at 10.0.0.1:8101 gate-lookup --key pass-17 --json
 
 exit codes: 0 complete; 1 partial or refused; 3 host not reached;
-5 it cannot be told whether the request ran
+5 it is unknown whether the request ran
 """
 FIRST_COLUMNS: Final = ('rank', 'id')
 HTTP_OK: Final = 200
 MS_PER_S: Final = 1000
-#: Waited for beyond the deadline, for an answer that is on its way.
+#: Added to the deadline, for an answer that is already on its way.
 ANSWER_GRACE_S: Final = 2.0
 DEFAULT_WAIT_S: Final = 60.0
 
@@ -33,7 +33,7 @@
         'terms',
         nargs='*',
         metavar='NAME=VALUE',
-        help='a term of the query; values that are JSON are taken as such',
+        help='a term of the query; a value that is valid JSON is decoded',
     )
     parser.add_argument(
         '--at',
@@ -50,13 +50,13 @@
     parser.add_argument('--deadline-ms', type=int, metavar='N')
     parser.add_argument(
         '--request-id',
-        help='ask again with an id used before; minted if not given',
+        help='repeat a request by its id; generated if not given',
     )
     parser.add_argument('--json', action='store_true', help='print JSON')
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask, print what came back, and tell it by the exit code."""
+    """Send the query, print the answer and return the exit code for it."""
     address = addresses.parse(arguments.at)
     terms = dict(term.partition('=')[::2] for term in arguments.terms)
     if address is None or '' in terms:
@@ -94,7 +94,7 @@
 
 
 def format_response(response: host_client.Response) -> list[str]:
-    """Write an answer or a refusal as lines for a person."""
+    """Format an answer or a refusal as lines of text."""
     body: Mapping[str, Any] = response.body
     if response.status != HTTP_OK:
         error = body.get('error', {})
@@ -122,7 +122,7 @@
 
 
 def _build_fields(key_file: str | None) -> dict[str, str]:
-    """Write the header fields, with a key where one is to be shown.
+    """Build the header fields, with a customer's key if a file is given.
 
     Raises argparse.ArgumentTypeError.
     """
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -1,4 +1,4 @@
-"""Put what hosts have in force back into a platform with an older copy."""
+"""Restore the configuration of hosts to a platform with an older copy."""
 
 import argparse
 import contextlib
@@ -30,14 +30,14 @@
   fuchsiahaven status
   fuchsiahaven recover --hosts 10.0.1.7:8201,10.0.2.7:8201 --wait
 
-For a platform that came back with an older copy. Each host holds the targets
-that it can reach, so one host of every data centre has to answer with the
-highest revision; with --force the platform's older copy speaks for those
-that none answers in. The result is one new revision above all of them.
+For a platform that was restored from an older copy. Each host holds the
+targets that it can reach, so one host of every data centre has to answer with
+the highest revision; with --force the platform's older copy is used for data
+centres where no host answers. The result is one new revision above all others.
 
 {submissions.EXIT_CODES}"""
 
-#: What was found to be in force, by data centre.
+#: The configuration in force on one host of each data centre.
 HeldConfigurations = Mapping[str, configurations.Configuration]
 
 
@@ -48,29 +48,29 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Collect the configuration from hosts and submit it as one change."""
+    """Merge the configurations of hosts and submit them as one change."""
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
         loaded = config_client.read_configuration(
-            opened_store, endpoints.patience
+            opened_store, endpoints.retries
         )
         if isinstance(loaded, errors.Failure):
             submissions.print_failure(loaded, as_json=arguments.json)
             return submissions.choose_exit_code(loaded)
         platform_copy = loaded.manifest.configuration
-        held = collect_configurations(
+        by_data_centre = collect_configurations(
             endpoints, statuses.survey_hosts(endpoints, opened_store).hosts
         )
-        missing = list_data_centres(platform_copy) - held.keys()
-        if not held or (missing and not arguments.force):
+        missing = list_data_centres(platform_copy) - by_data_centre.keys()
+        if not by_data_centre or (missing and not arguments.force):
             names = ', '.join(sorted(missing)) or 'any data centre'
             print(f'no host gave what is in force in {names}', file=sys.stderr)
             return exit_codes.UNREACHABLE
         merged = merge_configurations(
-            {**held, **dict.fromkeys(missing, platform_copy)}
+            {**by_data_centre, **dict.fromkeys(missing, platform_copy)}
         )
         change = changes.RecoverConfiguration(merged)
         return submissions.submit_to_store(
@@ -81,18 +81,18 @@
 def collect_configurations(
     endpoints: connections.Endpoints, hosts: tuple[statuses.HostStatus, ...]
 ) -> HeldConfigurations:
-    """Fetch what is in force from one host of each data centre."""
+    """Fetch the newest configuration from one host of each data centre."""
     newest = max((status.revision or 0 for status in hosts), default=0)
-    held: dict[str, configurations.Configuration] = {}
+    by_data_centre: dict[str, configurations.Configuration] = {}
     for host in hosts:
-        if host.revision == newest and host.data_centre not in held:
+        if host.revision == newest and host.data_centre not in by_data_centre:
             configuration = _fetch_configuration(
                 endpoints, host.address, newest
             )
-            held.update(
+            by_data_centre.update(
                 {host.data_centre: configuration} if configuration else {}
             )
-    return held
+    return by_data_centre
 
 
 def list_data_centres(configuration: configurations.Configuration) -> set[str]:
@@ -105,16 +105,16 @@
 
 
 def merge_configurations(
-    held: HeldConfigurations,
+    by_data_centre: HeldConfigurations,
 ) -> configurations.Configuration:
-    """Take each data centre's targets from what that data centre gave."""
-    first = next(iter(held.values()))
+    """Merge configurations, with each data centre's targets from its own."""
+    first = next(iter(by_data_centre.values()))
     groups = [
         _merge_group(
             group,
             [
                 (data_centre, other)
-                for data_centre, configuration in held.items()
+                for data_centre, configuration in by_data_centre.items()
                 for other in configuration.groups
                 if other.name == group.name
             ],
@@ -147,10 +147,10 @@
     )
     if isinstance(response, host_client.NoResponse):
         return None
-    parcel = patch_codecs.decode_patches(json.dumps(response.body).encode())
-    held: patches.StampedConfiguration | None = patches.EMPTY
-    for patch in parcel.patches if parcel else ():
-        held = patches.apply_patch(patch, held) if held else None
-    if held is None or held.stamp.revision != revision:
+    message = patch_codecs.decode_patches(json.dumps(response.body).encode())
+    stamped: patches.StampedConfiguration | None = patches.EMPTY
+    for patch in message.patches if message else ():
+        stamped = patches.apply_patch(patch, stamped) if stamped else None
+    if stamped is None or stamped.stamp.revision != revision:
         return None
-    return held.configuration
+    return stamped.configuration
--- a/fuchsiahaven/operate/command_selector.py
+++ b/fuchsiahaven/operate/command_selector.py
@@ -1,4 +1,4 @@
-"""List, show, set and delete selectors."""
+"""Implement `selector`: list, show, set and delete selectors."""
 
 import argparse
 from typing import Final
@@ -27,7 +27,7 @@
         '--data-centres',
         type=value_parsing.parse_names,
         metavar='A,B',
-        help='others that may serve when the own one cannot; empty for none',
+        help='other data centres for when the own cannot serve; may be empty',
     )
     verbs.add_change_verb(subparsers, 'delete', 'delete one')
 
--- a/fuchsiahaven/operate/command_serve.py
+++ b/fuchsiahaven/operate/command_serve.py
@@ -1,4 +1,4 @@
-"""Serve callers until a signal asks for a planned stop."""
+"""Serve callers until a signal requests a planned stop."""
 
 import argparse
 import sys
@@ -20,7 +20,7 @@
     source.add_argument(
         '--platform',
         action='store_true',
-        help='run on the platform, with the settings file that it names',
+        help='run on the platform, with the settings file of the environment',
     )
 
 
@@ -41,7 +41,8 @@
         for fault in reading.faults:
             print(settings_reader.describe_fault(fault), file=sys.stderr)
         return exit_codes.FAILED
-    # The check of a settings file must not cost the imports of a server.
+    # Imported only here, so that a faulty settings file is reported without
+    # the cost of importing the server.
     from fuchsiahaven.edge import server
     from fuchsiahaven.operate import logs
 
--- a/fuchsiahaven/operate/command_status.py
+++ b/fuchsiahaven/operate/command_status.py
@@ -1,4 +1,4 @@
-"""Say which revision is in force where, and what could not be reached."""
+"""Show the revision in force on each host, and what was not reached."""
 
 import argparse
 import contextlib
@@ -16,7 +16,7 @@
   fuchsiahaven status --hosts 10.0.1.7:8201 --json
 
 exit codes: 0 every host is known to have the platform's revision in force;
-1 some host has another one; 3 something was not reached, so it is not known
+1 some host has another revision; 3 the platform or a host was not reached
 
 """
     + connections.CONNECTION_HELP
@@ -30,14 +30,14 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask everybody and print what is known and what is not."""
+    """Ask the platform and all hosts, and print what is known."""
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
         loaded = config_client.read_configuration(
-            opened_store, endpoints.patience, store_reads.select_no_parts
+            opened_store, endpoints.retries, store_reads.select_no_parts
         )
         survey = statuses.survey_hosts(endpoints, opened_store)
     accepted_revision: int | None = None
@@ -57,14 +57,14 @@
 def find_anomalies(
     accepted_revision: int | None, hosts: tuple[statuses.HostStatus, ...]
 ) -> list[str]:
-    """Name what should not be: a newer revision on hosts, or two of one."""
+    """Describe a newer revision on hosts, and an empty list of hosts."""
     reporting = [status for status in hosts if status.revision is not None]
     newest = max((status.revision or 0 for status in reporting), default=0)
     anomalies: list[str] = []
     if accepted_revision is not None and newest > accepted_revision:
         anomalies.append(
-            f'the platform has revision {accepted_revision}, but hosts have {newest} '
-            'in force: its copy is older and is not followed'
+            f'the platform has revision {accepted_revision}, but hosts have '
+            f'{newest} in force: its copy is older and is not followed'
         )
     if not hosts:
         anomalies.append('no host is known')
--- a/fuchsiahaven/operate/command_target.py
+++ b/fuchsiahaven/operate/command_target.py
@@ -1,4 +1,4 @@
-"""Add, remove, drain and return targets of a group."""
+"""Implement `target`: add, remove, drain and return targets of a group."""
 
 import argparse
 import sys
@@ -37,7 +37,7 @@
     for verb, help_text in (
         ('remove', 'remove targets from a group'),
         ('drain', 'mark targets as leaving: no new work'),
-        ('return', 'take the mark back'),
+        ('return', 'remove the mark'),
     ):
         change_parser = subparsers.add_parser(verb, help=help_text)
         change_parser.add_argument('group')
@@ -46,7 +46,7 @@
             '--data-centre',
             default='',
             metavar='PLACE',
-            help='where they are; saves reading the other data centres',
+            help='their data centre; saves reading the other data centres',
         )
         submissions.add_arguments(change_parser)
 
--- a/fuchsiahaven/operate/command_undo.py
+++ b/fuchsiahaven/operate/command_undo.py
@@ -1,4 +1,4 @@
-"""Take back an accepted change by a new change that restores its fields."""
+"""Undo an accepted change by a new change that restores its fields."""
 
 import argparse
 import contextlib
@@ -12,8 +12,8 @@
   fuchsiahaven undo 0193b2c4-...
   fuchsiahaven undo 31 --wait
 
-Fields that another change has set since are not touched: the undo is refused
-as a conflict and shows that change. The revision goes up, never back.
+If another change has set one of the fields since, the undo is refused as a
+conflict that shows that change. The revision always rises.
 
 {submissions.EXIT_CODES}"""
 
@@ -28,14 +28,14 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Find the change and submit its opposite."""
+    """Find the change and submit its inverse."""
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
         entry = lookups.find_entry(
-            opened_store, arguments.change, endpoints.patience
+            opened_store, arguments.change, endpoints.retries
         )
         if isinstance(entry, errors.Failure):
             submissions.print_failure(entry, as_json=arguments.json)
--- a/fuchsiahaven/operate/command_watch.py
+++ b/fuchsiahaven/operate/command_watch.py
@@ -23,13 +23,13 @@
   fuchsiahaven watch
   fuchsiahaven watch --seconds 60 --json
 
-One line for each change; a gap is told, never skipped. Ends by Ctrl-C or after
+One line for each change; a gap is reported. Ends with Ctrl-C or after
 --seconds. exit codes: 0 ended; 3 the platform was not reached at the start
 """
 
 
 class WatchPosition(NamedTuple):
-    """Hold the last revision that was printed, and the store's of then."""
+    """Hold the last printed revision, and the store's revision at the time."""
 
     printed_revision: int
     store_revision: int
@@ -43,14 +43,14 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Follow the manifest until the time is over."""
+    """Watch the manifest until the time is over."""
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
         loaded = config_client.read_configuration(
-            opened_store, endpoints.patience, store_reads.select_no_parts
+            opened_store, endpoints.retries, store_reads.select_no_parts
         )
         if isinstance(loaded, errors.Failure):
             submissions.print_failure(loaded, as_json=arguments.json)
@@ -92,14 +92,14 @@
     *,
     as_json: bool,
 ) -> WatchPosition:
-    """Print what is accepted in so many seconds; return what was seen.
+    """Print the changes of the next `wait_s` seconds; return the position.
 
     Raises store.StoreError.
     """
     key = manifests.MANIFEST_KEY
     entry = opened_store.watch(key, position.store_revision, wait_s)
     if entry is None:
-        # A platform that came back from an older copy counts from below.
+        # The revisions of a platform restored from an older copy are lower.
         entry = opened_store.read(key)
         if entry is None or entry.revision >= position.store_revision:
             return position
@@ -116,14 +116,15 @@
     *,
     as_json: bool,
 ) -> int:
-    """Print what was accepted above a revision; return the newest."""
+    """Print the changes accepted after a revision; return the newest."""
     head = manifests.decode_head(manifest_text)
     if isinstance(head, errors.Failure):
         submissions.print_failure(head, as_json=False)
         return printed_revision
     if head.revision < printed_revision:
         print(
-            f'! the platform went back from {printed_revision} to {head.revision}'
+            f'! the platform went back from {printed_revision} '
+            f'to {head.revision}'
         )
         return head.revision
     steps = store_reads.read_archived_entries(head.entries, printed_revision)
--- a/fuchsiahaven/operate/commands.py
+++ b/fuchsiahaven/operate/commands.py
@@ -1,8 +1,8 @@
-"""Read the command line and run one command.
+"""Parse the command line and run one command.
 
 A command is a module with `add_arguments(parser)` and `run(arguments) -> int`.
-Only the module of the command asked for is imported, because imports are most
-of the time an operator waits for.
+Only the module of the given command is imported, because imports take most of
+the run time of a command.
 """
 
 import argparse
@@ -14,7 +14,7 @@
 
 
 class Command(NamedTuple):
-    """Name a command, the module that runs it and its line of help."""
+    """Describe a command: its name, its module and its line of help."""
 
     name: str
     module: str
@@ -22,31 +22,31 @@
 
 
 class CommandModule(Protocol):
-    """State what the module of a command offers."""
+    """Define the interface of a command's module."""
 
     def add_arguments(self, parser: argparse.ArgumentParser) -> None:
         """Declare the arguments of the command."""
 
     def run(self, arguments: argparse.Namespace) -> int:
-        """Run the command and return one of the codes in `exits`."""
+        """Run the command and return one of the codes in `exit_codes`."""
 
 
-#: Add a command here: one line, sorted as an operator would look for it.
+#: All commands, in the order of the help.
 COMMANDS: Final = (
     Command(
         'serve',
         'fuchsiahaven.operate.command_serve',
-        'serve callers until a signal asks for a planned stop',
+        'serve callers until a signal requests a planned stop',
     ),
     Command(
         'query',
         'fuchsiahaven.operate.command_query',
-        'ask a running host a query and show the answer',
+        'send a query to a running host and show the answer',
     ),
     Command(
         'check',
         'fuchsiahaven.operate.command_check',
-        'check a settings file and tell every fault in it',
+        'check a settings file and report every fault in it',
     ),
     Command(
         'group',
@@ -81,7 +81,7 @@
     Command(
         'apply',
         'fuchsiahaven.operate.command_apply',
-        'put a whole description in force as one change',
+        'apply a whole description as one change',
     ),
     Command(
         'history',
@@ -91,22 +91,22 @@
     Command(
         'undo',
         'fuchsiahaven.operate.command_undo',
-        'take back an accepted change by a new one',
+        'undo an accepted change by a new one',
     ),
     Command(
         'status',
         'fuchsiahaven.operate.command_status',
-        'say which revision is in force where',
+        'show which revision is in force on which hosts',
     ),
     Command(
         'inspect',
         'fuchsiahaven.operate.command_inspect',
-        'show what a host on the platform believes',
+        'show the state that a host on the platform reports',
     ),
     Command(
         'recover',
         'fuchsiahaven.operate.command_recover',
-        'put what hosts have in force back into an older platform',
+        'restore the configuration of hosts to an older platform',
     ),
     Command(
         'watch',
@@ -117,7 +117,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command that the arguments name and return its exit code."""
+    """Run the command named in the arguments and return its exit code."""
     tokens = sys.argv[1:] if argv is None else argv
     name = next((token for token in tokens if not token.startswith('-')), None)
     parser = _build_parser(name)
--- a/fuchsiahaven/operate/connections.py
+++ b/fuchsiahaven/operate/connections.py
@@ -1,4 +1,4 @@
-"""Find the platform and the hosts for an operator's command."""
+"""Resolve where the platform and the hosts answer, and connect to them."""
 
 import argparse
 import contextlib
@@ -15,32 +15,32 @@
 PLATFORM_VARIABLE: Final = 'FUCHSIAHAVEN_PLATFORM'
 HOSTS_VARIABLE: Final = 'FUCHSIAHAVEN_HOSTS'
 ADDRESSES_EXPECTED: Final = 'expected IP:PORT, or several separated by commas'
-CONNECTION_HELP: Final = f"""where:
+CONNECTION_HELP: Final = f"""connections:
   --platform or {PLATFORM_VARIABLE} names the platform's service; --hosts or
   {HOSTS_VARIABLE} names peer ports of hosts, besides those that the platform
-  lists; --settings takes both, and the TLS files, from a settings file of the
-  form that hosts have. Without TLS files both are spoken with plainly.
+  lists; --settings reads both, and the TLS files, from the settings file of a
+  host. Without TLS files connections are not encrypted.
 """
 
 Addresses = tuple[addresses.Address, ...]
 
 
 class Endpoints(NamedTuple):
-    """Say where the platform's service and some hosts answer.
+    """Hold the addresses of the platform's service and of some hosts.
 
-    `patience` bounds how long the platform is asked again. Without an
-    identity there is no TLS.
+    `retries` bounds how long calls to the platform are retried. TLS is used
+    where there is an identity.
     """
 
     platform: Addresses
     hosts: Addresses
-    patience: config_client.RetryPolicy = config_client.DEFAULT_RETRIES
+    retries: config_client.RetryPolicy = config_client.DEFAULT_RETRIES
     platform_identity: tls.Identity | None = None
     peer_identity: tls.Identity | None = None
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments that say where to go, and how to print."""
+    """Declare the arguments for the connections and for the output."""
     parser.add_argument(
         '--platform',
         metavar='IP:PORT',
@@ -57,27 +57,27 @@
         '--settings',
         type=Path,
         metavar='FILE',
-        help="take both from a host's settings file",
+        help="read both from a host's settings file",
     )
     parser.add_argument(
         '--timeout',
         type=float,
         default=config_client.DEFAULT_RETRIES.timeout_s,
         metavar='SECONDS',
-        help='how long to go on while the platform gives nothing',
+        help='how long to retry while the platform does not answer',
     )
     parser.add_argument('--json', action='store_true', help='print JSON')
 
 
 def find_endpoints(arguments: argparse.Namespace) -> Endpoints | None:
-    """Read where to go; print what is wrong and return None."""
+    """Resolve the endpoints; print what is wrong and return None if any is."""
     platform = _parse_addresses(arguments.platform)
     hosts = _parse_addresses(arguments.hosts)
     if platform is None or hosts is None:
         print(ADDRESSES_EXPECTED, file=sys.stderr)
         return None
-    patience = config_client.RetryPolicy(arguments.timeout)
-    endpoints: Endpoints | None = Endpoints(platform, hosts, patience)
+    retries = config_client.RetryPolicy(arguments.timeout)
+    endpoints: Endpoints | None = Endpoints(platform, hosts, retries)
     if arguments.settings is not None:
         endpoints = _read_settings(
             arguments.settings, Endpoints(platform, hosts)
@@ -88,13 +88,13 @@
             file=sys.stderr,
         )
         return None
-    return endpoints and endpoints._replace(patience=patience)
+    return endpoints and endpoints._replace(retries=retries)
 
 
 def open_store(
     endpoints: Endpoints, stack: contextlib.ExitStack
 ) -> store.Store:
-    """Open the platform's service; the stack closes it."""
+    """Open a client of the platform's service, which the stack closes."""
     scheme = 'https' if endpoints.platform_identity else 'http'
     urls = tuple(
         f'{scheme}://{addresses.format_address(address)}'
@@ -112,7 +112,7 @@
     host_settings = reading.settings
     if host_settings is None:
         return None
-    # What opens keys is imported only where there may be some.
+    # Imported only where there may be TLS files to open.
     from fuchsiahaven.edge import resources
 
     purpose = ssl.Purpose.SERVER_AUTH
@@ -134,7 +134,7 @@
 
 
 def _parse_addresses(text: str) -> Addresses | None:
-    words = text.replace(',', ' ').split()
-    parsed = [addresses.parse(word) for word in words]
+    tokens = text.replace(',', ' ').split()
+    parsed = [addresses.parse(token) for token in tokens]
     valid = tuple(address for address in parsed if address is not None)
     return valid if len(valid) == len(parsed) else None
--- a/fuchsiahaven/operate/descriptions.py
+++ b/fuchsiahaven/operate/descriptions.py
@@ -1,4 +1,4 @@
-"""Read a whole description of groups, selectors and classes from INI.
+"""Parse a whole description of the configuration from INI.
 
     [group socios-web]
     labels = kind=listings, tier=gold
@@ -22,8 +22,8 @@
     rate = 20
     burst = 40
 
-The keys of a customer are digests, as `customer digest` makes them. Fields
-that are left out have the defaults of the program.
+The keys of a customer are digests, as `customer digest` prints them. Fields
+that are omitted have their default values.
 """
 
 import argparse
@@ -56,7 +56,7 @@
     'keys': str,
     **value_parsing.CUSTOMER_FIELDS,
 }
-#: The word that begins the sections of each kind.
+#: The first word of the section headers of each kind of object.
 KIND_WORDS: Final[Mapping[str, str]] = {
     'groups': 'group',
     'selectors': 'selector',
@@ -71,14 +71,14 @@
 
 
 class Reading(NamedTuple):
-    """Hold what a file describes, and the faults that forbid to use it."""
+    """Hold the described configuration; it is empty where there are faults."""
 
     configuration: configurations.Configuration
     faults: tuple[Fault, ...]
 
 
 def read_file(path: Path) -> Reading:
-    """Read a description; a file that cannot be read is a fault too."""
+    """Read a description; an unreadable file is a fault too."""
     try:
         return parse_text(path.read_text(encoding='utf-8'))
     except (OSError, UnicodeDecodeError) as error:
@@ -87,10 +87,10 @@
 
 
 def parse_text(text: str) -> Reading:
-    """Read the text of a description and find every fault in it."""
+    """Parse the text of a description and find every fault in it."""
     sections, faults = settings_reader.split_sections(text)
     rows: Rows = {kind: {} for kind in KIND_WORDS}
-    # Groups come before their targets, wherever they stand in the file.
+    # Groups are parsed before their targets, whatever their order in the file.
     for header in sorted(sections, key=_sort_key):
         faults.extend(_parse_section(header, sections[header], rows))
     if not faults:
@@ -112,7 +112,7 @@
             targets = rows['groups'][group]['targets']
             return _parse_targets(header, section, targets, data_centre)
         case ['targets', group, _]:
-            return [Fault(header, '', '', f'a section [group {group}] too')]
+            return [Fault(header, '', '', f'a section [group {group}] as well')]
         case ['selector', name]:
             fields, faults = _parse_fields(header, section, SELECTOR_FIELDS)
             data_centres = value_parsing.parse_names(
@@ -138,11 +138,11 @@
 ) -> list[Fault]:
     defaults = trees.encode_customer(customers.Customer(name))
     fields, field_faults = _parse_fields(header, section, CUSTOMER_FIELDS)
-    # What stands under a name that is misspelt may be a key.
+    # The value of a misspelt field may be a key, so values are not reported.
     faults = [it._replace(value='') for it in field_faults]
     digests = value_parsing.parse_names(fields.pop('keys', ''))
     if len(set(digests)) < len(digests):
-        faults.append(Fault(header, 'keys', '', 'each key once'))
+        faults.append(Fault(header, 'keys', '', 'each key only once'))
     if not all(key_files.is_digest(it) for it in digests):
         faults.append(Fault(header, 'keys', '', key_files.DIGEST_FORMAT))
     rows[name] = {**defaults, **fields, 'keys': dict.fromkeys(digests, True)}
--- a/fuchsiahaven/operate/host_client.py
+++ b/fuchsiahaven/operate/host_client.py
@@ -1,4 +1,4 @@
-"""Ask a running host one question over HTTP, for a command."""
+"""Send one HTTP request to a running host, for a command."""
 
 import json
 import ssl
@@ -16,14 +16,14 @@
 
 
 class Response(NamedTuple):
-    """Hold what the host answered."""
+    """Hold the host's answer."""
 
     status: int
     body: JsonObject
 
 
 class NoResponse(NamedTuple):
-    """Say that no answer came, and whether the host may have acted."""
+    """Report that no answer came, and whether the request may have run."""
 
     reason: str
     may_have_run: bool
@@ -39,12 +39,12 @@
     context: ssl.SSLContext | None = None,
     fields: Mapping[str, str] = JSON_TYPE,
 ) -> Response | NoResponse:
-    """Ask once, never twice, and tell what came back; by TLS if asked to."""
+    """Send a request once, without retries; over TLS if a context is given."""
     scheme = 'https' if context else 'http'
     url = f'{scheme}://{addresses.format_address(address)}{path}'
-    # urllib3 repeats a request whose connection broke, unless told not to. A
-    # refund asked for again by the library would show as two requests in the
-    # host's log for one command.
+    # By default urllib3 retries a request whose connection broke. A refund
+    # that the library sends again would be two requests in the host's log
+    # for one command.
     with urllib3.PoolManager(retries=False, ssl_context=context) as pool:
         try:
             response = pool.request(
@@ -60,7 +60,7 @@
 
 
 def build_timeout(timeout_s: float) -> urllib3.Timeout:
-    """Bound the whole exchange, and the connecting more tightly."""
+    """Bound the whole exchange, and connecting by CONNECT_TIMEOUT_S."""
     connect_s = min(CONNECT_TIMEOUT_S, timeout_s)
     return urllib3.Timeout(total=timeout_s, connect=connect_s)
 
--- a/fuchsiahaven/operate/key_files.py
+++ b/fuchsiahaven/operate/key_files.py
@@ -1,4 +1,4 @@
-"""Read customers' keys from files; none is shown, also not in an error."""
+"""Read customers' keys from files; errors never contain a key."""
 
 import argparse
 import re
@@ -16,12 +16,12 @@
 def read_keys(name: str) -> tuple[str, ...]:
     """Read a key from each line of a file, or of standard input (`-`).
 
-    Raises argparse.ArgumentTypeError, which names lines by their number.
+    Raises argparse.ArgumentTypeError, which names lines only by number.
     """
     try:
         text = _read_text(name)
     except (OSError, UnicodeDecodeError) as error:
-        # The text of an error of decoding would tell what was read.
+        # The text of a UnicodeDecodeError contains the input.
         reason = type(error).__name__
         raise argparse.ArgumentTypeError(f'{name}: {reason}') from None
     lines = text.splitlines()
@@ -43,7 +43,7 @@
 
 
 def is_digest(text: str) -> bool:
-    """Tell whether a text is the digest of a key, and not a key."""
+    """Check whether a text is the digest of a key, and not a key."""
     return re.match(manifest_schemas.KEY_DIGEST_PATTERN, text) is not None
 
 
@@ -54,7 +54,7 @@
 
 
 def _is_key(line: str) -> bool:
-    # Blanks part a key from its scheme, so callers could not show it.
+    # A space separates a key from its scheme, so callers could not send it.
     if not line.isascii() or not line.isprintable() or ' ' in line:
         return False
     return 0 < len(line) <= keys.MAX_KEY_BYTES
--- a/fuchsiahaven/operate/logs.py
+++ b/fuchsiahaven/operate/logs.py
@@ -1,7 +1,7 @@
 """Log short sentences with a fixed prefix per part and key=value fields.
 
-A part is the task or module that speaks, such as `loop` or `gossip`. Lines
-about a request carry the field `request_id`. Lines go to standard error: a
+A part is the task or module that logs, such as `loop` or `gossip`. Lines
+about a request have the field `request_id`. Lines go to standard error, as a
 host has no disk.
 """
 
@@ -16,7 +16,7 @@
 
 from fuchsiahaven.operate import settings
 
-#: A value made of other letters is quoted.
+#: A value with any other character is quoted.
 UNQUOTED_CHARACTERS: Final = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@,[]',
 )
@@ -26,12 +26,12 @@
     settings.Verbosity.WARNING: logging.WARNING,
     settings.Verbosity.ERROR: logging.ERROR,
 }
-#: The attribute of a log record that carries the part and the fields.
+#: The attribute of a logging record that holds the LogLine.
 LINE_ATTRIBUTE: Final = 'line'
 
 
 class LogLine(NamedTuple):
-    """Hold what one line tells."""
+    """Hold the contents of one log line."""
 
     part: str
     text: str
@@ -39,7 +39,7 @@
 
 
 class TextFormatter(standard.Formatter):
-    """Write a line for a person: time, level, part, text, fields."""
+    """Format a line as text: time, level, part, text, fields."""
 
     def format(self, record: standard.LogRecord) -> str:
         """Write one record."""
@@ -52,7 +52,7 @@
 
 
 class JsonFormatter(standard.Formatter):
-    """Write a line as one JSON object; fields never hide the head."""
+    """Format a line as one JSON object; fields never replace the head."""
 
     def format(self, record: standard.LogRecord) -> str:
         """Write one record."""
@@ -67,25 +67,25 @@
 
 
 def set_up(options: settings.Logs) -> None:
-    """Send the log to standard error as the settings say."""
-    # absl warns on its first line until its flags are read; argparse reads
-    # the command line here, so there is nothing to read.
+    """Configure logging to standard error as in the settings."""
+    # absl warns on its first line until its flags are parsed. Here argparse
+    # parses the command line, so absl has no flags to parse.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(LEVEL_BY_VERBOSITY[options.verbosity])
-    # At debug urllib3 tells every call in several lines, which would bury
-    # what this program tells.
+    # At level debug urllib3 logs several lines for each call, which would
+    # hide the lines of this program.
     standard.getLogger('urllib3').setLevel(standard.WARNING)
     formatter = JsonFormatter() if options.json else TextFormatter()
     handler = logging.get_absl_handler()
     handler.setFormatter(formatter)
     handler.python_handler.setStream(sys.stderr)
-    # Its warnings are of lost connections, which the parts tell themselves.
+    # Its warnings are about lost connections, which the parts log themselves.
     standard.getLogger('urllib3').setLevel(standard.ERROR)
 
 
 def debug(part: str, text: str, **fields: object) -> None:
-    """Log what only someone who reads the code will want."""
+    """Log a detail that is useful to developers."""
     _log_line(logging.DEBUG, LogLine(part, text, fields))
 
 
@@ -95,12 +95,12 @@
 
 
 def warning(part: str, text: str, **fields: object) -> None:
-    """Log what an operator may have to look at."""
+    """Log an event that an operator may have to look into."""
     _log_line(logging.WARNING, LogLine(part, text, fields))
 
 
 def error(part: str, text: str, **fields: object) -> None:
-    """Log what an operator has to look at."""
+    """Log an event that an operator has to look into."""
     _log_line(logging.ERROR, LogLine(part, text, fields))
 
 
@@ -110,7 +110,7 @@
 
 
 def _get_line(record: standard.LogRecord) -> LogLine:
-    """Find what a record tells; a library's own records carry no line."""
+    """Return the line of a record; build one for records of libraries."""
     line = getattr(record, LINE_ATTRIBUTE, None)
     if isinstance(line, LogLine):
         fields = line.fields
@@ -124,10 +124,11 @@
 
 
 def _quote(value: object) -> str:
-    """Write a value so that it stays one word on one line.
+    """Quote a value that could be taken for several fields or lines.
 
-    Values can come from callers. A line break in one would forge a log line,
-    and a space would forge a field; JSON's quoting escapes both.
+    Values can come from callers. A line break in one could forge a log line,
+    and a space could forge a field; the quotes and escapes of JSON prevent
+    both.
     """
     text = str(value)
     return (
--- a/fuchsiahaven/operate/lookups.py
+++ b/fuchsiahaven/operate/lookups.py
@@ -1,4 +1,4 @@
-"""Read the configuration for a command that shows or needs it."""
+"""Read the configuration and the audit trail, and print parts of them."""
 
 import argparse
 import contextlib
@@ -16,7 +16,7 @@
 from fuchsiahaven.edge import config_client, store
 from fuchsiahaven.operate import connections, exit_codes, submissions, tables
 
-#: Archived entries read one by one when looking for a change by its id.
+#: Entries that are searched for a change; archived ones are read one by one.
 MAX_SEARCHED_ENTRIES: Final = 2000
 
 PrintConfiguration = Callable[[configurations.Configuration], int]
@@ -26,7 +26,7 @@
 def show_configuration(
     arguments: argparse.Namespace, print_configuration: PrintConfiguration
 ) -> int:
-    """Read the configuration and show some of it."""
+    """Read the configuration and print a part of it."""
     return show_manifest(
         arguments, lambda it: print_configuration(it.configuration)
     )
@@ -35,14 +35,14 @@
 def show_manifest(
     arguments: argparse.Namespace, print_manifest: PrintManifest
 ) -> int:
-    """Read the manifest with all its parts and show some of it."""
+    """Read the manifest with all its parts and print some of it."""
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
             return exit_codes.USAGE
         opened_store = connections.open_store(endpoints, stack)
         loaded = config_client.read_configuration(
-            opened_store, endpoints.patience
+            opened_store, endpoints.retries
         )
     if isinstance(loaded, errors.Failure):
         submissions.print_failure(loaded, as_json=arguments.json)
@@ -57,7 +57,7 @@
     as_json: bool,
     **extra: object,
 ) -> int:
-    """Print rows as a table for a person or as JSON for a program."""
+    """Print rows and extra fields as a table or as JSON."""
     if as_json:
         print(json.dumps({'rows': rows, **extra}, ensure_ascii=False))
         return exit_codes.SUCCESS
@@ -69,20 +69,21 @@
 
 
 def print_missing(kind: str, name: str) -> int:
-    """Say that there is nothing of this name."""
+    """Print that there is no object with this name."""
     print(f'there is no {kind} {name}')
     return exit_codes.FAILED
 
 
 def find_entry(
-    opened_store: store.Store, change: str, patience: config_client.RetryPolicy
+    opened_store: store.Store, change: str, retries: config_client.RetryPolicy
 ) -> audit_log.Entry | errors.Failure:
     """Find an accepted change by its id or revision, newest first.
 
-    NOT_FOUND where it is not among the last `MAX_LOOKED` changes.
+    Return a NOT_FOUND failure if it is not among the last
+    `MAX_SEARCHED_ENTRIES` changes.
     """
     searched = 0
-    for entry in iterate_entries(opened_store, patience):
+    for entry in iterate_entries(opened_store, retries):
         if isinstance(entry, errors.Failure):
             return entry
         if change in {entry.change_id, str(entry.revision)}:
@@ -98,11 +99,11 @@
 
 
 def iterate_entries(
-    opened_store: store.Store, patience: config_client.RetryPolicy
+    opened_store: store.Store, retries: config_client.RetryPolicy
 ) -> Iterable[audit_log.Entry | errors.Failure]:
-    """Yield audit entries from the newest back, ending after a failure."""
+    """Yield audit entries, newest first; stop after the first failure."""
     loaded = config_client.read_configuration(
-        opened_store, patience, store_reads.select_no_parts
+        opened_store, retries, store_reads.select_no_parts
     )
     if isinstance(loaded, errors.Failure):
         yield loaded
@@ -112,7 +113,7 @@
     revision = recent[0].previous_revision if recent else 0
     while revision:
         entry = config_client.run_steps(
-            store_reads.read_archived_entry(revision), opened_store, patience
+            store_reads.read_archived_entry(revision), opened_store, retries
         )
         yield entry
         if isinstance(entry, errors.Failure):
--- a/fuchsiahaven/operate/metrics.py
+++ b/fuchsiahaven/operate/metrics.py
@@ -1,7 +1,7 @@
-"""Declare every metric of a process, in one place.
+"""Define all metrics of a process.
 
-Labels come from closed lists and from the configuration, never from what a
-caller sends: each value of a label costs memory for the life of the process.
+Values of labels come from enumerations and from the configuration, never from
+callers, as each value of a label takes memory for the life of the process.
 """
 
 import enum
@@ -14,7 +14,7 @@
 from fuchsiahaven.core import errors
 
 PREFIX: Final = 'fuchsiahaven'
-#: Seconds; finer where the deadlines of the classes lie.
+#: In seconds; finer around the deadlines of the classes.
 LATENCY_BUCKETS: Final = (
     0.002,
     0.005,
@@ -36,14 +36,14 @@
     5,
     10,
 )
-#: Parts of all shards; most answers are complete or miss a few.
+#: Fractions of all shards; most answers are complete or miss a few.
 COVERAGE_BUCKETS: Final = (0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.999, 1)
 
-Named = TypeVar('Named', bound=enum.StrEnum)
+LabelEnum = TypeVar('LabelEnum', bound=enum.StrEnum)
 
 
 class Outcome(enum.StrEnum):
-    """List what became of sub-requests, and why they were sent."""
+    """Count sub-requests by the purpose of sending and by the result."""
 
     FIRST = 'first'
     HEDGE = 'hedge'
@@ -56,15 +56,15 @@
     MISMATCHED = 'mismatched'
 
 
-Counters = Mapping[Named, prometheus_client.Counter]
+Counters = Mapping[LabelEnum, prometheus_client.Counter]
 
 
 class Metrics(NamedTuple):
     """Hold the metrics of one process.
 
-    Counters over closed lists are looked up by member, as
-    `metrics.sub_requests[Outcome.HEDGE].inc()`; the lookup by label takes a
-    lock and would be paid for every sub-request.
+    Counters by members of an enumeration are looked up by member, as in
+    `metrics.sub_requests[Outcome.HEDGE].inc()`. A lookup by label takes a
+    lock, which would be a cost for every sub-request.
     """
 
     registry: prometheus_client.CollectorRegistry
@@ -80,7 +80,7 @@
 
 
 def build_metrics() -> Metrics:
-    """Build the metrics of one process, in a registry of their own."""
+    """Build the metrics of one process in a new registry."""
     registry = prometheus_client.CollectorRegistry()
     prometheus_client.ProcessCollector(registry=registry)
     return Metrics(
@@ -121,7 +121,7 @@
 
 
 def encode_metrics(metrics: Metrics) -> bytes:
-    """Write the metrics in the text format of Prometheus."""
+    """Encode the metrics in the text format of Prometheus."""
     return prometheus_client.generate_latest(metrics.registry)
 
 
@@ -141,8 +141,8 @@
     registry: registries.CollectorRegistry,
     name: str,
     label: str,
-    members: Iterable[Named],
-) -> Counters[Named]:
+    members: Iterable[LabelEnum],
+) -> Counters[LabelEnum]:
     text = name.replace('_', ' ').capitalize()
     counter = prometheus_client.Counter(
         f'{PREFIX}_{name}',
--- a/fuchsiahaven/operate/settings.py
+++ b/fuchsiahaven/operate/settings.py
@@ -1,8 +1,8 @@
 """Define the settings of one host, section by section.
 
-Each section of the INI file is a named tuple here: its fields are the keys,
-their types and bounds say what is expected, and a field without a default is
-required. `settings_reader` does the reading.
+Each section of the INI file is a named tuple here. Its fields are the keys,
+with their types and bounds; a field without a default is required. The file is
+parsed by `settings_reader`.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Bounds(NamedTuple):
-    """Bound a number, both ends included."""
+    """Hold the inclusive bounds of a number."""
 
     low: float
     high: float
@@ -27,7 +27,7 @@
 
 
 class Verbosity(enum.StrEnum):
-    """List how much is logged."""
+    """Enumerate the log levels."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -36,7 +36,7 @@
 
 
 class Tls(NamedTuple):
-    """Name the files of one TLS identity; None where not used."""
+    """Hold the files of one TLS identity; None where not used."""
 
     certificate: Path | None
     key: Path | None
@@ -44,9 +44,9 @@
 
 
 class Host(NamedTuple):
-    """Say which host this is.
+    """Identify this host.
 
-    `processes` counts the `serve` processes that share this host's ports.
+    `processes` is the number of `serve` processes that share its ports.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 
 class Callers(NamedTuple):
-    """Bound what callers may send, and say where they send it."""
+    """Configure the port for callers, and bound what they may send."""
 
     address: addresses.Address
     threads: Annotated[int, Bounds(1, 1024)] = 256
@@ -71,9 +71,9 @@
 
 
 class Peers(NamedTuple):
-    """Say where other hosts of the system talk to this one.
+    """Configure the port for other hosts of the system.
 
-    Both sides show certificates of one authority, unless `allow_plain`.
+    Both sides need certificates of one authority, unless `allow_plain`.
     """
 
     address: addresses.Address
@@ -88,13 +88,16 @@
 
 
 class Metrics(NamedTuple):
-    """Say where metrics are read; None serves them to callers alone."""
+    """Configure the metrics port; without one the caller port serves them."""
 
     address: addresses.Address | None = None
 
 
 class Platform(NamedTuple):
-    """Say where the platform's service answers, any address alike."""
+    """Configure the client of the platform's service.
+
+    The addresses are equivalent.
+    """
 
     addresses: Addresses
     timeout_ms: Milliseconds = 500
@@ -106,7 +109,7 @@
 
 
 class Targets(NamedTuple):
-    """Bound the exchange with targets."""
+    """Bound connections to targets and their answers."""
 
     connect_timeout_ms: Milliseconds = 500
     probe_timeout_ms: Milliseconds = 500
@@ -117,10 +120,11 @@
 
 
 class Limits(NamedTuple):
-    """Bound the work that one process takes on, and how long it stops.
+    """Configure a planned stop.
 
-    A planned stop answers `balancer_lag_s` longer, then refuses new work and
-    gives what runs at most `drain_s`.
+    The process accepts requests for another `balancer_lag_s`, until the load
+    balancer has noticed. Then it refuses new work, and the work in progress
+    has `drain_s` to finish.
     """
 
     balancer_lag_s: Seconds = 5.0
@@ -128,30 +132,30 @@
 
 
 class Customers(NamedTuple):
-    """Bound what holds for customers on all hosts; alike on all of them.
+    """Configure customers; the settings have to be equal on all hosts.
 
-    A key that was taken away is dead within `revoke_s` on hosts out of touch
-    too; without it nothing bounds that.
+    A removed key is refused within `revoke_s`, also by hosts that have lost
+    contact. None sets no bound.
     """
 
     revoke_s: Annotated[float, Bounds(1, 3600)] | None = None
 
 
 class PolicyName(enum.StrEnum):
-    """List the bundles of decisions; all but the first are to compare with."""
+    """Enumerate the policies; those other than STANDARD are for comparison."""
 
     STANDARD = 'standard'
     BASELINE = 'baseline'
 
 
 class Policy(NamedTuple):
-    """Choose a bundle of decisions."""
+    """Select a policy."""
 
     name: PolicyName = PolicyName.STANDARD
 
 
 class Logs(NamedTuple):
-    """Say what is logged, and whether as lines of JSON."""
+    """Configure the log level, and whether lines are JSON."""
 
     verbosity: Verbosity = Verbosity.INFO
     json: bool = False
@@ -172,5 +176,5 @@
     logs: Logs = Logs()
 
 
-#: The keys that name files, which have to exist where a host starts.
+#: Keys whose files have to exist when a host starts.
 FILE_KEYS: Final = ('tls_certificate', 'tls_key', 'tls_authority')
--- a/fuchsiahaven/operate/settings_reader.py
+++ b/fuchsiahaven/operate/settings_reader.py
@@ -1,4 +1,4 @@
-"""Read the settings file and tell every fault in it at once."""
+"""Read the settings file and find all faults in it."""
 
 import configparser
 import difflib
@@ -20,7 +20,7 @@
     'false': False,
     'off': False,
 }
-#: A name that configparser would give special meaning to; never in a file.
+#: configparser's section of defaults; the name never occurs in a file.
 DEFAULT_SECTION: typing.Final = '\0'
 
 Hints = Mapping[str, object]
@@ -28,7 +28,7 @@
 
 
 class Fault(typing.NamedTuple):
-    """Tell one fault: where it is, what is there, what is expected."""
+    """Describe a fault: its place, the given value and what is expected."""
 
     section: str
     key: str
@@ -37,7 +37,7 @@
 
 
 class Reading(typing.NamedTuple):
-    """Hold the settings, or None and the faults that forbid them."""
+    """Hold the settings, or None and the faults."""
 
     settings: settings.Settings | None
     faults: tuple[Fault, ...]
@@ -48,7 +48,7 @@
 
 
 def read_file(path: Path) -> Reading:
-    """Read a settings file; one that cannot be read is a fault too."""
+    """Read a settings file; an unreadable file is a fault too."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -62,7 +62,7 @@
 
 
 def parse_text(text: str) -> Reading:
-    """Read the text of a settings file."""
+    """Parse the text of a settings file."""
     sections, faults = split_sections(text)
     hints = typing.get_type_hints(settings.Settings)
     faults.extend(_find_unknown_keys(sections, hints))
@@ -80,18 +80,18 @@
 
 
 def describe_fault(fault: Fault) -> str:
-    """Write a fault as one line for a person."""
+    """Describe a fault in one line."""
     section = f'[{fault.section}]' if fault.section else ''
     value = f'= {fault.value}' if fault.value else ''
-    words = (word for word in (section, fault.key, value) if word)
-    return '{0}: expected {1}'.format(' '.join(words), fault.expected)
+    parts = (part for part in (section, fault.key, value) if part)
+    return '{0}: expected {1}'.format(' '.join(parts), fault.expected)
 
 
 def split_sections(text: str) -> tuple[Sections, list[Fault]]:
-    """Split the text into sections, blanking each line that cannot be read.
+    """Split the text into sections, and blank each line that is not valid.
 
-    configparser stops at the first such line; going on shows the rest of the
-    faults in the same run. Each round blanks a line, so the loop ends.
+    configparser stops at the first such line. Blanking it and parsing again
+    finds the remaining faults. Each round blanks a line, so the loop ends.
     """
     lines = text.splitlines()
     faults: list[Fault] = []
@@ -101,7 +101,7 @@
             default_section=DEFAULT_SECTION,
             empty_lines_in_values=False,
         )
-        # Keys are taken as written: a known key in other case is a fault.
+        # Keys are case-sensitive: a known key in another case is a fault.
         parser.optionxform = str  # type: ignore[assignment,method-assign]
         try:
             parser.read_string('\n'.join(lines))
@@ -178,7 +178,7 @@
 
 
 def _describe_expected(hint: object) -> str:
-    """Say what is expected of a required key."""
+    """Describe the value that a required key needs."""
     rejected = _parse_value('', hint)
     return rejected.expected if isinstance(rejected, _Rejected) else 'a value'
 
@@ -228,14 +228,16 @@
 
 
 def _parse_addresses(text: str) -> object:
-    parsed = [addresses.parse(word) for word in text.replace(',', ' ').split()]
+    parsed = [
+        addresses.parse(token) for token in text.replace(',', ' ').split()
+    ]
     if parsed and None not in parsed:
         return tuple(parsed)
     return _Rejected('IP numbers with ports, separated by commas')
 
 
 def _parse_name(text: str) -> object:
-    """Take a name that can stand in a log line and in a label unquoted."""
+    """Parse a name that needs no quotes in log lines and metric labels."""
     is_plain = text.isprintable() and not any(
         character in ' "=,\'' for character in text
     )
@@ -263,11 +265,11 @@
 
 
 def _find_shared_ports(complete: settings.Settings) -> Iterator[Fault]:
-    """Find ports of one host that are the same.
+    """Find ports of one host that have the same address.
 
-    With several processes on one port the second listener would not fail: the
-    system would deal it every other connection, and callers would now and
-    then reach the peer port.
+    Ports are shared between processes, so the second listener would not fail.
+    The system would give it every other connection, and some callers would
+    reach the peer port.
     """
     used: dict[addresses.Address, str] = {}
     for name in ('callers', 'peers', 'metrics'):
--- a/fuchsiahaven/operate/statuses.py
+++ b/fuchsiahaven/operate/statuses.py
@@ -1,4 +1,4 @@
-"""Ask hosts which revision they have in force, and say whom none reached."""
+"""Ask hosts for the revision in force, and list those that do not answer."""
 
 import collections
 import concurrent.futures
@@ -9,21 +9,22 @@
 from fuchsiahaven.edge import host_list, store
 from fuchsiahaven.operate import connections, host_client
 
-#: Hosts asked at a time; each waits for one answer.
+#: Hosts that are asked at the same time, each in a thread of its own.
 MAX_CONCURRENT_REQUESTS: Final = 32
 STATUS_TIMEOUT_S: Final = 2.0
-#: How long a change waits to be told the revision in force, in seconds.
+#: How long a change waits for a host to report its revision.
 REVISION_TIMEOUT_S: Final = 0.5
 HTTP_OK: Final = 200
-#: Members that are known to be gone are not expected to have a revision.
+#: Members with these standings are not expected to have a revision.
 DEPARTED_STANDINGS: Final = frozenset(('dead', 'left'))
 
 
 class HostStatus(NamedTuple):
-    """Hold what one host says of itself, or why it says nothing.
+    """Hold the status of one host, or why it did not answer.
 
-    `revision` is None where the host did not answer; it may have any.
-    `quarantined` describes the queries that it refuses as they end targets.
+    `revision` is None, that is unknown, where the host did not answer.
+    `quarantined` describes the queries that it refuses because they crash
+    targets.
     """
 
     address: str
@@ -37,7 +38,10 @@
 
 
 class Survey(NamedTuple):
-    """Hold what was found out; `list_fault` says why there is no list."""
+    """Hold the status of all hosts.
+
+    `list_fault` says why the platform's list of hosts could not be read.
+    """
 
     hosts: tuple[HostStatus, ...]
     list_fault: str = ''
@@ -48,10 +52,10 @@
     opened_store: store.Store,
     timeout_s: float = STATUS_TIMEOUT_S,
 ) -> Survey:
-    """Ask every host that the platform, the operator or a member names.
+    """Ask every host that the platform, the operator or a host names.
 
-    Members are asked for too, because the platform's list lags: a host that
-    just started would otherwise count as not being there.
+    Hosts are also asked for the members that they know, because the platform's
+    list lags: a host that has just started would otherwise be missing.
     """
     expected, fault = _list_hosts(opened_store)
     for address in endpoints.hosts:
@@ -70,10 +74,10 @@
 def find_highest_revision(
     endpoints: connections.Endpoints, opened_store: store.Store
 ) -> int:
-    """Return the highest revision that a few hosts have in force.
+    """Return the highest revision in force on a few hosts.
 
-    One that has it is enough to tell that the platform's copy is older, so
-    one host of each data centre is asked, and silence costs little time.
+    One host with a higher revision shows that the platform's copy is older.
+    So one host of each data centre is asked, with a short timeout.
     """
     expected, _ = _list_hosts(opened_store)
     by_data_centre = {
@@ -91,11 +95,11 @@
 def send_get(
     endpoints: connections.Endpoints, address: str, path: str, timeout_s: float
 ) -> host_client.Response | host_client.NoResponse:
-    """Ask one host at its peer port."""
+    """Send a GET request to the peer port of one host."""
     parsed = addresses.parse(address)
     if parsed is None:
         return host_client.NoResponse(
-            f'{address} is no address', may_have_run=False
+            f'{address} is not an address', may_have_run=False
         )
     identity = endpoints.peer_identity
     return host_client.send_request(
@@ -110,7 +114,7 @@
 def count_revisions(
     hosts: Iterable[HostStatus],
 ) -> Mapping[str, Mapping[str, int]]:
-    """Count hosts by data centre and revision; `unknown` where silent."""
+    """Count hosts by data centre and revision; `unknown` without an answer."""
     counts: dict[str, collections.Counter[str]] = {}
     for status in hosts:
         revision = (
@@ -124,7 +128,7 @@
 
 
 def list_quarantined(hosts: Iterable[HostStatus]) -> list[Mapping[str, str]]:
-    """List the queries that hosts refuse, and which hosts do."""
+    """List the quarantined queries, each with the hosts that refuse it."""
     refusers: dict[str, list[str]] = {}
     rows: dict[str, Mapping[str, str]] = {}
     for status in hosts:
@@ -191,7 +195,10 @@
 
 
 def _decode_quarantined(rows: object) -> tuple[Mapping[str, Any], ...]:
-    """Read what a host refuses; a host of the version before tells nothing."""
+    """Decode the quarantined queries of a host.
+
+    Hosts of the previous version report none.
+    """
     listed = rows if isinstance(rows, list) else []
     return tuple(row for row in listed if isinstance(row, dict))
 
--- a/fuchsiahaven/operate/submissions.py
+++ b/fuchsiahaven/operate/submissions.py
@@ -1,4 +1,4 @@
-"""Submit one change for an operator and tell what became of it."""
+"""Submit a change for an operator and print its outcome."""
 
 import argparse
 import contextlib
@@ -23,14 +23,14 @@
 from fuchsiahaven.operate import connections, exit_codes, statuses, waits
 
 OPERATOR_VARIABLE: Final = 'FUCHSIAHAVEN_OPERATOR'
-#: Edits shown to a person; `--json` has all.
+#: Edits that are printed; `--json` prints all.
 MAX_SHOWN_EDITS: Final = 20
-#: A wait that is asked for without a time ends after this, in seconds.
+#: Timeout of `--wait` without a value.
 DEFAULT_WAIT_S: Final = 30.0
 EXIT_CODES: Final = """exit codes: 0 done, or nothing to change; 1 refused, or
 --wait ended before all hosts that answer had it in force; 3 the platform was
-not reached, or with --wait some host does not answer; 4 another change took
-hold first; 5 it cannot be told whether the change took effect
+not reached, or with --wait some host does not answer; 4 another change was
+accepted first; 5 it is unknown whether the change took effect
 """
 _EXIT_CODE_BY_KIND: Final[Mapping[errors.Kind, int]] = {
     errors.Kind.CONFLICT: exit_codes.CONFLICT,
@@ -40,7 +40,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments that every change takes."""
+    """Declare the arguments of all commands that make a change."""
     connections.add_arguments(parser)
     parser.add_argument(
         '--operator',
@@ -52,17 +52,17 @@
         dest='base',
         type=int,
         metavar='REVISION',
-        help='the revision you have looked at; conflicts count from it',
+        help='the revision that the change is based on, for conflicts',
     )
     parser.add_argument(
         '--change-id',
         metavar='ID',
-        help='settle an earlier change of unknown outcome; needs --from',
+        help='resolve an earlier change of unknown outcome; needs --from',
     )
     parser.add_argument(
         '--force',
         action='store_true',
-        help='accept problems that may be meant',
+        help='accept problems that may be intended',
     )
     parser.add_argument(
         '--wait',
@@ -75,7 +75,10 @@
 
 
 def submit(arguments: argparse.Namespace, change: changes.Change) -> int:
-    """Make a change, wait for it where asked, print, return the exit code."""
+    """Make a change, print its outcome and return the exit code.
+
+    With `--wait`, wait until it is in force.
+    """
     with contextlib.ExitStack() as stack:
         endpoints = connections.find_endpoints(arguments)
         if endpoints is None:
@@ -90,7 +93,7 @@
     endpoints: connections.Endpoints,
     opened_store: store.Store,
 ) -> int:
-    """Make a change through a store that is open already."""
+    """Make a change through a store that is already open."""
     if arguments.change_id and arguments.base is None:
         print('--change-id needs --from REVISION', file=sys.stderr)
         return exit_codes.USAGE
@@ -98,7 +101,7 @@
     min_revision = statuses.find_highest_revision(endpoints, opened_store)
     request = request._replace(min_revision=min_revision)
     outcome = config_client.commit_change(
-        opened_store, request, time.time(), endpoints.patience
+        opened_store, request, time.time(), endpoints.retries
     )
     print_outcome(outcome, as_json=arguments.json)
     if not isinstance(outcome, proposals.ChangeAccepted):
@@ -126,7 +129,7 @@
 
 
 def print_outcome(outcome: transactions.Outcome, *, as_json: bool) -> None:
-    """Print what became of a change."""
+    """Print the outcome of a change."""
     match outcome:
         case proposals.ChangeAccepted(entry):
             row: dict[str, Any] = {
@@ -145,7 +148,7 @@
 
 
 def print_failure(failure: errors.Failure, *, as_json: bool) -> None:
-    """Print a failure: for a program on the output, else as an error."""
+    """Print a failure: JSON to standard output, text to standard error."""
     text = errors.KIND_PROPERTIES[failure.kind].text
     if as_json:
         row = {
@@ -160,21 +163,21 @@
 
 
 def choose_exit_code(outcome: transactions.Outcome) -> int:
-    """Choose the exit code for what became of a change."""
+    """Choose the exit code for the outcome of a change."""
     if isinstance(outcome, errors.Failure):
         return _EXIT_CODE_BY_KIND.get(outcome.kind, exit_codes.FAILED)
     return exit_codes.SUCCESS
 
 
 def format_edits(entry: audit_log.Entry) -> list[str]:
-    """Write what a change did as lines for a person."""
+    """Format the edits of a change as lines of text."""
     lines = [format_edit(edit) for edit in entry.edits[:MAX_SHOWN_EDITS]]
     hidden = len(entry.edits) - len(lines)
     return [*lines, f'  and {hidden} more'] if hidden else lines
 
 
 def format_edit(edit: trees.Edit) -> str:
-    """Write one edit as a line: + new, - gone, ~ changed."""
+    """Format one edit as a line: + added, - removed, ~ changed."""
     field = ' '.join(edit.field)
     if edit.before is None:
         return f'  + {field}: {_shorten(edit.after)}'
--- a/fuchsiahaven/operate/tables.py
+++ b/fuchsiahaven/operate/tables.py
@@ -1,11 +1,11 @@
-"""Lay out rows as a table for a person at a terminal."""
+"""Format rows as a table for a terminal."""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final
 
 COLUMN_SEPARATOR: Final = '  '
-#: Longer cells are cut; `--json` shows them whole.
+#: Longer cells are truncated; `--json` prints them in full.
 MAX_CELL_WIDTH: Final = 40
 
 Row = Mapping[str, object]
@@ -14,7 +14,7 @@
 def format_table(
     rows: Sequence[Row], first_columns: Iterable[str] = ()
 ) -> list[str]:
-    """Lay out rows under their column names, the given ones first."""
+    """Format rows under their column names, the given columns first."""
     names = dict.fromkeys(first_columns)
     for row in rows:
         names.update(dict.fromkeys(row))
@@ -26,10 +26,10 @@
 
 
 def format_cell(value: object) -> str:
-    """Write one value on one line, cut to the greatest width.
+    """Format a value on one line, truncated to MAX_CELL_WIDTH.
 
-    Letters that do not print are replaced: a listing's text could otherwise
-    move the cursor and show an operator what no host has answered.
+    Unprintable characters are replaced: a text in a search result could
+    otherwise move the cursor and fake other output.
     """
     text = value if isinstance(value, str) else json.dumps(value, default=str)
     printed = ''.join(it if it.isprintable() else '?' for it in text)
--- a/fuchsiahaven/operate/value_parsing.py
+++ b/fuchsiahaven/operate/value_parsing.py
@@ -1,4 +1,4 @@
-"""Read what operators type: labels, targets, fields and their values."""
+"""Parse values of the command line: labels, targets and fields."""
 
 import argparse
 import math
@@ -12,10 +12,10 @@
 
 #: A range of numbers, as in shells.
 RANGE_PATTERN: Final = re.compile(r'\{([0-9]{1,9})\.\.([0-9]{1,9})\}')
-#: One range may stand for this many targets.
+#: Names that one text with ranges may expand to.
 MAX_EXPANDED_NAMES: Final = 10_000
 
-#: Fields of a group's caps and of a class's policy, with how to read them.
+#: Fields of groups, classes and customers, with their types.
 CAP_FIELDS: Final[Mapping[str, type]] = {
     'slots': int,
     'connections': int,
@@ -36,9 +36,9 @@
     'rate': float,
     'burst': float,
 }
-#: Priority of a customer whose requests go by that of their class.
+#: Value for a customer whose requests have the priority of their class.
 NO_PRIORITY: Final = 'none'
-#: What is expected of values that are no numbers with a point.
+#: What is expected of values that are not floating-point numbers.
 EXPECTED_BY_TYPE: Final[Mapping[type, str]] = {
     int: 'a whole number',
     bool: 'yes or no',
@@ -47,7 +47,7 @@
 
 
 def parse_pair(text: str) -> tuple[str, str]:
-    """Read `NAME=VALUE`. Raises argparse.ArgumentTypeError."""
+    """Parse `NAME=VALUE`. Raises argparse.ArgumentTypeError."""
     name, equals, value = text.partition('=')
     if not (name and equals):
         raise argparse.ArgumentTypeError(f'expected NAME=VALUE, not {text!r}')
@@ -57,7 +57,7 @@
 def parse_labels(
     operands: Iterable[str],
 ) -> tuple[tuple[tuple[str, str], ...], tuple[str, ...]]:
-    """Read `key=value` as a label to set and `key-` as one to remove.
+    """Parse `key=value` as a label to set and `key-` as one to remove.
 
     Raises argparse.ArgumentTypeError.
     """
@@ -76,14 +76,14 @@
 def parse_fields(
     pairs: Iterable[tuple[str, str]], field_types: Mapping[str, type]
 ) -> Pairs:
-    """Read values of known fields. Raises argparse.ArgumentTypeError."""
+    """Parse the values of fields. Raises argparse.ArgumentTypeError."""
     return tuple(
         (name, parse_field(name, it, field_types)) for name, it in pairs
     )
 
 
 def parse_field(name: str, text: str, field_types: Mapping[str, type]) -> Any:
-    """Read the value of one field. Raises argparse.ArgumentTypeError."""
+    """Parse the value of one field. Raises argparse.ArgumentTypeError."""
     value_type = field_types.get(name)
     if value_type is None:
         names = ', '.join(field_types)
@@ -98,7 +98,7 @@
 
 
 def parse_customer_fields(pairs: Iterable[tuple[str, str]]) -> Pairs:
-    """Read fields of a customer; a priority may be taken away by `none`.
+    """Parse fields of a customer; `none` removes its priority.
 
     Raises argparse.ArgumentTypeError.
     """
@@ -117,21 +117,21 @@
         return BOOLEANS[text.lower()]
     parsed = value_type(text)
     if isinstance(parsed, float) and not math.isfinite(parsed):
-        # Python reads "nan", which lies within any bounds: a share of hedges
-        # that is no number would leave hedging without a limit.
+        # Python parses "nan", which passes every check of bounds: a hedge
+        # share of NaN would leave hedges without a limit.
         raise ValueError(text)
     return parsed
 
 
 def parse_names(text: str) -> tuple[str, ...]:
-    """Read names separated by commas or spaces."""
+    """Parse names separated by commas or spaces."""
     return tuple(text.replace(',', ' ').split())
 
 
 def parse_targets(
     pairs: Iterable[tuple[str, str]], data_centre: str
 ) -> tuple[configurations.Target, ...]:
-    """Read the targets of one data centre; names and addresses may range."""
+    """Parse the targets of one data centre, with ranges expanded."""
     return tuple(
         configurations.Target(name, address, data_centre)
         for names, address_range in pairs
@@ -140,23 +140,24 @@
 
 
 def expand_pair(names: str, addresses: str) -> list[tuple[str, str]]:
-    """Expand `a-{01..02}=10.0.0.{1..2}:80` into one pair for each.
+    """Expand `a-{01..02}=10.0.0.{1..2}:80` into pairs of name and address.
 
     Raises argparse.ArgumentTypeError where the counts differ.
     """
     left, right = expand_ranges(names), expand_ranges(addresses)
     if len(left) != len(right):
         raise argparse.ArgumentTypeError(
-            f'{names} is {len(left)} names, {addresses} is {len(right)} addresses'
+            f'{names} is {len(left)} names, '
+            f'{addresses} is {len(right)} addresses'
         )
     return list(zip(left, right, strict=True))
 
 
 def expand_ranges(text: str) -> list[str]:
-    """Expand each `{first..last}`, the last one running fastest.
+    """Expand each range `{first..last}`; the last range varies fastest.
 
-    A first number with leading zeros sets the width, as in shells. Raises
-    argparse.ArgumentTypeError for a range that is none, or too long.
+    Leading zeros of the first number set the width, as in shells. Raises
+    argparse.ArgumentTypeError for a malformed, empty or too long range.
     """
     match = RANGE_PATTERN.search(text)
     if match is None:
--- a/fuchsiahaven/operate/verbs.py
+++ b/fuchsiahaven/operate/verbs.py
@@ -1,4 +1,4 @@
-"""Share what the commands on groups, selectors and classes have in common."""
+"""Provide the verbs that commands on configuration objects share."""
 
 import argparse
 from typing import Protocol, TypeAlias
@@ -10,7 +10,7 @@
 
 
 class PrintObjects(Protocol):
-    """Print some of a configuration and return the exit code."""
+    """Print objects of a configuration and return the exit code."""
 
     def __call__(
         self,
@@ -18,11 +18,11 @@
         configuration: configurations.Configuration,
         /,
     ) -> int:
-        """Print it."""
+        """Print the objects."""
 
 
 def add_read_verbs(parser: argparse.ArgumentParser, epilog: str) -> Subparsers:
-    """Declare `list` and `show`; return where more verbs go."""
+    """Declare `list` and `show`; return the action for further verbs."""
     parser.epilog = epilog
     subparsers = parser.add_subparsers(
         dest='verb', required=True, metavar='verb'
@@ -39,7 +39,7 @@
 def add_change_verb(
     subparsers: Subparsers, verb: str, help_text: str
 ) -> argparse.ArgumentParser:
-    """Declare a verb that changes the one named."""
+    """Declare a verb that changes the named object."""
     parser = subparsers.add_parser(verb, help=help_text)
     parser.add_argument('name')
     submissions.add_arguments(parser)
@@ -51,7 +51,7 @@
     print_all: PrintObjects,
     print_one: PrintObjects,
 ) -> int | None:
-    """Run `list` or `show`; None where the verb is another."""
+    """Run `list` or `show`; return None for any other verb."""
     match arguments.verb:
         case 'list':
             return lookups.show_configuration(
--- a/fuchsiahaven/operate/waits.py
+++ b/fuchsiahaven/operate/waits.py
@@ -1,4 +1,4 @@
-"""Wait until a revision is in force on every host, and show how far it is."""
+"""Wait until a revision is in force on every host, and print the progress."""
 
 import sys
 import time
@@ -8,9 +8,9 @@
 from fuchsiahaven.operate import connections, exit_codes, statuses
 
 POLL_INTERVAL_S: Final = 0.2
-#: A host that does not answer holds each round up for this long, in seconds.
+#: Delay of each round by a host that does not answer.
 HOST_TIMEOUT_S: Final = 1.0
-#: Names shown in one line of progress.
+#: Names of hosts in one line of progress.
 MAX_SHOWN_HOSTS: Final = 5
 
 
@@ -20,10 +20,10 @@
     opened_store: store.Store,
     max_wait_s: float,
 ) -> int:
-    """Wait for at most `wait_s` seconds; progress goes to the error output.
+    """Wait up to `max_wait_s` seconds; print progress to standard error.
 
-    What is not known is never counted as done: a host that does not answer
-    may serve by an older revision, so the wait ends without success.
+    A host that does not answer may serve with an older revision, so it counts
+    as behind.
     """
     started_at = time.monotonic()
     printed = ''
@@ -45,7 +45,7 @@
 def list_behind(
     hosts: tuple[statuses.HostStatus, ...], revision: int
 ) -> list[statuses.HostStatus]:
-    """List the hosts that have a lower revision, or do not say."""
+    """List the hosts with a lower or an unknown revision."""
     return [
         status
         for status in hosts
@@ -56,7 +56,7 @@
 def format_progress(
     revision: int, survey: statuses.Survey, behind: list[statuses.HostStatus]
 ) -> str:
-    """Write one line of progress."""
+    """Format one line of progress."""
     total = len(survey.hosts)
     line = f'revision {revision} in force on {total - len(behind)} of {total}'
     names = [_format_host(status) for status in behind[:MAX_SHOWN_HOSTS]]
--- a/tests/operate/test_command_inspect.py
+++ b/tests/operate/test_command_inspect.py
@@ -1,4 +1,4 @@
-"""Test the commands that speak with hosts on the platform."""
+"""Test the commands for hosts on the platform."""
 
 import json
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 def test_formats_the_state_of_a_host() -> None:
-    """One line for each service says how its targets stand."""
+    """There is one line for each service with the state of its targets."""
     lines = command_inspect.format_state(json.loads(json.dumps(STATE)))
     assert 'version: 7' in lines
     assert 'store_era: not told' in lines
@@ -33,14 +33,14 @@
 
 
 def test_formats_quarantined_requests() -> None:
-    """Symptom: only `--json` shows which requests are refused."""
+    """Guard against quarantines that only `--json` shows."""
     row = {'digest': 'ab', 'wait': 119.6, 'crashes': 3, 'targets': ['i-1']}
     lines = command_inspect.format_state({**STATE, 'quarantined': [row]})
     assert 'quarantined: ab for 120 s, targets ended at 3 moments: i-1' in lines
 
 
 def test_formats_results_by_customer() -> None:
-    """Where callers need no key there is no such line."""
+    """There are no such lines where callers need no key."""
     assert not command_inspect.format_customers(None)
     report = {
         'known': 3,
@@ -58,7 +58,7 @@
 def test_an_unreachable_host_is_reported(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """A host that is gone ends the command with the code for that."""
+    """The exit code and the error output state it."""
     exit_code = commands.main(['inspect', '--at', '127.0.0.1:1'])
     assert exit_code == exit_codes.UNREACHABLE
     assert '127.0.0.1:1' in capsys.readouterr().err
@@ -67,7 +67,7 @@
 def test_checks_a_settings_file_of_the_platform(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Every fault is named, each on a line of its own."""
+    """Each fault is printed on a line of its own."""
     path = tmp_path / 'boot.conf'
     path.write_text(test_settings.TEXT)
     tokens = ['check', '--platform', str(path)]
@@ -80,7 +80,7 @@
 def test_checks_a_version_for_the_store(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """What hosts would refuse is told before it is written, without a key."""
+    """Faults for which hosts reject a version are printed, without keys."""
     path = tmp_path / 'next.json'
     tokens = ['check', '--configuration', str(path)]
     shop = {'name': 'shop', 'api_keys': ['k-secret']}
@@ -97,7 +97,7 @@
     path.write_text(json.dumps(configuration))
     assert commands.main(tokens) == exit_codes.FAILED
     printed = capsys.readouterr().out
-    assert "customer 'shop': a key is there twice" in printed
+    assert "customer 'shop': a key is listed twice" in printed
     assert 'k-secret' not in printed
     assert commands.main(['check', '--configuration', 'none.json']) == (
         exit_codes.FAILED
--- a/tests/operate/test_command_query.py
+++ b/tests/operate/test_command_query.py
@@ -1,4 +1,4 @@
-"""Test the command that asks a query."""
+"""Test the command that sends a query."""
 
 import contextlib
 import json
@@ -30,7 +30,7 @@
 
 @contextlib.contextmanager
 def _serve(status: str, body: object) -> Iterator[str]:
-    """Answer every request with one status and body."""
+    """Answer every request with the given status and body."""
 
     def answer(_environ: object, start: Start) -> list[bytes]:
         start(status, [('Content-Type', 'application/json')])
@@ -50,7 +50,7 @@
 def test_partial_answer_is_reported_as_partial(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Show what is missing, fail, and let no row drive the terminal."""
+    """Missing shards are printed, and rows without control characters."""
     with _serve('200 OK', PARTIAL) as at:
         exit_code = commands.main(
             ['query', '--at', at, 'price-check', 'text=oven']
@@ -63,7 +63,7 @@
 
 
 def test_unknown_outcome_has_its_own_exit_code() -> None:
-    """Tell a script that asking again with a new id could act twice."""
+    """Scripts see that a repeat under a new id could run twice."""
     with _serve('504 Gateway Timeout', UNKNOWN) as at:
         assert (
             commands.main(['query', '--at', at, 'refund']) == exit_codes.UNKNOWN
@@ -71,9 +71,9 @@
 
 
 def test_host_that_is_not_there_is_unreachable() -> None:
-    """Tell that nothing was sent."""
+    """The exit code states that nothing was sent."""
     with socket.socket() as taken:
-        # Bound and not listening: nobody else can answer on this port.
+        # Bound but not listening, so no other server can use this port.
         taken.bind(('127.0.0.1', 0))
         at = '127.0.0.1:{0}'.format(taken.getsockname()[1])
         assert (
@@ -82,7 +82,7 @@
 
 
 def test_table_aligns_and_truncates_cells() -> None:
-    """Keep columns under their names and cells on one line."""
+    """Columns are aligned with their names; long cells are truncated."""
     rows: list[tables.Row] = [
         {'id': 'a', 'text': 'x' * 99},
         {'id': 'bcd', 'more': [1]},
--- a/tests/operate/test_commands.py
+++ b/tests/operate/test_commands.py
@@ -10,7 +10,7 @@
 
 
 def test_version_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
-    """Print the version and exit with success."""
+    """The version is printed and the exit code is 0."""
     with pytest.raises(SystemExit) as stopped:
         commands.main(['--version'])
     assert not stopped.value.code
@@ -21,7 +21,7 @@
     capsys: pytest.CaptureFixture[str],
     tmp_path: Path,
 ) -> None:
-    """Print the faults for a program, and fail."""
+    """Faults are printed as JSON and the command fails."""
     path = tmp_path / 'host.ini'
     path.write_text('[hosts]\n')
     assert commands.main(['check', str(path), '--json']) == exit_codes.FAILED
--- a/tests/operate/test_connections.py
+++ b/tests/operate/test_connections.py
@@ -1,4 +1,4 @@
-"""Test how commands find the platform and hosts, and speak with them."""
+"""Test how commands resolve and connect to the platform and hosts."""
 
 import argparse
 import contextlib
--- a/tests/operate/test_logs.py
+++ b/tests/operate/test_logs.py
@@ -1,4 +1,4 @@
-"""Test the log lines."""
+"""Test the format of log lines."""
 
 import json
 
@@ -10,11 +10,10 @@
 def test_a_field_value_cannot_forge_a_line(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Keep what a caller sent inside its own field.
+    """Guard against log lines that no part has logged.
 
-    Symptom: the log shows an error that no part has logged.
-    Sequence: a request id with a line break in it is refused and logged.
-    Cause: the value was written into the line as it came.
+    A caller sends a request id with a line break, which is refused and
+    logged. Without quotes the rest of the id looks like another line.
     """
     logs.set_up(settings.Logs())
     logs.info('callers', 'refused', request_id='a\nE loop: down', ms=3)
@@ -27,7 +26,7 @@
 def test_json_fields_cannot_replace_the_head(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Write one JSON object whose fields cannot replace its head."""
+    """A line is one JSON object, with its level, part and text unchanged."""
     logs.set_up(settings.Logs(json=True))
     logs.warning('gossip', 'suspects a host', host='kotoni-02', level='none')
     logs.debug('gossip', 'not wanted')
--- a/tests/operate/test_metrics.py
+++ b/tests/operate/test_metrics.py
@@ -1,11 +1,11 @@
-"""Test that what is counted is exposed under its name."""
+"""Test that counters are exposed under their names."""
 
 from fuchsiahaven.core import errors
 from fuchsiahaven.operate import metrics
 
 
 def test_counters_are_exposed_by_member() -> None:
-    """Expose a counted hedge, and members not yet counted as zero."""
+    """A counted hedge is exposed; members not yet counted are 0."""
     built = metrics.build_metrics()
     built.sub_requests[metrics.Outcome.HEDGE].inc(2)
     text = metrics.encode_metrics(built).decode()
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -1,4 +1,4 @@
-"""Test the operators' commands over the platform's stand-in."""
+"""Test the operators' commands against the platform's stand-in."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class CommandResult(NamedTuple):
-    """Hold what a command gave: exit code, JSON and error output."""
+    """Hold the result of a command: exit code, JSON and error output."""
 
     exit_code: int
     body: dict[str, Any]
@@ -35,7 +35,7 @@
 
 
 class HostStandIn:
-    """Stand in for a host's peer port, by the revisions that it tells."""
+    """Stand in for a host's peer port; report the given revisions in order."""
 
     def __init__(
         self, name: str, revisions: list[int], data_centre: str = 'Odori'
@@ -51,15 +51,15 @@
         """Accept every connection."""
 
     def closed(self, channel: wire.Channel) -> None:
-        """Keep nothing of a connection."""
+        """Ignore the end of a connection."""
 
     def received(self, channel: wire.Channel, request: wire.Request) -> None:
         if request.path.startswith('/v1/configuration'):
             patch = patches.diff(
                 patches.EMPTY, patches.stamp_configuration(self.configuration)
             )
-            parcel = patch_codecs.PatchMessage(self.name, (patch,))
-            channel.reply(200, patch_codecs.encode_patches(parcel).decode())
+            message = patch_codecs.PatchMessage(self.name, (patch,))
+            channel.reply(200, patch_codecs.encode_patches(message).decode())
             return
         revisions = self.revisions
         revision = revisions.pop(0) if len(revisions) > 1 else revisions[0]
@@ -84,7 +84,7 @@
 
 
 class Deployment:
-    """Run the platform and hosts in a thread; run commands against them."""
+    """Run the platform and hosts in a thread, and commands against them."""
 
     def __init__(self, capsys: pytest.CaptureFixture[str]) -> None:
         self.platform = platform.Platform()
@@ -143,7 +143,7 @@
 
 
 @pytest.fixture
-def world(capsys: pytest.CaptureFixture[str]) -> Iterator[Deployment]:
+def deployment(capsys: pytest.CaptureFixture[str]) -> Iterator[Deployment]:
     started = Deployment(capsys)
     with contextlib.ExitStack() as stack:
         stack.callback(started.loop.call_soon_threadsafe, started.loop.stop)
@@ -151,35 +151,37 @@
 
 
 @pytest.fixture
-def filled(world: Deployment) -> Deployment:
-    world.change('group', 'create', 'g', '--label', 'a=b', '--target', TARGETS)
-    return world
+def seeded(deployment: Deployment) -> Deployment:
+    deployment.change(
+        'group', 'create', 'g', '--label', 'a=b', '--target', TARGETS
+    )
+    return deployment
 
 
-def test_an_operator_makes_shows_and_undoes_changes(filled: Deployment) -> None:
-    filled.change('class', 'set', 'c', 'deadline_ms=800')
+def test_an_operator_makes_shows_and_undoes_changes(seeded: Deployment) -> None:
+    seeded.change('class', 'set', 'c', 'deadline_ms=800')
     selector = ('selector', 'set', 's', '--class', 'c', '--expression', 'a=b')
-    filled.change(*selector)
-    assert filled.run('selector', 'show', 's').body['reaches'] == ['g']
-    filled.change('group', 'create', 'g2', '--label', 'a=b', '--force')
-    relabelled = filled.change('group', 'label', 'g2', 'a=x').body['change']
+    seeded.change(*selector)
+    assert seeded.run('selector', 'show', 's').body['reaches'] == ['g']
+    seeded.change('group', 'create', 'g2', '--label', 'a=b', '--force')
+    relabelled = seeded.change('group', 'label', 'g2', 'a=x').body['change']
     assert relabelled['what'].endswith('c reaches -g2')
-    filled.change('group', 'delete', 'g2')
-    refused = filled.run('group', 'label', 'g', 'a-')
+    seeded.change('group', 'delete', 'g2')
+    refused = seeded.run('group', 'label', 'g', 'a-')
     assert refused.exit_code == exit_codes.FAILED
     assert 'reaches no group' in refused.body['error']['detail']
-    drained = filled.change('target', 'drain', 'g', 'c-{02..03}/1')
-    shown = filled.run('group', 'show', 'g').body
+    drained = seeded.change('target', 'drain', 'g', 'c-{02..03}/1')
+    shown = seeded.run('group', 'show', 'g').body
     states = [row['state'] for row in shown['rows']]
     assert states == ['live', 'leaving', 'leaving']
     change_id = drained.body['change']['id']
-    undone = filled.change('undo', change_id).body['change']
+    undone = seeded.change('undo', change_id).body['change']
     assert (undone['revision'], undone['undoes']) == (8, change_id)
-    repeated = filled.change('target', 'return', 'g', 'c-02/1')
+    repeated = seeded.change('target', 'return', 'g', 'c-02/1')
     assert repeated.body == {'status': 'unchanged', 'revision': 8}
-    rows = filled.run('history').body['rows']
+    rows = seeded.run('history').body['rows']
     assert [row['revision'] for row in rows] == [8, 7, 6, 5, 4, 3, 2, 1]
-    shown = filled.run('history', 'show', '7').body
+    shown = seeded.run('history', 'show', '7').body
     assert shown['edits'][0] == [
         ['groups', 'g', 'leaving', 'c-02/1'],
         None,
@@ -188,58 +190,55 @@
 
 
 def test_a_conflict_shows_the_other_change(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Stop an operator who has not seen what another one did.
+    """Guard against a change that overwrites another one unseen.
 
-    Symptom: two people set one label, both are told it is done, one of them
-    is wrong. Sequence: both look at revision 1, both set the label. Cause:
-    the second change is applied to what it has not seen.
+    Two operators see revision 1 and both set the same label. Without the
+    conflict both would be reported as accepted, and one would be lost.
     """
-    filled.change('group', 'label', 'g', 'a=first', '--from', '1')
+    seeded.change('group', 'label', 'g', 'a=first', '--from', '1')
     label = ('group', 'label', 'g', '--from', '1')
-    second = filled.run(*label, 'a=second')
+    second = seeded.run(*label, 'a=second')
     assert second.exit_code == exit_codes.CONFLICT
     assert 'by ana' in second.body['error']['detail']
     assert '"b" -> "first"' in second.body['error']['detail']
-    assert filled.run(*label, 'other=x').exit_code == exit_codes.SUCCESS
+    assert seeded.run(*label, 'other=x').exit_code == exit_codes.SUCCESS
 
 
-def test_a_change_with_a_lost_answer_is_made_once(filled: Deployment) -> None:
-    """Tell a change as accepted that is, although its answer was lost.
+def test_a_change_with_a_lost_answer_is_made_once(seeded: Deployment) -> None:
+    """Guard against a repeat of a change that is already in force.
 
-    Symptom: an operator repeats a change that is in force already. Sequence:
-    the platform writes and its answer does not arrive. Cause: a write without
-    an answer is taken for one that failed.
+    The platform writes the change, but its answer is lost. A write without an
+    answer must not be taken for a failed one.
     """
-    filled.platform.control({'lose_writes': 1})
-    filled.change('group', 'label', 'g', 'a=c')
-    assert len(filled.run('history').body['rows']) == 2
+    seeded.platform.control({'lose_writes': 1})
+    seeded.change('group', 'label', 'g', 'a=c')
+    assert len(seeded.run('history').body['rows']) == 2
 
 
 def test_a_platform_that_is_down_is_reported(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Tell what is known while the platform is away, and no more.
+    """Guard against a `status` without differences during an outage.
 
-    Symptom: `status` shows everything as in force during an outage. Sequence:
-    the platform goes down; hosts go on. Cause: no answer counts as no
-    difference.
+    The platform is down and hosts are up. A missing answer must not count as
+    an equal revision.
     """
-    filled.serve(HostStandIn('h1', [1]))
-    filled.platform.control({'down': True})
-    refused = filled.run('group', 'label', 'g', 'a=c')
+    seeded.serve(HostStandIn('h1', [1]))
+    seeded.platform.control({'down': True})
+    refused = seeded.run('group', 'label', 'g', 'a=c')
     assert refused.exit_code == exit_codes.UNREACHABLE
     assert refused.body['error']['ran'] == 'no'
-    status = filled.run('status')
+    status = seeded.run('status')
     assert status.exit_code == exit_codes.UNREACHABLE
     assert status.body['accepted'] is None
 
 
 def test_status_shows_quarantined_queries(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Symptom: callers are refused, and `status` shows nothing of it."""
+    """Guard against refused callers of which `status` shows nothing."""
     hosts = HostStandIn('h1', [1]), HostStandIn('h2', [1])
     row: dict[str, object] = {
         'digest': 'ab' * 16,
@@ -249,8 +248,8 @@
         'targets': ['t1'],
     }
     hosts[0].quarantined = [row]
-    filled.serve(*hosts)
-    status = filled.run('status')
+    seeded.serve(*hosts)
+    status = seeded.run('status')
     assert status.exit_code == exit_codes.SUCCESS
     quarantined = {it['name']: it['quarantined'] for it in status.body['hosts']}
     assert quarantined == {'h1': [row], 'h2': []}
@@ -264,134 +263,132 @@
 
 
 def test_status_counts_silent_hosts_as_unknown(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Never count a silent host as one that has the change.
+    """Guard against a change shown as in force while one host lacks it.
 
-    Symptom: a change is told as in force everywhere while one host serves by
-    the old one. Sequence: a host is cut off, the others have the revision.
-    Cause: only hosts that answer are looked at.
+    One host is cut off and the others have the revision. Hosts that do not
+    answer must be counted too.
     """
     hosts = (
         HostStandIn('h1', [1]),
         HostStandIn('h2', [1]),
         HostStandIn('h3', [1]),
     )
-    filled.serve(*hosts)
-    assert filled.run('status').exit_code == exit_codes.SUCCESS
+    seeded.serve(*hosts)
+    assert seeded.run('status').exit_code == exit_codes.SUCCESS
     silent = hosts[2].build_entry() | {
         'address': '127.0.0.1:1',
         'name': 'silent',
     }
-    filled.platform.list_hosts(
+    seeded.platform.list_hosts(
         [hosts[0].build_entry(), hosts[1].build_entry(), silent]
     )
-    status = filled.run('status')
+    status = seeded.run('status')
     assert status.exit_code == exit_codes.UNREACHABLE
     assert status.body['data_centres'] == {'Odori': {'1': 2, 'unknown': 1}}
     hosts[1].revisions = [0]
-    assert filled.run('status').exit_code == exit_codes.FAILED
+    assert seeded.run('status').exit_code == exit_codes.FAILED
 
 
-def test_wait_ends_when_every_host_has_the_change(filled: Deployment) -> None:
-    """Wait for the slowest host, not for the first.
+def test_wait_ends_when_every_host_has_the_change(seeded: Deployment) -> None:
+    """Guard against a wait that ends before the slowest host has the change.
 
-    Symptom: a script drains a target and stops it while a host still sends
-    to it. Sequence: two of three hosts have the revision. Cause: the wait
-    ends with the platform's answer, or with the first host's.
+    A script would drain a target and stop it while a host still sends to it,
+    if the wait ended with the answer of the platform or of the first host.
     """
-    filled.serve(
+    seeded.serve(
         HostStandIn('h1', [1, 1, 2]), HostStandIn('h2', [1, 1, 1, 1, 2])
     )
-    result = filled.change('group', 'label', 'g', 'a=c', '--wait', '9')
+    result = seeded.change('group', 'label', 'g', 'a=c', '--wait', '9')
     assert 'revision 2 in force on 1 of 2; not on: h2 (1)' in result.errors
     assert 'revision 2 in force on 2 of 2' in result.errors
-    timed_out = filled.run('group', 'label', 'g', 'a=d', '--wait', '0.1')
+    timed_out = seeded.run('group', 'label', 'g', 'a=d', '--wait', '0.1')
     assert timed_out.exit_code == exit_codes.FAILED
 
 
 def test_no_change_is_made_to_an_older_copy(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Refuse a change that would take others back.
+    """Guard against the loss of accepted changes after a restore.
 
-    Symptom: accepted changes vanish after the platform was restored.
-    Sequence: the platform comes back from an old copy, an operator makes a
-    change. Cause: what the hosts have in force is not asked.
+    The platform is restored from an older copy and an operator makes a change.
+    It must be refused, as hosts have a higher revision in force.
     """
-    filled.platform.control({'save': True})
-    filled.change('group', 'label', 'g', 'a=c')
-    filled.platform.control({'restore': True})
-    filled.serve(HostStandIn('h1', [2]))
-    refused = filled.run('group', 'label', 'g', 'a=d')
+    seeded.platform.control({'save': True})
+    seeded.change('group', 'label', 'g', 'a=c')
+    seeded.platform.control({'restore': True})
+    seeded.serve(HostStandIn('h1', [2]))
+    refused = seeded.run('group', 'label', 'g', 'a=d')
     assert refused.exit_code == exit_codes.FAILED
     assert refused.body['error']['kind'] == errors.Kind.OLDER_COPY
-    status = filled.run('status')
+    status = seeded.run('status')
     assert status.exit_code == exit_codes.FAILED
     assert 'its copy is older' in status.body['faults'][0]
 
 
 def test_a_platform_with_an_older_copy_is_recovered_from_hosts(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Get out of an older copy with nothing lost that was in force.
+    """Guard against lost or blocked changes after a restore.
 
-    Symptom: after a restore no change is accepted any more, or the changes
-    since the copy are gone. Sequence: the platform comes back older, hosts
-    keep what they have. Cause: nothing brings the hosts' configuration back
-    above the revision that they have in force.
+    The platform is restored from an older copy while hosts keep the newer
+    configuration. Recovery must store that configuration under a revision
+    above the one in force on hosts.
     """
-    filled.change('group', 'create', 'h', '--target', 'Kotoni/k=10.0.9.1:1')
-    filled.platform.control({'save': True})
-    filled.change('target', 'drain', 'g', 'c-01/1')
-    filled.change('group', 'label', 'h', 'a=z')
-    lost = filled.read()
-    filled.platform.control({'restore': True})
-    # Each host holds the targets of its own data centre alone.
+    seeded.change('group', 'create', 'h', '--target', 'Kotoni/k=10.0.9.1:1')
+    seeded.platform.control({'save': True})
+    seeded.change('target', 'drain', 'g', 'c-01/1')
+    seeded.change('group', 'label', 'h', 'a=z')
+    lost = seeded.read()
+    seeded.platform.control({'restore': True})
+    # Each host holds only the targets of its own data centre.
     hosts = HostStandIn('o', [4]), HostStandIn('k', [4], 'Kotoni')
     for host in hosts:
         host.configuration = keep_data_centre(lost, host.data_centre)
-    filled.serve(hosts[0])
-    assert filled.run('recover').exit_code == exit_codes.UNREACHABLE
-    filled.serve(*hosts)
-    change = filled.change('recover').body['change']
+    seeded.serve(hosts[0])
+    assert seeded.run('recover').exit_code == exit_codes.UNREACHABLE
+    seeded.serve(*hosts)
+    change = seeded.change('recover').body['change']
     assert (change['revision'], change['follows']) == (5, 2)
-    assert filled.read() == lost._replace(revision=5)
+    assert seeded.read() == lost._replace(revision=5)
 
 
 def test_an_unreadable_history_is_not_an_empty_one(
-    filled: Deployment,
+    seeded: Deployment,
 ) -> None:
-    """Tell by the exit code that the audit trail was not had.
+    """Guard against a script that takes an unreadable history for an empty one.
 
-    Symptom: a script that looks for changes finds none and goes on. Sequence:
-    the platform is down; the history is listed. Cause: the failure is printed
-    as a hole in the list and the exit code is that of a whole list.
+    The platform is down when the history is listed. The exit code must be
+    that of the failure, not that of a complete list.
     """
-    filled.platform.control({'down': True})
-    result = filled.run('history', '--timeout', '0.1')
+    seeded.platform.control({'down': True})
+    result = seeded.run('history', '--timeout', '0.1')
     assert result.exit_code == exit_codes.UNREACHABLE
     assert 'platform_unavailable' in result.errors
 
 
 @pytest.mark.parametrize('name', ['santiago', 'ishikari'])
 def test_applying_an_example_twice_changes_nothing(
-    world: Deployment, name: str
+    deployment: Deployment, name: str
 ) -> None:
     path = str(EXAMPLES / f'{name}.ini')
-    planned = world.run('plan', path)
+    planned = deployment.run('plan', path)
     assert planned.exit_code == exit_codes.FAILED
     assert not planned.body['problem']
-    assert world.run('apply', path, '--dry-run').exit_code == exit_codes.FAILED
-    assert not world.run('history').body['rows']
-    world.change('apply', path, '--from', '0')
-    assert world.run('plan', path).exit_code == exit_codes.SUCCESS
-    rows = world.run('group', 'list').body['rows']
+    assert (
+        deployment.run('apply', path, '--dry-run').exit_code
+        == exit_codes.FAILED
+    )
+    assert not deployment.run('history').body['rows']
+    deployment.change('apply', path, '--from', '0')
+    assert deployment.run('plan', path).exit_code == exit_codes.SUCCESS
+    rows = deployment.run('group', 'list').body['rows']
     assert len(rows) == 4
 
 
 def test_every_fault_of_a_description_is_reported(
-    world: Deployment, tmp_path: Path
+    deployment: Deployment, tmp_path: Path
 ) -> None:
     path = tmp_path / 'bad.ini'
     path.write_text(
@@ -399,28 +396,27 @@
         '[targets g Odori]\na-{1..3} = 10.0.0.{1..2}:1\nb-{3..1} = x\n'
         '[targets h Odori]\n[other x]\n[class c]\npriority = high\n'
     )
-    result = world.run('apply', str(path))
+    result = deployment.run('apply', str(path))
     assert result.exit_code == exit_codes.USAGE
     assert len(result.errors.splitlines()) == 8
     path.write_text('[class c]\nneeds = all\n[group G]\n')
-    assert len(world.run('plan', str(path)).errors.splitlines()) == 2
+    assert len(deployment.run('plan', str(path)).errors.splitlines()) == 2
 
 
 def test_watch_prints_archived_changes(
-    filled: Deployment, monkeypatch: pytest.MonkeyPatch
+    seeded: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Leave no hole in what `watch` prints.
+    """Guard against accepted changes that `watch` does not print.
 
-    Symptom: a change is in the trail that `watch` never showed. Sequence:
-    more changes are accepted between two looks than the manifest carries.
-    Cause: only the last changes in the manifest are printed.
+    More changes are accepted between two reads than the manifest holds, so
+    the older ones have to be read from the archive.
     """
     monkeypatch.setattr(
         'fuchsiahaven.core.configuration.proposals.MAX_KEPT_ENTRIES', 2
     )
     for word in ('w', 'x', 'y', 'z'):
-        filled.change('group', 'label', 'g', f'a={word}')
-    opened = store.Store(f'http://{filled.address}')
+        seeded.change('group', 'label', 'g', f'a={word}')
+    opened = store.Store(f'http://{seeded.address}')
     entry = opened.read(manifests.MANIFEST_KEY)
     assert entry is not None
     shown: list[str] = []
@@ -434,29 +430,29 @@
 
 
 def test_watch_reports_an_older_copy(
-    filled: Deployment, monkeypatch: pytest.MonkeyPatch
+    seeded: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: `watch` is silent while changes are accepted.
+    """Guard against a `watch` that prints nothing although changes are made.
 
-    The platform came back from an older copy, and counts anew from a revision
+    The platform is restored from an older copy, and its revisions continue
     below the one after which `watch` asks.
     """
-    filled.platform.control({'save': True})
-    filled.change('group', 'label', 'g', 'a=w')
-    filled.change('group', 'label', 'g', 'a=x')
-    opened = store.Store(f'http://{filled.address}')
+    seeded.platform.control({'save': True})
+    seeded.change('group', 'label', 'g', 'a=w')
+    seeded.change('group', 'label', 'g', 'a=x')
+    opened = store.Store(f'http://{seeded.address}')
     entry = opened.read(manifests.MANIFEST_KEY)
     assert entry is not None
     head = manifests.decode_head(entry.value)
     assert not isinstance(head, errors.Failure)
-    filled.platform.control({'restore': True})
+    seeded.platform.control({'restore': True})
     shown: list[str] = []
     monkeypatch.setattr('builtins.print', lambda it, **_: shown.append(it))
     position = command_watch.WatchPosition(head.revision, entry.revision)
     position = command_watch.print_next_changes(
         opened, position, 0.1, as_json=True
     )
-    filled.change('group', 'label', 'g', 'a=y')
+    seeded.change('group', 'label', 'g', 'a=y')
     command_watch.print_next_changes(opened, position, 1.0, as_json=True)
     opened.close()
     assert 'went back' in shown[0]
--- a/tests/operate/test_settings_reader.py
+++ b/tests/operate/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Test the reading of settings files."""
+"""Test the parsing of settings files."""
 
 from pathlib import Path
 
@@ -26,7 +26,7 @@
 
 
 def test_whole_file_becomes_typed_settings() -> None:
-    """Read each kind of value, and defaults for the rest."""
+    """Each type of value is parsed; missing keys have their defaults."""
     parsed = settings_reader.parse_text(WHOLE).settings
     assert parsed is not None
     assert parsed.callers.address == addresses.Address('::1', 8101)
@@ -37,11 +37,10 @@
 
 
 def test_every_fault_is_reported_at_once() -> None:
-    """Tell the faults of a file that has one of each kind.
+    """Guard against reporting one fault for each start of a host.
 
-    Symptom: an operator mends a file line by line, one start at a time.
-    Sequence: the file has several faults; the reader stops at the first.
-    Cause: configparser raises at the first line that it cannot take.
+    The file has a fault of each kind. configparser raises at the first invalid
+    line, and the remaining lines must be checked all the same.
     """
     text = '\n'.join(
         (
@@ -93,19 +92,19 @@
 def test_conflicting_settings_are_rejected(
     old: str, new: str, key: str
 ) -> None:
-    """Refuse peers without TLS unasked, a key alone, one port for two."""
+    """Peers without TLS, a lone key and a port used twice are rejected."""
     faults = settings_reader.parse_text(WHOLE.replace(old, new)).faults
     assert [fault.key for fault in faults] == [key]
 
 
 @pytest.mark.parametrize('path', EXAMPLES, ids=lambda path: path.stem)
 def test_example_is_free_of_faults(path: Path) -> None:
-    """Keep the example files in step with the settings."""
+    """The example files are valid."""
     assert not settings_reader.read_file(path).faults
 
 
 def test_a_missing_file_is_named(tmp_path: Path) -> None:
-    """Name a TLS file that is not there before a host is started with it."""
+    """A TLS file that does not exist is a fault of the settings."""
     path = tmp_path / 'host.ini'
     path.write_text(f'{WHOLE}[targets]\ntls_authority = none.pem\n')
     (fault,) = settings_reader.read_file(path).faults
--- a/tests/operate/test_value_parsing.py
+++ b/tests/operate/test_value_parsing.py
@@ -1,4 +1,4 @@
-"""Test how the values that operators type are read."""
+"""Test the parsing of values of the command line."""
 
 import argparse
 
@@ -9,11 +9,10 @@
 
 @pytest.mark.parametrize('text', ['nan', 'inf', '-inf', '1e999', 'much'])
 def test_a_non_finite_share_is_rejected(text: str) -> None:
-    """Refuse what would pass every check of bounds.
+    """Guard against hedges that double the load of a group.
 
-    Symptom: hedges double the load of a group. Sequence: an operator sets
-    `hedge_share=nan`, which is accepted and stored. Cause: no comparison
-    with NaN is true, neither that of the schema nor that of the budget.
+    An operator sets `hedge_share=nan`. No comparison with NaN is true, so it
+    would pass the bounds of the schema and the check of the hedge budget.
     """
     assert (
         value_parsing.parse_field(
