--- a/fuchsiahaven/operate/command_inspect.py
+++ b/fuchsiahaven/operate/command_inspect.py
@@ -70,7 +70,7 @@
             f'{name} {description}' for name, description in targets.items()
         )
         budget = state['budgets'][service]
-        lines.append(f'{service}: {descriptions}; {budget} repeats left')
+        lines.append(f'{service}: {descriptions}; {budget} extra attempts left')
     return lines
 
 
--- a/fuchsiahaven/operate/command_recover.py
+++ b/fuchsiahaven/operate/command_recover.py
@@ -67,7 +67,9 @@
         missing = list_data_centres(platform_copy) - by_data_centre.keys()
         if not by_data_centre or (missing and not arguments.force):
             names = ', '.join(sorted(missing)) or 'any data centre'
-            print(f'no host gave what is in force in {names}', file=sys.stderr)
+            print(
+                f'no host returned a configuration in {names}', file=sys.stderr
+            )
             return exit_codes.UNREACHABLE
         merged = merge_configurations(
             {**by_data_centre, **dict.fromkeys(missing, platform_copy)}
--- a/fuchsiahaven/operate/logs.py
+++ b/fuchsiahaven/operate/logs.py
@@ -42,7 +42,7 @@
     """Format a line as text: time, level, part, text, fields."""
 
     def format(self, record: standard.LogRecord) -> str:
-        """Write one record."""
+        """Format one record."""
         line = _get_line(record)
         moment = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
         timestamp = moment.isoformat(timespec='milliseconds')
@@ -55,7 +55,7 @@
     """Format a line as one JSON object; fields never replace the head."""
 
     def format(self, record: standard.LogRecord) -> str:
-        """Write one record."""
+        """Format one record."""
         line = _get_line(record)
         head = {
             'time_epoch': round(record.created, 3),
--- a/fuchsiahaven/operate/statuses.py
+++ b/fuchsiahaven/operate/statuses.py
@@ -151,7 +151,7 @@
     try:
         listing = host_list.read_host_list(opened_store)
     except store.StoreError as error:
-        return {}, f'the platform gave no list of hosts: {error}'
+        return {}, f'the platform returned no list of hosts: {error}'
     listed = {
         entry.address: HostStatus(entry.address, entry.name, entry.data_centre)
         for entry in listing.entry_hosts
--- a/fuchsiahaven/operate/submissions.py
+++ b/fuchsiahaven/operate/submissions.py
@@ -29,8 +29,8 @@
 DEFAULT_WAIT_S: Final = 30.0
 EXIT_CODES: Final = """exit codes: 0 done, or nothing to change; 1 refused, or
 --wait ended before all hosts that answer had it in force; 3 the platform was
-not reached, or with --wait some host does not answer; 4 another change was
-accepted first; 5 it is unknown whether the change took effect
+not reached, or with --wait some host does not answer; 4 another change took
+hold first; 5 it is unknown whether the change took effect
 """
 _EXIT_CODE_BY_KIND: Final[Mapping[errors.Kind, int]] = {
     errors.Kind.CONFLICT: exit_codes.CONFLICT,
--- a/fuchsiahaven/platform/http_codecs.py
+++ b/fuchsiahaven/platform/http_codecs.py
@@ -134,7 +134,7 @@
 
 
 def _name_caller(request: events.Request) -> str:
-    """Name the caller by a digest of its key, or else by the host asked."""
+    """Name the caller by a digest of its key, or else by its `host` field."""
     all_fields = (*request.credentials, *request.fields)
     for name, value in all_fields:
         if name == headers.AUTHORIZATION:
--- a/tests/operate/test_command_inspect.py
+++ b/tests/operate/test_command_inspect.py
@@ -29,7 +29,9 @@
     lines_with_era = command_inspect.format_state({**STATE, 'store_era': 4})
     assert 'store_era: 4' in lines_with_era
     assert 'hosts: host-1, host-2' in lines
-    assert lines[-1] == 'records: i-1 12 ms, i-2 left out; 5.5 repeats left'
+    assert (
+        lines[-1] == 'records: i-1 12 ms, i-2 left out; 5.5 extra attempts left'
+    )
 
 
 def test_formats_quarantined_requests() -> None:
--- a/tests/operate/test_command_query.py
+++ b/tests/operate/test_command_query.py
@@ -72,10 +72,10 @@
 
 def test_host_that_is_not_there_is_unreachable() -> None:
     """The exit code states that nothing was sent."""
-    with socket.socket() as taken:
+    with socket.socket() as bound:
         # Bound but not listening, so no other server can use this port.
-        taken.bind(('127.0.0.1', 0))
-        at = '127.0.0.1:{0}'.format(taken.getsockname()[1])
+        bound.bind(('127.0.0.1', 0))
+        at = '127.0.0.1:{0}'.format(bound.getsockname()[1])
         assert (
             commands.main(['query', '--at', at, 'x']) == exit_codes.UNREACHABLE
         )
