--- a/fuchsiahaven/operate/command_group.py
+++ b/fuchsiahaven/operate/command_group.py
@@ -1,4 +1,4 @@
-"""List, show, create, label, set and delete groups."""
+"""Implement `group`: list, show, create, label, set and delete groups."""
 
 import argparse
 import collections
@@ -137,7 +137,7 @@
     target_counts = collections.Counter(it.data_centre for it in group.targets)
     return {
         'group': group.name,
-        'labels': ','.join(f'{key}={label}' for key, label in group.labels),
+        'labels': ','.join(f'{key}={value}' for key, value in group.labels),
         'targets': ' '.join(
             f'{name}:{count}' for name, count in target_counts.items()
         ),
