--- a/bench/checks.py
+++ b/bench/checks.py
@@ -59,7 +59,9 @@
 
 @functools.cache
 def _search(service: str, text: str) -> list[wire.Json]:
-    every = catalogue.search(service, 0, 1 << 16, 0, text, catalogue.ROWS)
+    every = catalogue.search(
+        service, 0, 1 << 16, 0, text, catalogue.ROWS_PER_SERVICE
+    )
     return list(json.loads(every))
 
 
--- a/bench/exchanges.py
+++ b/bench/exchanges.py
@@ -54,7 +54,7 @@
         head, found, rest = self._buffer.partition(HEAD_END)
         if not found:
             return
-        if len(rest) >= wire.find_length(head.lower()):
+        if len(rest) >= wire.parse_content_length(head.lower()):
             self._buffer = b''
             self._answered += 1
             self._told_to_close = CLOSE.search(head) is not None
--- a/bench/scripts.py
+++ b/bench/scripts.py
@@ -105,7 +105,7 @@
             revision=revision,
             groups=(first._replace(labels=labels), *others),
         )
-        keys = layouts.write_keys(changed)
+        keys = layouts.encode_keys(changed)
         manifest = keys.pop(manifests.MANIFEST_KEY)
         await asyncio.gather(*(self._put(*item) for item in keys.items()))
         await self._put(manifests.MANIFEST_KEY, manifest)
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -8,8 +8,8 @@
 from fuchsiahaven.core.targets import snapshots
 from standins import catalogue, wire
 
-OVERSIZE: Final = 4 << 20
-RETRY_MS: Final = 50
+OVERSIZE_BYTES: Final = 4 << 20
+RETRY_AFTER_MS: Final = 50
 
 
 class Behaviour(NamedTuple):
@@ -49,57 +49,57 @@
     """Hold one sub-request and where its answer goes."""
 
     channel: wire.Channel
-    order: wire.Json
+    search: wire.Json
     deadline: float
 
     @property
     def key(self) -> JobKey:
         """Identify the sub-request, as a cancellation does."""
-        return find_key(self.order)
+        return find_key(self.search)
 
 
-def find_key(order: wire.Json) -> JobKey:
+def find_key(body: wire.Json) -> JobKey:
     """Find what identifies a sub-request or its cancellation."""
-    return order['request_id'], order['shard'], order['attempt']
+    return body['request_id'], body['shard'], body['attempt']
 
 
-def hits(behaviour: Behaviour, numbers: random.Random) -> bool:
+def draws_fault(behaviour: Behaviour, rng: random.Random) -> bool:
     """Draw whether a fault hits this answer."""
-    return numbers.random() < behaviour.share
+    return rng.random() < behaviour.share
 
 
-def draw_service_s(behaviour: Behaviour, numbers: random.Random) -> float:
+def draw_service_time_s(behaviour: Behaviour, rng: random.Random) -> float:
     """Draw how long one run takes, in seconds."""
-    spread = numbers.lognormvariate(0, behaviour.spread)
-    took_ms = behaviour.median_ms * spread * behaviour.straggle
-    if numbers.random() < behaviour.slow_share:
-        took_ms += behaviour.slow_ms
-    return took_ms / 1000
+    spread = rng.lognormvariate(0, behaviour.spread)
+    service_ms = behaviour.median_ms * spread * behaviour.straggle
+    if rng.random() < behaviour.slow_share:
+        service_ms += behaviour.slow_ms
+    return service_ms / 1000
 
 
 def refuse(job: Job, reason: str, state: str, ran: str = 'no') -> None:
     """Refuse a sub-request and say whether it had started."""
     body = {
-        'request_id': job.order['request_id'],
-        'attempt': job.order['attempt'],
+        'request_id': job.search['request_id'],
+        'attempt': job.search['attempt'],
         'ran': ran,
         'state': state,
         'reason': reason,
-        'retry_after_ms': RETRY_MS,
+        'retry_after_ms': RETRY_AFTER_MS,
     }
     job.channel.reply(503, json.dumps(body))
 
 
-def build(job: Job, holding: snapshots.Holding, report: Report) -> str:
+def build_body(job: Job, holding: snapshots.Holding, report: Report) -> str:
     """Build the body of an answer, pasting the rows' kept text in."""
-    order = job.order
-    query = order['query']
-    if order.get('at_most_once'):
-        receipt = {'id': f'receipt-{order["request_id"]}', 'rank': 0}
+    search = job.search
+    query = search['query']
+    if search.get('at_most_once'):
+        receipt = {'id': f'receipt-{search["request_id"]}', 'rank': 0}
         rows = json.dumps([receipt])
     else:
         rows = catalogue.search(
-            order['group'],
+            search['group'],
             holding.low,
             holding.high,
             holding.snapshot,
@@ -107,31 +107,33 @@
             int(query.get('limit', 20)),
         )
     return (
-        f'{{"request_id": "{order["request_id"]}", '
-        f'"group": "{order["group"]}", "shard": {order["shard"]}, '
-        f'"snapshot": {order["snapshot"]}, "attempt": {order["attempt"]}, '
+        f'{{"request_id": "{search["request_id"]}", '
+        f'"group": "{search["group"]}", "shard": {search["shard"]}, '
+        f'"snapshot": {search["snapshot"]}, "attempt": {search["attempt"]}, '
         f'"rows": {rows}, "state": "{report.state}", '
         f'"health_version": {report.health_version}, '
         f'"load": {report.load}}}'
     )
 
 
-def spoil(how: str, job: Job, body: str, other: str) -> None:
+def reply_spoiled(fault: str, job: Job, body: str, other_body: str) -> None:
     """Deliver an answer that is wrong; `other` is another request's."""
     answer = json.loads(body)
-    match how:
+    match fault:
         case 'cross':
-            body = other or body.replace(answer['request_id'], 'another')
+            body = other_body or body.replace(answer['request_id'], 'another')
         case 'snapshot' | 'shard':
-            body = json.dumps({**answer, how: answer[how] + 1})
+            body = json.dumps({**answer, fault: answer[fault] + 1})
         case 'id':
             body = json.dumps({**answer, 'request_id': 'another'})
         case 'oversized':
-            body = json.dumps({**answer, 'padding': 'x' * OVERSIZE})
+            body = json.dumps({**answer, 'padding': 'x' * OVERSIZE_BYTES})
         case 'garbage':
             body = '{"rows": [}'
         case 'truncated':
-            job.channel.write(wire.frame(200, body)[: -len(body) // 2])
+            job.channel.write(
+                wire.encode_response(200, body)[: -len(body) // 2]
+            )
             job.channel.transport.close()
             return
     job.channel.reply(200, body)
--- a/standins/catalogue.py
+++ b/standins/catalogue.py
@@ -7,7 +7,7 @@
 import random
 from typing import Final, NamedTuple
 
-ROWS: Final = 1000
+ROWS_PER_SERVICE: Final = 1000
 TITLES: Final = {
     'listings': (
         'combi oven',
@@ -55,7 +55,7 @@
     cost the stand-in more than all else.
     """
     words = text.split()
-    found = (
+    matches = (
         row
         for row in make_rows(service)
         if low <= row.position < high
@@ -63,7 +63,7 @@
     )
     rows = [
         {**row._asdict(), 'snapshot': snapshot}
-        for row in itertools.islice(found, limit)
+        for row in itertools.islice(matches, limit)
     ]
     return json.dumps(rows)
 
@@ -71,13 +71,13 @@
 @functools.lru_cache
 def make_rows(service: str) -> list[Row]:
     """Make every row of one service, ordered by rank, from a fixed seed."""
-    numbers = random.Random(service)
-    winter = service in {'turnstile', 'hotel-bundle', 'ropeway-tally'}
-    titles = TITLES['passes' if winter else 'listings']
+    rng = random.Random(service)
+    has_passes = service in {'turnstile', 'hotel-bundle', 'ropeway-tally'}
+    titles = TITLES['passes' if has_passes else 'listings']
     rows = []
-    for number in range(ROWS):
+    for number in range(ROWS_PER_SERVICE):
         key = f'{service}-{number}'
-        rank = round(numbers.uniform(0, 100), 3)
-        title = numbers.choice(titles)
+        rank = round(rng.uniform(0, 100), 3)
+        title = rng.choice(titles)
         rows.append(Row(key, rank, title, find_position(key)))
     return sorted(rows, key=lambda row: (row.rank, row.id))
--- a/standins/fleets.py
+++ b/standins/fleets.py
@@ -6,7 +6,7 @@
 
 from standins import layouts, searchers, wire
 
-ALL: Final = '*'
+ALL_TARGETS: Final = '*'
 
 
 class Fleet:
@@ -33,41 +33,55 @@
         starts = (searcher.start() for searcher in self.searchers)
         await asyncio.gather(*starts, wire.listen(self, control_port))
 
-    def opened(self, channel: wire.Channel) -> None:
+    def connection_opened(self, channel: wire.Channel) -> None:
         """Accept every connection to the control port."""
 
-    def closed(self, channel: wire.Channel) -> None:
+    def connection_closed(self, channel: wire.Channel) -> None:
         """Keep nothing of a connection."""
 
-    def received(self, channel: wire.Channel, request: wire.Request) -> None:
+    def request_received(
+        self, channel: wire.Channel, request: wire.Request
+    ) -> None:
         """Show the counts, or follow an order and say what it reached."""
         if request.path == '/control/runs':
-            channel.reply(200, json.dumps(self.stats.show()))
+            channel.reply(200, json.dumps(self.stats.to_json()))
             return
-        task = asyncio.ensure_future(self._follow(channel, request.load()))
+        task = asyncio.ensure_future(
+            self._handle_order(channel, request.parse_body())
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _follow(self, channel: wire.Channel, order: wire.Json) -> None:
-        names = _list_names(order.get('targets', ALL))
-        reached = [one for one in self.searchers if _is_named(one, names)]
-        await asyncio.gather(*(self._apply(one, order) for one in reached))
-        shown = [one.target.name for one in reached]
-        channel.reply(200, json.dumps({'targets': shown}))
+    async def _handle_order(
+        self, channel: wire.Channel, order: wire.Json
+    ) -> None:
+        names = _list_names(order.get('targets', ALL_TARGETS))
+        selected = [
+            searcher
+            for searcher in self.searchers
+            if _is_selected(searcher, names)
+        ]
+        await asyncio.gather(
+            *(self._apply_order(searcher, order) for searcher in selected)
+        )
+        selected_names = [searcher.target.name for searcher in selected]
+        channel.reply(200, json.dumps({'targets': selected_names}))
 
-    async def _apply(
+    async def _apply_order(
         self, searcher: searchers.Searcher, order: wire.Json
     ) -> None:
-        searcher.behave(order.get('behaviour', {}))
-        await searcher.enter(order.get('state', searcher.state))
-        self._add(searcher, order.get('add_snapshot'), order.get('shards'))
+        searcher.update_behaviour(order.get('behaviour', {}))
+        await searcher.enter_state(order.get('state', searcher.state))
+        self._add_snapshot(
+            searcher, order.get('add_snapshot'), order.get('shards')
+        )
         searcher.holdings = {
-            key: held
-            for key, held in searcher.holdings.items()
-            if held.snapshot != order.get('drop_snapshot')
+            key: holding
+            for key, holding in searcher.holdings.items()
+            if holding.snapshot != order.get('drop_snapshot')
         }
 
-    def _add(
+    def _add_snapshot(
         self,
         searcher: searchers.Searcher,
         snapshot: int | None,
@@ -84,17 +98,24 @@
         )
         count = service.instances * service.searchers
         index = group.targets.index(searcher.target) % count
-        held = layouts.hold(service, shards or service.shards, snapshot)
-        for holding in held[index]:
+        holdings = layouts.assign_shards(
+            service, shards or service.shards, snapshot
+        )
+        for holding in holdings[index]:
             searcher.holdings[snapshot, holding.shard] = holding
 
 
-def _list_names(wanted: str | list[str]) -> set[str]:
-    return {wanted} if isinstance(wanted, str) else set(wanted)
+def _list_names(targets: str | list[str]) -> set[str]:
+    return {targets} if isinstance(targets, str) else set(targets)
 
 
-def _is_named(searcher: searchers.Searcher, names: set[str]) -> bool:
+def _is_selected(searcher: searchers.Searcher, names: set[str]) -> bool:
     # A target is named by itself, by its instance or by its group.
     name = searcher.target.name
-    known = {ALL, name, name.rpartition('/')[0], searcher.service.name}
-    return bool(names & known)
+    aliases = {
+        ALL_TARGETS,
+        name,
+        name.rpartition('/')[0],
+        searcher.service.name,
+    }
+    return bool(names & aliases)
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -9,8 +9,8 @@
 class Lease(NamedTuple):
     """Hold how long a lease lives and when it ends, in seconds."""
 
-    ttl: float
-    ends: float
+    ttl_s: float
+    ends_at: float
 
 
 class History:
@@ -22,29 +22,29 @@
         self.events: list[Row] = []
         self.revision = 1
         self.leases: dict[int, Lease] = {}
-        self._last_lease = 0
+        self._last_lease_id = 0
 
     def copy(self) -> 'History':
         """Take a copy; rows are never changed once written."""
-        taken = copy.copy(self)
-        taken.items = dict(self.items)
-        taken.events = list(self.events)
-        taken.leases = dict(self.leases)
-        return taken
+        duplicate = copy.copy(self)
+        duplicate.items = dict(self.items)
+        duplicate.events = list(self.events)
+        duplicate.leases = dict(self.leases)
+        return duplicate
 
     def find_revision(self, key: str) -> int:
         """Find the revision of a key's last change; 0 if it is not there."""
         row = self.items.get(key)
         return 0 if row is None else int(row['revision'])
 
-    def put(self, key: str, value: str, lease: int) -> None:
+    def put(self, key: str, value: str, lease_id: int) -> None:
         """Write a key."""
         self.revision += 1
         row = {
             'key': key,
             'value': value,
             'revision': self.revision,
-            'lease': lease,
+            'lease': lease_id,
         }
         self.items[key] = row
         self.events.append(row)
@@ -56,30 +56,30 @@
         row = {'key': key, 'revision': self.revision, 'deleted': True}
         self.events.append(row)
 
-    def open_lease(self, ttl: float, now: float) -> int:
+    def open_lease(self, ttl_s: float, now: float) -> int:
         """Open a lease and return its number."""
-        self._last_lease += 1
-        self.leases[self._last_lease] = Lease(ttl, now + ttl)
-        return self._last_lease
+        self._last_lease_id += 1
+        self.leases[self._last_lease_id] = Lease(ttl_s, now + ttl_s)
+        return self._last_lease_id
 
-    def renew_lease(self, lease: int, now: float) -> None:
+    def renew_lease(self, lease_id: int, now: float) -> None:
         """Let a lease last on."""
-        held = self.leases[lease]
-        self.leases[lease] = held._replace(ends=now + held.ttl)
+        lease = self.leases[lease_id]
+        self.leases[lease_id] = lease._replace(ends_at=now + lease.ttl_s)
 
-    def end_lease(self, lease: int) -> None:
+    def end_lease(self, lease_id: int) -> None:
         """End a lease and remove its keys."""
-        self.leases.pop(lease)
+        self.leases.pop(lease_id)
         for key, row in tuple(self.items.items()):
-            if row['lease'] == lease:
+            if row['lease'] == lease_id:
                 self.remove(key)
 
-    def forget_leases(self) -> None:
+    def discard_leases(self) -> None:
         """Give out again the numbers above the leases that are left."""
-        self._last_lease = max(self.leases, default=0)
+        self._last_lease_id = max(self.leases, default=0)
 
-    def end_leases(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """End the leases that have run out."""
-        for lease, held in tuple(self.leases.items()):
-            if held.ends <= now:
-                self.end_lease(lease)
+        for lease_id, lease in tuple(self.leases.items()):
+            if lease.ends_at <= now:
+                self.end_lease(lease_id)
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -9,9 +9,9 @@
 from fuchsiahaven.core.configuration import configurations, manifests
 from fuchsiahaven.core.targets import snapshots
 
-POSITIONS: Final = 65_536
+KEY_SPACE_SIZE: Final = 65_536
 # The first ports of a range control the processes that share the targets.
-CONTROL_PORTS: Final = 8
+CONTROL_PORT_COUNT: Final = 8
 FIRST_SNAPSHOT: Final = 12
 DATA_CENTRES: Final = {
     'santiago': ('Quilicura', 'Maipú', 'Pudahuel'),
@@ -24,7 +24,7 @@
 KEYED: Final = configurations.FanOut.KEYED
 
 
-def _claim(name: str) -> configurations.RequestClass:
+def _make_single_run_class(name: str) -> configurations.RequestClass:
     # What runs at most once has nothing to hedge, and `class set` says so.
     return RequestClass(name, 800, COMPLETE, AT_MOST_ONCE, KEYED, hedge_share=0)
 
@@ -71,11 +71,11 @@
         ('kind=catalogue', RequestClass('quick-lookup', 300, priority=0)),
         (
             'kind=alerts',
-            _claim('listing-inquiry'),
+            _make_single_run_class('listing-inquiry'),
         ),
         (
             'kind=catalogue',
-            _claim('reservation-lookup'),
+            _make_single_run_class('reservation-lookup'),
         ),
     ),
     'ishikari': (
@@ -86,7 +86,7 @@
         ),
         (
             'kind=refunds',
-            _claim('refund'),
+            _make_single_run_class('refund'),
         ),
         (
             'kind=bundles',
@@ -102,22 +102,24 @@
 ) -> Layout:
     """Lay out a deployment on consecutive ports of the loopback interface."""
     services = SERVICES[deployment]
-    places = DATA_CENTRES[deployment][:data_centres]
-    port = first_port + CONTROL_PORTS
+    centres = DATA_CENTRES[deployment][:data_centres]
+    port = first_port + CONTROL_PORT_COUNT
     groups: list[configurations.Group] = []
     holdings: dict[str, tuple[snapshots.Holding, ...]] = {}
     for service in services:
-        targets = _make_targets(service, places, port)
+        targets = _make_targets(service, centres, port)
         port += len(targets)
         groups.append(_make_group(service, targets, deployment))
-        held = hold(service, service.shards, FIRST_SNAPSHOT) * len(places)
+        assigned = assign_shards(service, service.shards, FIRST_SNAPSHOT) * len(
+            centres
+        )
         names = (target.name for target in targets)
-        holdings.update(zip(names, held, strict=True))
-    configuration = _configure(deployment, tuple(groups), revision)
+        holdings.update(zip(names, assigned, strict=True))
+    configuration = _build_configuration(deployment, tuple(groups), revision)
     return Layout(services, configuration, holdings)
 
 
-def hold(
+def assign_shards(
     service: Service, shards: int, snapshot: int
 ) -> list[tuple[snapshots.Holding, ...]]:
     """Say what each searcher of a service holds of a snapshot, in order.
@@ -126,26 +128,26 @@
     instance loses no shard.
     """
     count = service.instances * service.searchers
-    held: list[list[snapshots.Holding]] = [[] for _ in range(count)]
+    holdings: list[list[snapshots.Holding]] = [[] for _ in range(count)]
     for copy in range(service.replicas):
         for shard in range(shards):
-            turn, place = divmod(
+            searcher, offset = divmod(
                 (copy * shards + shard) % count, service.instances
             )
-            instance = (place + turn) % service.instances
-            index = instance * service.searchers + turn
-            held[index].append(make_holding(snapshot, shard, shards))
-    return [tuple(each) for each in held]
+            instance = (offset + searcher) % service.instances
+            index = instance * service.searchers + searcher
+            holdings[index].append(make_holding(snapshot, shard, shards))
+    return [tuple(assigned) for assigned in holdings]
 
 
 def make_holding(snapshot: int, shard: int, shards: int) -> snapshots.Holding:
     """Build the holding of one shard out of equal ranges."""
-    low = shard * POSITIONS // shards
-    high = (shard + 1) * POSITIONS // shards
+    low = shard * KEY_SPACE_SIZE // shards
+    high = (shard + 1) * KEY_SPACE_SIZE // shards
     return snapshots.Holding(snapshot, shard, shards, low, high)
 
 
-def write_keys(
+def encode_keys(
     configuration: configurations.Configuration,
 ) -> dict[str, str]:
     """Write a configuration as keys and values of the platform."""
@@ -169,35 +171,37 @@
     ]
 
 
-def _configure(
+def _build_configuration(
     deployment: str, groups: tuple[configurations.Group, ...], revision: int
 ) -> configurations.Configuration:
-    rules = CLASSES[deployment]
-    chosen = (
-        configurations.Selector(rule.name, rule.name, expression)
-        for expression, rule in rules
+    rows = CLASSES[deployment]
+    selectors = (
+        configurations.Selector(
+            request_class.name, request_class.name, expression
+        )
+        for expression, request_class in rows
     )
-    classes = tuple(rule for _, rule in rules)
+    classes = tuple(request_class for _, request_class in rows)
     return configurations.Configuration(
-        revision, groups, tuple(chosen), classes
+        revision, groups, tuple(selectors), classes
     )
 
 
 def _make_targets(
-    service: Service, places: tuple[str, ...], port: int
+    service: Service, data_centres: tuple[str, ...], port: int
 ) -> list[configurations.Target]:
     # Instances are numbered through, so that a name tells them apart.
-    numbers = range(service.instances * len(places))
+    numbers = range(service.instances * len(data_centres))
     names = (
-        (places[number // service.instances], f'{number:02}/{searcher}')
+        (data_centres[number // service.instances], f'{number:02}/{searcher}')
         for number in numbers
         for searcher in range(service.searchers)
     )
     return [
         configurations.Target(
-            f'{service.name}-{name}', f'127.0.0.1:{at}', place
+            f'{service.name}-{name}', f'127.0.0.1:{target_port}', data_centre
         )
-        for at, (place, name) in enumerate(names, port)
+        for target_port, (data_centre, name) in enumerate(names, port)
     ]
 
 
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -15,10 +15,10 @@
 
 END_OF_HEAD: Final = b'\r\n\r\n'
 #: How often a call that waits looks for changes.
-STEP_S: Final = 0.01
+POLL_INTERVAL_S: Final = 0.01
 
 
-class Away(Exception):
+class ConnectionDropped(Exception):
     """Report that a call gets no answer."""
 
 
@@ -35,7 +35,7 @@
         self.era: int | None = 1
         self.down = False
         #: Called when a lease has been opened, before that is answered.
-        self.on_lease: Callable[[int], None] = ignore
+        self.on_lease_opened: Callable[[int], None] = ignore_lease
         self.calls: collections.Counter[str] = collections.Counter()
 
     @property
@@ -48,9 +48,9 @@
         """Return the revision of the last change."""
         return self.history.revision
 
-    def put(self, key: str, told: Any) -> None:
+    def put(self, key: str, content: Any) -> None:
         """Write a key."""
-        text = base64.b64encode(json.dumps(told).encode()).decode()
+        text = base64.b64encode(json.dumps(content).encode()).decode()
         self.history.put(key, text, 0)
 
     def remove(self, key: str) -> None:
@@ -81,7 +81,7 @@
         self.history = copy.copy()
         self.era = (self.era or 0) + eras
 
-    async def answer(
+    async def answer_call(
         self, head: bytes, body: bytes, writer: asyncio.StreamWriter
     ) -> None:
         """Answer one call."""
@@ -89,27 +89,27 @@
         path, _, query = target.partition('?')
         self.calls[path] += 1
         try:
-            answer = await self._answer(
+            answer = await self._dispatch_call(
                 f'{method} {path}', urllib.parse.parse_qs(query), body
             )
-        except Away:
+        except ConnectionDropped:
             writer.transport.abort()
             return
-        writer.write(self._write(answer))
+        writer.write(self._encode_answer(answer))
 
-    def _write(self, answer: store_calls.Answer) -> bytes:
-        body = json.dumps(answer.told)
-        told = self.era if answer.era is None else answer.era
-        era = '' if told is None else f'Store-Era: {told}\r\n'
-        head = f'HTTP/1.1 {answer.status.value} -\r\n{era}'
+    def _encode_answer(self, answer: store_calls.Answer) -> bytes:
+        body = json.dumps(answer.body)
+        era = self.era if answer.era is None else answer.era
+        era_line = '' if era is None else f'Store-Era: {era}\r\n'
+        head = f'HTTP/1.1 {answer.status.value} -\r\n{era_line}'
         return f'{head}Content-Length: {len(body)}\r\n\r\n{body}'.encode()
 
-    async def _answer(
+    async def _dispatch_call(
         self, call: str, query: Mapping[str, list[str]], body: bytes
     ) -> store_calls.Answer:
         if self.down:
-            raise Away
-        self.history.end_leases(time.monotonic())
+            raise ConnectionDropped
+        self.history.expire_leases(time.monotonic())
         match call:
             case 'GET /kv-key':
                 return store_calls.read_item(self.history, query)
@@ -122,7 +122,7 @@
             case 'POST /kv-lease':
                 answer = store_calls.open_lease(self.history, json.loads(body))
                 era = self.era
-                self.on_lease(answer.told['lease'])
+                self.on_lease_opened(answer.body['lease'])
                 return answer._replace(era=era)
         return store_calls.use_lease(self.history, call)
 
@@ -136,19 +136,19 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(int(query['wait_ms'][0]) / 1000):
                 while self.history is watched and self.revision <= after:
-                    await asyncio.sleep(STEP_S)
-                    self._check()
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                    self._check_reachable()
         if self.history is not watched:
             # A store that comes back has lost its connections.
-            raise Away
-        found = [it for it in watched.events if it['revision'] > after]
-        told = {'events': found, 'store_revision': self.revision}
-        return store_calls.Answer(HTTPStatus.OK, told)
+            raise ConnectionDropped
+        events = [it for it in watched.events if it['revision'] > after]
+        body = {'events': events, 'store_revision': self.revision}
+        return store_calls.Answer(HTTPStatus.OK, body)
 
-    def _check(self) -> None:
+    def _check_reachable(self) -> None:
         if self.down:
-            raise Away
-        self.history.end_leases(time.monotonic())
+            raise ConnectionDropped
+        self.history.expire_leases(time.monotonic())
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -159,18 +159,18 @@
         ):
             while True:
                 head = await reader.readuntil(END_OF_HEAD)
-                body = await reader.readexactly(_find_length(head))
-                await self.answer(head, body, writer)
+                body = await reader.readexactly(_parse_content_length(head))
+                await self.answer_call(head, body, writer)
                 await writer.drain()
 
 
-def ignore(lease: int) -> None:
+def ignore_lease(lease: int) -> None:
     """Do nothing about a lease that was opened."""
 
 
-def _find_length(head: bytes) -> int:
+def _parse_content_length(head: bytes) -> int:
     for line in head.decode('latin-1').lower().split('\r\n'):
-        name, _, told = line.partition(':')
+        name, _, length = line.partition(':')
         if name == 'content-length':
-            return int(told)
+            return int(length)
     return 0
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -15,7 +15,7 @@
 
 from standins import wire
 
-VALUE_LIMIT: Final = 1 << 20
+MAX_VALUE_BYTES: Final = 1 << 20
 WATCH_POLL_S: Final = 0.02
 NO_PARAMS: Final[Mapping[str, str]] = {}
 
@@ -32,7 +32,7 @@
     """Hold how long a lease lives and when it ends."""
 
     ttl_s: float
-    ends: float
+    ends_at: float
 
 
 class Reply(NamedTuple):
@@ -88,8 +88,8 @@
         self._entries: dict[str, Entry] = {}
         self._leases: dict[str, Lease] = {}
         self._hosts: list[tuple[float, list[wire.Json]]] = [(clock(), [])]
-        self._copy: tuple[int, dict[str, Entry]] = (0, {})
-        self._spent: dict[bool, tuple[float, float]] = {}
+        self._saved: tuple[int, dict[str, Entry]] = (0, {})
+        self._buckets: dict[bool, tuple[float, float]] = {}
 
     def call(
         self,
@@ -103,63 +103,63 @@
         self.calls[kind] += 1
         if self.faults.down:
             return Reply(503, {'error': 'down'})
-        if not self._take(kind):
+        if not self._take_token(kind):
             self.calls['limited'] += 1
             return Reply(429, {'error': 'rate exceeded'})
-        self._end_leases()
+        self._expire_leases()
         reply = self.route(method, path, params, body or {})
         reply = reply._replace(delay_s=self.faults.slow_s)
-        return self._disturb(reply) if kind == 'writes' else reply
+        return self._apply_faults(reply) if kind == 'writes' else reply
 
     def control(self, orders: wire.Json) -> wire.Json:
         """Change faults; `hosts`, `save` and `restore` change contents."""
-        known = self.faults._asdict()
-        known.update(
-            {name: value for name, value in orders.items() if name in known}
+        faults = self.faults._asdict()
+        faults.update(
+            {name: value for name, value in orders.items() if name in faults}
         )
-        self.faults = Faults(**known)
+        self.faults = Faults(**faults)
         hosts = orders.get('hosts')
         if hosts is not None:
-            self.list_hosts(hosts)
+            self.set_host_list(hosts)
         if orders.get('save'):
-            self._copy = (self._revision, dict(self._entries))
+            self._saved = (self._revision, dict(self._entries))
         if orders.get('restore'):
-            self._revision = self._copy[0]
-            self._entries = dict(self._copy[1])
-        return {'calls': self.calls, 'faults': known}
+            self._revision = self._saved[0]
+            self._entries = dict(self._saved[1])
+        return {'calls': self.calls, 'faults': faults}
 
-    def list_hosts(self, hosts: list[wire.Json]) -> None:
+    def set_host_list(self, hosts: list[wire.Json]) -> None:
         """Set the host list, which shows after the set lag."""
         self._hosts.append((self._clock(), hosts))
 
-    def _take(self, kind: str) -> bool:
+    def _take_token(self, kind: str) -> bool:
         now = self._clock()
         writes = kind == 'writes'
         rate = self._rates.writes if writes else self._rates.reads
-        left, last = self._spent.get(writes, (rate, now))
-        left = min(rate, left + (now - last) * rate)
-        granted = left >= 1
-        self._spent[writes] = (left - granted, now)
+        tokens, updated_at = self._buckets.get(writes, (rate, now))
+        tokens = min(rate, tokens + (now - updated_at) * rate)
+        granted = tokens >= 1
+        self._buckets[writes] = (tokens - granted, now)
         return granted
 
-    def _end_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._clock()
-        ended = {
-            name for name, lease in self._leases.items() if lease.ends <= now
+        expired = {
+            name for name, lease in self._leases.items() if lease.ends_at <= now
         }
-        if not ended:
+        if not expired:
             return
-        for name in ended:
+        for name in expired:
             self._leases.pop(name)
-        kept = {
+        remaining = {
             key: entry
             for key, entry in self._entries.items()
-            if entry.lease not in ended
+            if entry.lease not in expired
         }
-        self._revision += len(self._entries) - len(kept)
-        self._entries = kept
+        self._revision += len(self._entries) - len(remaining)
+        self._entries = remaining
 
-    def _disturb(self, reply: Reply) -> Reply:
+    def _apply_faults(self, reply: Reply) -> Reply:
         faults = self.faults
         if faults.lose_writes:
             self.faults = faults._replace(lose_writes=faults.lose_writes - 1)
@@ -175,7 +175,7 @@
         """Answer one request by its path, without faults or counts."""
         match (method, *path.strip('/').split('/', 2)):
             case ['GET', 'v1', 'keys']:
-                reply = self._list(params.get('prefix', ''))
+                reply = self._list_keys(params.get('prefix', ''))
             case ['GET', 'v1', 'keys', key]:
                 reply = self._get(key)
             case ['GET', 'v1', 'watch', key]:
@@ -185,14 +185,14 @@
             case ['DELETE', 'v1', 'keys', key]:
                 reply = self._delete(key, int(params['revision']))
             case ['POST', 'v1', 'leases', *name]:
-                reply = self._lease(name[0] if name else '', body)
+                reply = self._handle_lease(name[0] if name else '', body)
             case ['GET', 'v1', 'hosts']:
-                reply = self._show_hosts()
+                reply = self._get_host_list()
             case _:
                 reply = Reply(404, {'error': 'no such path'})
         return reply
 
-    def _list(self, prefix: str) -> Reply:
+    def _list_keys(self, prefix: str) -> Reply:
         keys = [
             {'key': key, 'revision': entry.revision}
             for key, entry in sorted(self._entries.items())
@@ -211,7 +211,7 @@
 
     def _put(self, key: str, body: wire.Json) -> Reply:
         lease = body.get('lease')
-        if len(body['value'].encode()) > VALUE_LIMIT:
+        if len(body['value'].encode()) > MAX_VALUE_BYTES:
             return Reply(413, {'error': 'value too large'})
         if lease is not None and lease not in self._leases:
             return Reply(404, {'error': 'no such lease'})
@@ -239,24 +239,24 @@
             None if current == revision else Reply(409, {'revision': current})
         )
 
-    def _lease(self, name: str, body: wire.Json) -> Reply:
+    def _handle_lease(self, name: str, body: wire.Json) -> Reply:
         now = self._clock()
         if not name:
             self._revision += 1
-            made = f'lease-{self._revision}'
+            lease_id = f'lease-{self._revision}'
             ttl_s = float(body['ttl_s'])
-            self._leases[made] = Lease(ttl_s, now + ttl_s)
-            return Reply(200, {'lease': made})
+            self._leases[lease_id] = Lease(ttl_s, now + ttl_s)
+            return Reply(200, {'lease': lease_id})
         lease = self._leases.get(name)
         if lease is None:
             return Reply(404, {'error': 'no such lease'})
-        self._leases[name] = lease._replace(ends=now + lease.ttl_s)
+        self._leases[name] = lease._replace(ends_at=now + lease.ttl_s)
         return Reply(200, {'ttl_s': lease.ttl_s})
 
-    def _show_hosts(self) -> Reply:
-        seen_at = self._clock() - self.faults.hosts_lag_s
-        shown = [hosts for since, hosts in self._hosts if since <= seen_at]
-        hosts = shown[-1] if shown else []
+    def _get_host_list(self) -> Reply:
+        as_of = self._clock() - self.faults.hosts_lag_s
+        visible = [hosts for since, hosts in self._hosts if since <= as_of]
+        hosts = visible[-1] if visible else []
         return Reply(200, {'hosts': hosts, 'age_s': self.faults.hosts_lag_s})
 
 
@@ -268,28 +268,30 @@
         self._platform = platform
         self._port = port
 
-    def opened(self, channel: wire.Channel) -> None:
+    def connection_opened(self, channel: wire.Channel) -> None:
         """Accept every connection."""
 
-    def closed(self, channel: wire.Channel) -> None:
+    def connection_closed(self, channel: wire.Channel) -> None:
         """Keep nothing of a connection."""
 
-    def received(self, channel: wire.Channel, request: wire.Request) -> None:
+    def request_received(
+        self, channel: wire.Channel, request: wire.Request
+    ) -> None:
         """Answer one request of the service, or of its control."""
         url = urls.urlsplit(request.path)
         path = urls.unquote(url.path)
         if path == '/control':
-            shown = self._platform.control(request.load())
-            channel.reply(200, json.dumps(shown))
+            result = self._platform.control(request.parse_body())
+            channel.reply(200, json.dumps(result))
         elif self._port not in self._platform.faults.cut_ports:
             params = dict(urls.parse_qsl(url.query))
-            args = (request.method, path, params, request.load())
+            args = (request.method, path, params, request.parse_body())
             reply = self._platform.call(*args)
             if classify(request.method, path) == 'watches':
                 wait_s = float(params.get('wait_s', '0'))
                 self._watch(channel, path, params, reply, wait_s)
             else:
-                self._deliver(channel, reply)
+                self._send_reply(channel, reply)
 
     def _watch(
         self,
@@ -302,13 +304,13 @@
         if self._platform.faults.silent_watch:
             return
         if reply.status != 204 or left_s <= 0:
-            self._deliver(channel, reply)
+            self._send_reply(channel, reply)
             return
-        found = self._platform.route('GET', path, params, {})
-        rest = (channel, path, params, found, left_s - WATCH_POLL_S)
-        asyncio.get_running_loop().call_later(WATCH_POLL_S, self._watch, *rest)
+        latest = self._platform.route('GET', path, params, {})
+        args = (channel, path, params, latest, left_s - WATCH_POLL_S)
+        asyncio.get_running_loop().call_later(WATCH_POLL_S, self._watch, *args)
 
-    def _deliver(self, channel: wire.Channel, reply: Reply) -> None:
+    def _send_reply(self, channel: wire.Channel, reply: Reply) -> None:
         if reply.lost:
             channel.transport.abort()
             return
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -8,7 +8,7 @@
 
 from standins import answers
 
-QUEUE: Final = 4
+MAX_QUEUED_JOBS: Final = 4
 
 
 class Running(NamedTuple):
@@ -18,7 +18,7 @@
     timer: asyncio.TimerHandle
 
 
-class Refuse(Protocol):
+class RefuseJob(Protocol):
     """Describe how a job is refused, and whether it had started."""
 
     def __call__(self, job: answers.Job, reason: str, ran: str = 'no') -> None:
@@ -33,7 +33,7 @@
         size: int,
         start: Callable[[answers.Job], float],
         finish: Callable[[answers.Job], None],
-        refuse: Refuse,
+        refuse: RefuseJob,
     ) -> None:
         """Start empty; `start` gives how long a job runs, in seconds."""
         self.running: dict[answers.JobKey, Running] = {}
@@ -45,11 +45,11 @@
 
     def add(self, job: answers.Job) -> None:
         """Run a job, queue it, or shed it."""
-        if len(self.queue) >= QUEUE:
+        if len(self.queue) >= MAX_QUEUED_JOBS:
             self._refuse(job, 'shed')
             return
         self.queue.append(job)
-        self._fill()
+        self._start_queued()
 
     def cancel(self, key: answers.JobKey) -> None:
         """Refuse a job at once, whether it waits or runs."""
@@ -61,7 +61,7 @@
         if running is not None:
             running.timer.cancel()
             self._refuse(running.job, 'cancelled', 'unknown')
-            self._fill()
+            self._start_queued()
 
     def clear(self) -> None:
         """Forget every job, as a lost target does."""
@@ -70,18 +70,18 @@
         self.running.clear()
         self.queue.clear()
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         while self.queue and len(self.running) < self._size:
             job = self.queue.popleft()
             if time.monotonic() > job.deadline:
                 self._refuse(job, 'deadline')
                 continue
-            took_s = self._start(job)
+            service_s = self._start(job)
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(took_s, self._end, job)
+            timer = loop.call_later(service_s, self._finish_job, job)
             self.running[job.key] = Running(job, timer)
 
-    def _end(self, job: answers.Job) -> None:
+    def _finish_job(self, job: answers.Job) -> None:
         self.running.pop(job.key, None)
         self._finish(job)
-        self._fill()
+        self._start_queued()
--- a/standins/store_calls.py
+++ b/standins/store_calls.py
@@ -7,14 +7,14 @@
 
 from standins import histories
 
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 
 
 class Answer(NamedTuple):
     """Hold the answer to a call; one may be of an `era` that has ended."""
 
     status: HTTPStatus
-    told: Mapping[str, Any]
+    body: Mapping[str, Any]
     era: int | None = None
 
 
@@ -23,28 +23,28 @@
 ) -> Answer:
     """List the items whose keys begin alike."""
     prefix = query.get('prefix', [''])[0]
-    found = [it for key, it in history.items.items() if key.startswith(prefix)]
-    told = {'items': found, 'has_more': False}
-    return Answer(HTTPStatus.OK, {**told, 'store_revision': history.revision})
+    items = [it for key, it in history.items.items() if key.startswith(prefix)]
+    body = {'items': items, 'has_more': False}
+    return Answer(HTTPStatus.OK, {**body, 'store_revision': history.revision})
 
 
 def read_item(
     history: histories.History, query: Mapping[str, list[str]]
 ) -> Answer:
     """Read one item."""
-    found = history.items.get(query.get('key', [''])[0])
-    if found is None:
+    item = history.items.get(query.get('key', [''])[0])
+    if item is None:
         return Answer(HTTPStatus.NOT_FOUND, {})
-    told = {**found, 'store_revision': history.revision}
-    return Answer(HTTPStatus.OK, told)
+    body = {**item, 'store_revision': history.revision}
+    return Answer(HTTPStatus.OK, body)
 
 
 def commit(history: histories.History, call: Mapping[str, Any]) -> Answer:
     """Write all or nothing."""
-    rows = {it['key']: it['revision'] for it in call['expected_rev']}
-    if any(history.find_revision(key) != it for key, it in rows.items()):
-        found = [history.items[key] for key in rows if key in history.items]
-        return Answer(HTTPStatus.PRECONDITION_FAILED, {'items': found})
+    expected = {it['key']: it['revision'] for it in call['expected_rev']}
+    if any(history.find_revision(key) != it for key, it in expected.items()):
+        items = [history.items[key] for key in expected if key in history.items]
+        return Answer(HTTPStatus.PRECONDITION_FAILED, {'items': items})
     leases = {it['lease'] for it in call['puts']} - {0}
     if leases - history.leases.keys():
         return Answer(HTTPStatus.NOT_FOUND, {})
@@ -58,7 +58,7 @@
 def open_lease(history: histories.History, call: Mapping[str, Any]) -> Answer:
     """Open a lease."""
     ttl_ms = call['ttl_ms']
-    lease = history.open_lease(ttl_ms / MILLISECONDS, time.monotonic())
+    lease = history.open_lease(ttl_ms / MS_PER_S, time.monotonic())
     return Answer(HTTPStatus.OK, {'lease': lease, 'ttl_ms': ttl_ms})
 
 
--- a/standins/wire.py
+++ b/standins/wire.py
@@ -25,7 +25,7 @@
     path: str
     body: bytes
 
-    def load(self) -> Json:
+    def parse_body(self) -> Json:
         """Parse the body as a JSON object; an empty body is an empty one."""
         return dict(json.loads(self.body)) if self.body else {}
 
@@ -33,13 +33,13 @@
 class Application(Protocol):
     """Describe what a server has to answer to."""
 
-    def opened(self, channel: 'Channel') -> None:
+    def connection_opened(self, channel: 'Channel') -> None:
         """Take note of a new connection."""
 
-    def received(self, channel: 'Channel', request: Request) -> None:
+    def request_received(self, channel: 'Channel', request: Request) -> None:
         """Answer one request, now or later."""
 
-    def closed(self, channel: 'Channel') -> None:
+    def connection_closed(self, channel: 'Channel') -> None:
         """Take note of a connection that has ended."""
 
 
@@ -56,11 +56,11 @@
         """Start on a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._application.opened(self)
+        self._application.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End with the connection."""
-        self._application.closed(self)
+        self._application.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
         """Pass on every request that is whole."""
@@ -69,11 +69,11 @@
             request = self._next_request()
             if request is None:
                 return
-            self._application.received(self, request)
+            self._application.request_received(self, request)
 
     def reply(self, status: int, body: str = '') -> None:
         """Write one answer."""
-        self.write(frame(status, body))
+        self.write(encode_response(status, body))
 
     def write(self, data: bytes) -> None:
         """Write bytes, unless the connection has gone."""
@@ -81,10 +81,10 @@
             self.transport.write(data)
 
     def _next_request(self) -> Request | None:
-        head, found, rest = self._buffer.partition(b'\r\n\r\n')
-        if not found:
+        head, separator, rest = self._buffer.partition(b'\r\n\r\n')
+        if not separator:
             return None
-        length = find_length(head.lower())
+        length = parse_content_length(head.lower())
         if len(rest) < length:
             return None
         self._buffer = rest[length:]
@@ -92,7 +92,7 @@
         return Request(method.decode(), path.decode(), rest[:length])
 
 
-def frame(status: int, body: str) -> bytes:
+def encode_response(status: int, body: str) -> bytes:
     """Build the bytes of one answer."""
     payload = body.encode()
     reason = REASONS.get(status, 'Answer')
@@ -106,15 +106,17 @@
 
 async def listen(application: Application, port: int) -> asyncio.Server:
     """Serve an application on one port of the loopback interface."""
-    make: Callable[[], Channel] = lambda: Channel(application)
+    make_channel: Callable[[], Channel] = lambda: Channel(application)
     loop = asyncio.get_running_loop()
-    return await loop.create_server(make, LOOPBACK, port, backlog=BACKLOG)
+    return await loop.create_server(
+        make_channel, LOOPBACK, port, backlog=BACKLOG
+    )
 
 
-def find_length(head: bytes) -> int:
+def parse_content_length(head: bytes) -> int:
     """Find how long a body is, from a head in lower case."""
-    at = head.find(b'content-length:')
-    if at < 0:
+    start = head.find(b'content-length:')
+    if start < 0:
         return 0
-    line = head[at + 15 :].split(b'\r\n', 1)[0]
+    line = head[start + 15 :].split(b'\r\n', 1)[0]
     return int(line)
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -22,11 +22,11 @@
             [x509.NameAttribute(x509.NameOID.COMMON_NAME, name)]
         )
         basics = x509.BasicConstraints(ca=True, path_length=None)
-        builder = self._begin(self._name, self._key)
+        builder = self._start_builder(self._name, self._key)
         certificate = builder.add_extension(basics, critical=True).sign(
             self._key, hashes.SHA256()
         )
-        self.path.write_bytes(_write(certificate))
+        self.path.write_bytes(_encode_pem(certificate))
 
     def issue(self, folder: Path, name: str = 'host') -> tuple[Path, Path]:
         """Write a certificate for 127.0.0.1 and its key; give the paths."""
@@ -37,12 +37,12 @@
         address = x509.IPAddress(ipaddress.ip_address('127.0.0.1'))
         names = x509.SubjectAlternativeName([address])
         certificate = (
-            self._begin(subject, key)
+            self._start_builder(subject, key)
             .add_extension(names, critical=False)
             .sign(self._key, hashes.SHA256())
         )
         paths = folder / f'{name}.pem', folder / f'{name}.key'
-        paths[0].write_bytes(_write(certificate))
+        paths[0].write_bytes(_encode_pem(certificate))
         paths[1].write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM,
@@ -52,7 +52,9 @@
         )
         return paths
 
-    def _begin(self, subject: x509.Name, key: Key) -> x509.CertificateBuilder:
+    def _start_builder(
+        self, subject: x509.Name, key: Key
+    ) -> x509.CertificateBuilder:
         now = datetime.datetime.now(datetime.UTC)
         hour = datetime.timedelta(hours=1)
         return (
@@ -66,5 +68,5 @@
         )
 
 
-def _write(certificate: x509.Certificate) -> bytes:
+def _encode_pem(certificate: x509.Certificate) -> bytes:
     return certificate.public_bytes(serialization.Encoding.PEM)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 )
 hypothesis.settings.load_profile('steady')
 
-_LISTED: Final = pytest.StashKey[list[known_red.Entry]]()
+_ENTRIES: Final = pytest.StashKey[list[known_red.Entry]]()
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -32,7 +32,7 @@
     path = Path(name) if name else None
     text = path.read_text() if path and path.exists() else ''
     try:
-        config.stash[_LISTED] = known_red.read_entries(text)
+        config.stash[_ENTRIES] = known_red.read_entries(text)
     except ValueError as fault:
         raise pytest.UsageError(str(fault)) from fault
 
@@ -42,7 +42,7 @@
     items: list[pytest.Item],
 ) -> None:
     """Pass over just the listed tests; an entry without its test is wrong."""
-    listed = {entry.test for entry in config.stash[_LISTED]}
+    listed = {entry.test for entry in config.stash[_ENTRIES]}
     missing = listed - {item.nodeid for item in items}
     if missing:
         raise pytest.UsageError(f'KNOWN-RED names no test: {sorted(missing)}')
@@ -59,7 +59,7 @@
     config: pytest.Config,
 ) -> None:
     """Print what was passed over, so that nobody forgets it."""
-    for entry in config.stash[_LISTED]:
+    for entry in config.stash[_ENTRIES]:
         terminalreporter.write_line(
             f'KNOWN RED, not run: {entry.test} ({entry.cause}; {entry.issue})',
         )
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -3,7 +3,7 @@
 from typing import Final, NamedTuple
 
 #: More than this is a backlog, not a list of what is mended first next time.
-MOST: Final = 3
+MAX_ENTRIES: Final = 3
 
 
 class Entry(NamedTuple):
@@ -17,8 +17,10 @@
 def read_entries(text: str) -> list[Entry]:
     """Read lines of `test id, cause, issue`; raise ValueError on any other."""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise ValueError(f'KNOWN-RED lists {len(lines)} tests, at most {MOST}')
+    if len(lines) > MAX_ENTRIES:
+        raise ValueError(
+            f'KNOWN-RED lists {len(lines)} tests, at most {MAX_ENTRIES}'
+        )
     return [_read_entry(line) for line in lines]
 
 
--- a/tests/operate/test_operators.py
+++ b/tests/operate/test_operators.py
@@ -47,13 +47,15 @@
         self.configuration = configurations.EMPTY
         self.quarantined: list[dict[str, object]] = []
 
-    def opened(self, channel: wire.Channel) -> None:
+    def connection_opened(self, channel: wire.Channel) -> None:
         """Accept every connection."""
 
-    def closed(self, channel: wire.Channel) -> None:
+    def connection_closed(self, channel: wire.Channel) -> None:
         """Ignore the end of a connection."""
 
-    def received(self, channel: wire.Channel, request: wire.Request) -> None:
+    def request_received(
+        self, channel: wire.Channel, request: wire.Request
+    ) -> None:
         if request.path.startswith('/v1/configuration'):
             patch = patches.diff(
                 patches.EMPTY, patches.stamp_configuration(self.configuration)
@@ -121,7 +123,7 @@
             host.address = find_address(
                 self.run_coroutine(wire.listen(host, 0))
             )
-        self.platform.list_hosts([each.build_entry() for each in hosts])
+        self.platform.set_host_list([each.build_entry() for each in hosts])
 
 
 def keep_data_centre(
@@ -281,7 +283,7 @@
         'address': '127.0.0.1:1',
         'name': 'silent',
     }
-    seeded.platform.list_hosts(
+    seeded.platform.set_host_list(
         [hosts[0].build_entry(), hosts[1].build_entry(), silent]
     )
     status = seeded.run('status')
--- a/tests/relay/clusters.py
+++ b/tests/relay/clusters.py
@@ -163,7 +163,7 @@
         if key.startswith(prefix):
             copy.items.pop(key)
             copy.leases.pop(row['lease'], None)
-    copy.forget_leases()
+    copy.discard_leases()
     return copy
 
 
--- a/tests/relay/test_restores.py
+++ b/tests/relay/test_restores.py
@@ -107,7 +107,7 @@
                         cluster.store.history.open_lease(60, now)
                     )
 
-            cluster.store.on_lease = restore_store
+            cluster.store.on_lease_opened = restore_store
             await cluster.add_host('host-1')
             await servers.wait_for(
                 lambda: (
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -15,7 +15,7 @@
 from tests.scenarios import fakes, world
 
 RequestClass = configurations.RequestClass
-KINDS: Final[dict[str, Callable[[RequestClass], RequestClass]]] = {
+CLASS_KINDS: Final[dict[str, Callable[[RequestClass], RequestClass]]] = {
     'may be partial': lambda one: one,
     'must be complete': lambda one: one._replace(
         needs=configurations.Needs.COMPLETE
@@ -27,18 +27,18 @@
         hedge_share=0.0,
     ),
 }
-START_S: Final = 3.0
-UNDER_WAY_S: Final = 0.002
+STARTUP_S: Final = 3.0
+IN_FLIGHT_S: Final = 0.002
 LEAVING: Final = messages.TargetState.LEAVING
 
 
-def lose(stage: world.World, target: fakes.Target) -> None:
+def lose_target(stage: world.World, target: fakes.Target) -> None:
     stage.lose_target(target.config.name)
 
 
-def bring_back(stage: world.World, target: fakes.Target) -> None:
+def restore_target(stage: world.World, target: fakes.Target) -> None:
     target.restart()
-    stage.lost.discard(target.config.name)
+    stage.lost_targets.discard(target.config.name)
 
 
 def freeze(stage: world.World, target: fakes.Target) -> None:
@@ -49,49 +49,53 @@
     target.thaw()
 
 
-def cross(stage: world.World, target: fakes.Target) -> None:
-    target.crossed = True
+def cross_answers(stage: world.World, target: fakes.Target) -> None:
+    target.crosses_answers = True
 
 
-def mislead(stage: world.World, target: fakes.Target) -> None:
-    target.shows_load = False
+def hide_load(stage: world.World, target: fakes.Target) -> None:
+    target.reports_load = False
 
 
-def leave(stage: world.World, target: fakes.Target) -> None:
+def start_leaving(stage: world.World, target: fakes.Target) -> None:
     target.left_at = stage.clock.now
-    target.enter(LEAVING)
+    target.enter_state(LEAVING)
 
 
 def list_as_leaving(stage: world.World, target: fakes.Target) -> None:
     target.left_at = stage.clock.now
-    stage.list_hosts(leaving=target.config.name)
+    stage.publish_host_list(leaving=target.config.name)
 
 
 def mark_as_leaving(stage: world.World, target: fakes.Target) -> None:
     target.left_at = stage.clock.now
     group = target.config.name.rpartition('-')[0]
-    stage.change('ana', changes.MarkLeaving(group, (target.config.name,)))
+    stage.commit_change(
+        'ana', changes.MarkLeaving(group, (target.config.name,))
+    )
 
 
 def drop_answers(stage: world.World, target: fakes.Target) -> None:
-    target.drops = True
+    target.drops_answers = True
 
 
-EVENTS: Final[Mapping[str, Callable[[world.World, fakes.Target], None]]] = {
-    'is lost': lose,
-    'is back': bring_back,
+TARGET_EVENTS: Final[
+    Mapping[str, Callable[[world.World, fakes.Target], None]]
+] = {
+    'is lost': lose_target,
+    'is back': restore_target,
     'freezes': freeze,
     'goes on': thaw,
-    'gives each caller the answer before': cross,
+    'gives each caller the answer before': cross_answers,
     'breaks off once it has run': drop_answers,
-    'reports no load': mislead,
-    'begins to leave': leave,
+    'reports no load': hide_load,
+    'begins to leave': start_leaving,
     'is listed as leaving': list_as_leaving,
     'is marked as leaving': mark_as_leaving,
 }
 
 #: What the platform does, as orders to its stand-in.
-ORDERS: Final[Mapping[str, dict[str, object]]] = {
+PLATFORM_ORDERS: Final[Mapping[str, dict[str, object]]] = {
     'goes down': {'down': True},
     'is up again': {'down': False},
     'is too slow to answer': {'slow_s': 30.0},
@@ -114,17 +118,17 @@
     return stage
 
 
-def step(text: str) -> Any:
+def parse_step(text: str) -> Any:
     """Read the words of a step, with named fields."""
     return parsers.parse(text)
 
 
-def split(names: str) -> list[str]:
+def split_names(names: str) -> list[str]:
     """Read names in a list such as `a, b and c`."""
     return re.split(', | and ', names)
 
 
-def find(stage: world.World, group: str, number: int) -> fakes.Target:
+def get_target(stage: world.World, group: str, number: int) -> fakes.Target:
     """Find a target by its number in its group."""
     return stage.targets[f'{group}-{number:02}']
 
@@ -138,91 +142,105 @@
     ]
 
 
-@given(step('a group {name} of {count:d} targets in {place}'))
+@given(parse_step('a group {name} of {count:d} targets in {place}'))
 def add_group(stage: world.World, name: str, count: int, place: str) -> None:
     stage.add_group(name, count, count // 2, place)
 
 
-@given(step('a class {name} that {kind}, within {ms:d} ms, over {groups}'))
+@given(
+    parse_step('a class {name} that {kind}, within {ms:d} ms, over {groups}')
+)
 def add_class(
     stage: world.World, name: str, kind: str, ms: int, groups: str
 ) -> None:
-    stage.add_class(KINDS[kind](RequestClass(name, ms)), split(groups))
+    stage.add_class(
+        CLASS_KINDS[kind](RequestClass(name, ms)), split_names(groups)
+    )
 
 
-@given(step('hosts {names} in {place}'))
+@given(parse_step('hosts {names} in {place}'))
 def add_hosts(stage: world.World, names: str, place: str) -> None:
-    for name in split(names):
+    for name in split_names(names):
         stage.add_host(name, place)
 
 
 @given('all of it runs')
-def start(stage: world.World) -> None:
-    done = stage.change(
+def start_all(stage: world.World) -> None:
+    outcome = stage.commit_change(
         'setup', changes.ReplaceConfiguration(stage.configuration)
     )
-    assert isinstance(done, proposals.ChangeAccepted), done
-    stage.clock.run(START_S)
+    assert isinstance(outcome, proposals.ChangeAccepted), outcome
+    stage.clock.run(STARTUP_S)
 
 
-@when(step('{count:d} {name} queries arrive in {seconds:g} s'))
-def ask_over_time(
+@when(parse_step('{count:d} {name} queries arrive in {seconds:g} s'))
+def submit_over_time(
     stage: world.World, count: int, name: str, seconds: float
 ) -> None:
     for number in range(count):
-        ask_next(stage, name, number)
+        submit_next(stage, name, number)
         stage.clock.run(seconds / count)
 
 
-@when(step('{count:d} {name} queries are under way'))
-def ask_at_once(stage: world.World, count: int, name: str) -> None:
+@when(parse_step('{count:d} {name} queries are under way'))
+def submit_at_once(stage: world.World, count: int, name: str) -> None:
     for number in range(count):
-        ask_next(stage, name, number)
-    stage.clock.run(UNDER_WAY_S)
+        submit_next(stage, name, number)
+    stage.clock.run(IN_FLIGHT_S)
 
 
-def ask_next(stage: world.World, name: str, number: int) -> None:
+def submit_next(stage: world.World, name: str, number: int) -> None:
     serving = [host.name for host in stage.hosts.values() if host.alive]
-    stage.ask(serving[number % len(serving)], name, key=f'key-{number}')
+    stage.submit_query(
+        serving[number % len(serving)], name, key=f'key-{number}'
+    )
 
 
-@when(step('{seconds:g} s pass'))
+@when(parse_step('{seconds:g} s pass'))
 def pass_time(stage: world.World, seconds: float) -> None:
     stage.clock.run(seconds)
 
 
 @when(parsers.re(r'searcher (?P<number>\d+) of (?P<group>\S+) (?P<event>\D+)$'))
-def happen(stage: world.World, number: str, group: str, event: str) -> None:
-    EVENTS[event](stage, find(stage, group, int(number)))
+def apply_target_event(
+    stage: world.World, number: str, group: str, event: str
+) -> None:
+    TARGET_EVENTS[event](stage, get_target(stage, group, int(number)))
 
 
-@when(step('searcher {number:d} of {group} answers {factor:g} times slower'))
+@when(
+    parse_step('searcher {number:d} of {group} answers {factor:g} times slower')
+)
 def slow_down(
     stage: world.World, number: int, group: str, factor: float
 ) -> None:
-    find(stage, group, number).factor = factor
+    get_target(stage, group, number).slowdown = factor
 
 
-@when(step('searcher {number:d} of {group} reports {seconds:g} s late'))
-def lag(stage: world.World, number: int, group: str, seconds: float) -> None:
-    find(stage, group, number).report_lag_s = seconds
+@when(parse_step('searcher {number:d} of {group} reports {seconds:g} s late'))
+def delay_reports(
+    stage: world.World, number: int, group: str, seconds: float
+) -> None:
+    get_target(stage, group, number).report_lag_s = seconds
 
 
-@when(step('{group} loads snapshot {snapshot:d} in {shards:d} shards'))
-def load(stage: world.World, group: str, snapshot: int, shards: int) -> None:
+@when(parse_step('{group} loads snapshot {snapshot:d} in {shards:d} shards'))
+def load_snapshot(
+    stage: world.World, group: str, snapshot: int, shards: int
+) -> None:
     names = [name for name in stage.targets if name.startswith(group)]
     stage.load_snapshot(names, snapshot, shards)
 
 
-@when(step('{group} drops snapshot {snapshot:d}'))
-def drop(stage: world.World, group: str, snapshot: int) -> None:
+@when(parse_step('{group} drops snapshot {snapshot:d}'))
+def drop_snapshot(stage: world.World, group: str, snapshot: int) -> None:
     for name, target in stage.targets.items():
         if name.startswith(group):
-            target.drop(snapshot)
+            target.drop_snapshot(snapshot)
 
 
 @when(
-    step(
+    parse_step(
         'the targets of {group} restart in turn, each after a drain of '
         '{seconds:g} s, under {rate:d} {name} queries a second'
     )
@@ -231,15 +249,15 @@
     stage: world.World, group: str, seconds: float, rate: int, name: str
 ) -> None:
     for target in list_targets(stage, group):
-        leave(stage, target)
-        ask_over_time(stage, int(rate * seconds), name, seconds)
+        start_leaving(stage, target)
+        submit_over_time(stage, int(rate * seconds), name, seconds)
         target.back_at = stage.clock.now
-        lose(stage, target)
-        bring_back(stage, target)
+        lose_target(stage, target)
+        restore_target(stage, target)
 
 
 @when(
-    step(
+    parse_step(
         'the targets of {group} change in turn to snapshot {snapshot:d} in '
         '{shards:d} shards, each {seconds:g} s, under {rate:d} {name} '
         'queries a second'
@@ -254,149 +272,156 @@
     rate: int,
     name: str,
 ) -> None:
-    for place, target in enumerate(list_targets(stage, group)):
-        target.drop(snapshot - 1)
-        target.hold(snapshot, place % shards, shards)
-        ask_over_time(stage, int(rate * seconds), name, seconds)
+    for index, target in enumerate(list_targets(stage, group)):
+        target.drop_snapshot(snapshot - 1)
+        target.add_shard(snapshot, index % shards, shards)
+        submit_over_time(stage, int(rate * seconds), name, seconds)
 
 
-@when(step('the watchers of {place} are cut off from the platform'))
+@when(parse_step('the watchers of {place} are cut off from the platform'))
 def cut_watchers(stage: world.World, place: str) -> None:
     for host in stage.hosts.values():
-        if host.watches and host.data_centre == place:
-            stage.cuts.add(frozenset((host.name, world.PLATFORM)))
+        if host.is_watcher and host.data_centre == place:
+            stage.cut_links.add(frozenset((host.name, world.PLATFORM)))
 
 
-@when(step('{one} is cut off from {other}'))
-def cut(stage: world.World, one: str, other: str) -> None:
-    stage.cuts.add(frozenset((one, other)))
+@when(parse_step('{one} is cut off from {other}'))
+def cut_link(stage: world.World, one: str, other: str) -> None:
+    stage.cut_links.add(frozenset((one, other)))
 
 
-@when(step('{one} reaches {other} again'))
-def join(stage: world.World, one: str, other: str) -> None:
-    stage.cuts.discard(frozenset((one, other)))
+@when(parse_step('{one} reaches {other} again'))
+def restore_link(stage: world.World, one: str, other: str) -> None:
+    stage.cut_links.discard(frozenset((one, other)))
 
 
 @when(parsers.re('the platform (?P<event>.+)$'))
-def order(stage: world.World, event: str) -> None:
-    stage.platform.control(ORDERS[event])
+def order_platform(stage: world.World, event: str) -> None:
+    stage.platform.control(PLATFORM_ORDERS[event])
 
 
-@when(step('host {name} is paused'))
-def pause(stage: world.World, name: str) -> None:
+@when(parse_step('host {name} is paused'))
+def pause_host(stage: world.World, name: str) -> None:
     stage.clock.frozen.add(name)
-    stage.stalled.add(name)
+    stage.once_paused.add(name)
 
 
-@when(step('host {name} goes on'))
-def wake(stage: world.World, name: str) -> None:
-    stage.hosts[name].wake()
+@when(parse_step('host {name} goes on'))
+def resume_host(stage: world.World, name: str) -> None:
+    stage.hosts[name].resume()
 
 
-@when(step('host {name} is killed'))
-def kill(stage: world.World, name: str) -> None:
+@when(parse_step('host {name} is killed'))
+def kill_host(stage: world.World, name: str) -> None:
     stage.hosts[name].alive = False
     stage.clock.kill(name)
 
 
-@when(step('host {name} starts anew'))
-def start_anew(stage: world.World, name: str) -> None:
+@when(parse_step('host {name} starts anew'))
+def restart_host(stage: world.World, name: str) -> None:
     stage.add_host(name, stage.hosts[name].data_centre)
 
 
-@when(step('refund {name} is asked at {host}'))
-def refund(stage: world.World, name: str, host: str) -> None:
-    request_id = stage.ids.setdefault(name, stage.mint())
-    stage.ask(host, 'refund', request_id, key=name)
+@when(parse_step('refund {name} is asked at {host}'))
+def submit_refund(stage: world.World, name: str, host: str) -> None:
+    request_id = stage.request_ids.setdefault(name, stage.make_request_id())
+    stage.submit_query(host, 'refund', request_id, key=name)
 
 
-@when(step('the claim of refund {name} is written'))
-def await_claim(stage: world.World, name: str) -> None:
-    while stage.ids[name] not in stage.read_claims():
+@when(parse_step('the claim of refund {name} is written'))
+def wait_for_claim(stage: world.World, name: str) -> None:
+    while stage.request_ids[name] not in stage.read_claims():
         stage.clock.run(0.001)
 
 
-@when(step('host {name} starts in {place}'))
+@when(parse_step('host {name} starts in {place}'))
 def start_host(stage: world.World, name: str, place: str) -> None:
     stage.add_host(name, place)
 
 
-@when(step('operator {name} labels {group} {key}={value}'))
-def label(
+@when(parse_step('operator {name} labels {group} {key}={value}'))
+def label_group(
     stage: world.World, name: str, group: str, key: str, value: str
 ) -> None:
     change = changes.LabelGroup(group, ((key, value),))
-    stage.outcomes[name] = stage.change(name, change)
+    stage.outcomes[name] = stage.commit_change(name, change)
 
 
 @when(
-    step(
+    parse_step(
         'operator {name} labels {group} {key}={value} just before {other} does'
     )
 )
-def race(
+def label_just_before(
     stage: world.World, name: str, group: str, key: str, value: str, other: str
 ) -> None:
     del other
-    stage.line.interrupt = functools.partial(
-        label, stage, name, group, key, value
+    stage.operator_pool.before_write = functools.partial(
+        label_group, stage, name, group, key, value
     )
 
 
-@when(step('{count:d} failures come in an order drawn from {seed:d}'))
-def storm(stage: world.World, count: int, seed: int) -> None:
-    draws = random.Random(seed)
+@when(parse_step('{count:d} failures come in an order drawn from {seed:d}'))
+def inject_failures(stage: world.World, count: int, seed: int) -> None:
+    rng = random.Random(seed)
     for number in range(count):
-        draws.choice(STORM)(stage, draws)
+        rng.choice(FAILURES)(stage, rng)
         serving = [host.name for host in stage.hosts.values() if host.alive]
-        refund(stage, f'R{number // 3}', draws.choice(serving))
-        ask_next(stage, 'gate-lookup', number)
-        stage.clock.run(draws.choice((0, 0.002, 0.01, 0.3, 4)))
+        submit_refund(stage, f'R{number // 3}', rng.choice(serving))
+        submit_next(stage, 'gate-lookup', number)
+        stage.clock.run(rng.choice((0, 0.002, 0.01, 0.3, 4)))
     for name in tuple(stage.clock.frozen):
-        wake(stage, name)
-    stage.cuts.clear()
-    order(stage, 'is up again')
-    order(stage, 'is quick again')
-    stage.clock.run(START_S)
+        resume_host(stage, name)
+    stage.cut_links.clear()
+    order_platform(stage, 'is up again')
+    order_platform(stage, 'is quick again')
+    stage.clock.run(STARTUP_S)
 
 
-def strike_target(stage: world.World, draws: random.Random) -> None:
-    target = stage.targets[draws.choice(list(stage.targets))]
-    events = [event for name, event in EVENTS.items() if 'leav' not in name]
-    draws.choice(events)(stage, target)
+def disturb_target(stage: world.World, rng: random.Random) -> None:
+    target = stage.targets[rng.choice(list(stage.targets))]
+    events = [
+        event for name, event in TARGET_EVENTS.items() if 'leav' not in name
+    ]
+    rng.choice(events)(stage, target)
 
 
-def strike_platform(stage: world.World, draws: random.Random) -> None:
-    order(stage, draws.choice([name for name in ORDERS if 'cop' not in name]))
+def disturb_platform(stage: world.World, rng: random.Random) -> None:
+    order_platform(
+        stage,
+        rng.choice([name for name in PLATFORM_ORDERS if 'cop' not in name]),
+    )
 
 
-def strike_host(stage: world.World, draws: random.Random) -> None:
-    name = draws.choice(list(stage.hosts))
+def disturb_host(stage: world.World, rng: random.Random) -> None:
+    name = rng.choice(list(stage.hosts))
     if name in stage.clock.frozen:
-        wake(stage, name)
+        resume_host(stage, name)
     elif stage.hosts[name].alive:
-        draws.choice((pause, pause, kill))(stage, name)
+        rng.choice((pause_host, pause_host, kill_host))(stage, name)
     else:
-        start_anew(stage, name)
+        restart_host(stage, name)
 
 
-def strike_network(stage: world.World, draws: random.Random) -> None:
+def cut_random_link(stage: world.World, rng: random.Random) -> None:
     places = (world.PLATFORM, 'Odori', *stage.hosts)
-    cut(stage, *draws.sample(places, 2))
+    cut_link(stage, *rng.sample(places, 2))
 
 
-def strike_index(stage: world.World, draws: random.Random) -> None:
+def replace_snapshot(stage: world.World, rng: random.Random) -> None:
     # A number stands for one partition of one index for ever.
-    held = {key[0] for one in stage.targets.values() for key in one.holdings}
-    newest = max(held, default=1)
-    load(stage, 'turnstile', newest + 1, draws.choice((2, 3, 4)))
-    drop(stage, 'turnstile', newest - 1)
-
-
-STORM: Final = (
-    strike_target,
-    strike_platform,
-    strike_host,
-    strike_network,
-    strike_index,
+    snapshots = {
+        key[0] for target in stage.targets.values() for key in target.holdings
+    }
+    newest = max(snapshots, default=1)
+    load_snapshot(stage, 'turnstile', newest + 1, rng.choice((2, 3, 4)))
+    drop_snapshot(stage, 'turnstile', newest - 1)
+
+
+FAILURES: Final = (
+    disturb_target,
+    disturb_platform,
+    disturb_host,
+    cut_random_link,
+    replace_snapshot,
 )
--- a/tests/scenarios/fakes.py
+++ b/tests/scenarios/fakes.py
@@ -16,10 +16,10 @@
 from fuchsiahaven.edge import frames
 from tests.core import networks
 
-LISTINGS: Final = range(2048, 65_536, 4096)
-SERVICE_S: Final = 0.005
-QUEUE: Final = 4
-CUT: Final = frames.Frame(200, b'{', closes=True)
+LISTING_POSITIONS: Final = range(2048, 65_536, 4096)
+SERVICE_TIME_S: Final = 0.005
+MAX_QUEUED_JOBS: Final = 4
+TRUNCATED_ANSWER: Final = frames.Frame(200, b'{', closes=True)
 
 Answer = Callable[[frames.Frame], None]
 
@@ -27,22 +27,22 @@
 class Job(NamedTuple):
     """Hold one sub-request, as its bytes say, and where its answer goes."""
 
-    order: dict[str, Any]
+    search: dict[str, Any]
     deadline: float
     answer: Answer
 
     @property
-    def name(self) -> tuple[str, int, int]:
+    def key(self) -> tuple[str, int, int]:
         """Tell attempts apart as the protocol does."""
-        order = self.order
-        return order['request_id'], order['shard'], order['attempt']
+        search = self.search
+        return search['request_id'], search['shard'], search['attempt']
 
 
 class Run(NamedTuple):
     """Remember that a request was run, and when."""
 
     request_id: str
-    at: float
+    started_at: float
 
 
 class Target:
@@ -57,25 +57,25 @@
         """Start live, holding nothing."""
         self.config = config
         self.holdings: dict[tuple[int, int], snapshots.Holding] = {}
-        self.factor = 1.0
+        self.slowdown = 1.0
         self.frozen = False
-        self.crossed = False
-        self.drops = False
-        self.shows_load = True
+        self.crosses_answers = False
+        self.drops_answers = False
+        self.reports_load = True
         self.report_lag_s = 0.0
         self.left_at = math.inf
         self.back_at = math.inf
         self.runs: list[Run] = []
-        self.received: list[float] = []
-        self.repeats = 0
+        self.received_at: list[float] = []
+        self.extra_attempts = 0
         self.states = [(clock.now, messages.TargetState.LIVE)]
         self._group = group
         self._clock = clock
-        self._started = clock.now
+        self._started_at = clock.now
         self._sequence = 0
         self._running: dict[tuple[str, int, int], Job] = {}
         self._queue: collections.deque[Job] = collections.deque()
-        self._held: list[Callable[[], None]] = []
+        self._frozen_events: list[Callable[[], None]] = []
         self._last_body: dict[str, Any] | None = None
 
     @property
@@ -83,11 +83,11 @@
         """Say how it truly is now."""
         return self.states[-1][1]
 
-    def enter(self, state: messages.TargetState) -> None:
+    def enter_state(self, state: messages.TargetState) -> None:
         """Change the state, which reports show late."""
         self.states.append((self._clock.now, state))
 
-    def hold(self, snapshot: int, shard: int, shards: int) -> None:
+    def add_shard(self, snapshot: int, shard: int, shards: int) -> None:
         """Add one shard of a snapshot."""
         low = shard * 65_536 // shards
         high = (shard + 1) * 65_536 // shards
@@ -95,17 +95,17 @@
             snapshot, shard, shards, low, high
         )
 
-    def drop(self, snapshot: int) -> None:
+    def drop_snapshot(self, snapshot: int) -> None:
         """Drop a snapshot, also from under what runs on it."""
         self.holdings = {
-            key: held
-            for key, held in self.holdings.items()
-            if held.snapshot != snapshot
+            key: holding
+            for key, holding in self.holdings.items()
+            if holding.snapshot != snapshot
         }
 
     def restart(self) -> None:
         """Start anew as another process that has run nothing."""
-        self._started = self._clock.now
+        self._started_at = self._clock.now
         self._sequence = 0
         self._running.clear()
         self._queue.clear()
@@ -114,138 +114,146 @@
     def thaw(self) -> None:
         """Go on with what has come, and what has ended, meanwhile."""
         self.frozen = False
-        held = tuple(self._held)
-        self._held.clear()
-        for act in held:
-            act()
+        events = tuple(self._frozen_events)
+        self._frozen_events.clear()
+        for handle in events:
+            handle()
 
-    def take(self, request: bytes, answer: Answer) -> None:
+    def handle_search(self, request: bytes, answer: Answer) -> None:
         """Take a sub-request as bytes: run it, queue it or refuse it."""
         if self.frozen:
-            self._held.append(functools.partial(self.take, request, answer))
+            self._frozen_events.append(
+                functools.partial(self.handle_search, request, answer)
+            )
             return
-        order = json.loads(request.partition(b'\r\n\r\n')[2])
-        deadline = self._clock.now + order['deadline_ms'] / 1000
-        job = Job(order, deadline, answer)
-        self.received.append(self._clock.now)
-        self.repeats += order['attempt'] > 1
-        reason = self._find_refusal(order)
+        search = json.loads(request.partition(b'\r\n\r\n')[2])
+        deadline = self._clock.now + search['deadline_ms'] / 1000
+        job = Job(search, deadline, answer)
+        self.received_at.append(self._clock.now)
+        self.extra_attempts += search['attempt'] > 1
+        reason = self._find_refusal(search)
         if reason:
             self._refuse(job, reason)
             return
         self._queue.append(job)
-        self._fill()
+        self._start_queued()
 
-    def cancel(self, name: tuple[str, int, int]) -> None:
+    def cancel(self, key: tuple[str, int, int]) -> None:
         """Refuse a job at once, whether it waits or runs."""
         if self.frozen:
-            self._held.append(functools.partial(self.cancel, name))
+            self._frozen_events.append(functools.partial(self.cancel, key))
             return
-        for waiting in tuple(self._queue):
-            if waiting.name == name:
-                self._queue.remove(waiting)
-                self._refuse(waiting, 'cancelled')
-        running = self._running.pop(name, None)
+        for queued in tuple(self._queue):
+            if queued.key == key:
+                self._queue.remove(queued)
+                self._refuse(queued, 'cancelled')
+        running = self._running.pop(key, None)
         if running is not None:
             self._refuse(running, 'cancelled', 'unknown')
-            self._fill()
+            self._start_queued()
 
-    def report(self) -> frames.Frame:
+    def report_health(self) -> frames.Frame:
         """Tell its health as it was a while ago."""
         self._sequence += 1
-        seen = self._clock.now - self.report_lag_s
-        shown = [told for since, told in self.states if since <= seen]
-        return _frame(
+        as_of = self._clock.now - self.report_lag_s
+        visible = [state for since, state in self.states if since <= as_of]
+        return _encode_frame(
             {
                 'name': self.config.name,
-                'state': shown[-1] if shown else self.states[0][1],
-                'started_epoch': self._started,
+                'state': visible[-1] if visible else self.states[0][1],
+                'started_epoch': self._started_at,
                 'sequence': self._sequence,
-                'load': self._tell_load(),
-                'holdings': [held._asdict() for held in self.holdings.values()],
+                'load': self._report_load(),
+                'holdings': [
+                    holding._asdict() for holding in self.holdings.values()
+                ],
             }
         )
 
-    def _find_refusal(self, order: dict[str, Any]) -> str:
-        not_after = order['not_after_epoch']
+    def _find_refusal(self, search: dict[str, Any]) -> str:
+        not_after = search['not_after_epoch']
         if not_after is not None and self._clock.now > not_after:
             return 'deadline'
         if self.state is messages.TargetState.LEAVING:
             return 'leaving'
-        if (order['snapshot'], order['shard']) not in self.holdings:
+        if (search['snapshot'], search['shard']) not in self.holdings:
             return 'snapshot_gone'
-        return 'shed' if len(self._queue) >= QUEUE else ''
+        return 'shed' if len(self._queue) >= MAX_QUEUED_JOBS else ''
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         while self._queue and len(self._running) < self._group.slots:
             job = self._queue.popleft()
             if self._clock.now > job.deadline:
                 self._refuse(job, 'deadline')
                 continue
-            self._running[job.name] = job
-            self.runs.append(Run(job.order['request_id'], self._clock.now))
-            end = functools.partial(self._end, job)
-            self._clock.call_later(SERVICE_S * self.factor, end)
+            self._running[job.key] = job
+            self.runs.append(Run(job.search['request_id'], self._clock.now))
+            finish = functools.partial(self._finish_job, job)
+            self._clock.call_later(SERVICE_TIME_S * self.slowdown, finish)
 
-    def _end(self, job: Job) -> None:
+    def _finish_job(self, job: Job) -> None:
         if self.frozen:
-            self._held.append(functools.partial(self._end, job))
+            self._frozen_events.append(functools.partial(self._finish_job, job))
             return
-        if self._running.pop(job.name, None) is None:
+        if self._running.pop(job.key, None) is None:
             return
-        key = job.order['snapshot'], job.order['shard']
-        held = self.holdings.get(key)
-        if held is None:
+        key = job.search['snapshot'], job.search['shard']
+        holding = self.holdings.get(key)
+        if holding is None:
             self._refuse(job, 'snapshot_gone', 'unknown')
         else:
-            body = self._write_answer(job.order, held)
-            told = self._last_body if self.crossed else body
+            body = self._build_answer(job.search, holding)
+            sent = self._last_body if self.crosses_answers else body
             self._last_body = body
             # A connection that breaks in the middle leaves no whole answer.
-            job.answer(CUT if self.drops else _frame(told or body))
-        self._fill()
-
-    def _write_answer(
-        self, order: dict[str, Any], held: snapshots.Holding
+            job.answer(
+                TRUNCATED_ANSWER
+                if self.drops_answers
+                else _encode_frame(sent or body)
+            )
+        self._start_queued()
+
+    def _build_answer(
+        self, search: dict[str, Any], holding: snapshots.Holding
     ) -> dict[str, Any]:
         rows = [
             {
                 'id': f'{self._group.name}-{position}',
                 'rank': position,
                 'group': self._group.name,
-                'snapshot': held.snapshot,
-                'asked_by': order['request_id'],
+                'snapshot': holding.snapshot,
+                'asked_by': search['request_id'],
             }
-            for position in LISTINGS
-            if held.low <= position < held.high
+            for position in LISTING_POSITIONS
+            if holding.low <= position < holding.high
         ]
-        named = ('request_id', 'group', 'shard', 'snapshot', 'attempt')
+        echoed = ('request_id', 'group', 'shard', 'snapshot', 'attempt')
         return {
-            **{name: order[name] for name in named},
+            **{name: search[name] for name in echoed},
             'rows': rows,
             'state': self.state,
-            'load': self._tell_load(),
+            'load': self._report_load(),
         }
 
     def _refuse(self, job: Job, reason: str, ran: str = 'no') -> None:
         body = {
-            'request_id': job.order['request_id'],
-            'attempt': job.order['attempt'],
+            'request_id': job.search['request_id'],
+            'attempt': job.search['attempt'],
             'reason': reason,
             'ran': ran,
             'state': self.state,
             'retry_after_ms': 50,
         }
-        job.answer(_frame(body, 503))
+        job.answer(_encode_frame(body, 503))
 
-    def _tell_load(self) -> dict[str, int]:
-        shown = self.shows_load
+    def _report_load(self) -> dict[str, int]:
+        reported = self.reports_load
         return {
-            'in_flight': len(self._running) * shown,
-            'queued': len(self._queue) * shown,
+            'in_flight': len(self._running) * reported,
+            'queued': len(self._queue) * reported,
             'slots': self._group.slots,
         }
 
 
-def _frame(body: dict[str, Any], status: int = 200) -> frames.Frame:
+def _encode_frame(body: dict[str, Any], status: int = 200) -> frames.Frame:
     return frames.Frame(status, json.dumps(body).encode(), closes=False)
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -20,28 +20,28 @@
     target_protocol,
 )
 from tests.core import networks
-from tests.scenarios import fakes, lines
+from tests.scenarios import fakes, pools
 
-DELAY_S: Final = 0.001
-GRACE_S: Final = 0.25
-PROBE_S: Final = 1.0
-POLL_S: Final = 0.1
+NETWORK_DELAY_S: Final = 0.001
+TIMEOUT_GRACE_S: Final = 0.25
+PROBE_TIMEOUT_S: Final = 1.0
+WATCH_POLL_S: Final = 0.1
 
-Act = Callable[[], None]
+Callback = Callable[[], None]
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """State what a host needs of the world round it."""
 
     clock: networks.Network
     hosts: dict[str, 'Host']
     targets: dict[str, fakes.Target]
-    lost: set[str]
+    lost_targets: set[str]
 
     def is_cut(self, one: str, other: str) -> bool:
         """Tell whether two places cannot reach each other now."""
 
-    def note_reply(self, host: str, reply: messages.Reply) -> None:
+    def record_reply(self, host: str, reply: messages.Reply) -> None:
         """Hand a reply to its caller."""
 
 
@@ -49,7 +49,11 @@
     """Hold one host: its state machines and what they wait for."""
 
     def __init__(
-        self, name: str, data_centre: str, line: lines.Line, world: Surroundings
+        self,
+        name: str,
+        data_centre: str,
+        pool: pools.PlatformPool,
+        world: Environment,
     ) -> None:
         """Start with nothing known."""
         self.name = name
@@ -59,54 +63,60 @@
         self.faults: set[wording.Fault] = set()
         self._world = world
         self._clock = world.clock
-        self._line = line
-        self._backlog: list[Act] = []
-        self._flying: dict[messages.PartKey, messages.Send] = {}
+        self._pool = pool
+        self._backlog: list[Callback] = []
+        self._in_flight: dict[messages.PartKey, messages.Send] = {}
         self._reader = manifest_reader.Reader(data_centre)
-        self._store = lines.open_store(line, self._clock)
-        self._draws = random.Random(name).random
-        self._dispatch = states.make_state(data_centre, self._draws)
+        self._store = pools.open_store(pool, self._clock)
+        self._draw = random.Random(name).random
+        self._dispatch = states.make_state(data_centre, self._draw)
         self._revisions = revisions.start(
             name, self._clock.now, revisions.Timings()
         )
         self._claims = self._open_claims()
 
-    def tell(self, event: messages.Event) -> None:
+    def handle_query_event(self, event: messages.Event) -> None:
         """Hand an event to the dispatch and do what it asks for."""
-        if self._must_wait(functools.partial(self.tell, event)):
+        if self._defer_if_paused(
+            functools.partial(self.handle_query_event, event)
+        ):
             return
         state, actions = dispatch.handle_event(
             self._dispatch, event, self._clock.now
         )
         self._dispatch = state
         for action in actions:
-            self._act(action)
+            self._perform_query_action(action)
 
-    def steer(self, event: wording.Event) -> None:
+    def handle_revision_event(self, event: wording.Event) -> None:
         """Hand an event to the choice of the revision in force."""
-        if self._must_wait(functools.partial(self.steer, event)):
+        if self._defer_if_paused(
+            functools.partial(self.handle_revision_event, event)
+        ):
             return
         state, actions = revisions.handle_event(
-            self._revisions, event, self._clock.now, self._draws
+            self._revisions, event, self._clock.now, self._draw
         )
         self._revisions = state
         for action in actions:
-            self._control(action)
+            self._perform_revision_action(action)
 
-    def meet(
+    def handle_member_event(
         self,
-        told: member_messages.MembersListed | member_messages.StampReceived,
+        event: member_messages.MembersListed | member_messages.StampReceived,
     ) -> None:
         """Take what gossip says of the members."""
-        match told:
+        match event:
             case member_messages.MembersListed(live, staying):
-                self.tell(messages.MembersChanged(live, self.name))
-                self.steer(wording.MembersListed(staying))
+                self.handle_query_event(
+                    messages.MembersChanged(live, self.name)
+                )
+                self.handle_revision_event(wording.MembersListed(staying))
             case member_messages.StampReceived():
-                self.steer(wording.StampReceived(*told))
+                self.handle_revision_event(wording.StampReceived(*event))
 
     @property
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Tell whether this host watches the platform."""
         return revisions.is_watcher(self._revisions)
 
@@ -122,64 +132,68 @@
     def tick(self) -> None:
         """Let each task have its turn."""
         if self.alive and self.name not in self._clock.frozen:
-            self.tell(messages.Tick())
-            self.steer(wording.Ticked())
+            self.handle_query_event(messages.Tick())
+            self.handle_revision_event(wording.Ticked())
             for worker in self._claims._workers:
                 worker._handle_messages(0)
                 worker._run_once()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Go on after a pause, with all that has come meanwhile."""
         self._clock.frozen.discard(self.name)
-        waiting = tuple(self._backlog)
+        backlog = tuple(self._backlog)
         self._backlog.clear()
-        for act in waiting:
-            act()
+        for handle in backlog:
+            handle()
 
-    def read_list(self) -> None:
+    def read_host_list(self) -> None:
         """Read the platform's host list, which may fail."""
         try:
             listing = host_list.read_host_list(self._store)
         except store.StoreError:
             return
-        self.tell(listing.targets)
+        self.handle_query_event(listing.targets)
 
-    def break_links(self, target: str) -> None:
+    def break_connections(self, target: str) -> None:
         """Break every connection to a target."""
-        for send in tuple(self._flying.values()):
+        for send in tuple(self._in_flight.values()):
             if send.target.name == target:
                 fault = messages.Fault.CONNECTION_LOST
-                self._end(send, messages.PartFailed(send.part, target, fault))
+                self._finish_send(
+                    send, messages.PartFailed(send.part, target, fault)
+                )
 
-    def _must_wait(self, act: Act) -> bool:
+    def _defer_if_paused(self, callback: Callback) -> bool:
         paused = self.name in self._clock.frozen
         if paused:
-            self._backlog.append(act)
+            self._backlog.append(callback)
         return paused or not self.alive
 
     def _open_claims(self) -> claim_task.Task:
         # The task's own threads are left out: `tick` makes their turns.
         task = claim_task.Task(
-            lambda: lines.open_store(self._line, self._clock),
+            lambda: pools.open_store(self._pool, self._clock),
             lambda address, body, timeout_s: None,
             claim_stores.Clocks(
                 lambda: self._clock.now, lambda: self._clock.now
             ),
         )
-        task._post = self._settle
+        task._post = self._post_settled_claim
         return task
 
-    def _settle(self, settled: messages.ClaimSettled) -> None:
-        self._clock.call_later(self._line.took, lambda: self.tell(settled))
+    def _post_settled_claim(self, settled: messages.ClaimSettled) -> None:
+        self._clock.call_later(
+            self._pool.last_call_s, lambda: self.handle_query_event(settled)
+        )
 
-    def _act(self, action: messages.Action) -> None:
+    def _perform_query_action(self, action: messages.Action) -> None:
         match action:
             case messages.Send():
                 self._send(action)
             case messages.Cancel():
                 self._cancel(action)
             case messages.Reply():
-                self._world.note_reply(self.name, action)
+                self._world.record_reply(self.name, action)
             case messages.Probe():
                 self._probe(action)
             case (
@@ -191,76 +205,82 @@
 
     def _send(self, send: messages.Send) -> None:
         name, now = send.target.name, self._clock.now
-        end = functools.partial(self._end, send)
-        self._flying[send.part] = send
+        finish = functools.partial(self._finish_send, send)
+        self._in_flight[send.part] = send
         reason = None
         if not target_protocol.may_send(send.request, now):
             reason = messages.RefusalReason.DEADLINE
-        elif name in self._world.lost:
+        elif name in self._world.lost_targets:
             reason = messages.RefusalReason.NO_CONNECTION
         if reason is not None:
             refusal = messages.PartRefused(send.part, name, reason)
-            self._clock.call_later(DELAY_S, lambda: end(refusal))
+            self._clock.call_later(NETWORK_DELAY_S, lambda: finish(refusal))
             return
-        left = send.request.deadline + GRACE_S - now
-        late = messages.PartFailed(send.part, name, messages.Fault.TIMED_OUT)
-        self._clock.call_later(left, lambda: end(late))
+        remaining_s = send.request.deadline + TIMEOUT_GRACE_S - now
+        timeout = messages.PartFailed(send.part, name, messages.Fault.TIMED_OUT)
+        self._clock.call_later(remaining_s, lambda: finish(timeout))
         payload = target_protocol.encode_search(send, now)
 
         def answer(frame: frames.Frame) -> None:
             event = target_protocol.decode_search(send, frame)
-            self._carry(name, lambda: end(event))
+            self._deliver(name, lambda: finish(event))
 
         target = self._world.targets[name]
-        self._carry(name, lambda: target.take(payload, answer))
+        self._deliver(name, lambda: target.handle_search(payload, answer))
 
-    def _end(self, send: messages.Send, event: messages.Event) -> None:
+    def _finish_send(self, send: messages.Send, event: messages.Event) -> None:
         # Each exchange ends in exactly one event.
-        if self._flying.pop(send.part, None) is not None:
-            self.tell(event)
+        if self._in_flight.pop(send.part, None) is not None:
+            self.handle_query_event(event)
 
     def _cancel(self, cancel: messages.Cancel) -> None:
-        send = self._flying.get(cancel.part)
+        send = self._in_flight.get(cancel.part)
         if send is not None:
             request = send.request
             name = request.request_id, request.shard, request.attempt
             target = self._world.targets[cancel.target]
-            self._carry(cancel.target, lambda: target.cancel(name))
+            self._deliver(cancel.target, lambda: target.cancel(name))
 
     def _probe(self, probe: messages.Probe) -> None:
         name = probe.target.name
         target = self._world.targets[name]
-        if target.frozen or not self._reaches(name):
+        if target.frozen or not self._can_reach(name):
             missed = messages.TargetProbed(name, None)
-            self._clock.call_later(PROBE_S, lambda: self.tell(missed))
+            self._clock.call_later(
+                PROBE_TIMEOUT_S, lambda: self.handle_query_event(missed)
+            )
             return
-        event = target_protocol.decode_probe(probe, target.report())
-        self._clock.call_later(2 * DELAY_S, lambda: self.tell(event))
+        event = target_protocol.decode_probe(probe, target.report_health())
+        self._clock.call_later(
+            2 * NETWORK_DELAY_S, lambda: self.handle_query_event(event)
+        )
 
-    def _carry(self, target: str, act: Act) -> None:
+    def _deliver(self, target: str, callback: Callback) -> None:
         """Let a message arrive, unless the target is cut off or lost then."""
 
         def arrive() -> None:
-            if self._reaches(target):
-                act()
+            if self._can_reach(target):
+                callback()
 
-        self._clock.call_later(DELAY_S, arrive)
+        self._clock.call_later(NETWORK_DELAY_S, arrive)
 
-    def _reaches(self, target: str) -> bool:
+    def _can_reach(self, target: str) -> bool:
         cut = self._world.is_cut(self.name, target)
-        return not cut and target not in self._world.lost
+        return not cut and target not in self._world.lost_targets
 
-    def _control(self, action: wording.Action) -> None:
+    def _perform_revision_action(self, action: wording.Action) -> None:
         match action:
             case wording.ReadManifest():
-                self._bring(self._reader.read(self._store))
+                self._post_store_event(self._reader.read(self._store))
             case wording.ReadStoreRevision():
-                self._bring(self._reader.read_revision(self._store))
+                self._post_store_event(self._reader.read_revision(self._store))
             case wording.WatchManifest(_, wait_s):
                 self._watch(action, self._clock.now + wait_s)
             case wording.PutInForce(stamped):
                 self.in_force.append(stamped.stamp.revision)
-                self.tell(messages.ConfigurationReceived(stamped.configuration))
+                self.handle_query_event(
+                    messages.ConfigurationReceived(stamped.configuration)
+                )
                 enforced = member_messages.ConfigurationInForce(stamped.stamp)
                 self._clock.send(self.name, enforced)
             case wording.PushPatch(names, patch):
@@ -272,31 +292,43 @@
                 self.faults.add(fault)
 
     def _push(self, name: str, patch: patches.Patch) -> None:
-        member = self._find(name)
+        member = self._find_reachable(name)
         event: wording.Event = wording.MemberUnreachable(name, patch)
         if member is not None:
-            member.steer(wording.PatchReceived(self.name, patch))
+            member.handle_revision_event(
+                wording.PatchReceived(self.name, patch)
+            )
             event = wording.StampReceived(name, member.stamp)
-        self._clock.call_later(DELAY_S, lambda: self.steer(event))
+        self._clock.call_later(
+            NETWORK_DELAY_S, lambda: self.handle_revision_event(event)
+        )
 
     def _pull(self, name: str, above: patches.Stamp) -> None:
-        member = self._find(name)
+        member = self._find_reachable(name)
         event: wording.Event = wording.MemberUnreachable(name)
         if member is not None:
             event = wording.PullAnswered(name, member.find_patches(above))
-        self._clock.call_later(DELAY_S, lambda: self.steer(event))
+        self._clock.call_later(
+            NETWORK_DELAY_S, lambda: self.handle_revision_event(event)
+        )
 
-    def _find(self, name: str) -> 'Host | None':
+    def _find_reachable(self, name: str) -> 'Host | None':
         member = self._world.hosts[name]
-        silent = name in self._clock.frozen or not member.alive
-        return None if silent or self._world.is_cut(self.name, name) else member
+        is_silent = name in self._clock.frozen or not member.alive
+        return (
+            None if is_silent or self._world.is_cut(self.name, name) else member
+        )
 
-    def _bring(self, event: wording.Event) -> None:
-        self._clock.call_later(self._line.took, lambda: self.steer(event))
+    def _post_store_event(self, event: wording.Event) -> None:
+        self._clock.call_later(
+            self._pool.last_call_s, lambda: self.handle_revision_event(event)
+        )
 
     def _watch(self, watch: wording.WatchManifest, until: float) -> None:
         event = self._reader.watch(self._store, watch)
         if isinstance(event, wording.WatchEnded) and self._clock.now < until:
-            self._clock.call_later(POLL_S, lambda: self._watch(watch, until))
+            self._clock.call_later(
+                WATCH_POLL_S, lambda: self._watch(watch, until)
+            )
         else:
-            self._bring(event)
+            self._post_store_event(event)
--- a/tests/scenarios/lines.py
+++ b/tests/scenarios/pools.py
@@ -13,12 +13,12 @@
 from standins import platform
 from tests.core import networks
 
-CALL_S: Final = 0.003
-CONNECT_S: Final = store.DEFAULT_LIMITS.connect_timeout_s
-READ_S: Final = store.DEFAULT_LIMITS.read_timeout_s
+CALL_TIME_S: Final = 0.003
+CONNECT_TIMEOUT_S: Final = store.DEFAULT_LIMITS.connect_timeout_s
+READ_TIMEOUT_S: Final = store.DEFAULT_LIMITS.read_timeout_s
 
 
-class Line:
+class PlatformPool:
     """Stand where an adapter expects its connections.
 
     `took` is how long the last call has taken, in seconds: calls are made at
@@ -30,8 +30,8 @@
         self, service: platform.Platform, is_cut: Callable[[], bool]
     ) -> None:
         """Reach a platform unless the line is cut."""
-        self.took = 0.0
-        self.interrupt: Callable[[], object] | None = None
+        self.last_call_s = 0.0
+        self.before_write: Callable[[], object] | None = None
         self._service = service
         self._is_cut = is_cut
 
@@ -39,12 +39,12 @@
         self, method: str, path: str, body: bytes | None, **options: Any
     ) -> urllib3.HTTPResponse:
         """Make one call."""
-        act = self.interrupt
-        if act is not None and method == 'PUT':
-            self.interrupt = None
-            act()
+        callback = self.before_write
+        if callback is not None and method == 'PUT':
+            self.before_write = None
+            callback()
         if self._is_cut():
-            self.took = CONNECT_S
+            self.last_call_s = CONNECT_TIMEOUT_S
             raise urllib3.exceptions.ConnectTimeoutError(self, path, 'cut')
         url = urls.urlsplit(path)
         params: Mapping[str, str] = dict(urls.parse_qsl(url.query))
@@ -52,8 +52,8 @@
         reply = self._service.call(
             method, urls.unquote(url.path), params, content
         )
-        self.took = min(READ_S, CALL_S + reply.delay_s)
-        if reply.lost or self.took == READ_S:
+        self.last_call_s = min(READ_TIMEOUT_S, CALL_TIME_S + reply.delay_s)
+        if reply.lost or self.last_call_s == READ_TIMEOUT_S:
             raise urllib3.exceptions.ProtocolError('the answer is lost')
         text = '' if reply.body is None else json.dumps(reply.body)
         return urllib3.HTTPResponse(
@@ -66,7 +66,7 @@
         """Do nothing: there is nothing to close."""
 
 
-def open_store(line: Line, clock: networks.Network) -> store.Store:
+def open_store(pool: PlatformPool, clock: networks.Network) -> store.Store:
     """Make an adapter on a line."""
-    with mock.patch.object(urllib3, 'connection_from_url', return_value=line):
+    with mock.patch.object(urllib3, 'connection_from_url', return_value=pool):
         return store.Store('http://platform', clock=lambda: clock.now)
--- a/tests/scenarios/test_processes.py
+++ b/tests/scenarios/test_processes.py
@@ -23,10 +23,10 @@
 
 scenarios('processes')
 
-RATE: Final = 40.0
-REPEATS: Final = 0.3
+REQUESTS_PER_S: Final = 40.0
+REPEAT_FRACTION: Final = 0.3
 CHUNK_S: Final = 0.5
-PLACE: Final = 'santiago'
+DEPLOYMENT: Final = 'santiago'
 
 
 class Stage:
@@ -36,77 +36,79 @@
         """Start everything; the stack ends it."""
         # Test runs side by side start to look at different places.
         ports = list(worlds.find_free_ports())
-        plan = worlds.Plan(PLACE, ports[os.getpid() % len(ports)])
+        plan = worlds.Plan(DEPLOYMENT, ports[os.getpid() % len(ports)])
         self.world = worlds.World(plan, stack)
         self.runner = stack.enter_context(asyncio.Runner())
-        numbers = random.Random(1)
+        rng = random.Random(1)
         classes = self.world.layout.configuration.classes
-        mix = mixes.Mix(PLACE, classes, numbers, only_at_most_once=False)
-        self.crowd = callers.Callers(self.world, mix, numbers)
+        mix = mixes.Mix(DEPLOYMENT, classes, rng, only_at_most_once=False)
+        self.callers = callers.Callers(self.world, mix, rng)
         # What was done to which host, and when.
         self.steps: list[tuple[float, str, int]] = []
         stack.callback(self.runner.run, self._close())
-        self.runner.run(self.crowd.wait_ready())
+        self.runner.run(self.callers.wait_ready())
 
-    def ask_while(self, event: Callable[[], Awaitable[None]]) -> None:
+    def run_load_during(self, event: Callable[[], Awaitable[None]]) -> None:
         """Let requests arrive before, during and after an event."""
-        self.crowd.records.clear()
-        self.crowd.cuts.clear()
+        self.callers.records.clear()
+        self.callers.cuts.clear()
         self.steps.clear()
-        self.runner.run(self._ask_while(event))
+        self.runner.run(self._run_load_during(event))
 
     def count_runs(self) -> dict[str, collections.Counter[str]]:
         """Ask the targets how often each request was run."""
         return self.runner.run(self._count_runs())
 
-    async def end(self, number: int, how: signal.Signals) -> None:
+    async def restart_host(self, number: int, signum: signal.Signals) -> None:
         """End a host by a signal and start it anew."""
         host = self.world.hosts[number]
-        self._note(how.name, number)
-        self.world.send_signal(host, how)
+        self._record_step(signum.name, number)
+        self.world.send_signal(host, signum)
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, self.world.wait_end, host)
-        self._note('ended', number)
+        self._record_step('ended', number)
         self.world.start(host)
-        await self.crowd.wait_ready()
-        self._note('ready', number)
+        await self.callers.wait_ready()
+        self._record_step('ready', number)
 
-    def _note(self, step: str, number: int) -> None:
+    def _record_step(self, step: str, number: int) -> None:
         self.steps.append((time.monotonic(), step, number))
 
-    async def freeze(self, number: int) -> None:
+    async def freeze_host(self, number: int) -> None:
         """Stop a host's process until requests to it have gone unanswered."""
         host = self.world.hosts[number]
-        before = len(self.crowd.records)
+        before = len(self.callers.records)
         self.world.send_signal(host, signal.SIGSTOP)
         while not any(
-            record.kind == 'silent' for record in self.crowd.records[before:]
+            record.kind == 'silent' for record in self.callers.records[before:]
         ):
             await asyncio.sleep(0.05)
         self.world.send_signal(host, signal.SIGCONT)
-        await self.crowd.wait_ready()
-
-    async def _ask_while(self, event: Callable[[], Awaitable[None]]) -> None:
-        await self.crowd.arrive(CHUNK_S, RATE, REPEATS)
-        happening = asyncio.ensure_future(event())
-        while not happening.done():
-            await self.crowd.arrive(CHUNK_S, RATE, REPEATS)
-        await happening
-        await self.crowd.arrive(CHUNK_S, RATE, REPEATS)
+        await self.callers.wait_ready()
+
+    async def _run_load_during(
+        self, event: Callable[[], Awaitable[None]]
+    ) -> None:
+        await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
+        task = asyncio.ensure_future(event())
+        while not task.done():
+            await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
+        await task
+        await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
 
     async def _count_runs(self) -> dict[str, collections.Counter[str]]:
-        asked = (
-            self.crowd.client.send(port, 'GET', '/control/runs')
+        calls = (
+            self.callers.client.send(port, 'GET', '/control/runs')
             for port in self.world.control_ports
         )
         counts: dict[str, collections.Counter[str]] = {}
-        for told in await asyncio.gather(*asked):
-            for name, numbers in told.body.items():
+        for reply in await asyncio.gather(*calls):
+            for name, numbers in reply.body.items():
                 counts.setdefault(name, collections.Counter()).update(numbers)
         return counts
 
     async def _close(self) -> None:
-        self.crowd.client.close()
+        self.callers.client.close()
 
 
 Event = Callable[[Stage], Awaitable[None]]
@@ -117,28 +119,30 @@
     """Start two hosts among stand-ins for all scenarios of this module."""
     # The callers' balancer asks twice a second who is ready; a busy machine
     # may hold it up.
-    patient = worlds.SETTINGS.replace('lag_s = 1\n', 'lag_s = 2\n')
-    assert patient != worlds.SETTINGS
+    settings = worlds.SETTINGS.replace('lag_s = 1\n', 'lag_s = 2\n')
+    assert settings != worlds.SETTINGS
     with contextlib.ExitStack() as stack:
-        stack.enter_context(mock.patch.object(worlds, 'SETTINGS', patient))
+        stack.enter_context(mock.patch.object(worlds, 'SETTINGS', settings))
         yield Stage(stack)
 
 
 async def restart_both(stage: Stage) -> None:
-    await stage.end(0, signal.SIGTERM)
-    await stage.end(1, signal.SIGTERM)
+    await stage.restart_host(0, signal.SIGTERM)
+    await stage.restart_host(1, signal.SIGTERM)
 
 
 EVENTS: Final[Mapping[str, Event]] = {
     'each host is stopped as planned and started': restart_both,
-    'a host is killed and started': lambda it: it.end(0, signal.SIGKILL),
-    'a host is frozen and goes on': lambda it: it.freeze(0),
+    'a host is killed and started': lambda it: it.restart_host(
+        0, signal.SIGKILL
+    ),
+    'a host is frozen and goes on': lambda it: it.freeze_host(0),
 }
 
 
 @when(parsers.parse('requests arrive while {event}'))
-def arrive(stage: Stage, event: str) -> None:
-    stage.ask_while(functools.partial(EVENTS[event], stage))
+def send_requests(stage: Stage, event: str) -> None:
+    stage.run_load_during(functools.partial(EVENTS[event], stage))
 
 
 @then('no request is cut')
@@ -146,25 +150,29 @@
     # A request that finds the port closed is cut as well: the balancer that
     # sent it there had been told to trust this host for its lag.
     lost = {'cut', 'refused', 'silent'}
-    cut = [record for record in stage.crowd.records if record.kind in lost]
+    cut = [record for record in stage.callers.records if record.kind in lost]
     # Which host it was sent to, and when, tell a late balancer from a host
     # that closed too soon.
-    told = (cut, stage.crowd.cuts, stage.steps, stage.world.read_logs())
-    assert not cut, '\n'.join(map(str, told))
+    details = (cut, stage.callers.cuts, stage.steps, stage.world.read_logs())
+    assert not cut, '\n'.join(map(str, details))
 
 
 @then('every answer is true')
 def check_true(stage: Stage) -> None:
-    faults = {record.fault for record in stage.crowd.records if not record.kind}
+    faults = {
+        record.fault for record in stage.callers.records if not record.kind
+    }
     assert faults == {''}
 
 
 @then('what was told as not run has not run')
 def check_not_run(stage: Stage) -> None:
     by_id: dict[str, list[str]] = {}
-    for record in stage.crowd.records:
+    for record in stage.callers.records:
         by_id.setdefault(record.request_id, []).append(record.ran)
-    refused = {name for name, told in by_id.items() if set(told) == {'no'}}
+    refused = {
+        name for name, reports in by_id.items() if set(reports) == {'no'}
+    }
     assert not refused & stage.count_runs()['runs'].keys()
 
 
@@ -176,7 +184,7 @@
 
 @then('both hosts answer again')
 def check_again(stage: Stage) -> None:
-    stage.crowd.records.clear()
-    stage.runner.run(stage.crowd.arrive(CHUNK_S, RATE))
-    hosts = {record.host for record in stage.crowd.records if not record.kind}
-    assert hosts == {0, 1}, stage.crowd.records
+    stage.callers.records.clear()
+    stage.runner.run(stage.callers.arrive(CHUNK_S, REQUESTS_PER_S))
+    hosts = {record.host for record in stage.callers.records if not record.kind}
+    assert hosts == {0, 1}, stage.callers.records
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -14,40 +14,42 @@
 scenarios('features')
 
 
-def list_told(stage: world.World) -> Iterator[tuple[world.Asked, world.Told]]:
+def list_replies(
+    stage: world.World,
+) -> Iterator[tuple[world.SubmittedQuery, world.ReceivedReply]]:
     """List each request whose host lives, with its one reply."""
     stage.settle()
-    assert stage.asked
-    for asked in stage.asked:
-        if asked.host.alive:
-            (told,) = stage.told[asked.token]
-            yield asked, told
+    assert stage.submitted
+    for submitted in stage.submitted:
+        if submitted.host.alive:
+            (received,) = stage.replies[submitted.token]
+            yield submitted, received
 
 
 def list_answers(
     stage: world.World,
-) -> Iterator[tuple[world.Asked, messages.Answer]]:
+) -> Iterator[tuple[world.SubmittedQuery, messages.Answer]]:
     """List the requests that were answered, at least one."""
-    found = 0
-    for asked, told in list_told(stage):
-        if isinstance(told.reply.outcome, messages.Answer):
-            found += 1
-            yield asked, told.reply.outcome
-    assert found
+    count = 0
+    for submitted, received in list_replies(stage):
+        if isinstance(received.reply.outcome, messages.Answer):
+            count += 1
+            yield submitted, received.reply.outcome
+    assert count
 
 
 @then('every request has one reply, in time')
 def check_replies(stage: world.World) -> None:
-    for asked, told in list_told(stage):
-        if asked.host.name not in stage.stalled:
-            assert told.at <= asked.query.deadline
+    for submitted, received in list_replies(stage):
+        if submitted.host.name not in stage.once_paused:
+            assert received.sent_at <= submitted.query.deadline
 
 
 @then('every answer is complete')
 def check_complete(stage: world.World) -> None:
-    for _, told in list_told(stage):
-        assert isinstance(told.reply.outcome, messages.Answer), told
-        assert told.reply.outcome.coverage.complete
+    for _, received in list_replies(stage):
+        assert isinstance(received.reply.outcome, messages.Answer), received
+        assert received.reply.outcome.coverage.complete
     check_coverage(stage)
 
 
@@ -60,22 +62,22 @@
 
 @then('every answer says truly what it covers')
 def check_coverage(stage: world.World) -> None:
-    for asked, answer in list_answers(stage):
-        told = answer.coverage
-        listed = list(told.covered)
-        for lost in told.missing:
+    for submitted, answer in list_answers(stage):
+        covering = answer.coverage
+        listed = list(covering.covered)
+        for missing in covering.missing:
             part = coverage.CoveredRange(
-                lost.group, lost.shard, lost.low, lost.high
+                missing.group, missing.shard, missing.low, missing.high
             )
             listed.append(part)
-        assert len(listed) == told.shards
-        if asked.query.key is None:
+        assert len(listed) == covering.shards
+        if submitted.query.key is None:
             check_partition(listed, set(answer.snapshots))
         rows = Counter((row['group'], row['rank']) for row in answer.rows)
         assert rows == Counter(
             (part.group, position)
-            for part in told.covered
-            for position in fakes.LISTINGS
+            for part in covering.covered
+            for position in fakes.LISTING_POSITIONS
             if part.low <= position < part.high
         )
 
@@ -95,8 +97,8 @@
 
 @then("every answer is its caller's own")
 def check_owners(stage: world.World) -> None:
-    for asked, answer in list_answers(stage):
-        assert answer.request_id == asked.query.request_id
+    for submitted, answer in list_answers(stage):
+        assert answer.request_id == submitted.query.request_id
         assert {row['asked_by'] for row in answer.rows} <= {answer.request_id}
 
 
@@ -109,29 +111,32 @@
 @then('no request is answered in part')
 def check_whole(stage: world.World) -> None:
     assert list_failures(stage)
-    for _, told in list_told(stage):
-        if isinstance(told.reply.outcome, messages.Answer):
-            assert told.reply.outcome.coverage.complete
+    for _, received in list_replies(stage):
+        if isinstance(received.reply.outcome, messages.Answer):
+            assert received.reply.outcome.coverage.complete
 
 
 @then(
-    conftest.step(
+    conftest.parse_step(
         '{percent:d} in 100 of the last {count:d} replies come within {ms:d} ms'
     )
 )
 def check_tail(stage: world.World, percent: int, count: int, ms: int) -> None:
     # The time is scripted, so it is the decisions that this measures.
-    recent = list(list_told(stage))[-count:]
-    took = sorted(told.at - asked.query.arrived_at for asked, told in recent)
-    assert took[count * percent // 100 - 1] <= ms / 1000
+    recent = list(list_replies(stage))[-count:]
+    latencies = sorted(
+        received.sent_at - submitted.query.arrived_at
+        for submitted, received in recent
+    )
+    assert latencies[count * percent // 100 - 1] <= ms / 1000
 
 
 def list_failures(stage: world.World) -> dict[str, errors.Failure]:
     """List the requests that failed, by their ids."""
     return {
-        asked.query.request_id: told.reply.outcome
-        for asked, told in list_told(stage)
-        if isinstance(told.reply.outcome, errors.Failure)
+        submitted.query.request_id: received.reply.outcome
+        for submitted, received in list_replies(stage)
+        if isinstance(received.reply.outcome, errors.Failure)
     }
 
 
@@ -147,7 +152,7 @@
     check_not_run(stage)
 
 
-def say_ran(outcome: outcomes.Outcome) -> errors.Ran:
+def get_ran(outcome: outcomes.Outcome) -> errors.Ran:
     """Say what an outcome tells of whether the request ran."""
     if isinstance(outcome, errors.Failure):
         return outcome.ran
@@ -157,16 +162,16 @@
 @then('nothing that ran is told as not run')
 def check_not_run(stage: world.World) -> None:
     stage.settle()
-    told_of: dict[str, set[errors.Ran]] = {}
-    for asked in stage.asked:
+    reports_by_id: dict[str, set[errors.Ran]] = {}
+    for submitted in stage.submitted:
         # What was asked at a host that is dead by now may have run there.
-        told = told_of.setdefault(asked.query.request_id, set())
-        if not stage.told[asked.token]:
-            told.add(errors.Ran.UNKNOWN)
-        for one in stage.told[asked.token]:
-            told.add(say_ran(one.reply.outcome))
+        reports = reports_by_id.setdefault(submitted.query.request_id, set())
+        if not stage.replies[submitted.token]:
+            reports.add(errors.Ran.UNKNOWN)
+        for received in stage.replies[submitted.token]:
+            reports.add(get_ran(received.reply.outcome))
     never = {errors.Ran.NO}
-    refused = {name for name, rans in told_of.items() if rans == never}
+    refused = {name for name, rans in reports_by_id.items() if rans == never}
     assert not refused & count_runs(stage).keys()
 
 
@@ -180,36 +185,36 @@
 
 
 @then(
-    conftest.step(
+    conftest.parse_step(
         'searcher {number:d} of {group} gets no new work after {seconds:g} s'
     )
 )
 def check_left(
     stage: world.World, number: int, group: str, seconds: float
 ) -> None:
-    target = conftest.find(stage, group, number)
-    late = [at for at in target.received if at > target.left_at + seconds]
-    assert target.received and not late
+    target = conftest.get_target(stage, group, number)
+    late = [at for at in target.received_at if at > target.left_at + seconds]
+    assert target.received_at and not late
 
 
 @then(
-    conftest.step(
+    conftest.parse_step(
         'no searcher of {group} gets new work after {seconds:g} s of its drain'
     )
 )
 def check_all_left(stage: world.World, group: str, seconds: float) -> None:
     for target in conftest.list_targets(stage, group):
         after = target.left_at + seconds
-        drain = [at for at in target.received if at < target.back_at]
+        drain = [at for at in target.received_at if at < target.back_at]
         assert drain
         assert max(drain) <= after
 
 
-@then(conftest.step('the tier adds at most {percent:g} percent of load'))
+@then(conftest.parse_step('the tier adds at most {percent:g} percent of load'))
 def check_load(stage: world.World, percent: float) -> None:
-    repeats = sum(one.repeats for one in stage.targets.values())
-    received = sum(len(one.received) for one in stage.targets.values())
-    assert repeats <= (received - repeats) * percent / 100
+    extra = sum(target.extra_attempts for target in stage.targets.values())
+    received = sum(len(target.received_at) for target in stage.targets.values())
+    assert extra <= (received - extra) * percent / 100
 
 
 @then('no request that may not be repeated ran twice')
@@ -217,37 +222,37 @@
     stage.settle()
     runs = count_runs(stage)
     single = {
-        asked.query.request_id
-        for asked in stage.asked
-        if asked.policy.repeat is configurations.Repeat.AT_MOST_ONCE
+        submitted.query.request_id
+        for submitted in stage.submitted
+        if submitted.policy.repeat is configurations.Repeat.AT_MOST_ONCE
     }
     assert single & runs.keys()
     assert max(runs[name] for name in single) == 1
 
 
-@then(conftest.step('refund {name} ran {times}'))
+@then(conftest.parse_step('refund {name} ran {times}'))
 def check_refund(stage: world.World, name: str, times: str) -> None:
     allowed = {'once': {1}, 'at most once': {0, 1}, 'never': {0}}
     stage.settle()
-    assert count_runs(stage)[stage.ids[name]] in allowed[times]
+    assert count_runs(stage)[stage.request_ids[name]] in allowed[times]
 
 
-@then(conftest.step('the caller of refund {name} is told {kind}'))
-def check_told(stage: world.World, name: str, kind: str) -> None:
-    told = [
+@then(conftest.parse_step('the caller of refund {name} is told {kind}'))
+def check_caller_outcome(stage: world.World, name: str, kind: str) -> None:
+    replies = [
         reply
-        for asked, reply in list_told(stage)
-        if asked.query.request_id == stage.ids[name]
+        for submitted, reply in list_replies(stage)
+        if submitted.query.request_id == stage.request_ids[name]
     ]
-    outcome = told[-1].reply.outcome
+    outcome = replies[-1].reply.outcome
     if isinstance(outcome, errors.Failure):
         assert outcome.kind == kind, outcome
         return
-    assert outcome.request_id == stage.ids[name]
-    assert told[-1].reply.replayed == (kind == 'the answer again')
+    assert outcome.request_id == stage.request_ids[name]
+    assert replies[-1].reply.replayed == (kind == 'the answer again')
 
 
-@then(conftest.step('revision {number:d} is in force on every host'))
+@then(conftest.parse_step('revision {number:d} is in force on every host'))
 def check_revision(stage: world.World, number: int) -> None:
     found = {
         host.name: host.in_force[-1:]
@@ -258,7 +263,7 @@
     check_reverts(stage)
 
 
-@then(conftest.step('revision {number:d} is still in force in {place}'))
+@then(conftest.parse_step('revision {number:d} is still in force in {place}'))
 def check_place(stage: world.World, number: int, place: str) -> None:
     found = [
         host.in_force[-1]
@@ -274,7 +279,7 @@
         assert host.in_force == sorted(set(host.in_force))
 
 
-@then(conftest.step('operator {name} is told {kind}'))
+@then(conftest.parse_step('operator {name} is told {kind}'))
 def check_operator(stage: world.World, name: str, kind: str) -> None:
     outcome = stage.outcomes[name]
     if isinstance(outcome, errors.Failure):
@@ -284,20 +289,20 @@
         assert kind == f'revision {outcome.entry.revision}'
 
 
-@then(conftest.step('operator {name} is shown what {other} has changed'))
-def check_shown(stage: world.World, name: str, other: str) -> None:
+@then(conftest.parse_step('operator {name} is shown what {other} has changed'))
+def check_conflict_author(stage: world.World, name: str, other: str) -> None:
     outcome = stage.outcomes[name]
     assert isinstance(outcome, errors.Failure)
     assert f'by {other}' in outcome.detail
 
 
-@then(conftest.step('some host reports {fault}'))
+@then(conftest.parse_step('some host reports {fault}'))
 def check_faults(stage: world.World, fault: str) -> None:
     assert any(fault in host.faults for host in stage.hosts.values())
 
 
-@then(conftest.step('the last answer covers {groups}'))
+@then(conftest.parse_step('the last answer covers {groups}'))
 def check_groups(stage: world.World, groups: str) -> None:
     answer = list(list_answers(stage))[-1][1]
-    assert set(answer.snapshots) == set(conftest.split(groups))
+    assert set(answer.snapshots) == set(conftest.split_names(groups))
     assert answer.coverage.complete
--- a/tests/standins/test_layouts.py
+++ b/tests/standins/test_layouts.py
@@ -16,13 +16,15 @@
     for service, group in zip(
         layout.services, layout.configuration.groups, strict=True
     ):
-        places = collections.defaultdict(set)
+        instances = collections.defaultdict(set)
         for target in group.targets:
-            for held in layout.holdings[target.name]:
-                site = (target.data_centre, held.shard)
-                places[site].add(target.name.rpartition('/')[0])
-        assert len(places) == service.shards * data_centres
-        assert {len(found) for found in places.values()} == {service.replicas}
+            for holding in layout.holdings[target.name]:
+                site = (target.data_centre, holding.shard)
+                instances[site].add(target.name.rpartition('/')[0])
+        assert len(instances) == service.shards * data_centres
+        assert {len(found) for found in instances.values()} == {
+            service.replicas
+        }
 
 
 def test_ports_are_distinct() -> None:
@@ -37,9 +39,9 @@
 
 def test_repartition_covers_all_positions() -> None:
     service = layouts.SERVICES['santiago'][0]
-    held = layouts.hold(service, 25, 13)
-    ranges = {(one.low, one.high) for each in held for one in each}
+    assigned = layouts.assign_shards(service, 25, 13)
+    ranges = {(one.low, one.high) for each in assigned for one in each}
     lows = sorted(low for low, _ in ranges)
     highs = sorted(high for _, high in ranges)
     assert lows == [0, *highs[:-1]]
-    assert highs[-1] == layouts.POSITIONS
+    assert highs[-1] == layouts.KEY_SPACE_SIZE
--- a/tests/standins/test_metadata_store.py
+++ b/tests/standins/test_metadata_store.py
@@ -12,7 +12,7 @@
 from tests.relay import servers
 
 
-class Told(NamedTuple):
+class Response(NamedTuple):
     """Hold what a call was answered."""
 
     status: int
@@ -27,29 +27,29 @@
         """Take the connection."""
         self._client = client
 
-    async def call(self, method: str, target: str, **told: Any) -> Told:
+    async def call(self, method: str, target: str, **fields: Any) -> Response:
         """Make a call."""
-        body = json.dumps(told).encode() if told else b''
-        done = await self._client.call(calls.Call(method, target, body), 5)
-        era = calls.decode_era(done.fields)
-        return Told(done.status, era, json.loads(done.body))
+        body = json.dumps(fields).encode() if fields else b''
+        answer = await self._client.call(calls.Call(method, target, body), 5)
+        era = calls.decode_era(answer.fields)
+        return Response(answer.status, era, json.loads(answer.body))
 
     async def open_lease(self, ttl_ms: int = 30_000) -> int:
         """Open a lease."""
-        told = await self.call('POST', '/kv-lease', ttl_ms=ttl_ms)
-        return int(told.body['lease'])
+        response = await self.call('POST', '/kv-lease', ttl_ms=ttl_ms)
+        return int(response.body['lease'])
 
     async def put(
         self, key: str, lease: int = 0, expected: tuple[Any, ...] = ()
     ) -> int:
         """Write a key; return the status."""
         put = {'key': key, 'value': '', 'lease': lease}
-        done = await self.call(
+        response = await self.call(
             'POST', '/kv-txn', expected_rev=expected, puts=[put], remove=[]
         )
-        return done.status
+        return response.status
 
-    async def watch(self, after: int, wait_ms: int = 50) -> Told:
+    async def watch(self, after: int, wait_ms: int = 50) -> Response:
         """Watch all keys after a revision."""
         query = f'prefix=&after={after}&wait_ms={wait_ms}'
         return await self.call('GET', f'/kv-watch?{query}')
@@ -68,7 +68,7 @@
         server.close()
 
 
-def test_comes_back_from_an_older_copy() -> None:
+def test_restores_an_older_copy() -> None:
     """What was written since is gone, and its revisions are given out again."""
 
     async def check() -> None:
@@ -84,13 +84,17 @@
             store.put('op/config', 3)
             assert store.revision == last
             # Nothing but the era tells that this is another change.
-            told = await client.watch(last)
-            assert (told.status, told.body['events'], told.era) == (200, [], 2)
+            response = await client.watch(last)
+            assert (response.status, response.body['events'], response.era) == (
+                200,
+                [],
+                2,
+            )
 
     servers.run(check())
 
 
-def test_tells_its_era_in_each_answer() -> None:
+def test_sends_its_era_in_each_answer() -> None:
     """Refusals bear the header too; a store of before has none."""
 
     async def check() -> None:
@@ -107,22 +111,24 @@
     servers.run(check())
 
 
-def test_loses_the_leases_of_after_the_copy() -> None:
+def test_loses_leases_opened_after_the_copy() -> None:
     """Neither a renewal nor a write under such a lease does anything."""
 
     async def check() -> None:
         store = metadata_store.Store()
         async with connect(store) as client:
             copy = store.copy()
-            mine = await client.open_lease()
+            lease = await client.open_lease()
             store.restore(copy)
-            assert (await client.call('POST', f'/kv-keep/{mine}')).status == 404
-            assert await client.put('mine', mine) == 404
+            assert (
+                await client.call('POST', f'/kv-keep/{lease}')
+            ).status == 404
+            assert await client.put('mine', lease) == 404
 
     servers.run(check())
 
 
-def test_gives_numbers_of_leases_out_again() -> None:
+def test_reuses_lease_ids_after_a_restore() -> None:
     """Symptom: a renewal is answered 200, and the entry is gone.
 
     The lease was opened after the copy; its number is somebody else's now.
@@ -132,12 +138,14 @@
         store = metadata_store.Store()
         async with connect(store) as client:
             copy = store.copy()
-            mine = await client.open_lease()
+            lease = await client.open_lease()
             store.restore(copy)
-            assert await client.open_lease() == mine
-            await client.put('theirs', mine)
-            assert (await client.call('POST', f'/kv-keep/{mine}')).status == 200
-            await client.call('DELETE', f'/kv-lease-end/{mine}')
+            assert await client.open_lease() == lease
+            await client.put('theirs', lease)
+            assert (
+                await client.call('POST', f'/kv-keep/{lease}')
+            ).status == 200
+            await client.call('DELETE', f'/kv-lease-end/{lease}')
             assert not store.items
 
     servers.run(check())
@@ -151,8 +159,8 @@
         async with connect(store) as client:
             lease = await client.open_lease(100)
             await client.put('mine', lease)
-            told = await client.watch(store.revision, 1000)
-            assert told.body['events'][0]['deleted']
+            response = await client.watch(store.revision, 1000)
+            assert response.body['events'][0]['deleted']
 
     servers.run(check())
 
@@ -170,17 +178,17 @@
     servers.run(check())
 
 
-def test_cuts_watches_when_it_comes_back() -> None:
+def test_drops_watches_on_a_restore() -> None:
     """A watch of before the return is not answered from the copy."""
 
     async def check() -> None:
         store = metadata_store.Store()
         async with connect(store) as client:
-            waiting = asyncio.create_task(client.watch(store.revision, 5000))
+            watch = asyncio.create_task(client.watch(store.revision, 5000))
             await servers.wait_for(lambda: store.calls['/kv-watch'])
             store.restore(store.copy())
-            done, _ = await asyncio.wait([waiting], timeout=2)
-            assert isinstance(waiting.exception(), clients.CallFailed)
+            done, _ = await asyncio.wait([watch], timeout=2)
+            assert isinstance(watch.exception(), clients.CallFailed)
             assert done
 
     servers.run(check())
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -33,7 +33,7 @@
     return platform.Platform(clock)
 
 
-def put(
+def write_key(
     store: platform.Platform, value: str, revision: int, lease: str = ''
 ) -> platform.Reply:
     """Write one key."""
@@ -41,26 +41,26 @@
     return store.call('PUT', KEY, body=body)
 
 
-def read(store: platform.Platform) -> str | None:
+def read_key(store: platform.Platform) -> str | None:
     """Read one key."""
     reply = store.call('GET', KEY)
     return reply.body['value'] if reply.status == 200 and reply.body else None
 
 
 def test_write_from_stale_revision_conflicts(store: platform.Platform) -> None:
-    first = put(store, 'one', 0)
+    first = write_key(store, 'one', 0)
     assert first.body == {'revision': 1}
-    assert put(store, 'two', 0) == platform.Reply(409, {'revision': 1})
-    assert put(store, 'two', 1).body == {'revision': 2}
-    assert read(store) == 'two'
+    assert write_key(store, 'two', 0) == platform.Reply(409, {'revision': 1})
+    assert write_key(store, 'two', 1).body == {'revision': 2}
+    assert read_key(store) == 'two'
 
 
 def test_lost_answer_took_effect(store: platform.Platform) -> None:
     """The answer to a write is lost although the write took effect."""
     store.control({'lose_writes': 1})
-    assert put(store, 'one', 0).lost
-    assert read(store) == 'one'
-    assert not put(store, 'two', 1).lost
+    assert write_key(store, 'one', 0).lost
+    assert read_key(store) == 'one'
+    assert not write_key(store, 'two', 1).lost
 
 
 def test_key_goes_with_its_lease(
@@ -69,33 +69,33 @@
     """A holder that paused past its lease finds its key gone."""
     granted = store.call('POST', '/v1/leases', body={'ttl_s': 5}).body or {}
     keep = f'/v1/leases/{granted["lease"]}'
-    put(store, 'mine', 0, granted['lease'])
+    write_key(store, 'mine', 0, granted['lease'])
     clock.now = 4.0
     assert store.call('POST', keep).status == 200
     clock.now = 8.9
-    assert read(store) == 'mine'
+    assert read_key(store) == 'mine'
     clock.now = 9.1
-    assert read(store) is None
+    assert read_key(store) is None
     assert store.call('POST', keep).status == 404
 
 
 def test_restored_copy_has_older_revisions(store: platform.Platform) -> None:
     """A platform that comes back from an older copy counts again from it."""
-    put(store, 'old', 0)
+    write_key(store, 'old', 0)
     store.control({'save': True})
-    put(store, 'new', 1)
+    write_key(store, 'new', 1)
     store.control({'restore': True})
-    assert read(store) == 'old'
-    assert put(store, 'other', 1).body == {'revision': 2}
+    assert read_key(store) == 'old'
+    assert write_key(store, 'other', 1).body == {'revision': 2}
 
 
 def test_rates_are_limited_and_calls_counted(
     store: platform.Platform, clock: Clock
 ) -> None:
-    replies = [put(store, 'x', 99).status for _ in range(401)]
+    replies = [write_key(store, 'x', 99).status for _ in range(401)]
     assert replies.count(429) == 1
     clock.now = 1.0
-    assert put(store, 'x', 0).status == 200
+    assert write_key(store, 'x', 0).status == 200
     assert store.calls == {'writes': 402, 'limited': 1}
 
 
@@ -110,7 +110,7 @@
 
 
 def test_watch_answers_above_a_revision(store: platform.Platform) -> None:
-    put(store, json.dumps({}), 0)
+    write_key(store, json.dumps({}), 0)
     path = '/v1/watch/a/b'
     assert store.call('GET', path, {'above': '0'}).status == 200
     assert store.call('GET', path, {'above': '1'}).status == 204
--- a/tests/standins/test_searchers.py
+++ b/tests/standins/test_searchers.py
@@ -16,9 +16,9 @@
 )
 
 
-def make_order(request_id: str, **changes: object) -> wire.Json:
+def make_search(request_id: str, **changes: object) -> wire.Json:
     """Build a sub-request."""
-    order = {
+    search = {
         'request_id': request_id,
         'group': 'desk',
         'shard': 0,
@@ -28,7 +28,7 @@
         'at_most_once': True,
         'query': {},
     }
-    return {**order, **changes}
+    return {**search, **changes}
 
 
 class Caller:
@@ -41,13 +41,13 @@
         self.reader = reader
         self._writer = writer
 
-    def ask(self, path: str, body: wire.Json) -> None:
+    def send(self, path: str, body: wire.Json) -> None:
         """Write one request."""
         data = json.dumps(body).encode()
         head = f'POST {path} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n'
         self._writer.write(head.encode() + data)
 
-    async def hear(self) -> wire.Json:
+    async def receive(self) -> wire.Json:
         """Read one answer."""
         head = await self.reader.readuntil(b'\r\n\r\n')
         length = int(head.rpartition(b'Content-Length: ')[2])
@@ -55,7 +55,7 @@
         return dict(json.loads(body)) if body else {}
 
 
-class Desk:
+class ServedTarget:
     """Own a target with one slot and the connections to it."""
 
     def __init__(self) -> None:
@@ -64,29 +64,29 @@
             self._port = free.getsockname()[1]
         address = f'127.0.0.1:{self._port}'
         target = configurations.Target('desk-00/0', address, 'odori')
-        held = layouts.hold(SERVICE, 1, layouts.FIRST_SNAPSHOT)[0]
+        held = layouts.assign_shards(SERVICE, 1, layouts.FIRST_SNAPSHOT)[0]
         self.stats = searchers.Stats()
         self.searcher = searchers.Searcher(target, SERVICE, held, self.stats)
 
-    async def call(self, count: int) -> list[Caller]:
+    async def connect(self, count: int) -> list[Caller]:
         """Open connections, once the target listens."""
         await self.searcher.start()
         opens = (self._open() for _ in range(count))
         return await asyncio.gather(*opens)
 
-    async def see(self, name: str, count: int) -> None:
+    async def wait_for_count(self, name: str, count: int) -> None:
         """Wait until the target has counted so many."""
-        seen = asyncio.Event()
+        reached = asyncio.Event()
         loop = asyncio.get_running_loop()
 
-        def look() -> None:
+        def check() -> None:
             if self.stats.counts[name] >= count:
-                seen.set()
+                reached.set()
             else:
-                loop.call_soon(look)
+                loop.call_soon(check)
 
-        look()
-        await seen.wait()
+        check()
+        await reached.wait()
 
     async def _open(self) -> Caller:
         streams = await asyncio.open_connection('127.0.0.1', self._port)
@@ -100,34 +100,34 @@
 
 def test_cancelled_waiting_request_never_ran() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        running, waiting, cancelling = await desk.call(3)
-        desk.searcher.behave({'median_ms': 1e6})
-        running.ask('/v1/search', make_order('a'))
-        await desk.see('received', 1)
-        waiting.ask('/v1/search', make_order('b'))
-        await desk.see('received', 2)
-        cancelling.ask('/v1/cancel', make_order('b'))
-        cancelling.ask('/v1/cancel', make_order('a'))
-        hears = (waiting.hear(), running.hear())
-        answers = await asyncio.gather(*hears)
+        target = ServedTarget()
+        running, waiting, cancelling = await target.connect(3)
+        target.searcher.update_behaviour({'median_ms': 1e6})
+        running.send('/v1/search', make_search('a'))
+        await target.wait_for_count('received', 1)
+        waiting.send('/v1/search', make_search('b'))
+        await target.wait_for_count('received', 2)
+        cancelling.send('/v1/cancel', make_search('b'))
+        cancelling.send('/v1/cancel', make_search('a'))
+        replies = (waiting.receive(), running.receive())
+        answers = await asyncio.gather(*replies)
         assert [answer['ran'] for answer in answers] == ['no', 'unknown']
-        assert desk.stats.runs == {'a': 1}
-        desk.searcher.stop()
+        assert target.stats.runs == {'a': 1}
+        target.searcher.stop()
 
     run(scenario())
 
 
 def test_connection_past_the_cap_is_closed_unread() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        callers = await desk.call(4)
-        await desk.see('connections', 4)
-        callers[0].ask('/v1/search', make_order('a'))
-        assert (await callers[0].hear())['rows'][0]['id'] == 'receipt-a'
+        target = ServedTarget()
+        callers = await target.connect(4)
+        await target.wait_for_count('connections', 4)
+        callers[0].send('/v1/search', make_search('a'))
+        assert (await callers[0].receive())['rows'][0]['id'] == 'receipt-a'
         assert not await callers[-1].reader.read()
-        assert desk.stats.counts['connections_refused'] == 1
-        desk.searcher.stop()
+        assert target.stats.counts['connections_refused'] == 1
+        target.searcher.stop()
 
     run(scenario())
 
@@ -142,13 +142,13 @@
 )
 def test_refusal_does_not_run(changes: wire.Json, reason: str) -> None:
     async def scenario() -> None:
-        desk = Desk()
-        caller = (await desk.call(1))[0]
-        caller.ask('/v1/search', make_order('a', **changes))
-        answer = await caller.hear()
+        target = ServedTarget()
+        caller = (await target.connect(1))[0]
+        caller.send('/v1/search', make_search('a', **changes))
+        answer = await caller.receive()
         assert (answer['ran'], answer['reason']) == ('no', reason)
-        assert not desk.stats.runs
-        desk.searcher.stop()
+        assert not target.stats.runs
+        target.searcher.stop()
 
     run(scenario())
 
@@ -162,13 +162,13 @@
     """A broken connection looks the same before and after running."""
 
     async def scenario() -> None:
-        desk = Desk()
-        caller = (await desk.call(1))[0]
-        desk.searcher.behave({'drop': when})
-        caller.ask('/v1/search', make_order('a'))
+        target = ServedTarget()
+        caller = (await target.connect(1))[0]
+        target.searcher.update_behaviour({'drop': when})
+        caller.send('/v1/search', make_search('a'))
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await caller.hear()
-        assert desk.stats.single_runs == runs
-        desk.searcher.stop()
+            await caller.receive()
+        assert target.stats.single_runs == runs
+        target.searcher.stop()
 
     run(scenario())
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -10,12 +10,12 @@
 ROOT: Final = Path(fuchsiahaven.__file__).parent
 PACKAGES: Final = ('core', 'routing', 'platform', 'relay')
 #: Readings of the time of day, which a correction moves in either direction.
-READINGS: Final = frozenset(('time', 'time_ns', 'localtime', 'gmtime'))
+WALL_CLOCK_READS: Final = frozenset(('time', 'time_ns', 'localtime', 'gmtime'))
 #: Readings of a clock that is named by a number. Only the one that counts the
 #: time for which the machine was suspended is read so, in one place.
-NAMED: Final = frozenset(('clock_gettime', 'clock_gettime_ns'))
-UPTIME: Final = 'core/boot_clock.py'
-CLOCK: Final = 'time.CLOCK_BOOTTIME'
+CLOCK_ID_READS: Final = frozenset(('clock_gettime', 'clock_gettime_ns'))
+BOOT_CLOCK_MODULE: Final = 'core/boot_clock.py'
+BOOT_CLOCK_ID: Final = 'time.CLOCK_BOOTTIME'
 #: Each line of the log carries the time of day, for people.
 ALLOWED: Final = {'relay/journal.py'}
 
@@ -30,14 +30,14 @@
     for node in ast.walk(tree):
         match node:
             case ast.Attribute(value=ast.Name(id='time'), attr=attr):
-                yield attr in READINGS
+                yield attr in WALL_CLOCK_READS
             case ast.Import(names=names):
                 yield any(it.name == 'datetime' for it in names)
             case ast.ImportFrom(module='datetime' | 'time'):
                 yield True
 
 
-def test_nothing_is_decided_by_the_time_of_day() -> None:
+def test_decisions_use_the_monotonic_clock() -> None:
     """Symptom: a corrected clock ends requests early, or never.
 
     The time of day jumps by seconds in either direction when it is set right.
@@ -58,13 +58,13 @@
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.Call(func=ast.Attribute(attr=attr), args=[clock, *_]):
-                if attr in NAMED:
+                if attr in CLOCK_ID_READS:
                     yield ast.unparse(clock)
             case ast.Attribute(attr=attr) if attr.startswith('CLOCK_'):
                 yield ast.unparse(node)
 
 
-def test_no_clock_is_read_by_its_number_but_the_one_of_suspensions() -> None:
+def test_only_the_boot_clock_is_read_by_its_id() -> None:
     """Symptom: the same, by a reading that goes under another name.
 
     The age of what is known of keys has to count the time for which the
@@ -75,5 +75,5 @@
         for package in PACKAGES
         for path in ROOT.joinpath(package).rglob('*.py')
     }
-    assert found.pop(UPTIME) == {CLOCK}
+    assert found.pop(BOOT_CLOCK_MODULE) == {BOOT_CLOCK_ID}
     assert not any(found.values())
--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -29,9 +29,9 @@
 )
 
 
-def list_remarks(text: str) -> Iterator[tuple[int, str]]:
+def list_comments(source: str) -> Iterator[tuple[int, str]]:
     """List comments and strings by line; doc comments are strings."""
-    for token in tokenize.generate_tokens(io.StringIO(text).readline):
+    for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type in {tokenize.COMMENT, tokenize.STRING}:
             yield token.start[0], token.string
 
@@ -39,12 +39,12 @@
 @pytest.mark.parametrize(
     'path', sorted(PACKAGE.rglob('*.py')), ids=lambda it: it.stem
 )
-def test_comments_tell_no_story_of_tuning(path: pathlib.Path) -> None:
+def test_comments_hold_no_tuning_history(path: pathlib.Path) -> None:
     """A reader of today's code has no use for how a value was found."""
     found = [
-        (line, told.group())
-        for line, remark in list_remarks(path.read_text())
-        if (told := CLEAR_CASES.search(remark))
+        (line, match.group())
+        for line, comment in list_comments(path.read_text())
+        if (match := CLEAR_CASES.search(comment))
     ]
     assert not found
 
@@ -60,5 +60,5 @@
 )
 def test_finds_the_clear_cases(remark: str) -> None:
     """The check itself is checked."""
-    ((_, told),) = list_remarks(remark)
-    assert CLEAR_CASES.search(told)
+    ((_, comment),) = list_comments(remark)
+    assert CLEAR_CASES.search(comment)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -8,7 +8,7 @@
 import fuchsiahaven
 
 ROOT: Final = Path(fuchsiahaven.__file__).parent
-NAME: Final = 'fuchsiahaven'
+PACKAGE_NAME: Final = 'fuchsiahaven'
 #: What each package may import of the others, besides itself.
 ALLOWED: Final = {
     'core': set(),
@@ -44,7 +44,7 @@
     """List the modules of this project that a module imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
-            if node.module.split('.')[0] == NAME:
+            if node.module.split('.')[0] == PACKAGE_NAME:
                 yield from (
                     f'{node.module}.{alias.name}' for alias in node.names
                 )
@@ -77,7 +77,7 @@
     assert not wrong
 
 
-def test_each_package_of_the_core_is_held_to_a_direction() -> None:
+def test_each_core_package_declares_its_imports() -> None:
     """A new package must say what it may import."""
     packages = {
         f'core.{path.parent.name}' for path in ROOT.glob('core/*/__init__.py')
--- a/tools/build_archive.py
+++ b/tools/build_archive.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Final
 
-RUN_TIME: Final = (
+RUNTIME_LIBRARIES: Final = (
     'absl-py',
     'cheroot',
     'fastjsonschema',
@@ -18,20 +18,22 @@
     'prometheus_client',
     'urllib3',
 )
-MODE: Final = 0o755
-STAGE: Final = Path('build/archive')
-COMPILED: Final = frozenset(('.so', '.pyd', '.dll', '.dylib'))
+ARCHIVE_MODE: Final = 0o755
+STAGING_DIR: Final = Path('build/archive')
+COMPILED_SUFFIXES: Final = frozenset(('.so', '.pyd', '.dll', '.dylib'))
 #: Parts of the libraries that are their own tests or reach outside the stage.
-UNUSED: Final = frozenset(('test', 'tests', 'testing', '..', '__pycache__'))
+EXCLUDED_PARTS: Final = frozenset(
+    ('test', 'tests', 'testing', '..', '__pycache__')
+)
 
 
 def copy_library(name: str, stage: Path) -> None:
     """Copy the files of an installed library."""
-    for found in metadata.distribution(name).files or ():
-        if UNUSED.isdisjoint(found.parts):
-            target = stage / found
+    for file in metadata.distribution(name).files or ():
+        if EXCLUDED_PARTS.isdisjoint(file.parts):
+            target = stage / file
             target.parent.mkdir(parents=True, exist_ok=True)
-            shutil.copyfile(str(found.locate()), target)
+            shutil.copyfile(str(file.locate()), target)
 
 
 def compile_modules(stage: Path) -> None:
@@ -53,34 +55,36 @@
 
 def find_compiled(stage: Path) -> list[Path]:
     """Find what an archive cannot run without unpacking it."""
-    return [path for path in stage.rglob('*') if path.suffix in COMPILED]
+    return [
+        path for path in stage.rglob('*') if path.suffix in COMPILED_SUFFIXES
+    ]
 
 
 def main(arguments: list[str]) -> int:
     """Build the archive at the path given."""
     archive = Path(arguments[0])
-    shutil.rmtree(STAGE, ignore_errors=True)
+    shutil.rmtree(STAGING_DIR, ignore_errors=True)
     shutil.copytree(
         'fuchsiahaven',
-        STAGE / 'fuchsiahaven',
+        STAGING_DIR / 'fuchsiahaven',
         ignore=shutil.ignore_patterns('__pycache__'),
     )
-    for name in RUN_TIME:
-        copy_library(name, STAGE)
-    compiled = find_compiled(STAGE)
+    for name in RUNTIME_LIBRARIES:
+        copy_library(name, STAGING_DIR)
+    compiled = find_compiled(STAGING_DIR)
     if compiled:
         print(f'Compiled files cannot ship: {compiled}')
         return 1
-    shutil.copyfile('fuchsiahaven/__main__.py', STAGE / '__main__.py')
-    compile_modules(STAGE)
+    shutil.copyfile('fuchsiahaven/__main__.py', STAGING_DIR / '__main__.py')
+    compile_modules(STAGING_DIR)
     archive.parent.mkdir(parents=True, exist_ok=True)
     zipapp.create_archive(
-        STAGE,
+        STAGING_DIR,
         archive,
         interpreter='/usr/bin/env python3',
         compressed=True,
     )
-    archive.chmod(MODE)
+    archive.chmod(ARCHIVE_MODE)
     return 0
 
 
--- a/tools/check_archive.py
+++ b/tools/check_archive.py
@@ -16,8 +16,8 @@
     """Import all that the archive given holds of the package."""
     sys.path.insert(0, arguments[0])
     package = importlib.import_module(PACKAGE)
-    found = pkgutil.walk_packages(package.__path__, f'{PACKAGE}.')
-    names = [module.name for module in found]
+    modules = pkgutil.walk_packages(package.__path__, f'{PACKAGE}.')
+    names = [module.name for module in modules]
     for name in names:
         module = importlib.import_module(name)
         assert str(module.__file__).startswith(arguments[0]), name
--- a/tools/check_lock.py
+++ b/tools/check_lock.py
@@ -18,8 +18,8 @@
 def find_stale(pins: list[tuple[str, str]]) -> list[str]:
     """Find the pinned names whose installed version is another or none."""
     installed = {
-        _normalize(found.metadata['Name']): found.version
-        for found in metadata.distributions()
+        _normalize(distribution.metadata['Name']): distribution.version
+        for distribution in metadata.distributions()
     }
     return [
         name
