--- a/fuchsiahaven/edge/http_server.py
+++ b/fuchsiahaven/edge/http_server.py
@@ -163,7 +163,7 @@
 
     def communicate(self) -> Any:
         """Read one request and answer it."""
-        self._timed_socket.deadline = time.monotonic() + self.server.read_s
+        self._timed_socket.deadline = time.monotonic() + self.server.read_timeout_s
         # The library tells each request what stands here of its connection.
         self.ssl_env = {**(self.ssl_env or {}), ARRIVED_KEY: self.arrived}
         library: Any = super()
