--- a/fuchsiahaven/edge/claim_owners.py
+++ b/fuchsiahaven/edge/claim_owners.py
@@ -1,4 +1,4 @@
-"""Let one member write the claims of a bucket, as a hint that saves calls."""
+"""Choose which member writes the claims of a bucket, to save calls."""
 
 from collections.abc import Callable, Mapping
 from typing import Final, NamedTuple
@@ -6,7 +6,7 @@
 from fuchsiahaven.core import rendezvous
 from fuchsiahaven.core.claims import claim_calls, claim_codecs
 
-# A member that has not answered is asked again after this long, in seconds.
+# A member that did not answer is skipped for this long.
 SILENT_RETRY_DELAY_S: Final = 5.0
 FORWARD_TIMEOUT_S: Final = 0.4
 
@@ -14,27 +14,28 @@
 
 
 class MemberAddresses(NamedTuple):
-    """Bring the members of the data centre: name to peer address."""
+    """Hold the members of the data centre: name to peer address."""
 
     own_name: str
     addresses: Mapping[str, str]
 
 
 class ClaimOwners:
-    """Own what is known of the members that could write for us."""
+    """Own the members that may write claims for this host."""
 
     def __init__(self, send: SendClaims, clock: Callable[[], float]) -> None:
-        """Know nobody; `ask` posts a body to an address within seconds."""
+        """Start empty; `send` posts a body to an address with a timeout."""
         self.members = MemberAddresses('', {})
         self._send = send
         self._clock = clock
         self._silent_until: dict[str, float] = {}
 
     def choose_owner(self, key: str) -> str:
-        """Choose the member that writes this bucket; empty for ourselves.
+        """Choose the member that writes this bucket; empty for this host.
 
-        All hosts choose alike, so that few of them write one key. Whoever
-        writes, the platform decides.
+        All hosts choose alike, so that few of them write the same key. The
+        choice only saves calls: the platform decides each claim, whoever
+        writes it.
         """
         bucket = key.rpartition('/')[0]
         names = rendezvous.rank(bucket, self.members.addresses)
@@ -46,7 +47,7 @@
     def forward(
         self, call: claim_calls.ForwardSteps, owner: str
     ) -> claim_calls.Result:
-        """Ask a member for its verdicts."""
+        """Forward steps to a member and return its results."""
         address = self.members.addresses.get(owner)
         if address is None:
             return claim_calls.ForwardRefused()
--- a/fuchsiahaven/edge/claim_queues.py
+++ b/fuchsiahaven/edge/claim_queues.py
@@ -1,42 +1,42 @@
-"""Keep whose turn it is among the keys of a claims worker."""
+"""Queue the keys of a claims worker, each until it is due."""
 
 import collections
 import math
 from typing import Final
 
-# A key is forgotten once nothing has happened to it for this long.
+# A key that was idle for this long is removed.
 MAX_IDLE_S: Final = 30.0
 
 
 class KeyQueue:
-    """Hold the keys that are ready, those that wait, and their last use."""
+    """Hold the ready keys, the delayed keys and the last use of each."""
 
     def __init__(self) -> None:
-        """Start without a key."""
+        """Start empty."""
         self._ready: collections.deque[str] = collections.deque()
         self._delayed: dict[str, float] = {}
         self._last_used: dict[str, float] = {}
 
     def __bool__(self) -> bool:
-        """Tell whether any key has something to do, now or later."""
+        """Return whether any key is ready or delayed."""
         return bool(self._ready or self._delayed)
 
     def schedule(self, key: str, due: float, now: float) -> None:
-        """Give a key a turn, not before `due`."""
+        """Queue a key, to be popped no earlier than `due`."""
         if due > now:
             self._delayed[key] = due
         elif key not in self._ready:
             self._ready.append(key)
 
     def compute_wait(self, now: float) -> float:
-        """Say for how long no key has a turn."""
+        """Return the seconds until the next key is due."""
         if self._ready:
             return 0.0
         due = min(self._delayed.values(), default=math.inf)
         return min(max(0.0, due - now), MAX_IDLE_S)
 
     def pop(self, now: float) -> str | None:
-        """Take the key whose turn it is."""
+        """Remove and return the next key that is due."""
         for delayed, due in tuple(self._delayed.items()):
             if due <= now:
                 self._delayed.pop(delayed)
@@ -44,13 +44,13 @@
         if not self._ready:
             return None
         key = self._ready.popleft()
-        # What was used last stands last, so the oldest come first.
+        # Reinsertion keeps the dictionary ordered by last use.
         self._last_used.pop(key, None)
         self._last_used[key] = now
         return key
 
     def expire_idle(self, now: float) -> list[str]:
-        """Forget the keys that have had no turn for long, and have none."""
+        """Remove and return the keys that are idle and not queued."""
         idle = []
         while (
             self._last_used
--- a/fuchsiahaven/edge/claim_stores.py
+++ b/fuchsiahaven/edge/claim_stores.py
@@ -1,4 +1,4 @@
-"""Make the platform calls of claims and say what came of them."""
+"""Make the platform calls of claims and report their results."""
 
 import contextlib
 import time
@@ -10,8 +10,7 @@
 from fuchsiahaven.operate import logs
 
 PART: Final = 'claims'
-# A platform that has failed is asked again after this long, in seconds;
-# until then claims are refused without a call.
+# After a failed call, claims are refused without a call for this long.
 RETRY_DELAY_S: Final = 0.5
 LEASE_TTL_S: Final = 2 * (
     claims.MAX_ID_AGE_S + claims.SLOT_S + 2 * claims.MAX_CLOCK_SKEW_S
@@ -22,7 +21,7 @@
 
 
 class Clocks(NamedTuple):
-    """Hold the two clocks, for tests to replace."""
+    """Hold the monotonic and the wall clock; tests replace them."""
 
     monotonic: Callable[[], float] = time.monotonic
     epoch: Callable[[], float] = time.time
@@ -42,10 +41,10 @@
 
 
 class ClaimStore:
-    """Own a store, the lease for its writes and what is known of both."""
+    """Own a connection to the platform and the lease for its writes."""
 
     def __init__(self, platform: store.Store, clocks: Clocks) -> None:
-        """Take a store over; `close` closes it."""
+        """Take over a store; `close` closes it."""
         self.down_until = 0.0
         self.close = platform.close
         self._store = platform
@@ -57,7 +56,7 @@
     def execute(
         self, store_call: claim_calls.ReadKey | claim_calls.CompareAndSwap
     ) -> claim_calls.Result:
-        """Make one call. Raises store.StoreOverBudget."""
+        """Make one call and return its result. Raises store.StoreOverBudget."""
         if self._clocks.monotonic() < self.down_until:
             return claim_calls.CallFailed(PLATFORM_DOWN)
         try:
@@ -69,8 +68,8 @@
         return self._check_clock(result)
 
     def find_refusal_reason(self, key: str) -> str:
-        """Say why no claim of a key may ever be granted; empty if one may."""
-        # What was claimed before the loss may have run and be forgotten.
+        """Return why a key's claims are never granted; empty if they may be."""
+        # An id claimed before the loss may have run without a trace.
         may_be_lost = float(key.rpartition('/')[2]) <= self._lost_until_epoch
         return CLAIMS_LOST if may_be_lost else ''
 
@@ -101,11 +100,11 @@
         return claim_calls.CallFailed(PLATFORM_DOWN)
 
     def _check_revision(self, revision: int) -> claim_calls.Result:
-        """Refuse a grant where the platform has lost earlier writes.
+        """Refuse a grant if the platform has lost earlier writes.
 
-        A platform that was put back to an older copy has forgotten claims,
-        and their ids would run twice. Its revisions, which only grow, show
-        it: this write got one that was given before.
+        A platform that was restored from an older copy has lost claims, and
+        their ids would run twice. Revisions only grow, so a write that gets
+        an already used revision reveals the restore.
         """
         has_grown = revision > self._highest_revision
         self._highest_revision = revision
@@ -116,11 +115,11 @@
         return claim_calls.WriteDistrusted(CLAIMS_LOST)
 
     def _check_clock(self, result: claim_calls.Result) -> claim_calls.Result:
-        """Refuse claims while this host's clock is far off the platform's.
+        """Refuse claims while this host's clock differs from the platform's.
 
-        A clock that is behind takes an id whose key has gone, and the id
-        would run twice. Every write follows a read or a lease, so a wrong
-        clock shows before the first of them.
+        A host whose clock is behind would accept an id whose key has already
+        expired, and the id would run twice. Every write follows a read or a
+        lease call, so a wrong clock shows before the first write.
         """
         date_epoch = self._store.date_epoch
         if date_epoch is None:
@@ -134,17 +133,17 @@
         return claim_calls.CallFailed(CLOCK_DIFFERS)
 
     def _get_lease(self, key: str) -> str:
-        """Find a lease that outlives every use of a key's ids."""
+        """Return a lease that outlives every use of a key's ids."""
         needed_until = claims.compute_key_expiry(float(key.rpartition('/')[2]))
         if self._lease.ends_epoch < needed_until:
-            # Counted from before the call, it never ends earlier than this.
+            # Computed before the call, so that the lease ends no earlier.
             ends_epoch = self._clocks.epoch() + LEASE_TTL_S
             self._lease = Lease(self._open_lease(), ends_epoch)
         return self._lease.name
 
     def _open_lease(self) -> str:
-        # Where the answer is lost, a second lease does no harm: the first
-        # has no key and ends by itself.
+        # After a lost answer a second lease does no harm: the first one
+        # holds no key and expires by itself.
         with contextlib.suppress(store.StoreUnclear):
             return self._store.open_lease(LEASE_TTL_S)
         try:
--- a/fuchsiahaven/edge/claim_task.py
+++ b/fuchsiahaven/edge/claim_task.py
@@ -1,4 +1,4 @@
-"""Settle the claims of at-most-once requests for the dispatch loop."""
+"""Run the claims of at-most-once requests for the dispatch loop."""
 
 import contextlib
 import queue
@@ -17,9 +17,9 @@
     store,
 )
 
-# One worker for each bucket. As one member of a data centre writes a bucket
-# for all, the rates bound what a data centre costs the platform, whatever its
-# number of hosts; past them more claims go in each write.
+# One worker per bucket. One member of a data centre writes a bucket for all,
+# so the rates bound the load of a data centre on the platform whatever its
+# number of hosts; above them, more claims share each write.
 WORKER_COUNT: Final = claims.BUCKET_COUNT
 _READS_PER_S: Final = 50.0
 _WRITES_PER_S: Final = 25.0
@@ -28,19 +28,19 @@
     write_rate=rates.Rate(_WRITES_PER_S, _WRITES_PER_S),
 )
 NONCE_BYTES: Final = 9
-# A member that asks us waits this long at most for what came of its steps.
+# A member that forwards steps waits at most this long for their results.
 MAX_MEMBER_WAIT_S: Final = 0.3
-# Were all threads of the peer port to wait with claims, gossip would time out
-# and this host would be taken for dead.
+# If claims occupied all threads of the peer port, gossip would time out and
+# this host would be taken for dead.
 MAX_MEMBER_BATCHES: Final = 16
-# A holder whose time is over by this much, in seconds, starts no more.
+# A claim holder this far past its deadline starts nothing any more.
 START_EXPIRY_MARGIN_S: Final = 2.0
 Action = messages.Claim | messages.RecordOutcome | messages.ReleaseClaim
 Post = Callable[[messages.ClaimSettled], None]
 
 
 class Task:
-    """Own the workers; the loop hands actions in and gets events back."""
+    """Own the workers; take actions of the loop and post events to it."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         ]
 
     def start(self, post: Post, stack: contextlib.ExitStack) -> None:
-        """Start the workers; the stack ends them."""
+        """Start the workers; the stack stops them."""
         self._post = post
         for index, worker in enumerate(self._workers):
             thread = threading.Thread(target=worker.run, name=f'claims-{index}')
@@ -75,7 +75,7 @@
             stack.callback(worker.post, claim_workers.StopRequested())
 
     def perform(self, action: Action) -> None:
-        """Take an action of the dispatch loop; it never blocks."""
+        """Perform an action of the dispatch loop without blocking."""
         time_epoch = request_ids.parse_epoch(action.request_id)
         match action:
             case messages.Claim():
@@ -86,15 +86,15 @@
                 self._end_attempt(request_id, time_epoch, None)
 
     def update_members(self, members: claim_owners.MemberAddresses) -> None:
-        """Take the members that may write claims for each other."""
+        """Update the members that may write claims for each other."""
         for worker in self._workers:
             worker.post(members)
 
     def handle_claims(self, body: bytes) -> bytes | None:
-        """Write what a member asks for; None where it is not well formed.
+        """Write a member's batch of steps; None if it is malformed.
 
-        What is not settled in time is left out, and the member finds out by
-        itself.
+        Steps without a result in time are left out of the answer, and the
+        member treats them as unanswered.
         """
         batch = claim_codecs.decode_batch(body)
         now_epoch = self._clocks.epoch()
@@ -111,7 +111,7 @@
             self._batch_permits.release()
 
     def _write_batch(self, batch: claim_codecs.Batch) -> bytes:
-        settlements: queue.SimpleQueue[claim_calls.StepResult] = (
+        result_queue: queue.SimpleQueue[claim_calls.StepResult] = (
             queue.SimpleQueue()
         )
         deadline = self._clocks.monotonic() + MAX_MEMBER_WAIT_S
@@ -119,14 +119,18 @@
         for step in batch.steps:
             pending = claim_calls.PendingStep(step, deadline, is_own=False)
             worker.post(
-                claim_workers.StepSubmitted(batch.key, pending, settlements.put)
+                claim_workers.StepSubmitted(
+                    batch.key, pending, result_queue.put
+                )
             )
-        settled: list[claim_calls.StepResult] = []
+        step_results: list[claim_calls.StepResult] = []
         with contextlib.suppress(queue.Empty):
-            while len(settled) < len(batch.steps):
+            while len(step_results) < len(batch.steps):
                 remaining_s = deadline - self._clocks.monotonic()
-                settled.append(settlements.get(timeout=max(0.0, remaining_s)))
-        return claim_codecs.encode_results(tuple(settled))
+                step_results.append(
+                    result_queue.get(timeout=max(0.0, remaining_s))
+                )
+        return claim_codecs.encode_results(tuple(step_results))
 
     def _start_claim(
         self, claim: messages.Claim, time_epoch: float | None
@@ -137,7 +141,7 @@
                 claim.token,
                 messages.ClaimResult.EXPIRED,
                 start_expired=time_epoch is not None,
-                detail='the id is no UUIDv7 of the last minutes',
+                detail='the id is not a UUIDv7 of the last minutes',
             )
             self._post(expired)
             return
@@ -146,8 +150,10 @@
         attempt = claims.Attempt(claim.request_id, nonce, not_after_epoch)
         key = claims.make_key(claim.request_id, time_epoch)
 
-        def on_settled(settled: claim_calls.StepResult) -> None:
-            self._post(_build_event(claim.token, settled, self._clocks.epoch()))
+        def on_settled(step_result: claim_calls.StepResult) -> None:
+            self._post(
+                _build_event(claim.token, step_result, self._clocks.epoch())
+            )
 
         pending = claim_calls.PendingStep(attempt, claim.deadline)
         self._get_worker(key).post(
@@ -171,8 +177,8 @@
 
 
 def _belongs_to_key(request_id: str, key: str, now_epoch: float) -> bool:
-    # A host that finds another key for an id would let it run twice, and so
-    # would one whose clock is so far behind that the key has gone.
+    # A host that computes another key for an id would let it run twice, and
+    # so would one whose clock is so far behind that the key has expired.
     time_epoch = request_ids.parse_epoch(request_id)
     if time_epoch is None or now_epoch >= claims.compute_key_expiry(time_epoch):
         return False
@@ -180,25 +186,25 @@
 
 
 def _build_event(
-    token: int, settled: claim_calls.StepResult, now_epoch: float
+    token: int, step_result: claim_calls.StepResult, now_epoch: float
 ) -> messages.ClaimSettled:
-    held = settled.claim
+    claim = step_result.claim
     event = messages.ClaimSettled(
         token,
-        settled.result,
-        maybe_written=settled.maybe_written,
-        detail=settled.detail,
-        request_id=settled.pending.step.request_id,
+        step_result.result,
+        maybe_written=step_result.maybe_written,
+        detail=step_result.detail,
+        request_id=step_result.pending.step.request_id,
     )
-    if settled.maybe_written:
+    if step_result.maybe_written:
         event = event._replace(
             detail=f'{event.detail}; {claims.MAYBE_CLAIMED_DETAIL}'
         )
-    if held is None:
+    if claim is None:
         return event
     return event._replace(
-        not_after_epoch=held.not_after_epoch,
-        outcome=held.outcome,
-        completed=held.stage is claims.Stage.DONE,
-        start_expired=held.not_after_epoch + START_EXPIRY_MARGIN_S < now_epoch,
+        not_after_epoch=claim.not_after_epoch,
+        outcome=claim.outcome,
+        completed=claim.stage is claims.Stage.DONE,
+        start_expired=claim.not_after_epoch + START_EXPIRY_MARGIN_S < now_epoch,
     )
--- a/fuchsiahaven/edge/claim_workers.py
+++ b/fuchsiahaven/edge/claim_workers.py
@@ -1,4 +1,4 @@
-"""Write claims of some keys through the platform, one call at a time."""
+"""Write the claims of some keys to the platform, one call at a time."""
 
 import math
 import queue
@@ -14,16 +14,16 @@
     store,
 )
 
-# An outcome waits this long for a claim whose write it can share.
+# An outcome waits this long for a claim that can share its write.
 OUTCOME_WRITE_DELAY_S: Final = 0.2
-# A host that stops gives the platform this long to take its outcomes.
+# A stopping host has this long to write its outcomes.
 FLUSH_TIMEOUT_S: Final = 1.0
 
 OnSettled = Callable[[claim_calls.StepResult], None]
 
 
 class StepSubmitted(NamedTuple):
-    """Bring one step of a key and who waits for what comes of it."""
+    """Hold a step of a key and the callback for its result."""
 
     key: str
     pending: claim_calls.PendingStep
@@ -31,13 +31,13 @@
 
 
 class StopRequested(NamedTuple):
-    """Ask the worker to end once its outcomes are written, or soon."""
+    """Request the end, once outcomes are written or time is up."""
 
 
 class AttemptEnded(NamedTuple):
-    """Bring how a granted attempt ended; None where nothing ran.
+    """Hold the outcome of a granted attempt; None if nothing ran.
 
-    It waits for the platform until `give_up`, in monotonic seconds.
+    It is written by `deadline`, in monotonic seconds, or dropped.
     """
 
     key: str
@@ -52,14 +52,14 @@
 
 
 class GrantedAttempt(NamedTuple):
-    """Remember the nonce of a granted attempt until a monotonic time."""
+    """Hold the nonce of a granted attempt and its monotonic expiry."""
 
     nonce: str
     expires: float
 
 
 class Worker:
-    """Own the commits of some keys, a store and a thread's loop."""
+    """Own the state of some keys, a store and the loop of a thread."""
 
     def __init__(
         self,
@@ -67,23 +67,23 @@
         owners: claim_owners.ClaimOwners,
         clock: Callable[[], float],
     ) -> None:
-        """Prepare without starting; `run` is for a thread of its own."""
+        """Prepare without starting; `run` needs a thread of its own."""
         self._claim_store = claim_store
         self._owners = owners
         self._clock = clock
         self._inbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
-        self._commits: dict[str, commits.KeyState] = {}
+        self._key_states: dict[str, commits.KeyState] = {}
         self._key_queue = claim_queues.KeyQueue()
         self._callbacks: dict[claims.Step, OnSettled] = {}
         self._granted: dict[str, GrantedAttempt] = {}
         self._paused_until = 0.0
 
     def post(self, message: Message) -> None:
-        """Hand in a message; any thread may call this."""
+        """Queue a message; any thread may call this."""
         self._inbox.put(message)
 
     def run(self) -> None:
-        """Serve until `Closed` comes, then write the outcomes that wait."""
+        """Serve until `StopRequested`, then write pending outcomes."""
         while self._handle_messages(self._compute_wait()):
             self._run_once()
         deadline = self._clock() + FLUSH_TIMEOUT_S
@@ -97,14 +97,14 @@
             return
         key = self._key_queue.pop(now)
         if key is not None:
-            self._advance_commit(key, now)
+            self._advance_key(key, now)
         for idle_key in self._key_queue.expire_idle(now):
-            self._commits.pop(idle_key)
+            self._key_states.pop(idle_key)
         while self._granted:
             request_id, granted = next(iter(self._granted.items()))
             if granted.expires > now:
                 break
-            # The request never told how it ended; nobody may ask any more.
+            # No outcome came, and the id can no longer be claimed.
             self._granted.pop(request_id)
 
     def _compute_wait(self) -> float:
@@ -133,16 +133,16 @@
         return True
 
     def _add_step(self, submitted: StepSubmitted) -> None:
-        # A host that lost our answer sends its outcome again and again; one
-        # copy in the queue is enough, and only the last asker still waits.
+        # A host that lost our answer keeps resending its outcome: one copy
+        # in the queue is enough, and only the last sender still waits.
         is_pending = submitted.pending.step in self._callbacks
         self._callbacks[submitted.pending.step] = submitted.on_settled
         if not is_pending:
-            commit = self._commits.get(
+            key_state = self._key_states.get(
                 submitted.key, commits.KeyState(submitted.key)
             )
-            self._commits[submitted.key] = commits.add_steps(
-                commit, (submitted.pending,)
+            self._key_states[submitted.key] = commits.add_steps(
+                key_state, (submitted.pending,)
             )
             self._key_queue.schedule(submitted.key, 0, self._clock())
 
@@ -159,22 +159,22 @@
         pending = claim_calls.PendingStep(
             step, ended.deadline, write_at=write_at
         )
-        self._add_step(StepSubmitted(ended.key, pending, _ignore_settlement))
+        self._add_step(StepSubmitted(ended.key, pending, _ignore_result))
 
-    def _advance_commit(self, key: str, now: float) -> None:
-        """Make one call for a key; keys take turns."""
-        commit = self._commits[key]
+    def _advance_key(self, key: str, now: float) -> None:
+        """Make one call for a key."""
+        key_state = self._key_states[key]
         owner = self._owners.choose_owner(key)
         refusal_reason = self._claim_store.find_refusal_reason(key)
-        if refusal_reason and commits.has_attempts(commit):
+        if refusal_reason and commits.has_attempts(key_state):
             self._apply_update(
-                key, commits.refuse_attempts(commit, refusal_reason, now)
+                key, commits.refuse_attempts(key_state, refusal_reason, now)
             )
             return
-        commit, next_call, settlements = commits.choose_next_call(
-            commit, now, forward=bool(owner)
+        key_state, next_call, step_results = commits.choose_next_call(
+            key_state, now, forward=bool(owner)
         )
-        self._apply_update(key, (commit, settlements))
+        self._apply_update(key, (key_state, step_results))
         if next_call is None:
             return
         try:
@@ -183,39 +183,39 @@
             else:
                 result = self._claim_store.execute(next_call)
         except store.StoreOverBudget as error:
-            # The steps wait, and so more of them go together in one write.
+            # The waiting steps accumulate and share one write later.
             self._paused_until = now + error.retry_after
-            self._commits[key] = commits.record_delay(commit)
+            self._key_states[key] = commits.record_delay(key_state)
             return
-        update = commits.handle_result(commit, result, self._clock())
+        update = commits.handle_result(key_state, result, self._clock())
         self._apply_update(key, update)
 
     def _apply_update(
         self, key: str, update: tuple[commits.KeyState, claim_calls.StepResults]
     ) -> None:
-        commit, settlements = update
-        self._commits[key] = commit
-        for settled in settlements:
-            self._record_grant(settled)
-            on_settled = self._callbacks.pop(settled.pending.step, None)
+        key_state, step_results = update
+        self._key_states[key] = key_state
+        for step_result in step_results:
+            self._record_grant(step_result)
+            on_settled = self._callbacks.pop(step_result.pending.step, None)
             if on_settled is not None:
-                on_settled(settled)
-        due = commits.compute_next_write_at(commit)
+                on_settled(step_result)
+        due = commits.compute_next_write_at(key_state)
         if due < math.inf:
             due = max(due, self._claim_store.down_until)
             self._key_queue.schedule(key, due, self._clock())
 
-    def _record_grant(self, settled: claim_calls.StepResult) -> None:
-        step = settled.pending.step
-        is_granted = settled.result is messages.ClaimResult.GRANTED
+    def _record_grant(self, step_result: claim_calls.StepResult) -> None:
+        step = step_result.pending.step
+        is_granted = step_result.result is messages.ClaimResult.GRANTED
         if (
             is_granted
-            and settled.pending.is_own
+            and step_result.pending.is_own
             and isinstance(step, claims.Attempt)
         ):
             expires = self._clock() + claims.MAX_ID_AGE_S
             self._granted[step.request_id] = GrantedAttempt(step.nonce, expires)
 
 
-def _ignore_settlement(settled: claim_calls.StepResult) -> None:
-    """Let nobody wait for an outcome to be kept."""
+def _ignore_result(step_result: claim_calls.StepResult) -> None:
+    """Ignore the result of writing an outcome: no caller waits for it."""
--- a/tests/edge/test_claim_task.py
+++ b/tests/edge/test_claim_task.py
@@ -1,4 +1,4 @@
-"""Test claims over real connections against the platform's stand-in."""
+"""Test claims over real connections to the platform's stand-in."""
 
 import asyncio
 import contextlib
@@ -14,8 +14,7 @@
 from fuchsiahaven.core import request_ids
 from fuchsiahaven.core.claims import claims
 from fuchsiahaven.core.targets import messages
-from fuchsiahaven.edge import claim_owners, claim_stores, store
-from fuchsiahaven.edge import claim_task as claim_tasks
+from fuchsiahaven.edge import claim_owners, claim_stores, claim_task, store
 from standins import platform as standin
 
 GRANTED = messages.ClaimResult.GRANTED
@@ -26,13 +25,13 @@
 
 
 class ClaimSystem:
-    """Own the platform's stand-in and the hosts' claims tasks."""
+    """Own the platform's stand-in and the claims tasks of the hosts."""
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
-        """Serve the platform from a thread of its own."""
+        """Serve the platform in a separate thread."""
         self.stack = stack
         self.platform = standin.Platform()
-        self.tasks: dict[str, claim_tasks.Task] = {}
+        self.tasks: dict[str, claim_task.Task] = {}
         self.loop = asyncio.new_event_loop()
         with socket.create_server(('127.0.0.1', 0)) as probe:
             self.port = probe.getsockname()[1]
@@ -49,14 +48,14 @@
         self.platform.control(settings)
 
     def open_store(self) -> store.Store:
-        """Open a store that gives a silent platform up soon."""
+        """Open a store with a short timeout."""
         limits = store.Limits(read_timeout_s=0.2)
         return store.Store(f'http://127.0.0.1:{self.port}', limits)
 
     def send_to_member(
         self, address: str, body: bytes, timeout_s: float
     ) -> bytes | None:
-        """Reach a member by its name; 'lost-x' does it and loses the word."""
+        """Call the member of this name; 'lost-x' calls x, drops the answer."""
         loses_answer, _, name = address.rpartition('-')
         member = self.tasks.get(name)
         answer = member.handle_claims(body) if member else None
@@ -64,50 +63,50 @@
 
 
 class TrueDate:
-    """Stand for a platform that tells the time in every answer."""
+    """Replace the platform's clock by the true time."""
 
     def __get__(self, owner: object, kind: type) -> float:
-        """Give the true time."""
+        """Return the true time."""
         return time.time()
 
     def __set__(self, owner: object, value: float | None) -> None:
-        """Ignore what the stand-in told."""
+        """Ignore the stand-in's time."""
 
 
 class Host:
-    """Hold one host's claims task and what it tells the loop."""
+    """Hold a host's claims task and the events it posts to the loop."""
 
     def __init__(
         self,
-        world: ClaimSystem,
+        system: ClaimSystem,
         name: str = 'a',
         clocks: claim_stores.Clocks = claim_stores.CLOCKS,
     ) -> None:
         """Start the task."""
         self.settled: queue.SimpleQueue[messages.ClaimSettled]
         self.settled = queue.SimpleQueue()
-        self.task = claim_tasks.Task(
-            world.open_store, world.send_to_member, clocks
+        self.task = claim_task.Task(
+            system.open_store, system.send_to_member, clocks
         )
-        self.task.start(self.settled.put, world.stack)
-        world.tasks[name] = self.task
+        self.task.start(self.settled.put, system.stack)
+        system.tasks[name] = self.task
         self._token = 0
 
     def submit(self, request_id: str) -> None:
-        """Ask for the right to run a request."""
+        """Claim a request without waiting for the result."""
         self._token += 1
         deadline = time.monotonic() + ANSWER_TIMEOUT_S
         self.task.perform(messages.Claim(self._token, request_id, deadline))
 
     def claim(self, request_id: str) -> messages.ClaimSettled:
-        """Ask and wait for the answer."""
+        """Claim a request and wait for the result."""
         self.submit(request_id)
         return self.settled.get(timeout=ANSWER_TIMEOUT_S)
 
     def claim_until(
         self, request_id: str, wanted: messages.ClaimResult = GRANTED
     ) -> messages.ClaimSettled:
-        """Ask again until the claim is granted, or is held and done."""
+        """Claim again until the claim is granted, or held and completed."""
         deadline = time.monotonic() + ANSWER_TIMEOUT_S
         while time.monotonic() < deadline:
             settled = self.claim(request_id)
@@ -119,25 +118,24 @@
 
 
 @pytest.fixture
-def world() -> Iterator[ClaimSystem]:
-    """Run a platform; end it and all tasks with the test."""
+def system() -> Iterator[ClaimSystem]:
+    """Run a platform; stop it and all tasks with the test."""
     with contextlib.ExitStack() as stack:
         yield ClaimSystem(stack)
 
 
 def make_request_id(age_s: float = 0) -> str:
-    """Mint an id of a caller."""
+    """Make the request id of a caller."""
     return request_ids.make_request_id(time.time() - age_s, time.monotonic_ns())
 
 
-def test_grants_one_id_once_across_hosts(world: ClaimSystem) -> None:
-    """Grant one of many attempts that race for one id.
+def test_grants_one_id_once_across_hosts(system: ClaimSystem) -> None:
+    """Grant one of several concurrent attempts for one id.
 
-    Symptom: a refund runs twice. Sequence: an impatient caller sends it to
-    two hosts at the same moment, several times. Cause: both read the key
-    before either has written it.
+    Guards against a refund that runs twice: a caller sends it to two hosts
+    at once, several times, and both read the key before either writes it.
     """
-    hosts = [Host(world, 'a'), Host(world, 'b')]
+    hosts = [Host(system, 'a'), Host(system, 'b')]
     request_ids_sent = [make_request_id() for _ in range(20)]
     for request_id in request_ids_sent:
         for host in hosts:
@@ -153,143 +151,144 @@
     assert {it.result for it in settled} == {GRANTED, HELD}
 
 
-def test_refuses_an_id_outside_its_window(world: ClaimSystem) -> None:
-    host = Host(world)
+def test_refuses_an_id_outside_its_window(system: ClaimSystem) -> None:
+    host = Host(system)
     for age_s in (claims.MAX_ID_AGE_S + 1, -claims.MAX_ID_AHEAD_S - 1):
         assert host.claim(make_request_id(age_s)).result is EXPIRED
-    assert not world.platform.calls
+    assert not system.platform.calls
 
 
-def test_reads_a_claim_back_after_a_lost_answer(world: ClaimSystem) -> None:
-    """Grant a claim whose write took effect though its answer was lost.
+def test_reads_a_claim_back_after_a_lost_answer(system: ClaimSystem) -> None:
+    """Grant a claim whose write took effect although its answer was lost.
 
-    Symptom: a refund is refused, and refused again with its own claim.
-    Sequence: the write takes effect; the connection breaks before the
-    answer. Cause: the attempt does not know its own claim again.
+    Guards against a refund that is refused because of its own claim: the
+    connection breaks between the write and its answer, and the attempt does
+    not recognize the claim it wrote.
     """
-    host = Host(world)
-    other = Host(world, 'b')
+    host = Host(system)
+    other = Host(system, 'b')
     for _ in range(8):
         request_id = make_request_id()
-        world.control(lose_writes=1)
+        system.control(lose_writes=1)
         assert host.claim(request_id).result is GRANTED
         assert other.claim(request_id).result is HELD
-    assert world.platform.faults.lose_writes == 0
+    assert system.platform.faults.lose_writes == 0
 
 
-def test_refuses_at_once_while_the_platform_is_down(world: ClaimSystem) -> None:
-    """Refuse truthfully while the platform is down, then serve again.
+def test_refuses_at_once_while_the_platform_is_down(
+    system: ClaimSystem,
+) -> None:
+    """Refuse as not run while the platform is down, then serve again.
 
-    Symptom: refunds hang to their deadline, or are told as unknown.
-    Sequence: the platform is down before a claim is made, and comes back.
-    Cause: claims wait for a platform that has just failed, or a refusal is
-    taken for a lost answer.
+    Guards against refunds that wait until their deadline or are reported as
+    unknown: claims wait for a platform that has just failed, or its refusal
+    is taken for a lost answer.
     """
-    host = Host(world)
-    world.control(down=True)
+    host = Host(system)
+    system.control(down=True)
     request_id = make_request_id()
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
     assert not refused.maybe_written
-    calls = world.platform.calls.total()
+    calls = system.platform.calls.total()
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
-    assert world.platform.calls.total() == calls
-    world.control(down=False)
+    assert system.platform.calls.total() == calls
+    system.control(down=False)
     host.claim_until(request_id)
 
 
-def test_reports_a_repeat_as_held_during_an_outage(world: ClaimSystem) -> None:
-    """Say of an id that ran that it was claimed, platform or not.
+def test_reports_a_repeat_as_held_during_an_outage(system: ClaimSystem) -> None:
+    """Report an id that ran as claimed, also while the platform is down.
 
-    Symptom: a refund is sent with a new id and lands twice. Sequence: its
-    answer gets lost on the way to the caller; the platform goes down; the
-    caller asks again with the same id. Cause: "not run" is true of the
-    second attempt and is understood of the refund.
+    Guards against a refund that is sent under a new id and runs twice: its
+    answer is lost on the way to the caller, the platform goes down, and the
+    caller repeats the id. "Not run" would be true of the second attempt, but
+    the caller would take it to be true of the refund.
     """
-    host = Host(world)
-    other = Host(world, 'b')
+    host = Host(system)
+    other = Host(system, 'b')
     other.task.update_members(claim_owners.MemberAddresses('b', {'a': 'a'}))
     request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.control(down=True)
+    system.control(down=True)
     assert host.claim(request_id).result is HELD
     assert other.claim(request_id).result is HELD
     assert other.claim(make_request_id()).result is UNAVAILABLE
 
 
-def test_reports_and_releases_a_claim_in_doubt(world: ClaimSystem) -> None:
-    """Say that a claim may stand, and free its id once that can be done.
+def test_reports_and_releases_a_claim_in_doubt(system: ClaimSystem) -> None:
+    """Report that an id may be claimed, and release it once possible.
 
-    Symptom: a refund that never ran answers "unknown" for ever. Sequence:
-    the write takes effect, its answer is lost, and the platform goes down
-    before it can be read back. Cause: the attempt is refused as not run and
-    nobody gives its claim back.
+    Guards against a refund that never ran and stays "unknown" for ever: the
+    write takes effect, its answer is lost, and the platform goes down before
+    the key can be read back. The attempt is refused as not run, and its
+    claim would never be released.
     """
-    host = Host(world)
+    host = Host(system)
     host.claim(make_request_id())
     request_id = make_request_id()
-    platform_call = world.platform.call
+    platform_call = system.platform.call
 
     def call(*args: Any, **kwargs: Any) -> standin.Reply:
         reply = platform_call(*args, **kwargs)
         if args[0] == 'PUT':
-            world.control(down=True)
+            system.control(down=True)
             return reply._replace(lost=True)
         return reply
 
-    world.platform.call = call  # type: ignore[method-assign]
+    system.platform.call = call  # type: ignore[method-assign]
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
     assert refused.maybe_written
     assert 'may stand' in refused.detail
-    world.platform.call = platform_call  # type: ignore[method-assign]
-    assert Host(world, 'b').claim(request_id).result is UNAVAILABLE
-    world.control(down=False)
-    # The first host waits a little before it asks a failed platform again.
-    Host(world, 'c').claim_until(request_id)
+    system.platform.call = platform_call  # type: ignore[method-assign]
+    assert Host(system, 'b').claim(request_id).result is UNAVAILABLE
+    system.control(down=False)
+    # The first host waits before it calls a failed platform again.
+    Host(system, 'c').claim_until(request_id)
 
 
-def test_writes_an_outcome_after_an_outage(world: ClaimSystem) -> None:
-    """Keep an outcome for a platform that is down when it is recorded.
+def test_writes_an_outcome_after_an_outage(system: ClaimSystem) -> None:
+    """Keep an outcome until a platform that is down can record it.
 
-    Symptom: a refund that was answered is told as unknown. Sequence: the
-    platform goes down between the claim and the answer, and comes back.
-    Cause: a failed write of an outcome is not made again.
+    Guards against an answered refund that is reported as unknown: the
+    platform is down between the claim and the answer, and the failed write
+    of the outcome is not retried.
     """
-    host = Host(world)
+    host = Host(system)
     request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.control(down=True)
+    system.control(down=True)
     host.task.perform(messages.RecordOutcome(request_id, '{"rows": []}'))
     assert host.claim(make_request_id()).result is UNAVAILABLE
-    world.control(down=False)
-    settled = Host(world, 'b').claim_until(request_id, HELD)
+    system.control(down=False)
+    settled = Host(system, 'b').claim_until(request_id, HELD)
     assert settled.outcome == '{"rows": []}'
 
 
 def test_keeps_the_claim_of_a_killed_host(
-    world: ClaimSystem,
+    system: ClaimSystem,
 ) -> None:
-    """Never run a claim again whose holder has vanished.
+    """Never grant an id again after its holder disappeared.
 
-    Symptom: a refund runs twice. Sequence: a host is killed, or paused past
-    its deadline, between claim and send; the caller asks another host; the
-    first one wakes. Cause: a claim that ends with its holder.
+    Guards against a refund that runs twice: a host is killed, or paused past
+    its deadline, between claim and send; the caller repeats the request at
+    another host, and the first one resumes. A claim must outlive its holder.
     """
     request_id = make_request_id()
-    granted = Host(world).claim(request_id)
+    granted = Host(system).claim(request_id)
     assert granted.result is GRANTED
     assert granted.not_after_epoch < time.time() + ANSWER_TIMEOUT_S
     clocks = claim_stores.Clocks(epoch=lambda: time.time() + 60)
-    settled = Host(world, 'b', clocks).claim(request_id)
+    settled = Host(system, 'b', clocks).claim(request_id)
     assert settled.result is HELD
     assert settled.start_expired
     assert not settled.completed
 
 
-def test_grants_a_released_id_again(world: ClaimSystem) -> None:
-    host = Host(world)
+def test_grants_a_released_id_again(system: ClaimSystem) -> None:
+    host = Host(system)
     request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
     host.task.perform(messages.ReleaseClaim(request_id))
@@ -297,20 +296,20 @@
 
 
 def test_refuses_ids_that_a_restored_platform_may_have_lost(
-    world: ClaimSystem,
+    system: ClaimSystem,
 ) -> None:
-    """Refuse the ids of the seconds before the platform went back.
+    """Refuse the ids of the seconds before the platform was restored.
 
-    Symptom: a refund runs twice. Sequence: the platform is put back to an
-    older copy and has forgotten a claim; the caller asks again. Cause:
-    revisions that fall are not noticed.
+    Guards against a refund that runs twice: the platform is restored from an
+    older copy without its claim, the caller repeats the request, and the
+    decreased revision goes unnoticed.
     """
-    host = Host(world)
+    host = Host(system)
     host.claim(make_request_id())
-    world.control(save=True)
+    system.control(save=True)
     request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
-    world.control(restore=True)
+    system.control(restore=True)
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
     assert refused.detail.startswith(claim_stores.CLAIMS_LOST)
@@ -318,18 +317,18 @@
 
 
 def test_grants_nothing_at_a_host_with_a_wrong_clock(
-    world: ClaimSystem, monkeypatch: pytest.MonkeyPatch
+    system: ClaimSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Refuse claims at a host whose clock is far behind.
 
-    Symptom: a refund runs twice, an hour apart. Sequence: the caller asks
-    again after an hour, and the clock of the host that it reaches is an
-    hour behind. Cause: the id is in that host's window, its key has gone.
+    Guards against a refund that runs twice, an hour apart: the caller
+    repeats it after an hour at a host whose clock is an hour behind. The id
+    is in that host's window, but its key has expired.
     """
     late_clocks = claim_stores.Clocks(epoch=lambda: time.time() - 3600)
-    host = Host(world, 'a', late_clocks)
+    host = Host(system, 'a', late_clocks)
     request_id = make_request_id(age_s=3600)
-    assert Host(world, 'b').claim(request_id).result is EXPIRED
+    assert Host(system, 'b').claim(request_id).result is EXPIRED
     monkeypatch.setattr(store.Store, 'date_epoch', TrueDate(), raising=False)
     refused = host.claim(request_id)
     assert refused.result is UNAVAILABLE
@@ -340,16 +339,16 @@
 
 @pytest.mark.parametrize('address', ['b', 'lost-b', 'nobody'])
 def test_claims_alone_where_the_owner_fails(
-    world: ClaimSystem, address: str
+    system: ClaimSystem, address: str
 ) -> None:
-    """Claim alone where the member that writes for us cannot be asked.
+    """Claim directly if the member that owns the bucket does not answer.
 
-    Symptom: refunds are refused, or run twice, while a member is away.
-    Sequence: the member cannot be reached, or writes and its answer is
-    lost. Cause: correctness that rests on who writes.
+    Guards against refunds that are refused or run twice while a member is
+    unreachable, or writes and its answer is lost. Correctness must not
+    depend on who writes.
     """
-    host = Host(world)
-    Host(world, 'b')
+    host = Host(system)
+    Host(system, 'b')
     host.task.update_members(claim_owners.MemberAddresses('a', {'b': address}))
     request_id = make_request_id()
     assert host.claim(request_id).result is GRANTED
@@ -359,29 +358,28 @@
 
 
 def test_claims_where_two_hosts_take_each_other_for_the_owner(
-    world: ClaimSystem,
+    system: ClaimSystem,
 ) -> None:
-    """Write what a member hands on, whoever seems to be the writer.
+    """Write forwarded steps, whichever member seems to own the bucket.
 
-    Symptom: claims of one bucket time out while all hosts are well.
-    Sequence: two views of the members differ, and each of two hosts takes
-    the other for the writer. Cause: what was handed on is handed on again.
+    Guards against claims of one bucket that time out while all hosts are
+    healthy: two hosts with different views of the members each take the
+    other for the owner, and forwarded steps would be forwarded again.
     """
-    host = Host(world, 'a')
-    other = Host(world, 'b')
+    host = Host(system, 'a')
+    other = Host(system, 'b')
     host.task.update_members(claim_owners.MemberAddresses('a', {'b': 'b'}))
     other.task.update_members(claim_owners.MemberAddresses('b', {'a': 'a'}))
     assert host.claim(make_request_id()).result is GRANTED
 
 
-def test_refuses_a_batch_for_the_wrong_key(world: ClaimSystem) -> None:
-    """Refuse steps whose ids belong under another key.
+def test_refuses_a_batch_for_the_wrong_key(system: ClaimSystem) -> None:
+    """Refuse steps whose ids belong to another key.
 
-    Symptom: a refund runs twice during an upgrade. Sequence: a member that
-    computes keys in another way sends its batch. Cause: the key was taken
-    on trust.
+    Guards against a refund that runs twice during an upgrade: a member of
+    another version computes keys differently, and its key is not checked.
     """
-    host = Host(world)
+    host = Host(system)
     request_id = make_request_id()
     time_epoch = request_ids.parse_epoch(request_id)
     assert time_epoch is not None
