--- a/fuchsiahaven/edge/connections.py
+++ b/fuchsiahaven/edge/connections.py
@@ -1,4 +1,4 @@
-"""Carry one exchange at a time over one connection to a target."""
+"""Run one exchange at a time over a connection to a target."""
 
 import socket
 import ssl
@@ -17,21 +17,21 @@
 
 
 class ConnectionBroken(Exception):
-    """Report a connection that broke; `unsent` if no byte had left."""
+    """Report a broken connection; `unsent` if no byte was sent."""
 
     def __init__(self, text: str, *, unsent: bool = False) -> None:
-        """Keep whether any byte may have left."""
+        """Keep whether any byte may have been sent."""
         super().__init__(text)
         self.unsent = unsent
 
 
 class Connection:
-    """Own one connection and what is under way on it."""
+    """Own a connection and the exchange in flight on it."""
 
     def __init__(
         self, address: str, http_connection: urllib3.connection.HTTPConnection
     ) -> None:
-        """Take over a connection that is open and does not block."""
+        """Take over an open, non-blocking connection."""
         self.address = address
         self.sock = http_connection.sock
         self.exchange: exchanges.Exchange | None = None
@@ -42,7 +42,7 @@
         self._received = bytearray()
 
     def start(self, exchange: exchanges.Exchange, payload: bytes) -> None:
-        """Send a request, or as much as the socket takes now.
+        """Send a request, or as much of it as the socket accepts.
 
         Raises LinkError.
         """
@@ -51,14 +51,14 @@
         self._send(first=True)
 
     def send_unsent(self) -> None:
-        """Send more of a request that the socket did not take at once.
+        """Send more of a request that the socket did not accept at once.
 
         Raises LinkError.
         """
         self._send(first=False)
 
     def receive_frame(self, max_body_bytes: int) -> frames.Frame | None:
-        """Read what has come; return the answer once it is whole.
+        """Read available bytes; return the answer once it is complete.
 
         Raises LinkError and frames.FrameError.
         """
@@ -69,13 +69,13 @@
             if chunk is None:
                 return None
             frame = self._append(chunk, max_body_bytes)
-            # TLS may hold decrypted bytes of which the selector knows
-            # nothing; without TLS a short read has emptied the socket.
+            # TLS may hold decrypted bytes that the selector does not see;
+            # without TLS a short read has emptied the socket.
             may_have_more = len(chunk) == READ_BYTES or self._has_decrypted()
         return frame
 
     def is_open(self) -> bool:
-        """Tell whether an idle connection is open and nothing has come."""
+        """Return whether an idle connection is open and has no bytes."""
         if isinstance(self.sock, ssl.SSLSocket):
             return True
         try:
@@ -84,11 +84,11 @@
             return True
         except OSError:
             return False
-        # Either it is closed, or bytes came that answer nothing.
+        # It is closed, or bytes arrived that answer no request.
         return False
 
     def finish(self) -> None:
-        """Make ready for the next exchange."""
+        """Reset for the next exchange."""
         self.exchange = None
         self._received.clear()
 
@@ -99,7 +99,7 @@
 
     def _append(self, chunk: bytes, max_body_bytes: int) -> frames.Frame | None:
         if self.exchange is None:
-            raise frames.FrameError('bytes that nobody asked for')
+            raise frames.FrameError('bytes without a request')
         self._received += chunk
         frame = frames.decode_frame(self._received, max_body_bytes)
         if frame is not None:
--- a/fuchsiahaven/edge/connectors.py
+++ b/fuchsiahaven/edge/connectors.py
@@ -1,7 +1,7 @@
-"""Open connections to targets away from the dispatch loop.
+"""Open connections to targets in threads outside the dispatch loop.
 
-A new connection can cost 6 ms and a TLS handshake more; the loop that waits
-for it would hold up every other answer meanwhile.
+A new connection can take 6 ms, and longer with a TLS handshake; waiting for it
+in the loop would delay every other answer.
 """
 
 import queue
@@ -15,21 +15,21 @@
 from fuchsiahaven.core.configuration import configurations
 from fuchsiahaven.edge import tls
 
-#: A target that swallows connects holds a thread up to the timeout.
+#: A target that drops connection attempts blocks a thread until the timeout.
 THREADS: Final = 8
 
 
 class ConnectionOpened(NamedTuple):
-    """Bring a connection that is open."""
+    """Report a connection that is open."""
 
     target: configurations.Target
     http_connection: urllib3.connection.HTTPConnection
 
 
 class ConnectionFailed(NamedTuple):
-    """Say that a connection could not be opened.
+    """Report a connection that could not be opened.
 
-    `refused` tells that the target's port is closed.
+    `refused` means that the target's port is closed.
     """
 
     target: configurations.Target
@@ -41,7 +41,7 @@
 
 
 class Connectors:
-    """Own the threads that open connections; ask from any thread."""
+    """Own the threads that open connections; any thread may use this."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         timeout_s: float,
         identity: tls.Identity | None = None,
     ) -> None:
-        """Start the threads; `report` is called in them."""
+        """Start the threads, which call `report` with each outcome."""
         self._report = report
         self._timeout_s = timeout_s
         self._identity = identity
@@ -64,11 +64,11 @@
             thread.start()
 
     def request_connection(self, target: configurations.Target) -> None:
-        """Ask for one more connection to a target."""
+        """Request one more connection to a target."""
         self._targets.put(target)
 
     def close(self) -> None:
-        """End the threads once what they were asked for is done."""
+        """Stop the threads after the queued requests are done."""
         for _ in self._threads:
             self._targets.put(None)
         for thread in self._threads:
--- a/fuchsiahaven/edge/dispatch_loop.py
+++ b/fuchsiahaven/edge/dispatch_loop.py
@@ -1,6 +1,6 @@
 """Run the dispatch loop: one thread that owns all target connections.
 
-Other tasks hand messages in by `post`; nothing here blocks but the selector.
+Other tasks submit messages with `post`; only the selector blocks here.
 """
 
 import collections
@@ -18,7 +18,7 @@
 from fuchsiahaven.edge import connections, connectors, pools, target_pools, tls
 
 SWEEP_INTERVAL_S: Final = 0.25
-#: How often what waits for admission is looked at.
+#: How often queued queries are checked for admission.
 ADMISSION_INTERVAL_S: Final = 0.05
 WAKE_READ_BYTES: Final = 4096
 MAX_MESSAGES_PER_TURN: Final = 4
@@ -31,25 +31,25 @@
 
 
 class QueryReceived(NamedTuple):
-    """Bring one query and where its one reply goes."""
+    """Hold a query and the queue for its only reply."""
 
     query: messages.Query
     reply_to: ReplyQueue
 
 
 class StopRequested(NamedTuple):
-    """Ask the loop to end."""
+    """Request the end of the loop."""
 
 
 Message = QueryReceived | StopRequested | connectors.Outcome | messages.Event
 
 
 class LoopStatus(NamedTuple):
-    """Show the loop to other threads, as it was a moment ago.
+    """Hold the state of the loop for other threads, slightly outdated.
 
-    `obstacle` says why no new work should come here; empty if it may.
-    `unanswered` counts the queries that have yet to get their reply,
-    `quarantined` are those that are refused as they end their targets.
+    `unready_reason` says why the host takes no new work; empty if it does.
+    `unanswered` counts the queries without a reply yet, `quarantined` lists
+    the queries that are refused because they crash targets.
     """
 
     unready_reason: str
@@ -63,7 +63,7 @@
 
 
 class Settings(NamedTuple):
-    """Bound what the loop does with targets."""
+    """Hold the limits of the exchanges with targets."""
 
     max_answer_bytes: int
     probe_timeout_s: float
@@ -72,7 +72,7 @@
 
 
 class DispatchLoop:
-    """Own the dispatch state and the connections of one process."""
+    """Own the dispatch state and target connections of a process."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         settings: Settings,
         perform_claim: Callable[[ClaimAction], None],
     ) -> None:
-        """Prepare without starting; `run` is for a thread of its own."""
+        """Prepare without starting; `run` needs a thread of its own."""
         self.status = LoopStatus(
             'starting', 0, 0, 0, 0, 0, collections.Counter()
         )
@@ -104,18 +104,18 @@
         self._selector.register(self._wake_receiver, selectors.EVENT_READ, None)
 
     def post(self, message: Message) -> None:
-        """Hand in a message; any thread may call this."""
+        """Queue a message; any thread may call this."""
         self._inbox.put(message)
         if self._ended:
             self._refuse_queued()
         if not self._is_woken:
             self._is_woken = True
-            # A full pipe wakes the loop as well as one more byte would.
+            # A full socket buffer wakes the loop as well as another byte.
             with contextlib.suppress(OSError):
                 self._wake_sender.send(b'\0')
 
     def run(self) -> None:
-        """Serve until `Closed` comes."""
+        """Serve until `StopRequested`."""
         with contextlib.ExitStack() as stack:
             stack.callback(self._wake_receiver.close)
             stack.callback(self._wake_sender.close)
@@ -141,9 +141,9 @@
                 self._run_once(all_pools)
 
     def _fail_unanswered(self) -> None:
-        """Tell whoever still waits, also where an error has ended the loop.
+        """Fail all unanswered queries, also when an error ended the loop.
 
-        Callers' threads would wait for minutes otherwise, and the host would
+        Otherwise callers' threads would wait for minutes, and the host would
         look alive but answer nothing.
         """
         self._ended = True
@@ -168,12 +168,12 @@
     def _run_once(self, all_pools: target_pools.TargetPools) -> None:
         ready = self._selector.select(self._compute_wait())
         for key, mask in ready:
-            # The time is taken anew each time: what this loop takes must not
-            # be counted as the time that a target takes.
+            # Read the clock for each event: the time spent in this loop must
+            # not count as the latency of a target.
             now = time.monotonic()
             self._handle_ready(key.data, mask, now)
             self._handle_events(all_pools, now)
-        # New queries must not hold up the answers to those under way.
+        # Limited, so that new queries do not delay answers in flight.
         for _ in range(min(MAX_MESSAGES_PER_TURN, self._inbox.qsize())):
             now = time.monotonic()
             self._handle_message(self._inbox.get(), all_pools, now)
@@ -220,8 +220,8 @@
         now: float,
     ) -> None:
         if owner is None:
-            # The flag falls before the inbox is emptied: a message that
-            # comes in between rings again, and none is left lying.
+            # The flag is cleared before the inbox is read: a message that
+            # arrives in between wakes the loop again, and none is missed.
             self._wake_receiver.recv(WAKE_READ_BYTES)
             self._is_woken = False
             return
--- a/fuchsiahaven/edge/exchanges.py
+++ b/fuchsiahaven/edge/exchanges.py
@@ -1,4 +1,4 @@
-"""Say how each exchange with a target is written, read and ended."""
+"""Encode, decode and end the exchanges with a target."""
 
 from typing import NamedTuple
 
@@ -8,9 +8,9 @@
 
 
 class Exchange(NamedTuple):
-    """Hold one request to a target and when to stop waiting for its answer.
+    """Hold a request to a target and when it expires without an answer.
 
-    A cancellation also holds what it cancels.
+    A cancellation also holds the sub-request that it cancels.
     """
 
     action: messages.Send | messages.Probe | messages.Cancel
@@ -19,12 +19,12 @@
 
 
 def make_probe(target: configurations.Target, expires: float) -> Exchange:
-    """Make the question for a target's health."""
+    """Make a health probe of a target."""
     return Exchange(messages.Probe(target), expires)
 
 
 def encode_request(exchange: Exchange, now: float) -> bytes:
-    """Write the request as bytes."""
+    """Encode the request as bytes."""
     match exchange.action:
         case messages.Send() as send:
             return target_protocol.encode_search(send, now)
@@ -35,18 +35,18 @@
 
 
 def may_send(exchange: Exchange, now: float) -> bool:
-    """Tell whether the request is still in time to be sent."""
+    """Return whether the request may still be sent."""
     if isinstance(exchange.action, messages.Send):
         return target_protocol.may_send(exchange.action.request, now)
     return now < exchange.expires
 
 
 def needs_tested_connection(exchange: Exchange) -> bool:
-    """Tell whether this must not be the first request on its connection.
+    """Return whether the connection must have answered a request before.
 
-    A target past its cap closes a new connection unread, which looks like
-    any other loss: a request that runs at most once would end with its
-    outcome unknown although it was never read.
+    A target at its connection limit closes a new connection unread, which
+    looks like any other loss: an at-most-once request would end with an
+    unknown outcome although it was never read.
     """
     action = exchange.action
     return isinstance(action, messages.Send) and action.request.at_most_once
@@ -55,7 +55,7 @@
 def decode_answer(
     exchange: Exchange, frame: frames.Frame
 ) -> messages.Event | None:
-    """Read the answer; None where there is nothing to tell."""
+    """Decode the answer; None if there is nothing to report."""
     match exchange.action:
         case messages.Send() as send:
             return target_protocol.decode_search(send, frame)
@@ -67,7 +67,7 @@
 def make_refusal(
     exchange: Exchange, reason: messages.RefusalReason
 ) -> messages.Event | None:
-    """End what was never sent."""
+    """Make the event of a request that was never sent."""
     match exchange.action:
         case messages.Send() as send:
             return messages.PartRefused(send.part, send.target.name, reason)
@@ -79,7 +79,7 @@
 def make_failure(
     exchange: Exchange, fault: messages.Fault
 ) -> messages.Event | None:
-    """End what was sent and brought no answer."""
+    """Make the event of a request that was sent and not answered."""
     match exchange.action:
         case messages.Send() as send:
             return messages.PartFailed(send.part, send.target.name, fault)
@@ -89,7 +89,7 @@
 
 
 def is_for_part(exchange: Exchange | None, part: messages.PartKey) -> bool:
-    """Tell whether this is the sub-request of that key."""
+    """Return whether this is the sub-request with that key."""
     return (
         exchange is not None
         and isinstance(exchange.action, messages.Send)
--- a/fuchsiahaven/edge/frames.py
+++ b/fuchsiahaven/edge/frames.py
@@ -1,8 +1,8 @@
-"""Write request heads and cut answers out of a connection's bytes.
+"""Encode request heads and decode answers from a connection's bytes.
 
-The libraries write and read every head. Heads repeat themselves, though: the
-fixed part of a request is written once for each address, and an answer's head
-that was parsed before is not parsed again.
+Libraries encode and parse every head. As heads repeat, the fixed part of a
+request is encoded once per address, and an answer's head that was parsed
+before is taken from a cache.
 """
 
 import functools
@@ -22,9 +22,9 @@
 
 
 class Head(NamedTuple):
-    """Hold what the head of an answer says of its body.
+    """Hold the head of an answer, as far as it describes the body.
 
-    `length` is None where the body comes in chunks.
+    `length` is None if the body is chunked.
     """
 
     status: int
@@ -34,7 +34,7 @@
 
 
 class Frame(NamedTuple):
-    """Hold one whole answer."""
+    """Hold a complete answer."""
 
     status: int
     body: bytes
@@ -42,7 +42,7 @@
 
 
 class FrameError(Exception):
-    """Report bytes that are no answer, and which fault that is."""
+    """Report bytes that are not an answer, and the fault."""
 
     def __init__(
         self, text: str, fault: messages.Fault = messages.Fault.MALFORMED
@@ -53,7 +53,7 @@
 
 
 class _RecordingSocket:
-    """Stand where a connection expects its socket, and keep what it sends."""
+    """Replace the socket of a connection and record the sent bytes."""
 
     def __init__(self) -> None:
         """Start with nothing sent."""
@@ -68,7 +68,7 @@
 
 
 class _BytesSocket:
-    """Stand where an answer expects its socket, and give bytes at hand."""
+    """Replace the socket of an answer and supply given bytes."""
 
     def __init__(self, data: bytes) -> None:
         """Keep the bytes."""
@@ -83,7 +83,7 @@
 def encode_head(
     address: str, method: str, path: str, fields: tuple[tuple[str, str], ...]
 ) -> bytes:
-    """Write the fixed part of a request's head, up to its last field."""
+    """Encode the fixed part of a request's head, without the end."""
     host, _, port = address.rpartition(':')
     connection = urllib3.connection.HTTPConnection(host, int(port))
     recording = _RecordingSocket()
@@ -96,10 +96,10 @@
 
 
 def decode_frame(data: bytes | bytearray, max_body_bytes: int) -> Frame | None:
-    """Cut one answer out of the bytes; None while it is not whole.
+    """Decode one answer; None while it is incomplete.
 
-    Raises FrameError for what is no answer, is too large, or is followed by
-    bytes that nobody asked for.
+    Raises FrameError if the bytes are not an answer, exceed a limit, or are
+    followed by bytes beyond the answer.
     """
     end = data.find(END_OF_HEAD)
     if end < 0:
@@ -116,8 +116,8 @@
     if len(data) < size:
         return None
     if len(data) > size:
-        # What follows would be taken for the answer to the next request.
-        raise FrameError('more bytes than the answer has')
+        # The extra bytes would be taken for the next request's answer.
+        raise FrameError('bytes after the end of the answer')
     return Frame(head.status, bytes(data[start:]), head.closes)
 
 
@@ -126,7 +126,7 @@
     response = _parse_response(head)
     encoding = response.headers.get('Content-Encoding', 'identity')
     if encoding != 'identity':
-        # A few compressed bytes can unpack to any size.
+        # A few compressed bytes can decompress to any size.
         raise FrameError('the body is compressed')
     length = response.length
     if length is None and not response.chunked:
@@ -147,7 +147,7 @@
     try:
         body = response.read()
     except http.client.IncompleteRead:
-        # The end of the chunks can also appear inside a chunk.
+        # The end mark can also occur inside a chunk.
         return None
     except (http.client.HTTPException, ValueError) as error:
         raise FrameError(str(error)) from error
@@ -162,5 +162,5 @@
     try:
         response.begin()
     except (http.client.HTTPException, ValueError, OSError) as error:
-        raise FrameError(f'no head of an answer: {error}') from error
+        raise FrameError(f'malformed head of an answer: {error}') from error
     return response
--- a/fuchsiahaven/edge/pools.py
+++ b/fuchsiahaven/edge/pools.py
@@ -1,7 +1,7 @@
 """Own the connections to one target and the exchanges on them.
 
-Every exchange that is handed in ends in exactly one event, but for
-cancellations, which end in none: the decisions count what is in flight by it.
+Every exchange ends in exactly one event, except cancellations, which end in
+none: the dispatch logic counts what is in flight by these events.
 """
 
 import collections
@@ -27,7 +27,7 @@
 class PoolContext(NamedTuple):
     """Hold what all pools share.
 
-    `report` takes an event, or None where there is nothing to tell.
+    `report` takes an event, or None if there is nothing to report.
     """
 
     selector: selectors.BaseSelector
@@ -55,14 +55,14 @@
         self._target_check = target_checks.TargetCheck()
 
     def send(self, exchange: exchanges.Exchange, now: float) -> None:
-        """Send at once where a connection is idle, or else when one is."""
+        """Send on an idle connection, or queue until one is idle."""
         while self._idle:
             connection = self._idle.pop()
             if (
                 exchanges.needs_tested_connection(exchange)
                 and not connection.answer_count
             ):
-                # It goes out once the connection has answered a probe.
+                # Sent once the connection has answered a probe.
                 self._queue.append(exchange)
                 exchange = exchanges.make_probe(self.target, exchange.expires)
             if self._send_on(connection, exchange, now):
@@ -75,10 +75,10 @@
         self._open_more(now)
 
     def cancel(self, cancellation: exchanges.Exchange, now: float) -> None:
-        """Cancel a sub-request, or close its connection where no seat is left.
+        """Cancel a sub-request; close its connection only at the limit.
 
-        Closing would lose a connection that costs up to 6 ms to open, and
-        tell the target nothing: it would run on.
+        Closing loses a connection that takes up to 6 ms to open, and does
+        not stop the target, which would continue to run the request.
         """
         assert isinstance(cancellation.action, messages.Cancel)
         part = cancellation.action.part
@@ -87,7 +87,7 @@
             self._context.report(_remove_queued(self._queue, part))
             return
         exchange = connection.exchange
-        # The cancelled one is answered at once, or its target is in trouble.
+        # A healthy target answers a cancelled request at once.
         connection.exchange = exchange._replace(expires=cancellation.expires)
         assert isinstance(exchange.action, messages.Send)
         cancellation = cancellation._replace(cancelled=exchange.action)
@@ -103,7 +103,7 @@
     def handle_connection(
         self, outcome: connectors.Outcome, now: float
     ) -> None:
-        """Take a connection that was asked for, or the news of none."""
+        """Handle a requested connection that was opened or failed."""
         self._opening_count -= 1
         self._context.report(self._target_check.finish(outcome))
         match outcome:
@@ -138,7 +138,7 @@
             self._fail(connection, error.fault, now)
         except connections.ConnectionBroken:
             if not connection.answer_count:
-                # A target past its cap closes what is new unread.
+                # A target at its limit closes new connections unread.
                 self._back_off(now)
             self._fail(connection, messages.Fault.CONNECTION_LOST, now)
         else:
@@ -146,7 +146,7 @@
                 self._handle_frame(connection, frame, now)
 
     def expire(self, now: float) -> None:
-        """End the exchanges whose time is over."""
+        """Expire the exchanges past their time."""
         for connection in tuple(self.connections):
             exchange = connection.exchange
             if exchange is not None and exchange.expires < now:
@@ -159,7 +159,7 @@
         self._open_more(now)
 
     def is_busy(self) -> bool:
-        """Tell whether anything is under way."""
+        """Return whether anything is queued, opening or in flight."""
         if self._queue or self._opening_count:
             return True
         return any(
@@ -167,7 +167,7 @@
         )
 
     def limit_connections(self, max_connections: int, now: float) -> None:
-        """Bound the connections; what is idle beyond that is closed."""
+        """Limit the connections and close idle ones above the limit."""
         self.max_connections = max_connections
         while self._idle and len(self.connections) > max_connections:
             self._close(self._idle[0])
@@ -176,8 +176,8 @@
     def _open_more(self, now: float) -> None:
         if now < self._backoff_until or len(self._queue) <= self._opening_count:
             return
-        # Without a seat there is one connection for a while, out of the
-        # target's reserve, to ask what it holds.
+        # At a limit of 0, one temporary connection from the target's reserve
+        # is allowed, to probe what the target holds.
         if len(self.connections) + self._opening_count < max(
             1, self.max_connections
         ):
@@ -190,7 +190,7 @@
         exchange: exchanges.Exchange,
         now: float,
     ) -> bool:
-        """Send on an idle connection; False where it turned out closed."""
+        """Send on an idle connection; False if it turned out closed."""
         if not exchanges.may_send(exchange, now):
             self._idle.append(connection)
             reason = messages.RefusalReason.DEADLINE
@@ -205,7 +205,7 @@
         try:
             connection.start(exchange, exchanges.encode_request(exchange, now))
         except connections.ConnectionBroken:
-            # Not a byte has left, so it may go out on another connection.
+            # No byte was sent, so another connection may be used.
             self._close(connection)
             return False
         if connection.unsent:
@@ -244,7 +244,7 @@
         fault: messages.Fault,
         now: float,
     ) -> None:
-        """Close a connection and report what was under way on it."""
+        """Close a connection and report the exchange in flight on it."""
         exchange = connection.exchange
         self._close(connection)
         if exchange is not None:
@@ -272,8 +272,8 @@
         delay_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self._failures)
         self._failures += 1
         self._backoff_until = now + delay_s
-        # With a connection left the queue moves on; without one, what is in
-        # it would wait for nothing.
+        # An open or opening connection still serves the queue; without one,
+        # queued exchanges would wait in vain.
         while self._queue and not self.connections and not self._opening_count:
             reason = messages.RefusalReason.NO_CONNECTION
             exchange = self._queue.popleft()
@@ -292,7 +292,7 @@
 def _remove_queued(
     queue: collections.deque[exchanges.Exchange], part: messages.PartKey
 ) -> messages.Event | None:
-    """Take back a sub-request that still waits for a connection."""
+    """Remove a sub-request that is still queued for a connection."""
     for exchange in queue:
         if exchanges.is_for_part(exchange, part):
             queue.remove(exchange)
--- a/fuchsiahaven/edge/target_checks.py
+++ b/fuchsiahaven/edge/target_checks.py
@@ -1,20 +1,20 @@
-"""See by a new connection whether a target has ended."""
+"""Check by a new connection whether a target has exited."""
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import connectors, exchanges
 
 
 class TargetCheck:
-    """Own whether the next connection to a target is waited for."""
+    """Track whether the next connection decides a target check."""
 
     def __init__(self) -> None:
-        """Start without a doubt."""
+        """Start without a pending check."""
         self._is_pending = False
 
     def start(
         self, exchange: exchanges.Exchange, fault: messages.Fault
     ) -> bool:
-        """Tell whether the end of an exchange is worth a look."""
+        """Start a check if the exchange failed by a lost connection."""
         is_lost = fault is messages.Fault.CONNECTION_LOST
         if not is_lost or not isinstance(exchange.action, messages.Send):
             return False
@@ -24,7 +24,7 @@
     def finish(
         self, outcome: connectors.Outcome
     ) -> messages.TargetChecked | None:
-        """Tell what a connection shows that was asked for."""
+        """Return the result of a pending check; None without one."""
         if not self._is_pending:
             return None
         self._is_pending = False
--- a/fuchsiahaven/edge/target_pools.py
+++ b/fuchsiahaven/edge/target_pools.py
@@ -1,4 +1,4 @@
-"""Own the pools of all targets."""
+"""Own the connection pools of all targets."""
 
 from typing import Final
 
@@ -6,12 +6,12 @@
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import connectors, exchanges, pools
 
-#: How long after its deadline a sub-request may still bring its refusal.
+#: How long after its deadline a sub-request may still be refused.
 ANSWER_GRACE_S: Final = 0.25
 
 
 class TargetPools:
-    """Own all pools; the dispatch loop's thread alone may call this."""
+    """Own all pools; only the dispatch loop's thread may call this."""
 
     def __init__(
         self, context: pools.PoolContext, probe_timeout_s: float
@@ -21,8 +21,8 @@
         self._probe_timeout_s = probe_timeout_s
         self._pools: dict[configurations.Target, pools.Pool] = {}
         self._by_name: dict[str, pools.Pool] = {}
-        # Those with anything under way: looking at all of them many times a
-        # second would cost more than their work where targets are many.
+        # Pools with pending work: visiting every pool many times a second
+        # would cost more than the work itself where there are many targets.
         self._active: set[pools.Pool] = set()
 
     def send(self, action: messages.Send, now: float) -> None:
@@ -32,7 +32,7 @@
         self._get_pool(action.target).send(exchange, now)
 
     def probe(self, action: messages.Probe, now: float) -> None:
-        """Ask a target for its health."""
+        """Probe the health of a target."""
         exchange = exchanges.make_probe(
             action.target, now + self._probe_timeout_s
         )
@@ -41,11 +41,11 @@
     def limit_connections(
         self, action: messages.LimitConnections, now: float
     ) -> None:
-        """Bound the connections to a target."""
+        """Limit the connections to a target."""
         self._get_pool(action.target).limit_connections(action.connections, now)
 
     def cancel(self, action: messages.Cancel, now: float) -> None:
-        """Cancel a sub-request; its own end is still reported."""
+        """Cancel a sub-request, whose end is still reported."""
         pool = self._by_name.get(action.target)
         if pool is not None:
             exchange = exchanges.Exchange(action, now + self._probe_timeout_s)
@@ -54,11 +54,11 @@
     def handle_connection(
         self, outcome: connectors.Outcome, now: float
     ) -> None:
-        """Take what a connector brings."""
+        """Handle a connection that was opened or failed."""
         self._pools[outcome.target].handle_connection(outcome, now)
 
     def expire(self, now: float) -> None:
-        """End the exchanges whose time is over, drop what is not used."""
+        """Expire exchanges past their time and remove unused pools."""
         for pool in tuple(self._active):
             pool.expire(now)
             if not pool.is_busy():
--- a/fuchsiahaven/edge/target_protocol.py
+++ b/fuchsiahaven/edge/target_protocol.py
@@ -1,7 +1,6 @@
-"""Speak with targets: the one adapter for their protocol.
+"""Encode and decode messages of targets: the only adapter for them.
 
-Requests become bytes here, and answers are checked against what was asked
-before anything else sees them.
+Answers are checked against their requests before anything else uses them.
 """
 
 import json
@@ -38,10 +37,10 @@
 
 
 class MalformedBody(Exception):
-    """Report a body that is not what the protocol says."""
+    """Report a body that violates the protocol."""
 
 
-#: What reading a body can raise: wrong types show as these as well.
+#: What decoding a body can raise; wrong types cause the built-in ones.
 DECODE_ERRORS: Final = (
     MalformedBody,
     ValueError,
@@ -52,11 +51,11 @@
 
 
 class MismatchedBody(Exception):
-    """Report a body that answers another request than this one."""
+    """Report a body that answers a different request."""
 
 
 def encode_search(send: messages.Send, now: float) -> bytes:
-    """Write a sub-request as bytes."""
+    """Encode a sub-request as bytes."""
     request = send.request
     remaining_ms = max(0, int((request.deadline - now) * MS_PER_S))
     body = _encode_json(
@@ -86,12 +85,12 @@
 
 
 def _encode_customer(request: messages.PartRequest) -> str:
-    # Names have few letters: none ends the line.
+    # The configuration allows no line break in a customer's name.
     return f'X-Customer: {request.customer}\r\n' if request.customer else ''
 
 
 def encode_cancel(send: messages.Send) -> bytes:
-    """Write the cancellation of a sub-request as bytes."""
+    """Encode the cancellation of a sub-request as bytes."""
     body = _encode_json(
         {
             'request_id': send.request.request_id,
@@ -107,7 +106,7 @@
 
 
 def encode_probe(probe: messages.Probe) -> bytes:
-    """Write the question for a target's health as bytes."""
+    """Encode a health probe as bytes."""
     head = frames.encode_head(
         probe.target.address, 'GET', HEALTH_PATH, _HEADER_FIELDS
     )
@@ -115,10 +114,10 @@
 
 
 def may_send(request: messages.PartRequest, now: float) -> bool:
-    """Tell whether a sub-request may still be sent.
+    """Return whether a sub-request may still be sent.
 
-    A host that was paused between a claim and its sending would otherwise
-    send after the claim has ended, when another may run the same id.
+    A host that was paused after its claim could otherwise send when the
+    claim has ended and another host may run the same id.
     """
     if now >= request.deadline:
         return False
@@ -127,7 +126,7 @@
 
 
 def decode_search(send: messages.Send, frame: frames.Frame) -> Outcome:
-    """Read and check what a target answered to a sub-request."""
+    """Decode and check a target's answer to a sub-request."""
     try:
         return _decode_outcome(send, _decode_object(frame.body), frame.status)
     except MismatchedBody:
@@ -140,7 +139,7 @@
 def decode_probe(
     probe: messages.Probe, frame: frames.Frame
 ) -> messages.TargetProbed:
-    """Read a health report; what is no report is none."""
+    """Decode a health report; a malformed one counts as no answer."""
     name = probe.target.name
     try:
         health = _decode_health(_decode_object(frame.body))
@@ -177,8 +176,8 @@
 
 
 def _check_match(body: Mapping[str, Any], **expected: object) -> None:
-    # A target that mixes up its answers would put rows of another request,
-    # shard or snapshot into this one.
+    # A target that mixes up its answers would otherwise put rows of another
+    # request, shard or snapshot into this answer.
     for name, expected_value in expected.items():
         if body.get(name) != expected_value:
             raise MismatchedBody(name)
@@ -212,8 +211,8 @@
 
 
 def _is_valid_row(row: Any) -> bool:
-    # A rank that cannot be compared would scramble the order of all rows.
-    # What is no object or no number raises TypeError here.
+    # A rank that cannot be compared would break the order of all rows. A row
+    # that is not an object, or a rank that is no number, raises TypeError.
     return isinstance(row['id'], str) and math.isfinite(row['rank'])
 
 
@@ -247,8 +246,8 @@
     if len(holdings) > MAX_HOLDINGS:
         raise MalformedBody
     decoded = tuple(_decode_holding(holding) for holding in holdings)
-    # Each snapshot gets a map with a place for each shard; a report of many
-    # snapshots would fill the memory of the host.
+    # Each snapshot gets a map with an entry per shard: a report of many
+    # snapshots would exhaust the memory of the host.
     if sum({it.snapshot: it.shards for it in decoded}.values()) > MAX_POSITIONS:
         raise MalformedBody
     return messages.Health(
@@ -278,7 +277,7 @@
 
 def _decode_count(body: Mapping[str, Any], name: str) -> int:
     count = body.get(name)
-    # A figure too large for a float would raise in the arithmetic of the
+    # A number too large for a float would raise in the arithmetic of the
     # dispatch loop and end it.
     if not isinstance(count, int) or not 0 <= count <= MAX_COUNT:
         raise MalformedBody(name)
--- a/tests/edge/test_connectors.py
+++ b/tests/edge/test_connectors.py
@@ -1,4 +1,4 @@
-"""Test what opening a connection shows of a target."""
+"""Test the reports of connections that cannot be opened."""
 
 import queue
 import socket
@@ -8,7 +8,7 @@
 
 
 def test_reports_a_closed_port() -> None:
-    """Guard against targets that have ended and are taken for unreachable."""
+    """Guard against an exited target that is taken for unreachable."""
     with socket.socket() as unlistened:
         unlistened.bind(('127.0.0.1', 0))
         host, port = unlistened.getsockname()
--- a/tests/edge/test_dispatch_loop.py
+++ b/tests/edge/test_dispatch_loop.py
@@ -1,4 +1,4 @@
-"""Test how the dispatch loop ends."""
+"""Test the end and the status of the dispatch loop."""
 
 import queue
 import time
@@ -34,11 +34,10 @@
 
 
 def test_failed_loop_replies_to_every_caller() -> None:
-    """Tell every caller at once when the loop has failed.
+    """Reply to every caller at once when the loop has failed.
 
-    Symptom: a host answers nothing, and its callers wait for minutes.
-    Sequence: an error of the program ends the loop while queries wait.
-    Cause: replies come from the loop alone.
+    Guards against callers that wait for minutes: an unexpected error ends
+    the loop, which alone sends replies, while queries are pending.
     """
 
     def fail(action: dispatch_loop.ClaimAction) -> None:
@@ -65,7 +64,7 @@
 
 
 def test_reports_quarantined_queries() -> None:
-    """Symptom: operators see refusals, and not of what."""
+    """Guard against refusals whose query operators cannot see."""
     state = states.make_state('Odori', float)
     identity = request_identities.identify('refund', b'one')
     report = suspects.News(
@@ -79,7 +78,7 @@
         state, settings, lambda action: None
     )
     assert not dispatcher.status.quarantined
-    # It looks at itself in its first turn, and ends with that.
+    # The loop updates its status in its first iteration, then stops.
     dispatcher.post(dispatch_loop.StopRequested())
     dispatcher.run()
     (quarantined,) = dispatcher.status.quarantined
--- a/tests/edge/test_pools.py
+++ b/tests/edge/test_pools.py
@@ -1,4 +1,4 @@
-"""Test how a pool keeps to its seats."""
+"""Test a pool's connections and their limit."""
 
 import selectors
 import socket
@@ -16,7 +16,7 @@
 
 
 class PoolRig:
-    """Hold a pool, the target's ends of its connections, and its reports."""
+    """Hold a pool, its events, and the target's ends of connections."""
 
     def __init__(self, selector: selectors.BaseSelector) -> None:
         self.requested_count = 0
@@ -28,7 +28,7 @@
         self.pool = pools.Pool(TARGET, context)
 
     def open_requested(self) -> None:
-        """Open the connections that the pool asked for."""
+        """Open the connections that the pool requested."""
         while len(self.target_ends) < self.requested_count:
             near, far = socket.socketpair()
             near.setblocking(False)
@@ -39,7 +39,7 @@
             self.pool.handle_connection(opened, 0)
 
     def answer(self, connection: connections.Connection) -> None:
-        """Let the target answer what is under way on a connection."""
+        """Let the target answer the exchange in flight on a connection."""
         self.target_ends[connection.sock].sendall(ANSWER)
         self.pool.handle_ready(connection, selectors.EVENT_READ, 0)
 
@@ -53,7 +53,7 @@
         self.requested_count += 1
 
     def send(self) -> messages.Send:
-        """Send a sub-request on the one connection."""
+        """Send a sub-request on the only connection."""
         part = messages.PartKey(1, 'web', 0, 1)
         request = messages.PartRequest(
             'id-1', 'price-check', 'web', 0, 1, 1, {}, 1.0, at_most_once=False
@@ -73,87 +73,82 @@
 
 
 @pytest.fixture
-def bench() -> Iterator[PoolRig]:
-    """Give a pool without sockets of its own."""
+def rig() -> Iterator[PoolRig]:
+    """Yield a pool over socket pairs."""
     with selectors.DefaultSelector() as selector:
         pool_rig = PoolRig(selector)
         yield pool_rig
         pool_rig.close()
 
 
-def test_closes_idle_connections_past_the_limit(bench: PoolRig) -> None:
-    """Close idle connections past the seats.
+def test_closes_idle_connections_past_the_limit(rig: PoolRig) -> None:
+    """Close idle connections above a lowered limit.
 
-    Symptom: a target refuses connections of a host that has just joined.
-    Sequence: the others are dealt fewer seats, and open no more; what they
-    have open stays open.
-    Cause: a bound on opening alone.
+    Guards against a target that refuses connections of a host that has just
+    joined: the limits of the other hosts are lowered, which stops them from
+    opening connections, but the open ones would stay open.
     """
-    bench.pool.limit_connections(3, 0)
+    rig.pool.limit_connections(3, 0)
     for _ in range(3):
-        bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
-    bench.open_requested()
-    assert len(bench.pool.connections) == 3
-    for connection in list(bench.pool.connections)[:2]:
-        bench.answer(connection)
-    bench.pool.limit_connections(2, 0)
-    assert len(bench.pool.connections) == 2
-    bench.pool.limit_connections(0, 0)
-    # What is under way is not cut.
-    assert len(bench.pool.connections) == 1
-
-
-def test_sends_one_probe_at_a_limit_of_zero(bench: PoolRig) -> None:
-    bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
-    bench.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
-    bench.open_requested()
-    connection = next(iter(bench.pool.connections))
-    bench.answer(connection)
-    bench.answer(connection)
-    assert bench.requested_count == 1
-    assert not bench.pool.connections
+        rig.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    rig.open_requested()
+    assert len(rig.pool.connections) == 3
+    for connection in list(rig.pool.connections)[:2]:
+        rig.answer(connection)
+    rig.pool.limit_connections(2, 0)
+    assert len(rig.pool.connections) == 2
+    rig.pool.limit_connections(0, 0)
+    # A connection with an exchange in flight stays open.
+    assert len(rig.pool.connections) == 1
+
+
+def test_sends_one_probe_at_a_limit_of_zero(rig: PoolRig) -> None:
+    rig.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    rig.pool.send(exchanges.make_probe(TARGET, 1.0), 0)
+    rig.open_requested()
+    connection = next(iter(rig.pool.connections))
+    rig.answer(connection)
+    rig.answer(connection)
+    assert rig.requested_count == 1
+    assert not rig.pool.connections
 
 
 def test_opens_a_connection_for_a_cancellation(
-    bench: PoolRig,
+    rig: PoolRig,
 ) -> None:
-    """Open a connection to cancel, and keep the one that is in use.
+    """Open a connection for a cancellation and keep the one in use.
 
-    Symptom: each hedge costs its target a slot until the run ends, and this
-    host a new connection.
-    Sequence: one connection is open and in use by a sub-request that a hedge
-    has beaten; nothing is idle to send the cancellation on.
-    Cause: the connection was closed in place of a cancellation.
+    Guards against hedges that cost their target a slot until the run ends,
+    and this host a new connection: a hedge has won, no connection is idle to
+    send the cancellation, and the connection in use is closed instead.
     """
-    bench.pool.limit_connections(2, 0)
+    rig.pool.limit_connections(2, 0)
     part = messages.PartKey(1, 'web', 0, 1)
     request = messages.PartRequest(
         'id-1', 'price-check', 'web', 0, 1, 1, {}, 1.0, at_most_once=False
     )
     send = messages.Send(part, TARGET, request)
-    bench.pool.send(exchanges.Exchange(send, 1.0), 0)
-    bench.open_requested()
+    rig.pool.send(exchanges.Exchange(send, 1.0), 0)
+    rig.open_requested()
     cancel = messages.Cancel(part, TARGET.name)
-    bench.pool.cancel(exchanges.Exchange(cancel, 1.0), 0)
-    bench.open_requested()
-    assert len(bench.pool.connections) == 2
-    sent = [far.recv(1000) for far in bench.target_ends.values()]
+    rig.pool.cancel(exchanges.Exchange(cancel, 1.0), 0)
+    rig.open_requested()
+    assert len(rig.pool.connections) == 2
+    sent = [far.recv(1000) for far in rig.target_ends.values()]
     assert sent[1].startswith(b'POST /v1/cancel')
 
 
 @pytest.mark.parametrize('exited', [True, False])
-def test_checks_whether_a_target_has_exited(
-    bench: PoolRig, exited: bool
-) -> None:
-    """Guard against an end that is taken for a reset, and the reverse."""
-    bench.send()
-    bench.close_target_ends()
-    requested = bench.requested_count
+def test_checks_whether_a_target_has_exited(rig: PoolRig, exited: bool) -> None:
+    """Guard against an exit that is taken for a reset, and vice versa."""
+    rig.send()
+    rig.close_target_ends()
+    requested = rig.requested_count
     assert requested == 2
     if exited:
-        bench.pool.handle_connection(
+        rig.pool.handle_connection(
             connectors.ConnectionFailed(TARGET, 'refused', refused=True), 0
         )
     else:
-        bench.open_requested()
-    assert messages.TargetChecked(TARGET.name, exited) in bench.events
+        rig.open_requested()
+    assert messages.TargetChecked(TARGET.name, exited) in rig.events
--- a/tests/edge/test_target_protocol.py
+++ b/tests/edge/test_target_protocol.py
@@ -1,4 +1,4 @@
-"""Test that only the answer to what was asked is taken for one."""
+"""Test that only a valid answer to its own request is accepted."""
 
 import json
 from typing import Any, Final
@@ -32,13 +32,13 @@
 
 
 def encode_response(body: str, *fields: str) -> bytes:
-    """Write an answer as a target does."""
+    """Encode a response as a target does."""
     lines = ''.join(f'{field}\r\n' for field in fields)
     return f'{HEAD}Content-Length: {len(body)}\r\n{lines}\r\n{body}'.encode()
 
 
 def decode_response(data: bytes) -> messages.Event | messages.Fault | None:
-    """Read bytes as the loop does; None while the answer is not whole."""
+    """Decode bytes as the loop does; None while incomplete."""
     try:
         frame = frames.decode_frame(data, MAX_BODY_BYTES)
     except frames.FrameError as error:
@@ -68,11 +68,11 @@
     ],
 )
 def test_rejects_an_answer_to_another_request(change: dict[str, Any]) -> None:
-    """Drop what answers another request, shard or snapshot.
+    """Reject the answer to another request, shard or snapshot.
 
-    Symptom: rows of another caller, shard or index version in an answer.
-    Sequence: a target mixes up two answers.
-    Cause: whatever comes back on a connection is taken for its answer.
+    Guards against rows of another caller, shard or index version: a target
+    mixes up two answers, and the bytes on a connection are accepted without
+    a check.
     """
     failed = decode_response(encode_response(json.dumps({**BODY, **change})))
     assert failed == messages.PartFailed(
@@ -166,12 +166,11 @@
 
 
 def test_sends_nothing_after_the_claim_expires() -> None:
-    """Look at the clock once more right before sending.
+    """Check the expiry of the claim again right before sending.
 
-    Symptom: a refund runs twice.
-    Sequence: a host is paused between its claim and its sending; the claim
-    ends; the id runs elsewhere; the host wakes.
-    Cause: the time is checked only when the claim is granted.
+    Guards against a refund that runs twice: a host is paused between its
+    claim and its send, the claim expires, the id runs elsewhere, and the
+    host resumes. Checking the time at the grant alone is not enough.
     """
     expired = SEND.request._replace(at_most_once=True, not_after_epoch=1.0)
     assert not target_protocol.may_send(expired, 100.0)
