--- a/fuchsiahaven/edge/authenticators.py
+++ b/fuchsiahaven/edge/authenticators.py
@@ -1,4 +1,4 @@
-"""Let callers' requests in, by the customers of the configuration in force."""
+"""Authenticate callers against the customers of the configuration."""
 
 from collections.abc import Mapping
 from typing import Final, NamedTuple
@@ -14,14 +14,14 @@
 )
 from fuchsiahaven.core.targets import messages
 
-#: How callers show their keys, in any case.
+#: Authorization scheme of keys, compared without regard to case.
 AUTH_SCHEME: Final = 'bearer'
-#: Parts the fields of a request that shows more than one.
+#: Separates the Authorization fields of a request that has several.
 FIELD_SEPARATOR: Final = '\n'
 
 
 class CustomerTable(NamedTuple):
-    """Hold what one configuration says of customers, by digests of keys."""
+    """Hold the customers of a configuration, by the digests of keys."""
 
     stamp: patches.Stamp
     customers: tuple[customers.Customer, ...]
@@ -30,19 +30,20 @@
 
 
 class Authenticator:
-    """Own the table in force; any thread may call this."""
+    """Own the customers in force; any thread may call this."""
 
     def __init__(self, key_freshness: freshness.Freshness) -> None:
-        """Start without a configuration, and with nothing proved."""
+        """Start without a configuration or a proof of its age."""
         self.freshness = key_freshness
         self._table: CustomerTable | None = None
 
     def update_configuration(
         self, stamped: patches.StampedConfiguration
     ) -> None:
-        """Take in the configuration in force.
+        """Update the customers to the configuration in force.
 
-        This comes before the dispatch is told, which refuses until then.
+        This happens before the dispatch loop receives the configuration; the
+        loop refuses requests until then.
         """
         configuration = stamped.configuration
         known_customers = configuration.customers
@@ -55,22 +56,22 @@
         )
 
     def read_clock(self) -> float:
-        """Return the time of a call that proves something, if any does."""
+        """Return the clock for a proof; UNKNOWN_TIME if none is needed."""
         if self.freshness.is_enforced:
             return self.freshness.read_clock()
         return revision_messages.UNKNOWN_TIME
 
     def record_read(self, stamp: patches.Stamp, sent_at: float) -> None:
-        """Take in that the platform, asked then, held what has this stamp."""
+        """Record that the platform held this stamp at `sent_at` or later."""
         if self._find_stamp() == stamp:
             self.freshness.record_read(sent_at, freshness.NO_ERA)
 
     def record_proof(
         self, sent_at: float, answer: proof_exchange.ProofAnswer
     ) -> bool:
-        """Take in what another host proved to a question that left then.
+        """Record another host's proof, requested at `sent_at`.
 
-        False where it has another configuration, or proves nothing newer.
+        Return False if it has another configuration or proves nothing newer.
         """
         if self._find_stamp() != patches.Stamp(answer.revision, answer.digest):
             return False
@@ -79,16 +80,16 @@
         return self.freshness.confirmed_at > previous
 
     def make_proof_answer(self) -> proof_exchange.ProofAnswer | None:
-        """Say what is proved to who asks now; None if there is nothing."""
+        """Make the proof for a host that requests it now; None without."""
         proof = self.freshness.make_proof(self.freshness.read_clock())
-        # Read before the proof, it could lack what the proof speaks of.
+        # A stamp read before the proof could be older than the proof.
         stamp = self._find_stamp()
         if proof is None or stamp is None:
             return None
         return proof_exchange.ProofAnswer(proof, *stamp)
 
     def compute_wait(self) -> float:
-        """Say for how long keys cannot be trusted here; 0 where they can."""
+        """Return the seconds until keys can be trusted; 0 if they can."""
         return (
             self.freshness.compute_wait() if self.freshness.is_enforced else 0.0
         )
@@ -96,13 +97,13 @@
     def admit(
         self, query: messages.Query, credentials: authentication.Credentials
     ) -> messages.Query | errors.Failure:
-        """Name the customer of a query, or say why it is refused.
+        """Return the query with its customer, or why it is refused.
 
-        Where callers need no key it stays as it is. The dispatch refuses it if
-        that has changed by then.
+        Without customers it is returned unchanged; the dispatch loop refuses
+        it if that has changed by then.
         """
-        # The age comes first: the table may only be newer than it says.
-        # It is asked for without customers too, since they may come just then.
+        # The age is read first: the table may only be newer than it implies.
+        # It is read without customers too, as they may arrive in between.
         wait = self.freshness.compute_wait()
         table = self._table
         if table is None or not table.customers:
@@ -125,7 +126,7 @@
 
 
 def parse_authorization(header: str) -> authentication.Credentials:
-    """Read what a caller shows as its key, empty where that is nothing."""
+    """Parse the Authorization fields; empty credentials if malformed."""
     fields = header.split(FIELD_SEPARATOR) if header else []
     return authentication.Credentials(
         keys.parse_key_digest(fields, AUTH_SCHEME), bool(header)
--- a/fuchsiahaven/edge/caller_port.py
+++ b/fuchsiahaven/edge/caller_port.py
@@ -1,4 +1,4 @@
-"""Speak with callers: the one adapter for their protocol."""
+"""Serve callers over HTTP: the only adapter for their protocol."""
 
 import http
 import queue
@@ -22,53 +22,53 @@
 HEALTH_ROUTE: Final = ('GET', '/healthz')
 READINESS_ROUTE: Final = ('GET', '/readyz')
 METRICS_ROUTE: Final = ('GET', '/metrics')
-#: What the caller port answers, and what the metrics port does.
+#: Routes of the caller port and of the metrics port.
 CALLER_ROUTES: Final = frozenset(
     (SEARCH_ROUTE, HEALTH_ROUTE, READINESS_ROUTE, METRICS_ROUTE)
 )
 SCRAPER_ROUTES: Final = frozenset((HEALTH_ROUTE, METRICS_ROUTE))
 JSON_TYPE: Final = 'application/json'
 TEXT_TYPE: Final = 'text/plain; charset=utf-8'
-#: Past the longest deadline there is: a reply that is not there by then was
-#: lost by a fault of this program.
+#: Longer than the longest deadline a caller may set: a reply that is missing
+#: by then was lost by a fault in this program.
 MAX_REPLY_WAIT_S: Final = 610.0
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
 
 class Host(Protocol):
-    """State what the port needs of the rest of the process."""
+    """Describe what the port needs from the rest of the process."""
 
     def submit_query(
         self, query: messages.Query, reply_to: dispatch_loop.ReplyQueue
     ) -> None:
-        """Hand a query over; its one reply goes to the queue."""
+        """Submit a query; its only reply is put into the queue."""
 
     def admit(
         self, query: messages.Query, credentials: authentication.Credentials
     ) -> messages.Query | errors.Failure:
-        """Name the customer of a query, or say why it is refused."""
+        """Return the query with its customer, or why it is refused."""
 
     def find_unready_reason(self) -> str:
-        """Say why no new work should come here; empty if it may."""
+        """Return why the host takes no new work; empty if it does."""
 
     def is_stopping(self) -> bool:
-        """Tell whether the planned stop has begun."""
+        """Return whether the planned stop has begun."""
 
     def encode_metrics(self) -> bytes:
-        """Write the metrics."""
+        """Return the metrics as text."""
 
     def record_reply(
         self, query: messages.Query, reply: messages.Reply
     ) -> None:
-        """Count a reply."""
+        """Record a reply in the metrics."""
 
     def record_refusal(self, kind: errors.Kind) -> None:
         """Count a request that was refused before it became a query."""
 
 
 class Application:
-    """Answer requests of callers, each with exactly one reply."""
+    """Reply to callers' requests, to each exactly once."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         bounds: caller_requests.BodyBounds,
         routes: frozenset[tuple[str, str]] = CALLER_ROUTES,
     ) -> None:
-        """Answer on behalf of a host, on these routes alone."""
+        """Serve a host's requests on these routes only."""
         self._routes = routes
         self._host = host
         self._bounds = bounds
@@ -84,15 +84,15 @@
     def __call__(
         self, environ: Mapping[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Respond to one request."""
         encoded, content_type = self._respond(environ)
         headers = [
             ('Content-Type', content_type),
             ('Content-Length', str(len(encoded.body))),
         ]
         if self._host.is_stopping():
-            # A caller that went on to use this connection would have its
-            # next request cut when the port closes.
+            # A caller that keeps this connection open would lose its next
+            # request when the port closes.
             headers.append(('Connection', 'close'))
         if encoded.retry_after_s is not None:
             headers.append(('Retry-After', str(encoded.retry_after_s)))
--- a/fuchsiahaven/edge/caller_replies.py
+++ b/fuchsiahaven/edge/caller_replies.py
@@ -1,4 +1,4 @@
-"""Write replies as callers see them."""
+"""Encode replies to callers as JSON."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 
 class EncodedReply(NamedTuple):
-    """Hold one reply: status, body and the seconds of Retry-After."""
+    """Hold a reply: status, JSON body and Retry-After in seconds."""
 
     status: int
     body: bytes
@@ -22,7 +22,7 @@
 
 
 def encode_reply(request_id: str | None, reply: messages.Reply) -> EncodedReply:
-    """Write an answer or a failure."""
+    """Encode an answer or a failure."""
     outcome = reply.outcome
     if isinstance(outcome, errors.Failure):
         return encode_failure(request_id, outcome)
@@ -35,7 +35,7 @@
 def encode_failure(
     request_id: str | None, failure: errors.Failure
 ) -> EncodedReply:
-    """Write a failure by the table of errors."""
+    """Encode a failure with the status and text of its kind."""
     properties = errors.KIND_PROPERTIES[failure.kind]
     error: dict[str, Any] = {
         'kind': failure.kind.value,
--- a/fuchsiahaven/edge/caller_requests.py
+++ b/fuchsiahaven/edge/caller_requests.py
@@ -1,4 +1,4 @@
-"""Read and check what callers send, within bounds of size, depth and time."""
+"""Read and validate callers' requests within limits of size and depth."""
 
 import math
 import re
@@ -21,8 +21,8 @@
     'required': ['class', 'query'],
     'properties': {
         'class': {'type': 'string', 'minLength': 1, 'maxLength': 64},
-        # An id goes into a header of each sub-request: a line break in it
-        # would forge further headers.
+        # The id becomes a header of each sub-request: a line break in it
+        # would inject further headers.
         'request_id': {'type': 'string', 'pattern': REQUEST_ID_PATTERN},
         'deadline_ms': {
             'type': 'integer',
@@ -49,14 +49,14 @@
 
 
 class BodyBounds(NamedTuple):
-    """Bound what a body may hold once it is parsed."""
+    """Limit the depth and the number of values of a parsed body."""
 
     max_depth: int
     max_items: int
 
 
 class Refusal(Exception):
-    """Refuse a request with the failure that its caller is told."""
+    """Report a refused request with the failure for its caller."""
 
     def __init__(
         self, kind: errors.Kind, detail: str, request_id: str | None = None
@@ -73,7 +73,7 @@
     make_request_id: Callable[[], str],
     arrived: float,
 ) -> messages.Query:
-    """Read one request; raises Refusal for what is not one."""
+    """Decode one request. Raises Refusal if it is malformed."""
     parsed = _decode_object(body)
     _check_bounds(parsed, bounds)
     try:
@@ -95,9 +95,9 @@
 
 
 def read_body(environ: Mapping[str, Any]) -> bytes:
-    """Read a body, whose size and time the port bounds.
+    """Read a body; the port limits its size and time.
 
-    Raises Refusal; raises TimeoutError, which the port answers.
+    Raises Refusal, or TimeoutError, to which the port responds.
     """
     length = _parse_length(environ)
     body: bytes = environ['wsgi.input'].read(length)
@@ -133,7 +133,7 @@
         count += len(level)
         if depth > bounds.max_depth or count > bounds.max_items:
             detail = (
-                f'the body may be {bounds.max_depth} deep and hold '
+                f'the body may be {bounds.max_depth} levels deep and hold '
                 f'{bounds.max_items} values'
             )
             raise Refusal(errors.Kind.TOO_LARGE, detail)
--- a/fuchsiahaven/edge/http_server.py
+++ b/fuchsiahaven/edge/http_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP on a port within bounds of size and time."""
+"""Serve HTTP on a port within limits of size and time."""
 
 import math
 import time
@@ -11,14 +11,14 @@
 from fuchsiahaven.edge import caller_replies, tls
 
 SOURCE: Final = 'ports'
-#: Where an application finds when a request began to arrive, in seconds of
-#: the monotonic clock.
+#: Key of the WSGI environment that holds when a request began to arrive, in
+#: seconds of the monotonic clock.
 ARRIVED_KEY: Final = 'fuchsiahaven.arrived'
-#: Where callers show their keys, as the library spells it.
+#: The header field of callers' keys, as the library spells it.
 AUTH_FIELD: Final = b'Authorization'
-#: What is more than a port serves at once waits here, in requests.
+#: Requests that wait for a thread.
 MAX_QUEUED_REQUESTS: Final = 1024
-#: What the library refuses by itself, by the first digits of its status.
+#: Failures that the library reports by itself, by their status.
 KINDS_BY_STATUS: Final = {
     '400': errors.Kind.BAD_REQUEST,
     '408': errors.Kind.SLOW_REQUEST,
@@ -31,10 +31,11 @@
 
 
 class PortSettings(NamedTuple):
-    """Say where a port listens and what bounds it.
+    """Hold the address and the limits of a port.
 
-    A request has `read_s` to arrive, head and body. `shared` lets several
-    processes listen on one port. Without an identity it speaks plainly.
+    Head and body of a request must arrive within `read_timeout_s`.
+    `reuse_port` lets several processes listen on one port. Without an
+    identity the port uses plain text.
     """
 
     address: addresses.Address
@@ -70,24 +71,24 @@
 
 
 class _TimedSocket:
-    """Let reading end at one time, however the bytes trickle in.
+    """Limit the total time of reading, however slowly bytes arrive.
 
-    The timeout of a socket starts again with each byte: a sender of a byte a
-    second would hold a thread for hours. It would show as requests that wait
-    although no thread works.
+    The timeout of a socket restarts with each byte: a sender of one byte per
+    second would hold a thread for hours, and requests would wait while no
+    thread works.
     """
 
     def __init__(self, sock: Any) -> None:
-        """Read from a socket."""
+        """Wrap a socket, without a deadline yet."""
         self.deadline = math.inf
         self._sock = sock
 
     def __getattr__(self, name: str) -> Any:
-        """Leave all but reading to the socket."""
+        """Delegate everything but reading to the socket."""
         return getattr(self._sock, name)
 
     def recv_into(self, buffer: Any) -> int:
-        """Read what has come. Raises TimeoutError."""
+        """Read available bytes. Raises TimeoutError at the deadline."""
         remaining_s = self.deadline - time.monotonic()
         if remaining_s <= 0:
             raise TimeoutError('timed out')
@@ -96,36 +97,36 @@
 
 
 class _HeaderFields(dict[bytes, bytes]):
-    """Keep each field in which a caller shows a key.
+    """Keep every Authorization field of a request.
 
-    The library keeps the last one, and a proxy in front may go by the first.
+    The library keeps only the last one, while a proxy may use the first.
     """
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
-        """Set a field, or add a line to one that shows a key."""
+        """Set a field, or append to an existing Authorization field."""
         if name == AUTH_FIELD and name in self:
             value = b'\n'.join((self[name], value))
         super().__setitem__(name, value)
 
 
 class _Request(cheroot_server.HTTPRequest):
-    """Refuse in the words of the table of errors."""
+    """Refuse requests in this system's error format."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
-        """Take the options of the library's request."""
+        """Pass the options to the library's request."""
         super().__init__(*args, **options)
         self.inheaders = _HeaderFields()
 
     def respond(self) -> None:
-        """Answer a request whose head is there."""
+        """Respond to a request whose head was read."""
         try:
             super().respond()
         finally:
-            # Reading has changed the time that writing may take.
+            # Reading changed the timeout of the socket; writing needs it.
             self.conn.socket.settimeout(self.server.timeout)
 
     def simple_response(self, status: Any, msg: str = '') -> None:
-        """Write what the library answers by itself."""
+        """Send a response that the library makes by itself."""
         kind = KINDS_BY_STATUS.get(str(status)[:3])
         if kind is None:
             super().simple_response(status, msg)
@@ -138,23 +139,23 @@
             'Content-Type: application/json\r\n'
             'Connection: close\r\n\r\n'
         )
-        # What follows on this connection cannot be told from the rest of
-        # what was refused.
+        # The rest of the refused request cannot be told from a next request
+        # on this connection.
         self.close_connection = True
         try:
             self.conn.wfile.write(head.encode() + encoded.body)
         except OSError:
-            # The caller has gone, and nobody is left to be told.
+            # The caller has closed the connection.
             return
 
 
 class _Connection(cheroot_server.HTTPConnection):
-    """Know when a request began to arrive, and bound its reading."""
+    """Record when a request began to arrive, and limit its reading."""
 
     def __init__(
         self, server: Any, sock: Any, make_file: Any = makefile.MakeFile
     ) -> None:
-        """Take a connection over."""
+        """Take over a connection."""
         super().__init__(server, sock, make_file)
         self.RequestHandlerClass = _Request
         self.arrived = time.monotonic()
@@ -162,29 +163,31 @@
         self.rfile = make_file(self._timed_socket, 'rb', self.rbufsize)
 
     def communicate(self) -> Any:
-        """Read one request and answer it."""
-        self._timed_socket.deadline = time.monotonic() + self.server.read_timeout_s
-        # The library tells each request what stands here of its connection.
+        """Read one request and respond to it."""
+        self._timed_socket.deadline = (
+            time.monotonic() + self.server.read_timeout_s
+        )
+        # The library copies `ssl_env` into the environment of each request.
         self.ssl_env = {**(self.ssl_env or {}), ARRIVED_KEY: self.arrived}
         library: Any = super()
         return library.communicate()
 
 
 class _Server(wsgi.Server):
-    """Note when a request begins to arrive, before any thread is free.
+    """Record when a request begins to arrive, before a thread is free.
 
-    The time that a request waits for a thread counts against its deadline;
-    left out, a host with too much to do would answer each request in time
-    by its own clock, and too late by its callers'.
+    The time that a request waits for a thread counts against its deadline.
+    Otherwise an overloaded host would answer each request in time by its own
+    clock, but too late for its caller.
     """
 
     def __init__(self, *args: Any, **options: Any) -> None:
-        """Take the options of the library's server."""
+        """Pass the options to the library's server."""
         super().__init__(*args, **options)
         self.ConnectionClass = _Connection
         self.read_timeout_s = math.inf
 
     def process_conn(self, conn: Any) -> None:
-        """Hand a connection with a new request to a thread."""
+        """Queue a connection with a new request for a thread."""
         conn.arrived = time.monotonic()
         super().process_conn(conn)
--- a/fuchsiahaven/edge/process_metrics.py
+++ b/fuchsiahaven/edge/process_metrics.py
@@ -1,4 +1,4 @@
-"""Count for the metrics what the tasks of one process do."""
+"""Record the metrics of one process."""
 
 import threading
 import time
@@ -11,8 +11,8 @@
 from fuchsiahaven.edge import dispatch_loop
 from fuchsiahaven.operate import metrics
 
-#: What callers name is no label unless it is configured: each value of a
-#: label costs memory for the life of the process.
+#: Class names of these failures are not labels: a caller may send any name,
+#: and each value of a label takes memory for the life of the process.
 UNLABELLED_KINDS: Final = frozenset(
     (errors.Kind.UNKNOWN_CLASS, errors.Kind.NOT_READY)
 )
@@ -25,7 +25,7 @@
     """Own the metrics of one process; any thread may call this."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with all counts at zero."""
         self._metrics = metrics.build_metrics()
         self._lock = threading.Lock()
         self._exported_counts: Counter[tables.Count] = Counter()
@@ -33,7 +33,7 @@
     def record_reply(
         self, query: messages.Query, reply: messages.Reply
     ) -> None:
-        """Count a reply, its latency and its coverage."""
+        """Record a reply, its latency and its coverage."""
         outcome = reply.outcome
         if isinstance(outcome, errors.Failure):
             self._metrics.refusals[outcome.kind].inc()
@@ -49,7 +49,7 @@
         self._metrics.refusals[kind].inc()
 
     def encode(self, status: dispatch_loop.LoopStatus) -> bytes:
-        """Write the metrics with what the dispatch loop shows just now."""
+        """Return the metrics as text, with the dispatch loop's status."""
         with self._lock:
             increments = status.counts - self._exported_counts
             self._exported_counts += increments
--- a/fuchsiahaven/edge/server.py
+++ b/fuchsiahaven/edge/server.py
@@ -1,4 +1,4 @@
-"""Wire one `serve` process together and stop it without cutting a request."""
+"""Run one `serve` process and stop it without cutting a request."""
 
 import contextlib
 import random
@@ -38,7 +38,7 @@
 
 
 class Host:
-    """Join the caller port to the other tasks of this process."""
+    """Connect the caller port to the other tasks of this process."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         controller: control.Control,
         authenticator: authenticators.Authenticator,
     ) -> None:
-        """Hand queries to a loop that a door lets in."""
+        """Submit authenticated queries to the dispatch loop."""
         self.admit = authenticator.admit
         self._authenticator = authenticator
         self._loop = dispatcher
@@ -59,11 +59,11 @@
     def submit_query(
         self, query: messages.Query, reply_to: dispatch_loop.ReplyQueue
     ) -> None:
-        """Hand a query over; its one reply goes to the queue."""
+        """Submit a query; its only reply is put into the queue."""
         self._loop.post(dispatch_loop.QueryReceived(query, reply_to))
 
     def find_unready_reason(self) -> str:
-        """Say why no new work should come here; empty if it may."""
+        """Return why this host takes no new work; empty if it does."""
         if self.is_stopping():
             return 'stopping'
         if self._authenticator.compute_wait():
@@ -74,24 +74,24 @@
         )
 
     def is_stopping(self) -> bool:
-        """Tell whether the planned stop has begun."""
+        """Return whether the planned stop has begun."""
         return self._stopping.is_set()
 
     def begin_stop(self) -> None:
-        """Begin the planned stop; balancer and members are told."""
+        """Begin the planned stop; balancer and members are informed."""
         self._stopping.set()
         self._controller.announce_stop()
 
     def encode_metrics(self) -> bytes:
-        """Write the metrics."""
+        """Return the metrics as text."""
         return self._metrics.encode(self._loop.status)
 
 
 def serve(host_settings: settings.Settings) -> bool:
-    """Serve until a signal asks for the planned stop, then make it.
+    """Serve until a signal requests the planned stop, then stop.
 
-    False where the dispatch loop has failed: the process then ends at once,
-    so that another takes its place.
+    Return False if the dispatch loop has failed: the process then ends at
+    once, so that another replaces it.
     """
     stop_requested = threading.Event()
 
@@ -133,9 +133,9 @@
 ) -> None:
     """Stop without cutting a request.
 
-    The balancer goes on sending for its lag after it has been told; what it
-    sends in that time is answered as ever. Only then is new work refused,
-    as not run, and what runs is given time to end.
+    The balancer keeps sending for its lag after the stop is announced; these
+    requests are served as usual. Only then is new work refused as not run,
+    and requests in flight get time to end.
     """
     logs.info(PART, 'leaving', lag_s=limits.balancer_lag_s)
     host.begin_stop()
@@ -148,7 +148,7 @@
 
 
 def _count_unanswered(dispatcher: dispatch_loop.DispatchLoop) -> int:
-    # Before the loop has taken note of the stop, its figure is of before.
+    # Until the status says 'stopping', its count is from before the stop.
     status = dispatcher.status
     return status.unanswered or int(status.unready_reason != 'stopping')
 
--- a/tests/edge/test_authenticators.py
+++ b/tests/edge/test_authenticators.py
@@ -1,4 +1,4 @@
-"""Check that nothing gets past the door without a key where one is needed."""
+"""Test that no request without a required key is admitted."""
 
 from typing import Final
 
@@ -93,22 +93,22 @@
 
 
 class LateConfiguration(freshness.Freshness):
-    """Have a configuration come once it was asked how old knowledge is."""
+    """Deliver a configuration while the age of the keys is read."""
 
     def __init__(self) -> None:
-        """Start with none on its way."""
+        """Start without a configuration to deliver."""
         super().__init__(5.0, self.arrive)
         self.authenticators: list[authenticators.Authenticator] = []
 
     @property
     def is_enforced(self) -> bool:
-        """Tell what was true before it came."""
+        """Return the value from before the configuration was delivered."""
         was_enforced = super().is_enforced
         self.arrive()
         return was_enforced
 
     def arrive(self) -> float:
-        """Bring the configuration, once; return the time."""
+        """Deliver the configuration once; return the time."""
         while self.authenticators:
             self.authenticators.pop().update_configuration(
                 patches.stamp_configuration(WITH_CUSTOMERS)
@@ -117,7 +117,7 @@
 
 
 def test_admits_no_key_while_customers_arrive() -> None:
-    """Guard against a first table, maybe old, that comes amid a decision."""
+    """Guard against an outdated first configuration during a decision."""
     key_freshness = LateConfiguration()
     authenticator = authenticators.Authenticator(key_freshness)
     key_freshness.authenticators.append(authenticator)
--- a/tests/edge/test_customer_keys.py
+++ b/tests/edge/test_customer_keys.py
@@ -1,4 +1,4 @@
-"""Test keys from the operator's command to the targets, over loopback."""
+"""Test customers' keys from the operator's command to the targets."""
 
 import contextlib
 import subprocess
@@ -18,12 +18,12 @@
 OTHER_KEY: Final = 'k-71d0'
 BODY: Final = {'query': {'text': 'combi', 'limit': 3}}
 MAX_WAIT_S: Final = 10.0
-#: What the settings say.
+#: As in the settings.
 REVOKE_S: Final = 2.0
 
 
 class Site(NamedTuple):
-    """Say where things are, and hold the folder of keys and logs."""
+    """Hold the addresses of the system and the folder of keys and logs."""
 
     callers: str
     platform: str
@@ -36,7 +36,7 @@
     def search(
         self, *authorization: str, class_name: str = 'price-check'
     ) -> urllib3.BaseHTTPResponse:
-        """Ask, showing these fields."""
+        """Send a search with these Authorization fields."""
         fields = urllib3.HTTPHeaderDict()
         for value in authorization:
             fields.add('Authorization', value)
@@ -48,12 +48,12 @@
         )
 
     def control(self, **settings: bool) -> None:
-        """Have the platform be away or there."""
+        """Take the platform down or up."""
         url = f'http://{self.platform}/control'
         assert urllib3.request('POST', url, json=settings).status < 300
 
     def wait_for_status(self, status: int, *authorization: str) -> None:
-        """Ask until the answer has a status."""
+        """Search until the response has a status."""
         deadline = time.monotonic() + MAX_WAIT_S
         while self.search(*authorization).status != status:
             assert time.monotonic() < deadline, status
@@ -63,7 +63,7 @@
 def start_host(
     stack: contextlib.ExitStack, folder: Path, log: BinaryIO
 ) -> None:
-    """Start an entry host whose output goes to a log."""
+    """Start an entry host whose output goes to a log file."""
     arguments = ('-m', 'fuchsiahaven', 'serve', '--settings')
     host = subprocess.Popen(
         (sys.executable, *arguments, str(folder / 'host.ini')),
@@ -76,7 +76,7 @@
 
 @pytest.fixture(scope='module')
 def site(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """Run an entry host of Santiago that needs keys."""
+    """Run an entry host of Santiago that requires keys."""
     first_port = test_end_to_end.find_free_ports()
     end_port = first_port + test_end_to_end.PORT_COUNT
     folder = tmp_path_factory.mktemp('keys')
@@ -126,7 +126,7 @@
 def test_accepts_a_key_until_it_is_removed(
     site: Site, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guard against a key that is stored, logged or echoed in clear."""
+    """Guard against a key that is stored, logged or echoed in plain text."""
     authorization = f'Bearer {KEY}'
     refused = site.search(authorization)
     assert refused.status == 401
@@ -204,7 +204,7 @@
 def test_refuses_keys_in_time_during_an_outage(
     site: Site,
 ) -> None:
-    """Guard against a host out of touch that goes on taking keys."""
+    """Guard against a host without contact that keeps accepting keys."""
     authorization = f'Bearer {OTHER_KEY}'
     keys = ('--keys', str(site.folder / 'other'))
     site.run('customer', 'add-keys', 'shop', *keys)
--- a/tests/edge/test_end_to_end.py
+++ b/tests/edge/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Test the whole path with separate processes over loopback."""
+"""Test the whole path of requests with separate processes."""
 
 import contextlib
 import os
@@ -35,14 +35,14 @@
 
 
 class EntryHost(NamedTuple):
-    """Say where an entry host answers callers and gives its metrics."""
+    """Hold the URLs of an entry host's caller port and metrics port."""
 
     callers: str
     metrics: str
 
 
 def retry_on(*statuses: int) -> urllib3.Retry:
-    """Ask again while the answer has one of these statuses."""
+    """Retry while the response has one of these statuses."""
     return urllib3.Retry(
         200,
         backoff_factor=0.05,
@@ -53,8 +53,8 @@
 
 
 def find_free_ports() -> int:
-    """Find a run of free ports below those of outgoing connections."""
-    # Test runs side by side start to look at different places.
+    """Find consecutive free ports below those of outgoing connections."""
+    # Concurrent test runs start their search at different ports.
     offset = os.getpid() % 100 * PORT_COUNT
     for first in range(12_000 + offset, 32_000, PORT_COUNT):
         with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
@@ -68,7 +68,7 @@
 def start_program(
     stack: contextlib.ExitStack, *arguments: str
 ) -> subprocess.Popen[str]:
-    """Start a program of this project and end it with the stack."""
+    """Start a program of this project; the stack terminates it."""
     process = subprocess.Popen(
         (sys.executable, '-m', *arguments), stdout=subprocess.PIPE, text=True
     )
@@ -79,7 +79,7 @@
 
 @pytest.fixture(scope='module')
 def entry(tmp_path_factory: pytest.TempPathFactory) -> Iterator[EntryHost]:
-    """Run an entry host of Santiago among stand-ins."""
+    """Run an entry host of Santiago with stand-ins."""
     first_port = find_free_ports()
     end_port = first_port + PORT_COUNT
     platform = end_port - 1
@@ -111,7 +111,7 @@
 
 
 def check_price(entry: EntryHost) -> Any:
-    """Ask a price check; return the answer."""
+    """Send a price check; return the answer."""
     return urllib3.request(
         'POST',
         f'{entry.callers}/v1/search',
@@ -128,7 +128,7 @@
 
 
 def test_replays_the_answer_to_a_repeated_id(entry: EntryHost) -> None:
-    """Run a request that may not be repeated once, and answer it twice."""
+    """Run an at-most-once request once and answer it twice."""
     request_id = request_ids.make_request_id(time.time(), bits=7)
     body = {
         'class': 'reservation-lookup',
@@ -139,7 +139,7 @@
     url = f'{entry.callers}/v1/search'
     first = urllib3.request('POST', url, json=body)
     assert first.status == 200
-    # The answer leaves before its record is written.
+    # The answer is sent before its record is written.
     repeated = urllib3.request('POST', url, json=body, retries=retry_on(409))
     assert repeated.json() == {**first.json(), 'replayed': True}
 
--- a/tests/edge/test_http_server.py
+++ b/tests/edge/test_http_server.py
@@ -1,4 +1,4 @@
-"""Test the bounds of a port over loopback."""
+"""Test the limits of a port over loopback."""
 
 import contextlib
 import socket
@@ -18,7 +18,7 @@
 
 
 def echo(environ: dict[str, Any], start: Any) -> list[bytes]:
-    """Answer with the body."""
+    """Respond with the body of the request."""
     body = caller_requests.read_body(environ)
     start('200 OK', [('Content-Length', str(len(body)))])
     return [body]
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def client() -> Iterator[socket.socket]:
-    """Connect to a port that gives a request a tenth of a second."""
+    """Connect to a port where a request must arrive within 0.1 s."""
     loopback = addresses.Address('127.0.0.1', 0)
     port = http_server.PortSettings(
         loopback, 2, 5, 500, 1000, read_timeout_s=0.1, idle_timeout_s=5
@@ -44,7 +44,7 @@
 
 
 def receive(sock: socket.socket) -> bytes:
-    """Receive what comes within a moment."""
+    """Receive what arrives before the socket's timeout."""
     with contextlib.suppress(TimeoutError):
         return sock.recv(4096)
     return b''
@@ -54,11 +54,11 @@
 def test_refuses_a_trickled_request(
     client: socket.socket, start: bytes
 ) -> None:
-    """End a request whose bytes go on to come, but slowly.
+    """Refuse a request whose bytes arrive too slowly.
 
-    Symptom: requests wait although no thread works.
-    Sequence: senders connect and send a byte now and then, for hours.
-    Cause: the timeout of a socket starts again with each byte.
+    Guards against requests that wait while no thread works: senders transmit
+    a byte now and then for hours, and each byte restarts the timeout of the
+    socket.
     """
     client.sendall(start)
     answer = b''
