--- a/fuchsiahaven/edge/config_client.py
+++ b/fuchsiahaven/edge/config_client.py
@@ -1,8 +1,8 @@
-"""Carry out the steps of reading and changing the stored configuration.
+"""Read and change the stored configuration through the platform.
 
-The decisions are generators in `core/readings` and `core/transactions`; here
-their calls go to the platform's service, and calls that certainly did nothing
-are tried again within a bounded time.
+The decisions are generators in `core.configuration.store_reads` and
+`core.configuration.transactions`; this module makes their calls to the
+platform and retries, within a time limit, calls that had no effect.
 """
 
 import random
@@ -19,10 +19,11 @@
 )
 from fuchsiahaven.edge import store
 
-#: The first wait before a call is made again, in seconds; it doubles.
+#: Delay before the first retry of a call; it doubles with each retry.
 MIN_RETRY_DELAY_S: Final = 0.05
 MAX_RETRY_DELAY_S: Final = 1.0
-#: The longest rest before a second try, in seconds; it doubles with each.
+#: Upper bound of the random backoff before a second attempt; it doubles with
+#: each attempt.
 MIN_BACKOFF_S: Final = 0.005
 MAX_BACKOFF_S: Final = 0.5
 
@@ -32,12 +33,12 @@
 
 
 class RetryPolicy(NamedTuple):
-    """Bound how long a call that gave nothing is tried again."""
+    """Bound how long a failed call is retried, and how to wait."""
 
     timeout_s: float = 5.0
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
-    random: Callable[[], float] = random.random
+    draw_fraction: Callable[[], float] = random.random
 
 
 DEFAULT_RETRIES: Final = RetryPolicy()
@@ -48,7 +49,7 @@
     retries: RetryPolicy = DEFAULT_RETRIES,
     select_parts: store_reads.PartSelector = store_reads.select_all_parts,
 ) -> store_reads.LoadedManifest | errors.Failure:
-    """Read the configuration, with the targets of the chosen places."""
+    """Read the configuration, with the targets of the selected parts."""
     return run_steps(store_reads.load_manifest(select_parts), platform, retries)
 
 
@@ -58,7 +59,7 @@
     epoch_s: float,
     retries: RetryPolicy = DEFAULT_RETRIES,
 ) -> transactions.Outcome:
-    """Make one change and say truthfully what became of it."""
+    """Commit a change and return its outcome, which may be unknown."""
     return run_steps(transactions.commit(request, epoch_s), platform, retries)
 
 
@@ -67,12 +68,12 @@
     platform: store.Store,
     retries: RetryPolicy = DEFAULT_RETRIES,
 ) -> _Outcome:
-    """Make the calls of a generator until it returns."""
+    """Make the calls of a generator and return its result."""
     deadline = retries.clock() + retries.timeout_s
     result: store_calls.Result | None = None
     while True:
         try:
-            # One that has not started takes nothing; `Missing` is falsy too.
+            # A generator starts without a value; `KeyMissing` is falsy too.
             call = next(steps) if result is None else steps.send(result)
         except StopIteration as stop:
             outcome: _Outcome = stop.value
@@ -88,7 +89,7 @@
 ) -> store_calls.Result:
     if isinstance(call, store_calls.Backoff):
         max_delay_s = min(MIN_BACKOFF_S * 2**call.attempt, MAX_BACKOFF_S)
-        retries.sleep(max_delay_s * retries.random())
+        retries.sleep(max_delay_s * retries.draw_fraction())
         return store_calls.BackoffEnded()
     delay_s = MIN_RETRY_DELAY_S
     while True:
--- a/fuchsiahaven/edge/failover_pools.py
+++ b/fuchsiahaven/edge/failover_pools.py
@@ -1,4 +1,4 @@
-"""Keep a connection to one of several addresses that serve alike."""
+"""Keep a connection to one of several equivalent addresses."""
 
 import ssl
 
@@ -8,12 +8,12 @@
 
 
 class FailoverPool:
-    """Own the connection; go on to the next address after a failure."""
+    """Own the connection; switch to the next address after a failure."""
 
     def __init__(
         self, urls: tuple[str, ...], identity: tls.Identity | None = None
     ) -> None:
-        """Prepare without connecting; with an identity speak TLS."""
+        """Prepare without connecting; use TLS with an identity."""
         self._urls = urls
         self._identity = identity
         self._url_index = 0
@@ -21,9 +21,9 @@
         self._pool = self._open()
 
     def current_pool(self) -> urllib3.HTTPConnectionPool:
-        """Return the connection to the present address."""
-        # New keys serve from the next call on; an idle connection of the
-        # old ones is closed, and none is in use, for it has one owner.
+        """Return the connection pool of the current address."""
+        # Changed keys apply from the next call on. Closing is safe: the pool
+        # has one owner, so the connection is idle now.
         if (
             self._identity
             and self._identity.current_context() is not self._context
@@ -33,7 +33,7 @@
         return self._pool
 
     def switch_address(self) -> None:
-        """Go on to the next address."""
+        """Switch to the next address."""
         if len(self._urls) > 1:
             self._url_index += 1
             self._pool.close()
--- a/fuchsiahaven/edge/host_list.py
+++ b/fuchsiahaven/edge/host_list.py
@@ -1,6 +1,6 @@
-"""Read the platform's host list: the one adapter for it.
+"""Read the platform's host list: the only adapter for it.
 
-The list lags, so what it says of a host is one signal among others.
+The list lags, so a host's entry is only one signal among others.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class EntryHost(NamedTuple):
-    """Hold one entry host as listed: name, `ip:port`, data centre."""
+    """Hold a listed entry host; its address is `ip:port`."""
 
     name: str
     address: str
@@ -19,9 +19,9 @@
 
 
 class HostListing(NamedTuple):
-    """Hold one reading: targets as an event, entry hosts as seeds.
+    """Hold one reading of the list: targets as an event, entry hosts.
 
-    `age_s` is how old the platform says its list is, in seconds.
+    `age_s` is the age of the list according to the platform, in seconds.
     """
 
     targets: messages.HostListRead
--- a/fuchsiahaven/edge/host_list_poller.py
+++ b/fuchsiahaven/edge/host_list_poller.py
@@ -1,4 +1,4 @@
-"""Read the platform's host list now and then, for targets and members."""
+"""Poll the platform's host list for targets and members."""
 
 import random
 import threading
@@ -9,13 +9,13 @@
 from fuchsiahaven.operate import logs
 
 PART: Final = 'host list'
-#: With more members each reads less often, so that a data centre of any size
-#: costs the platform as many calls as one of so many hosts.
+#: With more members than this each polls less often, so that the calls of a
+#: data centre to the platform do not grow with its number of hosts.
 MAX_FULL_RATE_MEMBERS: Final = 8
 
 
 class HostListPoller:
-    """Own a thread that reads the list and reports what it finds."""
+    """Poll the list in a thread and report each reading."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         interval_s: float,
         report: Callable[[host_list.HostListing], None],
     ) -> None:
-        """Prepare without starting; `run` is for a thread of its own."""
+        """Prepare without starting; `run` needs a thread of its own."""
         self.member_count = 1
         self._platform = platform
         self._interval_s = interval_s
@@ -31,11 +31,11 @@
         self._stopped = threading.Event()
 
     def stop(self) -> None:
-        """Ask `run` to end."""
+        """Request `run` to end."""
         self._stopped.set()
 
     def run(self) -> None:
-        """Read until stopped."""
+        """Poll until stopped."""
         while not self._stopped.wait(self._compute_delay()):
             self._read()
 
--- a/fuchsiahaven/edge/manifest_reader.py
+++ b/fuchsiahaven/edge/manifest_reader.py
@@ -1,4 +1,4 @@
-"""Read the manifest and its parts from the platform's service."""
+"""Read the manifest and its parts from the platform."""
 
 from collections.abc import Callable
 
@@ -17,18 +17,18 @@
 
 
 class Reader:
-    """Read manifests for one data centre, each part of one only once."""
+    """Read manifests for one data centre and cache their parts."""
 
     def __init__(
         self, data_centre: str, clock: Callable[[], float] = _get_unknown_time
     ) -> None:
-        """Start without any part; the clock tells when a call leaves."""
+        """Start without parts; the clock gives the time of each call."""
         self._data_centre = data_centre
         self._clock = clock
         self._part_texts: dict[str, str] = {}
 
     def read(self, platform: store.Store) -> messages.Event:
-        """Read what is there now."""
+        """Read the current manifest."""
         sent_at = self._clock()
         try:
             entry = platform.read(manifests.MANIFEST_KEY)
@@ -44,7 +44,7 @@
         return loaded
 
     def read_revision(self, platform: store.Store) -> messages.Event:
-        """Read the platform's number of the manifest alone."""
+        """Read only the platform's revision of the manifest."""
         sent_at = self._clock()
         try:
             listed = platform.list_keys(manifests.MANIFEST_KEY)
@@ -59,10 +59,10 @@
     def watch(
         self, platform: store.Store, action: messages.WatchManifest
     ) -> messages.Event:
-        """Wait for a change and read it.
+        """Wait for a changed manifest and read it.
 
-        The wait ends within bounds even where a watch has gone silent: the
-        store gives up shortly after the time that the platform was given.
+        The wait is bounded even if the platform stops answering: the store
+        times out shortly after the requested wait.
         """
         try:
             entry = platform.watch(
@@ -107,7 +107,7 @@
             entry = None if key in part_texts else platform.read(key)
             if entry is not None:
                 part_texts[key] = entry.value
-        # Two threads read; each goes on with the texts it has seen itself.
+        # Two threads read; each keeps the parts of its own last reading.
         self._part_texts = part_texts
         return part_texts
 
--- a/fuchsiahaven/edge/store.py
+++ b/fuchsiahaven/edge/store.py
@@ -1,8 +1,8 @@
-"""Reach the platform's key-value service: the one adapter for it.
+"""Call the platform's key-value service: the only adapter for it.
 
-One `Store` belongs to one task: it owns its connection, its budget of calls
-and its counters, and it never tries again by itself. Whether a call that
-failed may be repeated is a decision that only its caller can make.
+A `Store` belongs to one task: it owns its connection, its rate limits and its
+counters. It never retries, because only its caller can decide whether a
+failed call may be repeated.
 """
 
 import collections
@@ -23,17 +23,17 @@
 Entry = store_answers.Entry
 
 MAX_VALUE_BYTES: Final = 1_000_000
-# A value grows up to sixfold where JSON escapes its characters; the rest of
-# an answer is small beside it.
+# JSON escapes can make a value six times as large; the rest of an answer is
+# small in comparison.
 _MAX_ANSWER_BYTES: Final = 7 * MAX_VALUE_BYTES
 _CHUNK_BYTES: Final = 65_536
 _EXPECTED_STATUSES: Final = frozenset(
     (http.HTTPStatus.OK, http.HTTPStatus.NO_CONTENT, http.HTTPStatus.NOT_FOUND)
 )
-# The platform does not say for how long its rate is exceeded.
+# The platform does not report how long its rate limit applies.
 _RATE_BACKOFF_S: Final = 0.1
 
-# What is started at once may take a second's worth.
+# The burst after a start is the calls of one second.
 _READS_PER_S: Final = 200.0
 _WRITES_PER_S: Final = 40.0
 _READ_RATE: Final = rates.Rate(_READS_PER_S, burst=_READS_PER_S)
@@ -44,7 +44,7 @@
 
 
 class Code(enum.StrEnum):
-    """List the ways in which a call of the platform's service fails."""
+    """List how a call of the platform's service can fail."""
 
     CONFLICT = 'conflict'
     UNAVAILABLE = 'unavailable'
@@ -54,33 +54,33 @@
 
 
 class StoreError(Exception):
-    """Report a call that failed; `code` says how."""
+    """Report a failed call; `code` says how it failed."""
 
     code = Code.UNAVAILABLE
 
 
 class StoreConflict(StoreError):
-    """Report that the key has another revision; 0 where it has none.
+    """Report that the key has another revision; 0 if it does not exist.
 
-    Nothing was written. Write conditions alone raise this.
+    Nothing was written. Only conditional writes raise this.
     """
 
     code = Code.CONFLICT
 
     def __init__(self, revision: int) -> None:
-        """Keep the revision that the key has now."""
+        """Keep the current revision of the key."""
         super().__init__(f'the key is at revision {revision}')
         self.revision = revision
 
 
 class StoreUnavailable(StoreError):
-    """Report a call that gave nothing; certainly nothing was written."""
+    """Report a failed call that certainly wrote nothing."""
 
     code = Code.UNAVAILABLE
 
 
 class StoreOverBudget(StoreUnavailable):
-    """Report a call refused for its rate, by us or by the platform.
+    """Report a call refused by a rate limit, here or at the platform.
 
     Nothing was written; `retry_after` is in seconds.
     """
@@ -88,33 +88,33 @@
     code = Code.OVER_BUDGET
 
     def __init__(self, retry_after: float) -> None:
-        """Keep the time after which a call may be made."""
+        """Keep the seconds after which a call may be made."""
         super().__init__(f'no call may be made for {retry_after:.3f} s')
         self.retry_after = retry_after
 
 
 class StoreLeaseEnded(StoreUnavailable):
-    """Report a write under a lease that has ended; nothing was written."""
+    """Report a write under an expired lease; nothing was written."""
 
     code = Code.LEASE_ENDED
 
 
 class StoreUnclear(StoreError):
-    """Report a write whose answer was lost: it may have taken effect.
+    """Report a write without an answer: it may have taken effect.
 
-    It may even take effect later than this report; only a read at a higher
-    revision of the same key settles that it never will.
+    It may even take effect after this report; only a read of the key at a
+    higher revision rules that out.
     """
 
     code = Code.UNCLEAR
 
 
 class Limits(NamedTuple):
-    """Bound the calls of one store.
+    """Limit the calls of one store.
 
-    The platform takes several hundred writes and about two thousand reads a
-    second from all hosts together; the defaults are the share of one of
-    eight hosts. Each waiting watch counts as one read.
+    The platform accepts several hundred writes and about two thousand reads
+    per second from all hosts together; the defaults are the share of one of
+    eight hosts. Each watch counts as one read.
     """
 
     connect_timeout_s: float = 0.5
@@ -132,7 +132,7 @@
 
 
 class _AnswerOutOfBounds(Exception):
-    """Report an answer past its bound of bytes or seconds."""
+    """Report an answer that exceeds its limit of bytes or seconds."""
 
 
 class Store:
@@ -147,10 +147,10 @@
     ) -> None:
         """Prepare the connection without opening it.
 
-        The URLs are alike; the next one is taken when a call gave nothing.
+        The URLs are equivalent; a failed call switches to the next one.
         """
         self.calls: collections.Counter[str] = collections.Counter()
-        #: The platform's clock at its last answer, where that told it.
+        #: The platform's clock at its last answer, from the Date header.
         self.date_epoch: float | None = None
         self._limits = limits
         self._clock = clock
@@ -164,7 +164,7 @@
         self._failover_pool.close()
 
     def read(self, key: str) -> Entry | None:
-        """Read a key, None where it does not exist.
+        """Read a key; None if it does not exist.
 
         Raises StoreUnavailable.
         """
@@ -182,7 +182,7 @@
     def watch(
         self, key: str, above_revision: int, wait_s: float
     ) -> Entry | None:
-        """Wait for a revision above one; None after `wait_s` without.
+        """Wait for a higher revision; None if none comes within `wait_s`.
 
         Raises StoreUnavailable.
         """
@@ -203,7 +203,7 @@
     def swap(
         self, key: str, value: str, revision: int, lease: str | None = None
     ) -> Entry:
-        """Write a key if it is at `revision`; 0: it must not exist.
+        """Write a key if it is at `revision`; with 0 it must not exist.
 
         Raises StoreConflict, StoreUnavailable and StoreUnclear.
         """
@@ -217,7 +217,7 @@
         return Entry(key, value, new_revision)
 
     def delete(self, key: str, revision: int) -> bool:
-        """Delete a key at `revision`; False where it does not exist.
+        """Delete a key at `revision`; False if it does not exist.
 
         Raises StoreConflict, StoreUnavailable and StoreUnclear.
         """
@@ -233,7 +233,7 @@
         return _decode_written(store_answers.decode_lease, reply.body)
 
     def keep_lease(self, lease: str) -> bool:
-        """Renew a lease; False where it has ended.
+        """Renew a lease; False if it has expired.
 
         Raises StoreUnavailable and StoreUnclear.
         """
@@ -264,7 +264,7 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            # Without a connection not a byte of the write has left.
+            # Without a connection no byte of the write was sent.
             raise StoreUnavailable(f'{kind}: {error}') from error
         except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds) as error:
             raise StoreUnclear(f'{kind}: {error}') from error
@@ -298,15 +298,15 @@
             headers=_make_headers(body),
             retries=False,
             redirect=False,
-            # By name: the first argument would bound the whole call.
+            # By name: the first argument would limit the whole call.
             timeout=urllib3.Timeout(
                 connect=self._limits.connect_timeout_s, read=read_timeout_s
             ),
             preload_content=False,
             decode_content=False,
         )
-        # A socket's timeout starts again with each byte, so an answer that
-        # trickles would hold this task for hours without a bound in all.
+        # A socket's timeout restarts with each byte, so without a limit in
+        # total a trickled answer would hold this task for hours.
         deadline = self._clock() + read_timeout_s
         try:
             answer = self._read_body(response, deadline)
@@ -326,7 +326,7 @@
             parts.append(chunk)
             size += len(chunk)
             if size > _MAX_ANSWER_BYTES or self._clock() > deadline:
-                raise _AnswerOutOfBounds(f'{size} bytes and no end')
+                raise _AnswerOutOfBounds(f'{size} bytes without an end')
         return b''.join(parts)
 
 
@@ -365,7 +365,7 @@
 
 
 def _decode_written(decode: Callable[[bytes], _Parsed], body: bytes) -> _Parsed:
-    # A garbled answer to a write says nothing of whether it took effect.
+    # A malformed answer does not tell whether the write took effect.
     try:
         return decode(body)
     except store_answers.MalformedAnswer as error:
@@ -389,6 +389,6 @@
             http.HTTPStatus.TOO_MANY_REQUESTS
             | http.HTTPStatus.SERVICE_UNAVAILABLE
         ):
-            # The protocol keeps these two for calls that had no effect.
+            # The protocol reserves these two for calls without effect.
             return _make_error(kind, reply.status)
     return StoreUnclear(f'{kind}: status {reply.status}')
--- a/fuchsiahaven/edge/store_answers.py
+++ b/fuchsiahaven/edge/store_answers.py
@@ -1,4 +1,4 @@
-"""Check the answers of the platform's service and hold them as data."""
+"""Validate and decode the answers of the platform's service."""
 
 import enum
 from typing import Final, NamedTuple, Protocol
@@ -9,7 +9,7 @@
 
 
 class Entry(NamedTuple):
-    """Hold one key, its text and its revision."""
+    """Hold a key, its value and its revision."""
 
     key: str
     value: str
@@ -17,14 +17,14 @@
 
 
 class KeyRevision(NamedTuple):
-    """Name one key and its revision, without the value."""
+    """Hold a key and its revision, without the value."""
 
     key: str
     revision: int
 
 
 class HostKind(enum.StrEnum):
-    """Say whether a listed host serves callers or searches."""
+    """Say whether a listed host serves callers or is a target."""
 
     ENTRY = 'entry'
     TARGET = 'target'
@@ -48,7 +48,7 @@
 
 
 class MalformedAnswer(Exception):
-    """Report an answer that is not what the protocol promises."""
+    """Report an answer that violates the protocol."""
 
 
 class _Validator(Protocol):
@@ -114,7 +114,7 @@
 
 
 def decode_entry(body: bytes, key: str) -> Entry:
-    """Read one entry and refuse one of another key."""
+    """Decode an entry. Raises MalformedAnswer if the key differs."""
     answer = _decode_object(_VALIDATE_ENTRY, body)
     entry = Entry(
         str(answer['key']), str(answer['value']), _as_int(answer['revision'])
@@ -125,7 +125,7 @@
 
 
 def decode_keys(body: bytes) -> tuple[KeyRevision, ...]:
-    """Read a list of keys."""
+    """Decode a list of keys."""
     answer = _decode_object(_VALIDATE_KEYS, body)
     return tuple(
         KeyRevision(str(row['key']), _as_int(row['revision']))
@@ -134,17 +134,17 @@
 
 
 def decode_revision(body: bytes) -> int:
-    """Read the revision that a write gave or met."""
+    """Decode the revision that a write created or conflicted with."""
     return _as_int(_decode_object(_VALIDATE_REVISION, body)['revision'])
 
 
 def decode_lease(body: bytes) -> str:
-    """Read the id of a new lease."""
+    """Decode the id of a new lease."""
     return str(_decode_object(_VALIDATE_LEASE, body)['lease'])
 
 
 def decode_hosts(body: bytes) -> HostList:
-    """Read the host list."""
+    """Decode the host list."""
     answer = _decode_object(_VALIDATE_HOSTS, body)
     hosts = tuple(
         ListedHost(
@@ -160,7 +160,7 @@
 
 
 def _as_int(number: object) -> int:
-    # JSON schema calls 3.0 an integer, so a float can come through here.
+    # JSON schema accepts 3.0 as an integer, so a float is possible here.
     assert isinstance(number, int | float)
     return int(number)
 
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -1,4 +1,4 @@
-"""Test the adapter of the platform's service against scripted bytes."""
+"""Test the platform's adapter against scripted answers."""
 
 import contextlib
 import socket
@@ -33,7 +33,7 @@
             connection, _ = listener.accept()
             with connection:
                 connection.recv(65_536)
-                # The store closes on an answer past its bound, as it should.
+                # The store closes the connection on an oversized answer.
                 with contextlib.suppress(ConnectionError):
                     connection.sendall(reply)
 
@@ -71,11 +71,11 @@
 def test_reports_a_write_without_a_valid_answer_as_unclear(
     reply: bytes,
 ) -> None:
-    """Tell a lost answer of a write from a write that was refused.
+    """Distinguish a write whose answer was lost from one that was refused.
 
-    Symptom: a refund is told as not run, then runs. Sequence: the write
-    takes effect, its answer is lost or spoilt, and the adapter reports that
-    nothing was written. Cause: one exception for both cases.
+    Guards against a refund that is reported as not run and then runs: the
+    write takes effect, its answer is lost or malformed, and the adapter
+    reports that nothing was written.
     """
     with open_store(reply) as platform:
         with pytest.raises(store.StoreUnclear):
@@ -86,7 +86,7 @@
 
 
 def test_reports_an_unsent_write_as_not_written() -> None:
-    """Refuse at once, and truthfully, what cannot have been written."""
+    """Report at once that nothing was written if nothing can have been."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         port = listener.getsockname()[1]
     platform = store.Store(f'http://127.0.0.1:{port}')
@@ -99,11 +99,11 @@
 
 
 def test_refuses_an_entry_of_another_key() -> None:
-    """Drop an answer that crossed with another.
+    """Refuse the answer to another call.
 
-    Symptom: a host acts on the value of a different key. Sequence: an
-    answer meant for an earlier call arrives on the reused connection.
-    Cause: the key inside the answer was not compared.
+    Guards against a host that uses the value of a different key: an answer
+    to an earlier call arrives on the reused connection, and the key inside
+    the answer is not compared.
     """
     body = b'{"key": "other", "value": "v", "revision": 7}'
     with open_store(encode_answer(200, body)) as platform:
@@ -148,12 +148,12 @@
 def test_lets_a_watch_wait_longer_than_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Give a waiting watch its time, and only connecting the short limit.
+    """Apply the short timeout to connecting only, not to a watch.
 
-    Symptom: each watch fails after half a second, and a host asks the
-    platform for the whole configuration again and again. Sequence: nothing
-    changes, so the platform rightly holds its answer back. Cause: the limit
-    on connecting was given as the limit on the whole call.
+    Guards against watches that fail after half a second, so that a host
+    reads the whole configuration again and again: nothing changes, so the
+    platform rightly delays its answer, and the connect timeout is applied to
+    the whole call.
     """
     timeouts: list[urllib3.Timeout] = []
     original = urllib3.HTTPConnectionPool.urlopen
--- a/tests/edge/test_untrusted.py
+++ b/tests/edge/test_untrusted.py
@@ -1,8 +1,8 @@
-"""Fuzz every reader of what callers, targets, members and the platform send.
+"""Fuzz every decoder of data from callers, targets, members and platform.
 
-Whatever comes, a reader gives a value that the decisions can take, or its own
-typed refusal; it never ends in another exception, which would end the thread
-that reads, and never holds more than its bound.
+A decoder returns a value that the decision logic accepts, or raises its own
+exception. Any other exception would end the reading thread. No decoder exceeds
+its memory limit.
 """
 
 import contextlib
@@ -111,7 +111,7 @@
 
 
 class Reader(NamedTuple):
-    """Hold a reader, what it may raise, and an example that it reads."""
+    """Hold a decoder, what it may raise, and an example it accepts."""
 
     name: str
     read: Callable[[bytes], object]
@@ -160,12 +160,12 @@
 
 
 def read_patches(body: bytes) -> object:
-    parcel = patch_codecs.decode_patches(body)
+    message = patch_codecs.decode_patches(body)
     state = revisions.start('h1', 0, revisions.Timings())
-    for patch in parcel.patches if parcel else ():
+    for patch in message.patches if message else ():
         pushed = revision_messages.PatchReceived('h2', patch)
         state = revisions.handle_event(state, pushed, 1, float)[0]
-    return patch_codecs.encode_patches(parcel) if parcel else None
+    return patch_codecs.encode_patches(message) if message else None
 
 
 def read_batch(body: bytes) -> object:
@@ -307,7 +307,7 @@
     ),
 )
 
-#: What parsers and comparisons stumble over.
+#: Values that often break parsers and comparisons.
 HOSTILE_VALUES: Final[tuple[Any, ...]] = (
     None,
     True,
@@ -349,7 +349,7 @@
 
 
 def replace_value(body: Any, path: tuple[Any, ...], value: Any) -> bytes:
-    """Write a body with another value at one place."""
+    """Encode a body with the value at one path replaced."""
     copied = [copy.deepcopy(body)]
     *parent_path, last_key = (0, *path)
     functools.reduce(operator.getitem, parent_path, copied)[last_key] = value
@@ -379,11 +379,10 @@
 
 @pytest.mark.parametrize('reader', READERS, ids=lambda reader: reader.name)
 def test_refuses_a_deeply_nested_body(reader: Reader) -> None:
-    """Refuse what is nested deeper than the interpreter recurses.
+    """Refuse a body nested deeper than the interpreter's recursion limit.
 
-    Symptom: a task ends and nothing it owns is served any more. Sequence: a
-    few kilobytes of opening brackets come. Cause: the parser's own error for
-    it is no ValueError, and is not caught.
+    Guards against a task that ends on a few kilobytes of opening brackets:
+    the parser raises an error that is no ValueError and is not caught.
     """
     with contextlib.suppress(reader.refusal):
         reader.read(b'[' * 100_000)
@@ -408,11 +407,11 @@
 
 
 def test_refuses_a_report_of_many_snapshots() -> None:
-    """Bound the memory that one target's report can ask for.
+    """Limit the memory that the report of one target can cause.
 
-    Symptom: a host's memory grows by gigabytes and it is killed. Sequence: a
-    target reports ten thousand snapshots, each in 65,536 shards, in less than
-    a megabyte. Cause: each snapshot gets a map with a place for each shard.
+    Guards against a host that is killed when its memory grows by gigabytes:
+    a target reports ten thousand snapshots, each in 65,536 shards, in less
+    than a megabyte, and each snapshot gets a map with an entry per shard.
     """
     holdings = [
         {**HOLDING, 'snapshot': number, 'shards': 65_536, 'high': 1}
