--- a/fuchsiahaven/edge/__init__.py
+++ b/fuchsiahaven/edge/__init__.py
@@ -1,1 +1,1 @@
-"""Touch the world: callers, targets, the platform, peers and time."""
+"""Adapters to callers, targets, the platform and peers, and their tasks."""
--- a/fuchsiahaven/edge/control.py
+++ b/fuchsiahaven/edge/control.py
@@ -1,4 +1,4 @@
-"""Start the control tasks of one host and wire them together."""
+"""Start the control tasks of one host and connect them."""
 
 import contextlib
 import functools
@@ -33,11 +33,11 @@
     peer_port,
     proof_task,
     resources,
+    revision_task,
 )
-from fuchsiahaven.edge import revision_task as revision_tasks
 from fuchsiahaven.operate import settings
 
-#: Nothing else on the host is told more of the stop than its members.
+#: How long a stopping host waits for its members to learn of the stop.
 LEAVE_TIMEOUT_S: Final = 0.5
 
 Event = (
@@ -48,7 +48,7 @@
 
 
 class Callbacks(NamedTuple):
-    """Say whom the control tasks tell: dispatch loop, claims and door."""
+    """Hold what the control tasks call: loop, claims, authenticator."""
 
     post: Callable[[Event], None]
     handle_claims: Callable[[bytes], bytes | None]
@@ -58,7 +58,7 @@
 
 
 class Control:
-    """Join the configuration, the membership and the peer port of a host."""
+    """Connect the configuration, membership and peer port of a host."""
 
     def __init__(
         self,
@@ -75,13 +75,13 @@
         seeds = tuple(
             addresses.format_address(seed) for seed in host_settings.peers.seeds
         )
-        rules = resources.make_rules(host_settings)
+        timings = resources.make_timings(host_settings)
         now = time.monotonic()
         state = membership.start(
-            own_member, host_settings.host.data_centre, rules, seeds, now
+            own_member, host_settings.host.data_centre, timings, seeds, now
         )
         self.gossip = gossip.Task(state, client, self._handle_members)
-        self.revisions = revision_tasks.Task(
+        self.revisions = revision_task.Task(
             revisions.start(
                 own_member.name,
                 now,
@@ -108,7 +108,7 @@
         )
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Start the tasks; the stack ends them."""
+        """Start the tasks; the stack stops them."""
         host_settings = self._settings
         self._host_list_poller = host_list_poller.HostListPoller(
             resources.open_store(host_settings, stack),
@@ -121,7 +121,7 @@
         stack.callback(self._send_leave)
         resources.start_thread(
             functools.partial(self.revisions.run, stores),
-            revision_tasks.PART,
+            revision_task.PART,
             stack,
         )
         stack.callback(self.revisions.stop)
@@ -134,37 +134,37 @@
         stack.callback(self._host_list_poller.stop)
 
     def announce_stop(self) -> None:
-        """Tell the members that this host is about to stop."""
+        """Announce to the members that this host is about to stop."""
         self.gossip.post(member_messages.LeaveRequested())
 
     def find_unready_reason(self) -> str:
-        """Say why this host cannot serve yet; empty where it can."""
+        """Return why this host cannot serve yet; empty if it can."""
         return self.revisions.find_unready_reason() or ''
 
     def exchange_gossip(
         self, received: member_messages.Gossip
     ) -> member_messages.Gossip | None:
-        """Answer gossip; None where this host is too busy."""
+        """Answer gossip; None if this host is too busy."""
         return self.gossip.exchange_gossip(received)
 
     def encode_proof(self) -> bytes | None:
-        """Tell how old the knowledge of keys is; None if nothing is proved."""
+        """Encode the proof of how old the known keys are; None without."""
         answer = self._callbacks.authenticator.make_proof_answer()
         return None if answer is None else proof_exchange.encode_answer(answer)
 
     def handle_patches(
-        self, parcel: patch_codecs.PatchMessage
+        self, message: patch_codecs.PatchMessage
     ) -> patches.Stamp:
-        """Take patches that were pushed; return what is in force."""
-        self.gossip.post(member_messages.TrafficReceived(parcel.sender))
-        for patch in parcel.patches:
+        """Apply pushed patches; return the stamp in force."""
+        self.gossip.post(member_messages.TrafficReceived(message.sender))
+        for patch in message.patches:
             self.revisions.post(
-                revision_messages.PatchReceived(parcel.sender, patch)
+                revision_messages.PatchReceived(message.sender, patch)
             )
         return self.revisions.state.in_force.stamp
 
     def list_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
-        """List what leads from a stamp to what is in force."""
+        """List the patches from a stamp to the configuration in force."""
         return revisions.list_patches(self.revisions.state, above)
 
     def describe(self) -> Mapping[str, object]:
@@ -238,7 +238,7 @@
 
     def _send_leave(self) -> None:
         self.gossip.post(member_messages.ServingEnded())
-        # Members that miss it find out by suspicion, some seconds later.
+        # Members that miss the message suspect this host seconds later.
         self.gossip.wait_for_sent(LEAVE_TIMEOUT_S)
 
 
@@ -256,9 +256,9 @@
     client: peer_client.PeerClient,
     stack: contextlib.ExitStack,
 ) -> Control:
-    """Bind the peer port and start all tasks; the stack ends them.
+    """Bind the peer port and start all tasks; the stack stops them.
 
-    Raises OSError where the port is taken or a TLS file cannot be used.
+    Raises OSError if the port is taken or a TLS file cannot be used.
     """
     application = peer_port.Application()
     process_address, server = resources.bind_peer_port(
@@ -274,7 +274,7 @@
 
 
 def _describe_quarantined(report: suspects.News) -> Mapping[str, object]:
-    """Describe a query that is refused as it ends its targets."""
+    """Describe a query that is refused because it crashes targets."""
     return {
         'digest': report.identity.digest,
         'request_class': report.identity.customer,
--- a/fuchsiahaven/edge/gossip.py
+++ b/fuchsiahaven/edge/gossip.py
@@ -1,4 +1,4 @@
-"""Run the membership task: know which hosts of the data centre take part."""
+"""Run the membership task: track the live hosts of the data centre."""
 
 import contextlib
 import functools
@@ -19,25 +19,25 @@
 FLUSH_POLL_S: Final = 0.05
 THREADS: Final = 3
 PATH: Final = '/v1/gossip'
-#: How long the peer port waits for an answer; a relay takes the longest.
+#: How long the peer port waits for an answer; relayed probes take longest.
 ANSWER_TIMEOUT_S: Final = 5.0
 
 ReplyQueue = queue.SimpleQueue[messages.Gossip | None]
 
 
 class GossipReceived(NamedTuple):
-    """Bring gossip of another host and where its answer goes."""
+    """Hold gossip of another host and the queue for the answer."""
 
     gossip: messages.Gossip
     reply_to: ReplyQueue
 
 
 class StopRequested(NamedTuple):
-    """Ask the task to end."""
+    """Request the end of the task."""
 
 
 class PendingReply(NamedTuple):
-    """Hold where an answer goes and since when it is owed."""
+    """Hold the queue for an answer and when its request came."""
 
     reply_to: ReplyQueue
     received_at: float
@@ -53,7 +53,7 @@
     def __init__(
         self, state: states.State, client: peer_client.PeerClient, sink: Sink
     ) -> None:
-        """Prepare without starting; `run` is for a thread of its own."""
+        """Prepare without starting; `run` needs a thread of its own."""
         self.state = state
         self._client = client
         self._sink = sink
@@ -64,13 +64,13 @@
         self._running = True
 
     def post(self, message: Message) -> None:
-        """Hand in a message; any thread may call this."""
+        """Queue a message; any thread may call this."""
         self._inbox.put(message)
 
     def exchange_gossip(
         self, gossip: messages.Gossip
     ) -> messages.Gossip | None:
-        """Answer gossip; None where no answer is there in time."""
+        """Return the answer to gossip; None if it takes too long."""
         reply_to: ReplyQueue = queue.SimpleQueue()
         self.post(GossipReceived(gossip, reply_to))
         with contextlib.suppress(queue.Empty):
@@ -78,9 +78,9 @@
         return None
 
     def wait_for_sent(self, timeout_s: float) -> None:
-        """Wait until nothing that was asked is open any more."""
+        """Wait until all exchanges are done and no news is pending."""
         deadline = time.monotonic() + timeout_s
-        # The first look may come before the task has taken its inbox in.
+        # Sleep first: the task may not have emptied its inbox yet.
         while time.monotonic() < deadline:
             time.sleep(FLUSH_POLL_S)
             if not self.state.exchanges and not self.state.next_flush_at:
@@ -153,7 +153,7 @@
             self.post(messages.ExchangeAnswered(action.token, gossip))
 
     def _expire_pending(self, now: float) -> None:
-        # A pause drops the relays under way, whose answers never come then.
+        # A pause drops relayed probes in flight, which get no answer.
         stale = [
             token
             for token, pending in self._pending.items()
--- a/fuchsiahaven/edge/patch_client.py
+++ b/fuchsiahaven/edge/patch_client.py
@@ -1,4 +1,4 @@
-"""Carry patches to and from members over the peer port."""
+"""Push patches to members and pull them over the peer port."""
 
 from collections.abc import Callable
 from typing import Final
@@ -11,12 +11,12 @@
 
 PATH: Final = '/v1/configuration'
 PUSH_TIMEOUT_S: Final = 1.0
-#: A whole configuration may come.
+#: The answer may hold a whole configuration.
 PULL_TIMEOUT_S: Final = 10.0
 
 
 class PatchClient:
-    """Push to and pull from members; each call ends within bounds."""
+    """Push to and pull from members; each call has a time limit."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
     def push_patch(
         self, member: str, patch: patches.Patch
     ) -> messages.MemberUnreachable | messages.StampReceived:
-        """Send a patch; give back what the member had in force."""
+        """Send a patch; return the stamp the member had in force."""
         body = patch_codecs.encode_patches(
             patch_codecs.PatchMessage(self._name, (patch,))
         )
@@ -45,17 +45,17 @@
     def pull_patches(
         self, member: str, above: patches.Stamp
     ) -> messages.MemberUnreachable | messages.PullAnswered:
-        """Fetch what a member has above a stamp."""
+        """Fetch the patches that a member has above a stamp."""
         path = f'{PATH}?above={above.revision}&digest={above.digest}'
         answer = self._call('GET', member, path, b'', PULL_TIMEOUT_S)
         if answer is None:
             return messages.MemberUnreachable(member)
         if not answer:
             return messages.PullAnswered(member, ())
-        parcel = patch_codecs.decode_patches(answer)
-        if parcel is None:
+        message = patch_codecs.decode_patches(answer)
+        if message is None:
             return messages.MemberUnreachable(member)
-        return messages.PullAnswered(member, parcel.patches)
+        return messages.PullAnswered(member, message.patches)
 
     def _call(
         self,
--- a/fuchsiahaven/edge/peer_client.py
+++ b/fuchsiahaven/edge/peer_client.py
@@ -1,4 +1,4 @@
-"""Call other hosts of the system at their peer ports."""
+"""Call the peer ports of other hosts."""
 
 import http
 import threading
@@ -11,10 +11,10 @@
 from fuchsiahaven.edge import tls
 
 JSON_HEADERS: Final = {'Content-Type': 'application/json'}
-#: Hosts to which connections are kept: partners, the tree and some others.
+#: Gossip partners, hosts of the distribution tree and some others.
 MAX_KEPT_HOSTS: Final = 24
-#: One each for gossip, for configuration and for the buckets of claims, all of
-#: which may call side by side; opening one anew costs a handshake.
+#: One for gossip, one for configuration and one per bucket of claims, as all
+#: may call concurrently; a new connection takes another handshake.
 MAX_KEPT_CONNECTIONS: Final = 2 + claims.BUCKET_COUNT
 _CHUNK_BYTES: Final = 65_536
 _SUCCESS_STATUSES: Final = frozenset(
@@ -23,7 +23,7 @@
 
 
 class Request(NamedTuple):
-    """Hold one request; `timeout_s` bounds it as a whole."""
+    """Hold one request; `timeout_s` limits the whole exchange."""
 
     method: str
     address: str
@@ -33,12 +33,12 @@
 
 
 class PeerClient:
-    """Call peers over kept connections; any thread may call."""
+    """Call peers over kept connections; any thread may call this."""
 
     def __init__(
         self, identity: tls.Identity | None, max_body_bytes: int
     ) -> None:
-        """Speak TLS with an identity, or plainly with none."""
+        """Use TLS with an identity, plain text without."""
         self._identity = identity
         self._scheme = 'https' if identity else 'http'
         self._max_body_bytes = max_body_bytes
@@ -50,7 +50,7 @@
         self._pools[1].clear()
 
     def call(self, request: Request) -> bytes | None:
-        """Give the body of a good answer, None for anything else."""
+        """Return the body of a successful answer, None otherwise."""
         deadline = time.monotonic() + request.timeout_s
         try:
             response = self._get_pools().request(
@@ -72,7 +72,7 @@
     def send_claims(
         self, address: str, body: bytes, timeout_s: float
     ) -> bytes | None:
-        """Ask a member to write claims; None where it gives no answer."""
+        """Send claims to a member to write; None if it does not answer."""
         return self.call(
             Request('POST', address, '/v1/claims', body, timeout_s)
         )
@@ -80,10 +80,10 @@
     def _read_body(
         self, response: urllib3.BaseHTTPResponse, deadline: float
     ) -> bytes | None:
-        """Read an answer within its bounds of bytes and seconds.
+        """Read an answer within its limits of bytes and seconds.
 
-        Each byte of an answer that trickles would restart the socket's
-        timeout, and the thread would be lost to it.
+        Each byte of a trickled answer restarts the socket's timeout, so
+        without a limit in total it could block the thread for ever.
         """
         parts: list[bytes] = []
         size = 0
@@ -103,7 +103,7 @@
                 self._identity
                 and self._identity.current_context() is not context
             ):
-                # Calls under way keep the connections that they hold.
+                # Calls in flight keep their connections.
                 self._pools = self._open_pools()
             return self._pools[1]
 
--- a/fuchsiahaven/edge/peer_port.py
+++ b/fuchsiahaven/edge/peer_port.py
@@ -1,4 +1,4 @@
-"""Answer other hosts of the system on the peer port."""
+"""Serve other hosts on the peer port."""
 
 import http
 import json
@@ -20,11 +20,11 @@
 JSON_TYPE: Final = 'application/json'
 MAX_HEADER_BYTES: Final = 8192
 LISTEN_QUEUE: Final = 256
-#: Batches of claims wait for the platform and hold half of them at most.
+#: Batches of claims, which wait for the platform, use at most half of them.
 THREADS: Final = 32
 IDLE_TIMEOUT_S: Final = 60.0
 READ_TIMEOUT_S: Final = 5.0
-#: Digits of the highest revision that a member may have.
+#: Digits of the highest revision that a request may name.
 MAX_REVISION_DIGITS: Final = 16
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
@@ -32,38 +32,38 @@
 
 
 class Host(Protocol):
-    """State what the port needs of the control tasks."""
+    """Describe what the port needs from the control tasks."""
 
     def exchange_gossip(
         self, gossip: member_messages.Gossip
     ) -> member_messages.Gossip | None:
-        """Answer gossip; None where this host is too busy."""
+        """Answer gossip; None if this host is too busy."""
 
     def handle_patches(
-        self, parcel: patch_codecs.PatchMessage
+        self, message: patch_codecs.PatchMessage
     ) -> patches.Stamp:
-        """Take patches that were pushed; return what is in force."""
+        """Apply pushed patches; return the stamp in force."""
 
     def list_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
-        """List what leads from a stamp to what is in force."""
+        """List the patches from a stamp to the configuration in force."""
 
     def encode_proof(self) -> bytes | None:
-        """Tell how old the knowledge of keys is; None if nothing is proved."""
+        """Encode the proof of how old the known keys are; None without."""
 
     def handle_claims(self, body: bytes) -> bytes | None:
-        """Answer a batch of claims; None where it is not well formed."""
+        """Answer a batch of claims; None if it is malformed."""
 
     def describe(self) -> Mapping[str, object]:
         """Describe this host for an operator."""
 
 
 class Application:
-    """Answer requests of other hosts."""
+    """Respond to requests of other hosts."""
 
     def attach(self, name: str, host: Host) -> None:
-        """Answer on behalf of a host, a member under `name`.
+        """Serve for a host, the member `name`.
 
-        This comes before the first request.
+        Call this before the first request.
         """
         self._name = name
         self._host = host
@@ -71,7 +71,7 @@
     def __call__(
         self, environ: Mapping[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Respond to one request."""
         status, body = self._respond(environ)
         headers = [('Content-Length', str(len(body)))]
         if body:
@@ -120,24 +120,24 @@
         return None if answer is None else gossip_codecs.encode_gossip(answer)
 
     def _handle_patches(self, body: bytes) -> bytes | None:
-        parcel = patch_codecs.decode_patches(body)
-        if parcel is None:
+        message = patch_codecs.decode_patches(body)
+        if message is None:
             return None
-        stamp = self._host.handle_patches(parcel)
+        stamp = self._host.handle_patches(message)
         return json.dumps(stamp._asdict()).encode()
 
     def _respond_patches(self, query: str) -> Response:
         parameters = dict(urllib.parse.parse_qsl(query))
         above = parameters.get('above', '')
-        # Python refuses to read a number of thousands of digits.
+        # Python refuses to parse a number of thousands of digits.
         if not (above.isdecimal() and len(above) <= MAX_REVISION_DIGITS):
             return http.HTTPStatus.BAD_REQUEST, b''
         stamp = patches.Stamp(int(above), parameters.get('digest', ''))
         newer_patches = self._host.list_patches(stamp)
         if not newer_patches:
             return http.HTTPStatus.NO_CONTENT, b''
-        parcel = patch_codecs.PatchMessage(self._name, newer_patches)
-        return http.HTTPStatus.OK, patch_codecs.encode_patches(parcel)
+        message = patch_codecs.PatchMessage(self._name, newer_patches)
+        return http.HTTPStatus.OK, patch_codecs.encode_patches(message)
 
 
 def make_server(
--- a/fuchsiahaven/edge/proof_task.py
+++ b/fuchsiahaven/edge/proof_task.py
@@ -1,4 +1,4 @@
-"""Keep proved how old this host's knowledge of customers' keys is."""
+"""Keep renewing the proof of how old this host's customer keys are."""
 
 import random
 import threading
@@ -12,15 +12,15 @@
 
 PART: Final = 'keys'
 PATH: Final = '/v1/keys'
-#: How often this looks whether there is something to do, in seconds.
+#: How often this checks whether a request is due.
 CHECK_INTERVAL_S: Final = 0.05
-#: Part of the bound between two questions to the platform past the age from
-#: which a second way is tried, on average.
+#: Mean pause between two checks with the platform by a host that does not
+#: watch it, as a fraction of the revocation bound, once its proof is urgent.
 URGENT_PAUSE_FRACTION: Final = 0.1
 
 
 class Task:
-    """Own a thread that asks for proofs while keys have to die in time."""
+    """Request proofs in a thread while revocation is bounded in time."""
 
     def __init__(
         self,
@@ -30,10 +30,10 @@
         find_address: Callable[[str], str | None],
         request_check: Callable[[bool], None],
     ) -> None:
-        """Prepare without starting; `urge` has the platform asked.
+        """Prepare without starting; `request_check` queries the platform.
 
-        It is told whether the number alone is no proof, as this host has been
-        out of touch.
+        Its argument is whether the whole manifest must be read: after a time
+        without contact its revision alone proves nothing.
         """
         self._authenticator = authenticator
         self._client = client
@@ -46,11 +46,11 @@
         self._stopped = threading.Event()
 
     def stop(self) -> None:
-        """Ask `run` to end."""
+        """Request `run` to end."""
         self._stopped.set()
 
     def run(self) -> None:
-        """Ask until stopped."""
+        """Request proofs until stopped."""
         while not self._stopped.wait(CHECK_INTERVAL_S):
             key_freshness = self._authenticator.freshness
             if key_freshness.is_enforced and key_freshness.revoke_s is not None:
--- a/fuchsiahaven/edge/resources.py
+++ b/fuchsiahaven/edge/resources.py
@@ -1,4 +1,4 @@
-"""Open what the control tasks need, as the settings say."""
+"""Open connections, ports and threads according to the settings."""
 
 import contextlib
 import errno
@@ -22,22 +22,22 @@
 
 
 class ProcessAddress(NamedTuple):
-    """Name one process among the members, and say where it listens."""
+    """Hold the member name and the peer address of one process."""
 
     name: str
     address: str
 
 
 class BoundServer(NamedTuple):
-    """Hold a server that listens, and the how manieth of its ports it has."""
+    """Hold a listening server and its offset from the first port."""
 
     port_offset: int
     address: addresses.Address
     server: wsgi.Server
 
 
-def make_rules(host_settings: settings.Settings) -> member_states.Timings:
-    """Take the times of membership from the settings."""
+def make_timings(host_settings: settings.Settings) -> member_states.Timings:
+    """Make the timings of membership from the settings."""
     section = host_settings.peers
     return member_states.Timings(
         probe_period_s=section.interval_ms / MS_PER_S,
@@ -48,7 +48,7 @@
 def open_peer_client(
     host_settings: settings.Settings, stack: contextlib.ExitStack
 ) -> peer_client.PeerClient:
-    """Open the calls to other hosts; the stack closes them."""
+    """Open the client for other hosts; the stack closes it."""
     identity = open_identity(host_settings.peers, ssl.Purpose.SERVER_AUTH)
     client = peer_client.PeerClient(identity, host_settings.peers.body_bytes)
     stack.callback(client.close)
@@ -86,10 +86,10 @@
 def bind_peer_port(
     host_settings: settings.Settings, application: peer_port.Application
 ) -> tuple[ProcessAddress, wsgi.Server]:
-    """Bind the peer port; processes of one host take the ports after it.
+    """Bind the peer port, or the next free one of this host's processes.
 
-    Each process is a member of its own, for it holds connections to targets
-    of its own. Raises OSError where no port is free.
+    Each process is a separate member because it has its own connections to
+    targets. Raises OSError if no port is free.
     """
     count = host_settings.host.processes
     identity = open_identity(host_settings.peers, ssl.Purpose.CLIENT_AUTH)
@@ -112,19 +112,19 @@
     first_address: addresses.Address,
     count: int,
 ) -> BoundServer:
-    """Bind the first free one of `count` ports; OSError where none is."""
+    """Bind the first free of `count` ports. Raises OSError if none is."""
     for index in range(count):
         address = first_address._replace(port=first_address.port + index)
         server = make_server(address)
         if _try_bind(server, last=index + 1 == count):
             return BoundServer(index, address, server)
-    raise AssertionError('the last port is bound or raises')
+    raise AssertionError('binding the last port succeeds or raises')
 
 
 def start_thread(
     run: Callable[[], None], name: str, stack: contextlib.ExitStack
 ) -> None:
-    """Start a thread; the stack waits for its end."""
+    """Start a thread; the stack joins it."""
     thread = threading.Thread(target=run, name=name)
     thread.start()
     stack.callback(thread.join)
@@ -143,9 +143,9 @@
 def open_identity(
     section: Section, purpose: ssl.Purpose
 ) -> tls.Identity | None:
-    """Open the identity that a section names; None where it speaks plainly.
+    """Load the TLS identity of a section; None if it uses plain text.
 
-    Raises OSError where a file cannot be used.
+    Raises OSError if a file cannot be used.
     """
     files = tls.Files(section.tls_certificate, section.tls_key)
     if not isinstance(section, settings.Callers):
--- a/fuchsiahaven/edge/revision_task.py
+++ b/fuchsiahaven/edge/revision_task.py
@@ -1,4 +1,4 @@
-"""Run the configuration task: keep the highest revision in force here."""
+"""Run the configuration task: keep the highest revision in force."""
 
 import contextlib
 import functools
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from fuchsiahaven.core.configuration import patches, revisions
-from fuchsiahaven.core.configuration import revision_messages as wording
+from fuchsiahaven.core.configuration import revision_messages as messages
 from fuchsiahaven.edge import (
     authenticators,
     manifest_reader,
@@ -20,33 +20,33 @@
 
 PART: Final = 'configuration'
 TICK_S: Final = 0.1
-#: Pushes to children go out side by side, so that a dead one holds up none.
+#: Children are pushed to in parallel, so that a dead one delays no other.
 PEER_THREADS: Final = 4
 
 
 class PatchClient(Protocol):
-    """Carry patches to and from members; each call ends within bounds."""
+    """Push to and pull from members; each call has a time limit."""
 
     def push_patch(
         self, member: str, patch: patches.Patch
-    ) -> wording.MemberUnreachable | wording.StampReceived:
-        """Send a patch; give back what the member has in force."""
+    ) -> messages.MemberUnreachable | messages.StampReceived:
+        """Send a patch; return the stamp the member has in force."""
 
     def pull_patches(
         self, member: str, above: patches.Stamp
-    ) -> wording.MemberUnreachable | wording.PullAnswered:
-        """Fetch what a member has above a stamp."""
+    ) -> messages.MemberUnreachable | messages.PullAnswered:
+        """Fetch the patches that a member has above a stamp."""
 
 
 class Stores(NamedTuple):
-    """Hold the connections to the platform, one for each thread."""
+    """Hold the connections to the platform, one per thread."""
 
     for_reads: store.Store
     for_watches: store.Store
 
 
 class CallContext(NamedTuple):
-    """Hold what calls block in: threads, by whom they call, and stores."""
+    """Hold the threads for blocking calls, and the stores they call."""
 
     read_workers: worker_pools.WorkerPool
     watch_workers: worker_pools.WorkerPool
@@ -65,28 +65,28 @@
         sink: Callable[[patches.StampedConfiguration], None],
         authenticator: authenticators.Authenticator,
     ) -> None:
-        """Prepare without starting; `run` is for a thread of its own."""
+        """Prepare without starting; `run` needs a thread of its own."""
         self.state = state
         self._reader = manifest_reader.Reader(
             data_centre, authenticator.read_clock
         )
         self._authenticator = authenticator
         self._sink = sink
-        self._inbox: queue.SimpleQueue[wording.Event | None]
+        self._inbox: queue.SimpleQueue[messages.Event | None]
         self._inbox = queue.SimpleQueue()
         self._random = random.SystemRandom().random
         self._client = client
 
-    def post(self, event: wording.Event) -> None:
-        """Hand in an event; any thread may call this."""
+    def post(self, event: messages.Event) -> None:
+        """Queue an event; any thread may call this."""
         self._inbox.put(event)
 
     def stop(self) -> None:
-        """Ask `run` to end."""
+        """Request `run` to end."""
         self._inbox.put(None)
 
     def find_unready_reason(self) -> str | None:
-        """Say why this host cannot serve yet; None where it can."""
+        """Return why this host cannot serve yet; None if it can."""
         state = self.state
         if state.in_force.stamp.revision:
             return None
@@ -110,11 +110,11 @@
         try:
             event = self._inbox.get(timeout=TICK_S)
         except queue.Empty:
-            event = wording.Ticked()
+            event = messages.Ticked()
         if event is None:
             return False
         now = time.monotonic()
-        for handled in (event, wording.Ticked()):
+        for handled in (event, messages.Ticked()):
             state, actions = revisions.handle_event(
                 self.state, handled, now, self._random
             )
@@ -123,53 +123,53 @@
                 self._perform(action, context)
         return True
 
-    def _perform(self, action: wording.Action, context: CallContext) -> None:
+    def _perform(self, action: messages.Action, context: CallContext) -> None:
         reader, stores = self._reader, context.stores
         match action:
-            case wording.ReadManifest():
+            case messages.ReadManifest():
                 call = functools.partial(reader.read, stores.for_reads)
                 self._submit(
                     context.read_workers,
                     call,
-                    wording.PlatformCallFailed(False, 'read'),
+                    messages.PlatformCallFailed(False, 'read'),
                 )
-            case wording.ReadStoreRevision():
+            case messages.ReadStoreRevision():
                 call = functools.partial(reader.read_revision, stores.for_reads)
                 self._submit(
                     context.read_workers,
                     call,
-                    wording.PlatformCallFailed(False, 'check'),
+                    messages.PlatformCallFailed(False, 'check'),
                 )
-            case wording.WatchManifest():
+            case messages.WatchManifest():
                 call = functools.partial(
                     reader.watch, stores.for_watches, action
                 )
                 self._submit(
                     context.watch_workers,
                     call,
-                    wording.PlatformCallFailed(True, 'watch'),
+                    messages.PlatformCallFailed(True, 'watch'),
                 )
-            case wording.PushPatch() | wording.PullPatches():
+            case messages.PushPatch() | messages.PullPatches():
                 self._exchange_patches(action, context.peer_workers)
-            case wording.PutInForce():
+            case messages.PutInForce():
                 self._sink(action.stamped)
                 stamp = action.stamped.stamp
                 logs.info(PART, 'in force', revision=stamp.revision)
-            case wording.ConfirmInForce(stamp, sent_at):
+            case messages.ConfirmInForce(stamp, sent_at):
                 self._authenticator.record_read(stamp, sent_at)
-            case wording.ReportFault():
+            case messages.ReportFault():
                 _log_fault(action)
 
     def _exchange_patches(
         self,
-        action: wording.PushPatch | wording.PullPatches,
+        action: messages.PushPatch | messages.PullPatches,
         peer_workers: worker_pools.WorkerPool,
     ) -> None:
         client = self._client
-        if isinstance(action, wording.PullPatches):
+        if isinstance(action, messages.PullPatches):
             pull = functools.partial(client.pull_patches, *action)
             self._submit(
-                peer_workers, pull, wording.MemberUnreachable(action.member)
+                peer_workers, pull, messages.MemberUnreachable(action.member)
             )
             return
         for member in action.members:
@@ -177,19 +177,19 @@
             self._submit(
                 peer_workers,
                 push,
-                wording.MemberUnreachable(member, action.patch),
+                messages.MemberUnreachable(member, action.patch),
             )
 
     def _submit(
         self,
         pool: worker_pools.WorkerPool,
-        call: Callable[[], wording.Event],
-        failure: wording.Event,
+        call: Callable[[], messages.Event],
+        failure: messages.Event,
     ) -> None:
-        """Run a call beside the task; its end is always an event.
+        """Run a call in a worker; post its event, or `failure` on an error.
 
-        A call that ended in an error of ours without one would stay open in
-        the state for ever, and with it the watch or the check it stands for.
+        Without an event after an unexpected error, the call would stay
+        pending in the state for ever, and so would its watch or check.
         """
 
         def run() -> None:
@@ -209,7 +209,7 @@
     return contextlib.closing(worker_pools.WorkerPool(f'{PART}-{name}', count))
 
 
-def _log_fault(report: wording.ReportFault) -> None:
+def _log_fault(report: messages.ReportFault) -> None:
     if report.text:
         logs.error(PART, report.text, fault=report.fault)
     else:
--- a/fuchsiahaven/edge/tls.py
+++ b/fuchsiahaven/edge/tls.py
@@ -1,4 +1,4 @@
-"""Keep TLS contexts that follow their files."""
+"""Keep TLS contexts that are reloaded when their files change."""
 
 import ssl
 import threading
@@ -13,14 +13,14 @@
 from fuchsiahaven.operate import logs
 
 PART: Final = 'tls'
-#: Seconds between looks at the files; a new key is in use after that.
+#: How often files are checked; a new key is in use after at most this.
 CHECK_INTERVAL_S: Final = 5.0
 
 
 class Files(NamedTuple):
-    """Name the files of one identity and of whom it trusts.
+    """Hold the files of an identity and of the authority it trusts.
 
-    The other side has to show a certificate where an authority is named.
+    With an authority, the other side must present a certificate.
     """
 
     certificate: Path | None
@@ -29,10 +29,10 @@
 
 
 class Identity:
-    """Hold the contexts of one identity, made anew when a file changes.
+    """Hold the context of an identity and replace it when a file changes.
 
-    A context in use is never touched: connections that are open go on with
-    the one they began with, so that a change of keys cuts no request.
+    A context in use is never modified: open connections keep the context
+    they started with, so that a change of keys cuts no request.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         purpose: ssl.Purpose,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Load the files. Raises OSError, ssl.SSLError among them."""
+        """Load the files. Raises OSError, including ssl.SSLError."""
         self._files = files
         self._purpose = purpose
         self._clock = clock
@@ -51,7 +51,7 @@
         self._context = _load_context(files, purpose)
 
     def current_context(self) -> ssl.SSLContext:
-        """Return the context for a new connection; any thread may call."""
+        """Return the context for a new connection; thread-safe."""
         with self._lock:
             now = self._clock()
             if now - self._checked_at >= CHECK_INTERVAL_S:
@@ -60,10 +60,10 @@
             return self._context
 
     def _reload_changed(self) -> None:
-        """Take changed files in, or keep what works.
+        """Reload changed files; keep the old context if they do not work.
 
-        Certificate and key are replaced one after the other; a look between
-        the two finds a pair that does not fit, and the next look a good one.
+        Certificate and key are replaced one after the other. A check between
+        the two finds a pair that does not match; the next one succeeds.
         """
         try:
             file_stats = _read_stats(self._files)
@@ -71,7 +71,7 @@
                 return
             self._context = _load_context(self._files, self._purpose)
         except OSError as error:
-            # The error names the kind of fault and never what a key holds.
+            # Log only the type: the message could contain parts of a key.
             logs.error(PART, 'files not usable', fault=type(error).__name__)
             return
         self._file_stats = file_stats
@@ -79,22 +79,22 @@
 
 
 class ServerAdapter(adapters.Adapter):
-    """Let cheroot speak TLS with the identity's present context."""
+    """Let cheroot use TLS with the identity's current context."""
 
     def __init__(self, identity: Identity) -> None:
         """Serve with an identity."""
         self._identity = identity
 
     def bind(self, sock: Any) -> Any:
-        """Leave the listening socket as it is."""
+        """Return the listening socket unchanged."""
         return sock
 
     def wrap(self, sock: Any) -> tuple[ssl.SSLSocket, dict[str, str]]:
         """Wrap an accepted socket.
 
-        The handshake waits for the first read, in a worker's thread. Done
-        here it would be done by the one thread that accepts, and a client
-        that connects and says nothing would keep all others out.
+        The handshake is left to the first read, in a worker thread. Here it
+        would block the only thread that accepts connections, so that a
+        silent client would keep out all others.
         """
         wrapped = self._identity.current_context().wrap_socket(
             sock, server_side=True, do_handshake_on_connect=False
@@ -102,7 +102,7 @@
         return wrapped, self.get_environ()
 
     def get_environ(self) -> dict[str, str]:
-        """Return what each request is told of its connection."""
+        """Return the WSGI variables that describe the connection."""
         return {'wsgi.url_scheme': 'https', 'HTTPS': 'on'}
 
     def makefile(self, sock: Any, mode: str = 'r', bufsize: int = -1) -> Any:
--- a/fuchsiahaven/edge/worker_pools.py
+++ b/fuchsiahaven/edge/worker_pools.py
@@ -1,4 +1,4 @@
-"""Run blocking calls in threads of their own, beside the task that asks."""
+"""Run blocking calls in separate threads."""
 
 import queue
 import threading
@@ -8,10 +8,10 @@
 
 
 class WorkerPool:
-    """Own threads that run jobs in the order in which they are asked for.
+    """Own threads that run jobs in the order of submission.
 
-    The threads never keep a process alive: a call that waits for an answer
-    ends with the process, and nothing is lost by it.
+    The threads are daemons: a call that still waits for an answer ends with
+    the process, and nothing is lost by it.
     """
 
     def __init__(self, name: str, count: int) -> None:
@@ -24,11 +24,11 @@
             ).start()
 
     def submit(self, job: Job) -> None:
-        """Run a job as soon as a thread is free."""
+        """Queue a job, to run as soon as a thread is free."""
         self._jobs.put(job)
 
     def close(self) -> None:
-        """Let each thread end after the job that it runs."""
+        """Stop each thread after the queued jobs."""
         for _ in range(self._thread_count):
             self._jobs.put(None)
 
--- a/tests/edge/revocation_model.py
+++ b/tests/edge/revocation_model.py
@@ -1,4 +1,4 @@
-"""Play hosts that learn of withdrawn keys, with calls that take any time."""
+"""Simulate how hosts learn of revoked keys, with calls of any delay."""
 
 import functools
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 from fuchsiahaven.core.configuration import (
     configurations,
     patches,
+    revision_messages,
     revisions,
 )
-from fuchsiahaven.core.configuration import revision_messages as wording
 from fuchsiahaven.core.customers import (
     customers,
     freshness,
@@ -31,14 +31,14 @@
 
 
 class StoredConfiguration(NamedTuple):
-    """Hold what the platform holds, under a number of its own."""
+    """Hold the stored configuration and the platform's revision of it."""
 
     revision: int
     configuration: configurations.Configuration
 
 
 class Host:
-    """Hold one host: the choice of what is in force, and its door."""
+    """Hold a host: the revision in force and the authenticator."""
 
     def __init__(
         self, name: str, host_names: tuple[str, ...], clock: Callable[[], float]
@@ -52,30 +52,30 @@
         )
         self._clock = clock
 
-    def handle_event(self, event: wording.Event) -> None:
-        """Hand an event over, in the order in which the task does."""
+    def handle_event(self, event: revision_messages.Event) -> None:
+        """Handle an event in the same order as the configuration task."""
         state, actions = revisions.handle_event(
             self.state, event, self._clock(), float
         )
         self.state = state
         for action in actions:
             match action:
-                case wording.PutInForce(stamped):
+                case revision_messages.PutInForce(stamped):
                     self.authenticator.update_configuration(stamped)
-                case wording.ConfirmInForce(stamp, sent_at):
+                case revision_messages.ConfirmInForce(stamp, sent_at):
                     self.authenticator.record_read(stamp, sent_at)
 
     def accepts_key(self) -> bool:
-        """Tell whether it takes the key, or needs none yet."""
+        """Return whether the host authenticates the key."""
         result = self.authenticator.admit(QUERY, CREDENTIALS)
         return isinstance(result, messages.Query) and result.admitted
 
 
 class Simulation:
-    """Own the platform, the hosts, and what is under way between them."""
+    """Own the platform, the hosts and the calls between them."""
 
     def __init__(self, count: int = 4) -> None:
-        """Start with a configuration in which the key is good."""
+        """Start with a configuration in which the key is valid."""
         self.now = 100.0
         self.host_names = tuple(f'h{index}' for index in range(count))
         self.hosts = [self._make_host(name) for name in self.host_names]
@@ -83,13 +83,13 @@
             1, classes=CLASSES, customers=(SHOP,)
         )
         self.stored = StoredConfiguration(1, configuration)
-        #: When the platform had acknowledged that the key is gone.
+        #: When the platform acknowledged the revocation of the key.
         self.revoked_at: float | None = None
-        #: Each call: what is to happen next to it.
+        #: The next step of each call.
         self.calls: list[Callable[[], Callable[[], None] | None]] = []
 
     def commit_change(self, *, revoke: bool) -> None:
-        """Accept a change, acknowledged now."""
+        """Commit a change, acknowledged now."""
         configuration, customer = self.stored.configuration, SHOP
         if revoke or self.revoked_at is not None:
             customer = SHOP._replace(keys=())
@@ -101,21 +101,21 @@
         self.stored = StoredConfiguration(self.stored.revision + 1, changed)
 
     def restart(self, index: int) -> None:
-        """Start a host anew."""
+        """Restart a host without state."""
         self.hosts[index] = self._make_host(self.host_names[index])
 
     def read_platform(self, index: int, *, reads_manifest: bool) -> None:
-        """Have a host ask the platform: it leaves, is served, arrives."""
+        """Start a host's call to the platform, served in a later step."""
         host = self.hosts[index]
         sent_at = host.authenticator.read_clock()
 
         def serve() -> Callable[[], None]:
             stored = self.stored
-            event: wording.Event = wording.StoreRevisionRead(
-                stored.revision, sent_at
+            event: revision_messages.Event = (
+                revision_messages.StoreRevisionRead(stored.revision, sent_at)
             )
             if reads_manifest:
-                event = wording.ManifestRead(
+                event = revision_messages.ManifestRead(
                     stored.revision, stored.configuration, sent_at=sent_at
                 )
             return functools.partial(host.handle_event, event)
@@ -123,7 +123,7 @@
         self.calls.append(serve)
 
     def request_proof(self, index: int, other_index: int) -> None:
-        """Have a host ask another one for its proof."""
+        """Start a host's request for the proof of another host."""
         host, other_host = self.hosts[index], self.hosts[other_index]
         sent_at = host.authenticator.freshness.read_clock()
 
@@ -137,17 +137,17 @@
         self.calls.append(serve)
 
     def push_patch(self, index: int, other_index: int) -> None:
-        """Have a host send what it has in force to one below it."""
+        """Start a host's push of its configuration to another host."""
         sender, host = self.hosts[index], self.hosts[other_index]
         patch = patches.diff(patches.EMPTY, sender.state.in_force)
-        pushed = wording.PatchReceived(self.host_names[index], patch)
+        pushed = revision_messages.PatchReceived(self.host_names[index], patch)
         if sender.state.in_force is not patches.EMPTY:
             self.calls.append(
                 lambda: functools.partial(host.handle_event, pushed)
             )
 
     def advance_call(self, number: int) -> None:
-        """Have a call be served, or its answer arrive; else nothing."""
+        """Serve a pending call or deliver its answer, if there is one."""
         if not self.calls:
             return
         call = self.calls.pop(number % len(self.calls))
@@ -156,7 +156,7 @@
             self.calls.append(answer)
 
     def check_keys(self) -> None:
-        """Check that no host takes a key that has to be dead."""
+        """Check that no host accepts a key past its revocation time."""
         for host in self.hosts:
             is_revoked = self.revoked_at is not None and (
                 self.now > self.revoked_at + REVOKE_S
--- a/tests/edge/test_key_revocation.py
+++ b/tests/edge/test_key_revocation.py
@@ -1,4 +1,4 @@
-"""Check that a key that was taken away is dead on every host in time."""
+"""Test that every host refuses a revoked key in time."""
 
 import random
 from typing import Final
@@ -6,7 +6,7 @@
 import pytest
 
 from fuchsiahaven.core import errors
-from fuchsiahaven.core.configuration import revision_messages as wording
+from fuchsiahaven.core.configuration import revision_messages
 from fuchsiahaven.core.customers import freshness, proof_exchange
 from tests.edge import revocation_model as model
 
@@ -18,7 +18,7 @@
 def run_random_step(
     simulation: model.Simulation, rng: random.Random, isolated: frozenset[int]
 ) -> None:
-    """Let something happen; hosts that are cut off meet each other alone."""
+    """Run a random event; isolated hosts reach only each other."""
     simulation.now += rng.expovariate(8)
     index, other = rng.sample(range(HOST_COUNT), 2)
     can_reach = (index in isolated) == (other in isolated)
@@ -34,14 +34,14 @@
         case 8:
             simulation.commit_change(revoke=rng.random() < 0.3)
         case 9:
-            # Of two answers that are on their way the later may come first.
+            # Answers may arrive out of order.
             simulation.advance_call(rng.randrange(100))
         case _:
             simulation.advance_call(0)
 
 
 def read_all(simulation: model.Simulation, count: int = HOST_COUNT) -> None:
-    """Let every host read the platform, twice: the first shows customers."""
+    """Let every host read twice: the first reading finds customers."""
     for index in range(count):
         for _ in range(2):
             simulation.read_platform(index, reads_manifest=True)
@@ -51,10 +51,10 @@
 
 @pytest.mark.parametrize('first', range(0, RUN_COUNT, 10))
 def test_no_host_accepts_a_revoked_key(first: int) -> None:
-    """Guard against a host that is out of touch, or told by such a one.
+    """Guard against a host without contact, or one that trusts its proof.
 
-    Calls leave, are served and arrive in any order and after any time; a host
-    that stands still is one to which nothing arrives.
+    Calls are sent, served and answered in any order and with any delay. A
+    paused host is one that receives nothing.
     """
     for seed in range(first, first + 10):
         rng = random.Random(seed)
@@ -73,7 +73,7 @@
 
 
 def test_connected_hosts_accept_a_valid_key() -> None:
-    """Guard against a bound that is kept by refusing everybody."""
+    """Guard against a bound that is met by refusing every key."""
     simulation = model.Simulation(HOST_COUNT)
     read_all(simulation)
     assert all(host.accepts_key() for host in simulation.hosts)
@@ -103,7 +103,7 @@
 
 
 def test_restored_platform_proves_nothing() -> None:
-    """Guard against a copy that lacks the withdrawal."""
+    """Guard against a platform restored from before the revocation."""
     simulation = model.Simulation(HOST_COUNT)
     copy = simulation.stored
     simulation.commit_change(revoke=False)
@@ -121,7 +121,7 @@
 
 
 def test_reused_revision_proves_nothing_after_a_gap() -> None:
-    """Guard against a platform that came back older and was changed since."""
+    """Guard against a platform that was restored and changed again."""
     simulation = model.Simulation(1)
     host, copy = simulation.hosts[0], simulation.stored
     simulation.commit_change(revoke=False)
@@ -133,8 +133,8 @@
     for _ in range(20):
         simulation.now += 0.08 * model.REVOKE_S
         urgent = host.authenticator.freshness.compute_urgent_delay() <= 0
-        host.handle_event(wording.CheckRequested(urgent))
-        # Out of touch until the knowledge is half as old as it may be.
+        host.handle_event(revision_messages.CheckRequested(urgent))
+        # No contact until the keys reach half of their maximum age.
         if urgent:
             simulation.read_platform(
                 0, reads_manifest=host.state.last_read is None
@@ -159,7 +159,7 @@
 
 
 def test_asks_parents_in_the_tree_first() -> None:
-    """Guard against a host that asks one that is gone for ever."""
+    """Guard against a host that keeps asking a member that is gone."""
     order = tuple(f'h{index}' for index in range(110))
     members_asked = [
         proof_exchange.find_member_to_ask(order, 'h109', 2, it)
@@ -172,7 +172,7 @@
 
 
 def test_rejects_a_lead_longer_than_the_exchange() -> None:
-    """Guard against a wild member that makes others trust keys for ever."""
+    """Guard against a faulty member whose proof never expires."""
     answer = proof_exchange.ProofAnswer(
         freshness.Proof(9.0, freshness.NO_ERA), 1, 'ab'
     )
@@ -188,7 +188,7 @@
 
 
 def test_rejects_numbers_too_large_for_a_float() -> None:
-    """Guard against a host that asks nobody any more after one answer."""
+    """Guard against an answer that ends the thread requesting proofs."""
     assert (
         proof_exchange.decode_answer(b'{"lead":0,"stamp":[1e999,"a"]}', 1.0)
         is None
--- a/tests/edge/test_peer_port.py
+++ b/tests/edge/test_peer_port.py
@@ -23,7 +23,7 @@
 
 
 class EchoHost:
-    """Answer gossip with what was told, and nothing else."""
+    """Answer gossip with the same gossip."""
 
     def exchange_gossip(
         self, gossip: member_messages.Gossip
@@ -32,31 +32,31 @@
         return gossip
 
     def handle_patches(
-        self, parcel: patch_codecs.PatchMessage
+        self, message: patch_codecs.PatchMessage
     ) -> patches.Stamp:
-        """Take patches."""
-        return patches.Stamp(len(parcel.patches), parcel.sender)
+        """Return a stamp made from the message."""
+        return patches.Stamp(len(message.patches), message.sender)
 
     def list_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
-        """Have nothing newer."""
+        """Return no newer patches."""
         return ()
 
     def encode_proof(self) -> bytes:
-        """Prove nothing."""
+        """Return an empty proof."""
         return b''
 
     def handle_claims(self, body: bytes) -> bytes | None:
-        """Answer claims."""
+        """Return the batch of claims."""
         return body
 
     def describe(self) -> Mapping[str, object]:
-        """Describe nothing."""
+        """Return an empty description."""
         return {}
 
 
 @contextlib.contextmanager
 def serve(identity: tls.Identity | None) -> Iterator[str]:
-    """Serve on a free port; give the address."""
+    """Serve on a free port; yield the address."""
     application = peer_port.Application()
     application.attach('h1', EchoHost())
     own_address = addresses.Address('127.0.0.1', 0)
@@ -76,7 +76,7 @@
 def send_gossip(
     identity: tls.Identity | None, address: str, body: bytes = b''
 ) -> bytes | None:
-    """Send gossip once."""
+    """Send gossip and return the answer."""
     gossip = body or rows.encode_gossip(GOSSIP)
     with contextlib.closing(
         peer_client.PeerClient(identity, MAX_BODY_BYTES)
@@ -87,34 +87,34 @@
 
 
 class TlsFiles:
-    """Hold the files of one authority and one host."""
+    """Hold the files of an authority and a host."""
 
     def __init__(self, folder: Path) -> None:
-        """Write them."""
+        """Write the files."""
         self.folder = folder
         self.authority = certificates.Authority(folder)
         pair = self.authority.issue(folder)
         self.files = tls.Files(*pair, self.authority.path)
 
     def load_for_server(self) -> tls.Identity:
-        """Load them for a server."""
+        """Load the files for a server."""
         return tls.Identity(self.files, ssl.Purpose.CLIENT_AUTH)
 
     def load_for_client(self) -> tls.Identity:
-        """Load them for a caller."""
+        """Load the files for a client."""
         return tls.Identity(self.files, ssl.Purpose.SERVER_AUTH)
 
 
 @pytest.fixture
 def files(tmp_path: Path) -> TlsFiles:
-    """Make the files of one host."""
+    """Make the files of a host."""
     return TlsFiles(tmp_path)
 
 
 def test_requires_certificates_on_both_sides(
     files: TlsFiles, tmp_path: Path
 ) -> None:
-    """Refuse whoever shows no certificate of the authority."""
+    """Refuse peers without a certificate of the authority."""
     other = certificates.Authority(tmp_path, 'other')
     untrusted = tls.Files(*other.issue(tmp_path, 'strange'), files.files[2])
     no_certificate = tls.Files(None, None, files.files[2])
@@ -131,11 +131,11 @@
 
 
 def test_serves_others_beside_a_silent_client(files: TlsFiles) -> None:
-    """Answer others while one has connected and says nothing.
+    """Serve other clients while one is connected and silent.
 
-    Symptom: all members hold a host for dead. Sequence: something connects
-    to its peer port and never begins the handshake. Cause: handshakes done
-    one after the other where connections are accepted.
+    Guards against a host that all members take for dead: a client connects
+    to its peer port and never starts the handshake, which would block the
+    thread that accepts connections.
     """
     with serve(files.load_for_server()) as address:
         host, _, port = address.rpartition(':')
@@ -146,11 +146,11 @@
 def test_reloads_keys_without_closing_connections(
     files: TlsFiles,
 ) -> None:
-    """Follow replaced files, and keep what works while they do not fit.
+    """Reload replaced files; keep the old context while they do not match.
 
-    Symptom: a change of keys cuts requests, or waits for a restart. Cause:
-    one context for the life of the process, or one that is swapped under
-    open connections, or a look between the writes of key and certificate.
+    Guards against a change of keys that cuts requests or needs a restart:
+    the context is never replaced, is replaced under open connections, or is
+    loaded between the writes of key and certificate.
     """
     now = 0.0
     identity = tls.Identity(files.files, ssl.Purpose.CLIENT_AUTH, lambda: now)
@@ -192,7 +192,7 @@
     ],
 )
 def test_refuses_malformed_gossip(body: bytes) -> None:
-    """Refuse what has not the shape of gossip, and go on serving."""
+    """Refuse malformed gossip and continue to serve."""
     with serve(None) as address:
         assert send_gossip(None, address, body) is None
         assert send_gossip(None, address) is not None
