--- a/fuchsiahaven/edge/claim_owners.py
+++ b/fuchsiahaven/edge/claim_owners.py
@@ -55,8 +55,8 @@
         body = self._send(
             address, claim_codecs.encode_batch(batch), FORWARD_TIMEOUT_S
         )
-        verdicts = body and claim_codecs.decode_results(body, call.steps)
-        if verdicts:
-            return verdicts
+        results = body and claim_codecs.decode_results(body, call.steps)
+        if results:
+            return results
         self._silent_until[owner] = self._clock() + SILENT_RETRY_DELAY_S
         return claim_calls.ForwardLost()
--- a/fuchsiahaven/edge/host_list_poller.py
+++ b/fuchsiahaven/edge/host_list_poller.py
@@ -37,13 +37,13 @@
     def run(self) -> None:
         """Poll until stopped."""
         while not self._stopped.wait(self._compute_delay()):
-            self._read()
+            self._poll()
 
     def _compute_delay(self) -> float:
         factor = max(1, self.member_count / MAX_FULL_RATE_MEMBERS)
         return self._interval_s * factor * (0.5 + random.random())
 
-    def _read(self) -> None:
+    def _poll(self) -> None:
         try:
             listing = host_list.read_host_list(self._platform)
         except store.StoreError as error:
--- a/fuchsiahaven/edge/store.py
+++ b/fuchsiahaven/edge/store.py
@@ -168,16 +168,16 @@
 
         Raises StoreUnavailable.
         """
-        reply = self._read('read', _make_key_path(key))
-        if reply.status == http.HTTPStatus.NOT_FOUND:
+        response = self._read('read', _make_key_path(key))
+        if response.status == http.HTTPStatus.NOT_FOUND:
             return None
-        return _decode_read(store_answers.decode_entry, reply.body, key)
+        return _decode_read(store_answers.decode_entry, response.body, key)
 
     def list_keys(self, prefix: str) -> tuple[store_answers.KeyRevision, ...]:
         """List the keys that start with a prefix. Raises StoreUnavailable."""
         query = urllib.parse.urlencode({'prefix': prefix})
-        reply = self._read('list', f'/v1/keys?{query}')
-        return _decode_read(store_answers.decode_keys, reply.body)
+        response = self._read('list', f'/v1/keys?{query}')
+        return _decode_read(store_answers.decode_keys, response.body)
 
     def watch(
         self, key: str, above_revision: int, wait_s: float
@@ -190,15 +190,15 @@
             {'above': above_revision, 'wait_s': wait_s}
         )
         path = f'/v1/watch/{urllib.parse.quote(key)}?{query}'
-        reply = self._read('watch', path, wait_s)
-        if reply.status == http.HTTPStatus.NO_CONTENT:
+        response = self._read('watch', path, wait_s)
+        if response.status == http.HTTPStatus.NO_CONTENT:
             return None
-        return _decode_read(store_answers.decode_entry, reply.body, key)
+        return _decode_read(store_answers.decode_entry, response.body, key)
 
     def list_hosts(self) -> store_answers.HostList:
         """Read the platform's host list. Raises StoreUnavailable."""
-        reply = self._read('hosts', '/v1/hosts')
-        return _decode_read(store_answers.decode_hosts, reply.body)
+        response = self._read('hosts', '/v1/hosts')
+        return _decode_read(store_answers.decode_hosts, response.body)
 
     def swap(
         self, key: str, value: str, revision: int, lease: str | None = None
@@ -207,12 +207,12 @@
 
         Raises StoreConflict, StoreUnavailable and StoreUnclear.
         """
-        content = {'value': value, 'revision': revision, 'lease': lease}
-        reply = self._write('swap', 'PUT', _make_key_path(key), content)
-        if reply.status == http.HTTPStatus.NOT_FOUND:
+        payload = {'value': value, 'revision': revision, 'lease': lease}
+        response = self._write('swap', 'PUT', _make_key_path(key), payload)
+        if response.status == http.HTTPStatus.NOT_FOUND:
             raise StoreLeaseEnded(f'lease {lease} has ended')
         new_revision = _decode_written(
-            store_answers.decode_revision, reply.body
+            store_answers.decode_revision, response.body
         )
         return Entry(key, value, new_revision)
 
@@ -229,8 +229,8 @@
 
     def open_lease(self, ttl_s: float) -> str:
         """Open a lease. Raises StoreUnavailable and StoreUnclear."""
-        reply = self._write('lease', 'POST', '/v1/leases', {'ttl_s': ttl_s})
-        return _decode_written(store_answers.decode_lease, reply.body)
+        response = self._write('lease', 'POST', '/v1/leases', {'ttl_s': ttl_s})
+        return _decode_written(store_answers.decode_lease, response.body)
 
     def keep_lease(self, lease: str) -> bool:
         """Renew a lease; False if it has expired.
@@ -246,20 +246,20 @@
     def _read(self, kind: str, path: str, wait_s: float = 0.0) -> _Response:
         self._read_bucket = _take_token(self._read_bucket, self._clock())
         try:
-            reply = self._call(kind, 'GET', path, wait_s=wait_s)
+            response = self._call(kind, 'GET', path, wait_s=wait_s)
         except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds) as error:
             raise StoreUnavailable(f'{kind}: {error}') from error
-        if reply.status in _EXPECTED_STATUSES:
-            return reply
-        raise _make_error(kind, reply.status)
+        if response.status in _EXPECTED_STATUSES:
+            return response
+        raise _make_error(kind, response.status)
 
     def _write(
-        self, kind: str, method: str, path: str, content: object
+        self, kind: str, method: str, path: str, payload: object
     ) -> _Response:
         self._write_bucket = _take_token(self._write_bucket, self._clock())
-        body = None if content is None else json.dumps(content).encode()
+        body = None if payload is None else json.dumps(payload).encode()
         try:
-            reply = self._call(kind, method, path, body)
+            response = self._call(kind, method, path, body)
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
@@ -268,9 +268,9 @@
             raise StoreUnavailable(f'{kind}: {error}') from error
         except (urllib3.exceptions.HTTPError, _AnswerOutOfBounds) as error:
             raise StoreUnclear(f'{kind}: {error}') from error
-        if reply.status in _EXPECTED_STATUSES:
-            return reply
-        raise _make_write_error(kind, reply)
+        if response.status in _EXPECTED_STATUSES:
+            return response
+        raise _make_write_error(kind, response)
 
     def _call(
         self,
@@ -378,11 +378,11 @@
     return StoreUnavailable(f'{kind}: status {status}')
 
 
-def _make_write_error(kind: str, reply: _Response) -> StoreError:
-    match reply.status:
+def _make_write_error(kind: str, response: _Response) -> StoreError:
+    match response.status:
         case http.HTTPStatus.CONFLICT:
             revision = _decode_written(
-                store_answers.decode_revision, reply.body
+                store_answers.decode_revision, response.body
             )
             return StoreConflict(revision)
         case (
@@ -390,5 +390,5 @@
             | http.HTTPStatus.SERVICE_UNAVAILABLE
         ):
             # The protocol reserves these two for calls without effect.
-            return _make_error(kind, reply.status)
-    return StoreUnclear(f'{kind}: status {reply.status}')
+            return _make_error(kind, response.status)
+    return StoreUnclear(f'{kind}: status {response.status}')
--- a/tests/edge/test_claim_task.py
+++ b/tests/edge/test_claim_task.py
@@ -136,8 +136,8 @@
     at once, several times, and both read the key before either writes it.
     """
     hosts = [Host(system, 'a'), Host(system, 'b')]
-    request_ids_sent = [make_request_id() for _ in range(20)]
-    for request_id in request_ids_sent:
+    sent_ids = [make_request_id() for _ in range(20)]
+    for request_id in sent_ids:
         for host in hosts:
             host.submit(request_id)
             host.submit(request_id)
@@ -147,7 +147,7 @@
         for _ in range(40)
     ]
     granted = [it.request_id for it in settled if it.result is GRANTED]
-    assert sorted(granted) == sorted(request_ids_sent)
+    assert sorted(granted) == sorted(sent_ids)
     assert {it.result for it in settled} == {GRANTED, HELD}
 
 
--- a/tests/edge/test_customer_keys.py
+++ b/tests/edge/test_customer_keys.py
@@ -92,7 +92,7 @@
     (folder / 'key').write_text(f'{KEY}\n')
     (folder / 'other').write_text(f'{OTHER_KEY}\n')
     layout = ('--deployment', 'santiago', '--first-port', str(first_port))
-    site_found = Site(
+    started_site = Site(
         f'http://127.0.0.1:{end_port - 2}', f'127.0.0.1:{end_port - 1}', folder
     )
     with contextlib.ExitStack() as stack:
@@ -111,12 +111,14 @@
         ]
         for part in parts:
             assert part.stdout and part.stdout.readline().startswith('ready')
-        assert not site_found.run('customer', 'set', 'shop', 'rate=0')
+        assert not started_site.run('customer', 'set', 'shop', 'rate=0')
         log = stack.enter_context((folder / 'log').open('wb'))
         start_host(stack, folder, log)
         retries = test_end_to_end.retry_on(503)
-        urllib3.request('GET', f'{site_found.callers}/readyz', retries=retries)
-        yield site_found
+        urllib3.request(
+            'GET', f'{started_site.callers}/readyz', retries=retries
+        )
+        yield started_site
 
 
 def get_kind(answer: urllib3.BaseHTTPResponse) -> Any:
--- a/tests/edge/test_peer_port.py
+++ b/tests/edge/test_peer_port.py
@@ -12,8 +12,12 @@
 
 from fuchsiahaven.core import addresses
 from fuchsiahaven.core.configuration import patches
-from fuchsiahaven.core.members import gossip_codecs as rows
-from fuchsiahaven.core.members import member_messages, members, patch_codecs
+from fuchsiahaven.core.members import (
+    gossip_codecs,
+    member_messages,
+    members,
+    patch_codecs,
+)
 from fuchsiahaven.edge import peer_client, peer_port, tls
 from tests import certificates
 
@@ -77,7 +81,7 @@
     identity: tls.Identity | None, address: str, body: bytes = b''
 ) -> bytes | None:
     """Send gossip and return the answer."""
-    gossip = body or rows.encode_gossip(GOSSIP)
+    gossip = body or gossip_codecs.encode_gossip(GOSSIP)
     with contextlib.closing(
         peer_client.PeerClient(identity, MAX_BODY_BYTES)
     ) as client:
@@ -121,7 +125,7 @@
     with serve(files.load_for_server()) as address:
         answer = send_gossip(files.load_for_client(), address)
         assert answer is not None
-        assert rows.decode_gossip(answer) == GOSSIP
+        assert gossip_codecs.decode_gossip(answer) == GOSSIP
         for refused in (untrusted, no_certificate):
             identity = tls.Identity(refused, ssl.Purpose.SERVER_AUTH)
             assert send_gossip(identity, address) is None
@@ -180,14 +184,16 @@
         b'[]',
         b'[' * MAX_BODY_BYTES,
         b'{"sender": ["h", "x:1", 1, "alive"]}',
-        rows.encode_gossip(
+        gossip_codecs.encode_gossip(
             GOSSIP._replace(sender=OWN._replace(address='evil:80'))
         ),
-        rows.encode_gossip(GOSSIP._replace(sender=OWN._replace(name='a\nb'))),
-        rows.encode_gossip(
+        gossip_codecs.encode_gossip(
+            GOSSIP._replace(sender=OWN._replace(name='a\nb'))
+        ),
+        gossip_codecs.encode_gossip(
             GOSSIP._replace(sender=OWN._replace(incarnation=-1))
         ),
-        rows.encode_gossip(GOSSIP._replace(news=(OWN,) * 100)),
+        gossip_codecs.encode_gossip(GOSSIP._replace(news=(OWN,) * 100)),
         b' ' * MAX_BODY_BYTES * 2,
     ],
 )
