--- a/fuchsiahaven/relay/connections.py
+++ b/fuchsiahaven/relay/connections.py
@@ -1,4 +1,4 @@
-"""Carry one exchange at a time over one connection that this host opened."""
+"""Run one HTTP exchange at a time on a connection that this host opened."""
 
 import asyncio
 import socket
@@ -13,35 +13,36 @@
 from fuchsiahaven.relay import fast_http, traffic
 from fuchsiahaven.routing import events
 
-#: The largest answer that is taken in; the largest of a target are 36 kB, a
-#: page of the store is up to 1 MB, in base64 and JSON.
+#: Largest accepted body. Targets respond with up to 36 kB; a page of the store
+#: has up to 1 MB, in base64 and JSON.
 MAX_RESPONSE_BYTES: Final = 4 * 1024 * 1024
-#: Bytes that nobody acknowledges for this long break a connection. A cut that
-#: drops packets would otherwise hold requests for minutes; packets that are
-#: lost one by one are repeated within less.
+#: Unacknowledged bytes break a connection after this time. A network partition
+#: that drops packets would otherwise hold requests for minutes; single lost
+#: packets are retransmitted sooner.
 TCP_USER_TIMEOUT_MS: Final = 1500
-#: A connection on which nothing moves is tried after so many seconds, and
-#: given up after as many tries as often.
+#: Idle time before the first keep-alive probe and between probes, and the
+#: number of unanswered probes that break a connection.
 KEEP_ALIVE_INTERVAL_S: Final = 2
 KEEP_ALIVE_PROBES: Final = 2
-#: Answers of other requests that are passed over before a connection is given
-#: up; a target sends one more than it should, not many.
+#: Responses to other requests that are skipped before the connection is
+#: closed. A faulty target sends one response too many, not several.
 MAX_STRAY_RESPONSES: Final = 3
 OK: Final = 200
-#: The kernel's account of a connection: its state in the first byte, and the
-#: smoothed round trip, in microseconds, after 8 bytes and 15 words.
+#: Layout of the kernel's struct tcp_info: the state in the first byte, and the
+#: smoothed round trip in microseconds after 8 bytes and 15 words.
 TCP_INFO_LAYOUT: Final = struct.Struct('B67xI')
-#: States of a connection whose peer has closed it, by the kernel's numbers:
+#: The kernel's numbers of the states of a connection that the peer has closed:
 #: TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK and CLOSING.
 PEER_CLOSED_STATES: Final = frozenset((6, 7, 8, 9, 11))
 US_PER_S: Final = 1_000_000
 
 
 class Exchange(NamedTuple):
-    """Hold a request to be sent and whom to tell how it ended.
+    """Hold a request to be sent and its callbacks.
 
-    `belongs` tells whether a whole answer is one to this request. Where
-    `take_chunk` is given, the body of a success goes there as it comes.
+    `matches` returns whether a whole response answers this request. If
+    `handle_chunk` is set, it gets the body of a successful response in pieces
+    as they arrive.
     """
 
     method: str
@@ -53,37 +54,37 @@
 
 
 class ConnectionOwner(Protocol):
-    """State what a link tells whoever owns it."""
+    """Declare the callbacks of a connection to its owner."""
 
     def handle_response(
         self, connection: 'Connection', message: http_codecs.Message
     ) -> None:
-        """Take the answer to the exchange."""
+        """Handle the response of the exchange."""
 
     def handle_close(
         self, connection: 'Connection', fault: messages.Fault
     ) -> None:
-        """Take the end of the connection, with an exchange or without."""
+        """Handle the end of the connection, with or without an exchange."""
 
 
 class Connection(asyncio.Protocol):
-    """Own one connection and the exchange on it."""
+    """Run exchanges on one connection, one at a time."""
 
     def __init__(
         self,
         owner: ConnectionOwner,
         byte_counts: traffic.ByteCounts | None = None,
     ) -> None:
-        """Wait for the connection to open; its bytes go into the tally."""
+        """Start unconnected; `byte_counts` counts the connection's bytes."""
         self._byte_counts = byte_counts or traffic.ByteCounts()
         self.exchange: Exchange | None = None
         self.reusable = False
         self.closed = False
-        #: Those of the answer that is being read.
+        #: Header fields of the response that is being read.
         self.response_fields: events.Fields = ()
         self._owner = owner
         self._transport: asyncio.Transport | None = None
-        # Made only where an exchange is not of the usual shape.
+        # Created only for messages that fast_http does not handle.
         self._parser: h11.Connection | None = None
         self._stream_head: fast_http.StreamHead | None = None
         self._response_head: h11.Response | None = None
@@ -91,14 +92,14 @@
         self._stray_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Keep the open connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.reusable = True
         set_socket_options(transport.get_extra_info('socket'))
 
     def send(self, exchange: Exchange) -> None:
-        """Send a request."""
+        """Send the request of an exchange."""
         assert self._transport is not None
         self.exchange = exchange
         self.reusable = False
@@ -113,40 +114,40 @@
         self._transport.write(encoded)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of an answer."""
+        """Handle bytes of a response."""
         self._byte_counts.received += len(data)
         if self.exchange is None:
-            # Bytes that nobody asked for would be taken for the answer to
-            # the next request.
+            # Bytes without a request would be read as the response to the
+            # next one.
             self.close(messages.Fault.MISMATCHED)
             return
         if self._parser is not None or not self._decode_fast(data):
             self._feed_parser(data)
 
     def eof_received(self) -> bool:
-        """Take the end of an answer that has no length."""
+        """End a response whose body lasts until the connection closes."""
         if self.exchange is not None:
             self._feed_parser(b'')
-        # The connection is not kept half open.
+        # Closes the connection instead of keeping it half open.
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner that the connection is gone."""
+        """Report the lost connection to the owner."""
         self.close(messages.Fault.CONNECTION_LOST)
 
     def close(self, fault: messages.Fault) -> None:
-        """End the connection; the owner is told once."""
+        """Close the connection and call the owner back once."""
         if self.closed:
             return
         self.closed = True
         self.reusable = False
         if self._transport is not None:
-            # What was sent and not answered is not waited for.
+            # Aborts, as unsent and unanswered bytes do not matter any more.
             self._transport.abort()
         self._owner.handle_close(self, fault)
 
     def _decode_fast(self, data: bytes) -> bool:
-        """Take bytes of an answer of the usual shape; False for others."""
+        """Decode a response without h11; return False if h11 is needed."""
         assert self.exchange is not None
         if self.exchange.handle_chunk is not None:
             return self._decode_chunks(data, self.exchange.handle_chunk)
@@ -160,8 +161,11 @@
     def _decode_chunks(
         self, data: bytes, handle_chunk: Callable[[bytes], None]
     ) -> bool:
-        """Take pieces of a body; the machine goes on with what is not whole."""
-        stream = self._stream_head or fast_http.read_stream(data)
+        """Decode a chunked body; the rest that is incomplete goes to h11.
+
+        Returns False if the bytes are not a chunked response.
+        """
+        stream = self._stream_head or fast_http.decode_stream_head(data)
         if stream is None or stream.status != OK:
             return False
         decoded = fast_http.decode_chunks(
@@ -245,18 +249,18 @@
         self.exchange = None
         self._parser = None
         self._stream_head = None
-        # What follows an answer belongs to nobody.
+        # Bytes after a response belong to no exchange.
         self.reusable = is_complete and _is_reusable(self._transport)
         self._owner.handle_response(self, message)
         if self.exchange is None and not self.reusable:
             self.close(messages.Fault.CONNECTION_LOST)
 
     def _skip_stray(self) -> None:
-        """Read on after an answer that belongs to another request.
+        """Read on after a response to another request.
 
-        A target may send an answer twice; the second one comes where the
-        next answer is due. Breaking off there would leave the outcome of the
-        request under way unknown.
+        A target may send a response twice; the second copy arrives in place
+        of the next response. Closing the connection there would leave the
+        outcome of the request in flight unknown.
         """
         assert self._parser is not None
         assert self.exchange is not None
@@ -275,31 +279,31 @@
 
 
 def _make_parser(exchange: Exchange) -> h11.Connection:
-    """Make what reads the answer to a request that was sent already."""
+    """Make the parser of the response to a request that is sent already."""
     parser = h11.Connection(h11.CLIENT)
-    # It has to see a request before an answer.
+    # h11 reads a response only after it has encoded a request.
     encode_request(parser, exchange)
     return parser
 
 
 def _is_complete(parser: h11.Connection | None) -> bool:
-    """Tell whether an answer has ended, with nothing behind it."""
+    """Return whether a response has ended without bytes after it."""
     if parser is None or parser.their_state is not h11.DONE:
         return False
     return not parser.trailing_data[0]
 
 
 def _is_reusable(transport: asyncio.Transport | None) -> bool:
-    """Tell whether a connection goes on after an answer."""
+    """Return whether a connection is usable after a response."""
     if transport is None or transport.is_closing():
         return False
-    # A target may answer before it has read a long body; the rest of that
-    # body must not be followed by another request.
+    # A target may respond before it has read a long body. No other request
+    # may follow while the rest of that body is unsent.
     return not transport.get_write_buffer_size()
 
 
 def encode_request(parser: h11.Connection, exchange: Exchange) -> bytes:
-    """Write a request of any shape, so that its answer can be read."""
+    """Encode a request with h11, which can then read its response."""
     fields = [
         (name.encode('latin-1'), value.encode('latin-1'))
         for name, value in exchange.fields
@@ -317,10 +321,10 @@
 
 
 class PeerState(NamedTuple):
-    """Hold what the kernel knows of a connection.
+    """Hold the kernel's state of a connection.
 
-    `left` tells whether the peer has closed it, read here or not yet; the
-    round trip is in seconds, 0 where it is not known.
+    `has_left` says that the peer has closed it, even if its last bytes are
+    unread here. `round_trip_s` is in seconds, 0 if unknown.
     """
 
     has_left: bool
@@ -328,7 +332,7 @@
 
 
 def read_peer_state(sock: socket.socket | None) -> PeerState:
-    """Return what the kernel knows of a connection."""
+    """Read the kernel's state of a connection."""
     if sock is None:
         return PeerState(has_left=False, round_trip_s=0.0)
     tcp_info = sock.getsockopt(
@@ -341,7 +345,7 @@
 
 
 def set_socket_options(sock: socket.socket | None) -> None:
-    """Have the kernel notice a peer that has fallen silent."""
+    """Set the timeouts by which the kernel detects an unresponsive peer."""
     if sock is None:
         return
     tcp = socket.IPPROTO_TCP
--- a/fuchsiahaven/relay/connectors.py
+++ b/fuchsiahaven/relay/connectors.py
@@ -1,4 +1,4 @@
-"""Open connections to one target, and leave it alone where it refuses."""
+"""Open connections to one address, with a backoff after a failure."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,16 +6,16 @@
 
 from fuchsiahaven.relay import connections
 
-#: A connection that is not open by then is not waited for; a new one takes
-#: one round trip, at most 3 ms here, and up to 6 ms of the target's time.
+#: An attempt to connect is given up after this time. It takes one round trip,
+#: at most 3 ms on the way to a target, and up to 6 ms of the target's time.
 CONNECT_TIMEOUT_S: Final = 0.25
-#: A target past its bound on connections resets new ones; trying again at once
-#: would meet the same.
+#: A target at its limit of connections resets new ones; an immediate retry
+#: would be reset too.
 BACKOFF_S: Final = 0.5
 
 
 class Connector:
-    """Own the connections to one address that are not open yet."""
+    """Open connections to one address."""
 
     def __init__(
         self,
@@ -23,18 +23,22 @@
         make_connection: Callable[[], connections.Connection],
         report_result: Callable[[connections.Connection | None], None],
     ) -> None:
-        """Tell of each attempt: the link, or None where none was had."""
+        """Start without an attempt.
+
+        `report_result` gets the open connection of each attempt, or None if
+        it failed.
+        """
         self.opened_count = 0
         self.backoff_until = 0.0
-        #: Whether the last attempt found the port closed.
+        #: Whether the target refused the last attempt, as at a closed port.
         self.was_refused = False
         self._address = address
-        self._make = make_connection
+        self._make_connection = make_connection
         self._report_result = report_result
         self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Begin to open a connection."""
+        """Start to open a connection."""
         task = asyncio.create_task(self._connect())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -44,14 +48,14 @@
         return len(self._tasks)
 
     def close(self) -> None:
-        """Open none of them any more."""
+        """Cancel the attempts in flight."""
         for task in tuple(self._tasks):
             task.cancel()
 
     async def _connect(self) -> None:
         host, _, port = self._address.rpartition(':')
         loop = asyncio.get_running_loop()
-        connection = self._make()
+        connection = self._make_connection()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.create_connection(
@@ -67,7 +71,8 @@
         self._finish(None if connection.closed else connection)
 
     def _finish(self, connection: connections.Connection | None) -> None:
-        # The attempt is over: whoever is told may begin another one.
+        # The attempt has ended before its result is reported, because the
+        # callback may start another one.
         task = asyncio.current_task()
         if task is not None:
             self._tasks.discard(task)
--- a/fuchsiahaven/relay/fast_http.py
+++ b/fuchsiahaven/relay/fast_http.py
@@ -1,8 +1,8 @@
-"""Write requests and read answers of the usual shape without a state machine.
+"""Encode requests and decode responses of the common form without h11.
 
-A query over many shards writes and reads a short message for each of them, and
-nearly all have one shape. Whatever has another is left to h11 as it came, so
-that nothing is taken here that h11 would not take, nor otherwise.
+A query over many shards exchanges a short message with each of them, and
+nearly all of these have one form. All other messages are left to h11
+unchanged. Whatever is accepted here h11 accepts too, with the same meaning.
 """
 
 import re
@@ -15,28 +15,28 @@
 _TOKEN: Final = r"[-!#$%&'*+.^_`|~0-9A-Za-z]+"
 _NAME: Final = re.compile(_TOKEN)
 _TARGET: Final = re.compile(r'[\x21-\x7e]+')
-#: What stands in a field, without white space around it.
+#: The value of a field without white space around it.
 _VALUE: Final = re.compile(r'(?:[\x21-\x7e]+(?:[ \t]+[\x21-\x7e]+)*)?')
 _RESPONSE_HEAD: Final = re.compile(
     r'HTTP/1\.1 ([2-5][0-9][0-9])(?: [ \t\x21-\x7e]*)?\r\n'
     rf'((?:{_TOKEN}:[ \t\x21-\x7e]*\r\n)*)\r\n'.encode()
 )
-#: Digits of a length that is read here; longer answers are too long anyway.
+#: Digits of a length that is decoded here; longer responses are too large.
 _LENGTH_DIGITS: Final = re.compile(r'[0-9]{1,7}')
-#: A head longer than this is left to h11, which bounds what it takes in.
+#: A longer head is left to h11, which has its own limit.
 _MAX_HEAD_BYTES: Final = 8192
-#: Fields by which a connection does not simply go on after a message.
+#: Fields that change the framing of a message or the use of its connection.
 _FRAMING_FIELDS: Final = frozenset(
     ('connection', 'transfer-encoding', 'upgrade')
 )
-#: Methods whose answers have a body of the length that they state.
+#: Methods whose responses have a body of the stated length.
 _METHODS: Final = frozenset(('GET', 'POST', 'PUT', 'PATCH', 'DELETE'))
 _CHUNKED: Final = ('transfer-encoding', 'chunked')
 _HEX_BASE: Final = 16
 _LINE_END: Final = b'\r\n'
-#: Digits of a chunk's length; what hosts write has no more.
+#: The size line of a chunk; hosts write no more digits.
 _CHUNK_SIZE: Final = re.compile(rb'([0-9a-fA-F]{1,6})\r\n')
-#: Answers without a body, whatever their fields say.
+#: Statuses of responses without a body, whatever their fields say.
 _BODILESS_STATUSES: Final = frozenset((204, 304))
 CONTENT_LENGTH: Final = 'content-length'
 HOST: Final = 'host'
@@ -45,7 +45,7 @@
 def encode_request(
     method: str, target: str, fields: events.Fields, body: bytes
 ) -> bytes | None:
-    """Write a whole request; None where h11 is to look at it."""
+    """Encode a whole request; None if it is left to h11."""
     if method not in _METHODS or not _TARGET.fullmatch(target):
         return None
     hosts = [it for it in fields if it[0].lower() == HOST]
@@ -70,7 +70,7 @@
 
 
 def _states_length(fields: Iterable[tuple[str, str]], body: bytes) -> bool:
-    """Tell whether the length of a body is stated once, as it is."""
+    """Return whether the fields state the length of a body once, correctly."""
     lengths = [
         value for name, value in fields if name.lower() == CONTENT_LENGTH
     ]
@@ -80,7 +80,7 @@
 
 
 def decode_response(data: bytes) -> http_codecs.Message | None:
-    """Read one whole answer; None where the bytes are anything else."""
+    """Decode one whole response; None if the bytes are left to h11."""
     head = _RESPONSE_HEAD.match(data, 0, _MAX_HEAD_BYTES)
     if head is None:
         return None
@@ -98,9 +98,9 @@
 
 
 class StreamHead(NamedTuple):
-    """Hold the head of an answer whose body comes in pieces, also as it came.
+    """Hold the head of a chunked response, decoded and as received.
 
-    `rest` is what came with it of the body.
+    `rest` holds the bytes of the body that arrived with it.
     """
 
     status: int
@@ -109,8 +109,8 @@
     rest: bytes
 
 
-def read_stream(data: bytes) -> StreamHead | None:
-    """Read the head of a body in pieces; None where it is anything else."""
+def decode_stream_head(data: bytes) -> StreamHead | None:
+    """Decode the head of a chunked response; None if it is left to h11."""
     head = _RESPONSE_HEAD.match(data, 0, _MAX_HEAD_BYTES)
     if head is None:
         return None
@@ -127,7 +127,10 @@
 
 
 class DecodedChunks(NamedTuple):
-    """Hold whole pieces of a body, whether it has ended, and what is left."""
+    """Hold the whole chunks of a body, and the bytes after them.
+
+    `has_ended` says that the body's end was among them.
+    """
 
     chunks: tuple[bytes, ...]
     has_ended: bool
@@ -135,7 +138,7 @@
 
 
 def decode_chunks(data: bytes) -> DecodedChunks:
-    """Read pieces up to the first that is not whole or anything else."""
+    """Decode chunks up to the first that is incomplete or left to h11."""
     chunks: list[bytes] = []
     start = 0
     while size_line := _CHUNK_SIZE.match(data, start):
--- a/fuchsiahaven/relay/helper_clients.py
+++ b/fuchsiahaven/relay/helper_clients.py
@@ -1,4 +1,4 @@
-"""Ask other hosts to gather parts, over connections that are kept."""
+"""Delegate parts of requests to helper hosts over reused connections."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -17,13 +17,13 @@
 
 PATH: Final = '/v1/assist'
 OK: Final = 200
-#: A helper ends its work at the time that it is given; what has not ended so
-#: long after it never will.
+#: A helper stops at the deadline that it is given. What has not ended this
+#: long after the deadline is not going to end.
 DEADLINE_GRACE_S: Final = 0.5
 
 
 class ActiveDelegation(NamedTuple):
-    """Hold what a connection carries, what has come, and until when."""
+    """Hold a delegation in flight, its unparsed bytes and its expiry."""
 
     delegate: events.Delegate
     buffer: bytearray
@@ -32,7 +32,7 @@
 
 
 class HelperClient:
-    """Own the connections to one host that gathers parts."""
+    """Send delegations to one helper host."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         clock: Callable[[], float],
         byte_counts: traffic.ByteCounts,
     ) -> None:
-        """Start without a connection; bytes go into the tally."""
+        """Start without a connection; `byte_counts` counts its bytes."""
         self._address = address
         self._post_event = post_event
         self._clock = clock
@@ -55,7 +55,7 @@
         )
 
     def send(self, delegate: events.Delegate) -> None:
-        """Ask at once where a connection is idle, or else when one is."""
+        """Send a delegation now if a connection is idle, else once one is."""
         connection = self._idle.pop(self._clock(), proven=False)
         if connection is not None:
             self._send_request(connection, delegate)
@@ -67,7 +67,7 @@
             self._connector.open()
 
     def cancel(self, key: events.DelegationKey) -> None:
-        """End the assistance: its host notices that the connection closes."""
+        """Cancel a delegation: its host sees that its connection closes."""
         matching = [
             it
             for it, active in self._active.items()
@@ -77,7 +77,7 @@
             connection.close(messages.Fault.TIMED_OUT)
 
     def expire(self, now: float) -> None:
-        """End what its host has forgotten."""
+        """Close the connections of delegations that have expired."""
         expired = [
             it for it, active in self._active.items() if active.expires_at < now
         ]
@@ -94,12 +94,12 @@
     def handle_response(
         self, connection: connections.Connection, message: http_codecs.Message
     ) -> None:
-        """Take the end of an answer, or a refusal to assist."""
+        """Handle the end of a response, or a refusal."""
         active = self._active.pop(connection)
         if connection.reusable:
             self._idle.add(connection, float('inf'))
-        # What has ended with its last share is known as ended; otherwise the
-        # parts that are left are sent for directly.
+        # After its last report the router knows that the delegation has ended
+        # and ignores this event; otherwise it sends the missing parts itself.
         accepted = message.status == OK
         reason = 'incomplete' if accepted else f'status {message.status}'
         helper_fault = events.HelperFault.REFUSED
@@ -114,7 +114,7 @@
     def handle_close(
         self, connection: connections.Connection, fault: messages.Fault
     ) -> None:
-        """Take the end of a connection."""
+        """Handle the end of a connection."""
         self._idle.discard(connection)
         active = self._active.pop(connection, None)
         if active is not None:
@@ -189,7 +189,7 @@
 
 
 class HelperClients:
-    """Own the connections to all hosts that gather parts."""
+    """Hold the clients of all helper hosts."""
 
     def __init__(
         self,
@@ -198,7 +198,7 @@
         traffic_counts: traffic.TrafficCounts,
         data_centre: str,
     ) -> None:
-        """Start without a connection, in a data centre."""
+        """Start without a connection; `data_centre` is this host's own."""
         self._post_event = post_event
         self._clock = clock
         self._traffic_counts = traffic_counts
@@ -206,7 +206,7 @@
         self._clients: dict[str, HelperClient] = {}
 
     def send(self, delegate: events.Delegate) -> None:
-        """Ask a host for assistance."""
+        """Send a delegation to its helper host."""
         address = delegate.helper.address
         client = self._clients.get(address)
         if client is None:
@@ -221,12 +221,12 @@
         client.send(delegate)
 
     def cancel(self, key: events.DelegationKey) -> None:
-        """End the assistance for a caller that has left."""
+        """Cancel a delegation whose caller has left."""
         for client in self._list_clients():
             client.cancel(key)
 
     def expire(self, now: float) -> None:
-        """End what the hosts have forgotten."""
+        """Close the connections of all expired delegations."""
         for client in self._list_clients():
             client.expire(now)
 
@@ -236,5 +236,6 @@
             client.close()
 
     def _list_clients(self) -> tuple[HelperClient, ...]:
-        # What ends at one host may be asked of another one at once.
+        # A copy: a delegation that fails here may be sent to a new host at
+        # once, which adds a client during the iteration.
         return tuple(self._clients.values())
--- a/fuchsiahaven/relay/http_clients.py
+++ b/fuchsiahaven/relay/http_clients.py
@@ -1,4 +1,4 @@
-"""Call the store and other hosts, one call at a time on each connection."""
+"""Call the store and other hosts, one call at a time for each connection."""
 
 import asyncio
 from typing import Final, NamedTuple
@@ -10,28 +10,28 @@
 
 
 class CallFailed(Exception):
-    """Report that a call brought no answer, and whether it may have run."""
+    """Report that a call got no valid response; it may have run."""
 
 
 class Response(NamedTuple):
-    """Hold the answer to a call."""
+    """Hold the response to a call."""
 
     status: int
     body: bytes
     fields: events.Fields = ()
 
 
-#: A connection takes one round trip; a host that is gone takes for ever.
+#: Opening a connection takes one round trip; to a dead host it never ends.
 CONNECT_TIMEOUT_S: Final = 0.3
 
 
 class Client:
-    """Own a connection to one address, opened when it is needed."""
+    """Call one address over a connection that is opened on demand."""
 
     def __init__(
         self, address: str, byte_counts: traffic.ByteCounts | None = None
     ) -> None:
-        """Start without a connection; bytes go into the tally."""
+        """Start without a connection; `byte_counts` counts its bytes."""
         self.address = address
         self._byte_counts = byte_counts
         self.call_count = 0
@@ -47,9 +47,9 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         extra_fields: events.Fields = (),
     ) -> Response:
-        """Make a call; raises CallFailed after so many seconds at most.
+        """Make a call with `extra_fields` in its head.
 
-        `more` fields are sent with it.
+        Raises CallFailed, after `timeout_s` at the latest.
         """
         try:
             async with self._lock, asyncio.timeout(timeout_s):
@@ -59,7 +59,7 @@
             raise CallFailed(f'{self.address}: {error!r}') from error
 
     def close(self) -> None:
-        """Close the connection: what still comes on it is not wanted."""
+        """Close the connection and drop any response still to come."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -68,14 +68,14 @@
     def handle_response(
         self, connection: connections.Connection, message: http_codecs.Message
     ) -> None:
-        """Take the answer to the call."""
+        """Handle the response to the call."""
         if self._pending is not None and not self._pending.done():
             self._pending.set_result(message)
 
     def handle_close(
         self, connection: connections.Connection, fault: messages.Fault
     ) -> None:
-        """Take the end of the connection."""
+        """Handle the end of the connection."""
         if self._connection is connection:
             self._connection = None
         if self._pending is not None and not self._pending.done():
@@ -123,7 +123,7 @@
 
 
 class Clients:
-    """Own the connections to other hosts, opened when they are needed."""
+    """Hold the clients of other hosts."""
 
     def __init__(self, traffic_counts: traffic.TrafficCounts) -> None:
         """Start without a connection."""
@@ -131,7 +131,10 @@
         self._clients: dict[str, Client] = {}
 
     def get_client(self, address: str, *, cross_centre: bool) -> Client:
-        """Find the client of a host, which is `far` in another data centre."""
+        """Return a host's client, with one more if there is none.
+
+        `cross_centre` says that the host is in another data centre.
+        """
         client = self._clients.get(address)
         if client is None:
             byte_counts = self._traffic_counts.get_counts(
@@ -142,6 +145,6 @@
         return client
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all connections."""
         for client in self._clients.values():
             client.close()
--- a/fuchsiahaven/relay/idle_connections.py
+++ b/fuchsiahaven/relay/idle_connections.py
@@ -1,42 +1,42 @@
-"""Keep the open connections to one target that carry nothing just now."""
+"""Keep the idle connections to one target."""
 
 from typing import Final
 
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.relay import connections
 
-#: An answer so recent proves that a connection works.
+#: How long after a response a connection counts as proven to work.
 PROOF_LIFETIME_S: Final = 0.2
 
 
 class IdleConnections:
-    """Own idle connections, the one used last on top."""
+    """Hold idle connections as a stack, the last used on top."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        # Until when each may be used, and when it last proved to work.
+        """Start without a connection."""
+        # When each connection expires, and when it last proved to work.
         self._expires_at: dict[connections.Connection, float] = {}
         self._proven_at: dict[connections.Connection, float] = {}
 
     def __len__(self) -> int:
-        """Count them."""
+        """Return the number of idle connections."""
         return len(self._expires_at)
 
     def add(
         self, connection: connections.Connection, expires_at: float
     ) -> None:
-        """Keep a connection, which its target keeps open until then."""
+        """Add a connection that its target keeps open until `expires_at`."""
         self._expires_at[connection] = expires_at
 
     def record_proof(
         self, connection: connections.Connection, now: float
     ) -> None:
-        """Note that a connection has just been opened or has answered."""
+        """Record that a connection was just opened or has got a response."""
         self._proven_at[connection] = now
 
     def pop(self, now: float, *, proven: bool) -> connections.Connection | None:
-        """Take a connection, or with `fresh` one that has proved to work."""
-        # The one used last comes first, so that those not needed fall idle.
+        """Remove and return a connection; with `proven` one known to work."""
+        # The last used comes first, so that surplus connections expire.
         for connection in reversed(self._expires_at):
             if self._expires_at[connection] <= now:
                 continue
@@ -49,12 +49,12 @@
         return None
 
     def discard(self, connection: connections.Connection) -> None:
-        """Forget a connection that has ended."""
+        """Discard a connection that has ended."""
         self._expires_at.pop(connection, None)
         self._proven_at.pop(connection, None)
 
     def close_expired(self, now: float) -> None:
-        """Close what its target is about to close."""
+        """Close the connections that their target is about to close."""
         expired = [
             connection
             for connection, expires_at in self._expires_at.items()
@@ -64,9 +64,9 @@
             connection.close(messages.Fault.CONNECTION_LOST)
 
     def close_oldest(self) -> None:
-        """Close the connection that has been idle for longest."""
+        """Close the connection that has been idle the longest."""
         next(iter(self._expires_at)).close(messages.Fault.CONNECTION_LOST)
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all idle connections."""
         self.close_expired(float('inf'))
--- a/fuchsiahaven/relay/listeners.py
+++ b/fuchsiahaven/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Take HTTP requests in on one address, one at a time on each connection."""
+"""Accept HTTP requests on one address, one at a time on each connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,31 +9,31 @@
 from fuchsiahaven.relay import connections, server_codecs
 from fuchsiahaven.routing import configs, events
 
-#: Bytes taken in while a request is being answered; a caller that sends more
-#: ahead of its answers would fill the memory.
+#: Bytes accepted while a request awaits its response; a caller that pipelines
+#: more would fill the memory.
 MAX_PIPELINED_BYTES: Final = 65_536
 
 
 class Caller(Protocol):
-    """State how a request is answered: at once or in pieces."""
+    """Declare how a request is answered: at once or in chunks."""
 
     def read_peer_state(self) -> connections.PeerState:
-        """Tell whether it still waits, and how far away it is."""
+        """Return whether the caller has left, and its round trip."""
 
     def respond(self, response: http_codecs.EncodedAnswer) -> None:
-        """Send the whole answer."""
+        """Send the whole response."""
 
     def send_chunk(
         self, chunk: bytes, *, last: bool, fields: events.Fields = ()
     ) -> None:
-        """Send a piece of the answer; the last one ends it.
+        """Send a chunk of the response; the last one ends it.
 
-        The fields go into the head, with the first piece.
+        The fields go into the head, which is sent with the first chunk.
         """
 
 
-#: Takes a request and whoever waits for its answer; returns what to call if
-#: the caller leaves before its answer.
+#: Handles a request of a caller; returns the function to call if the caller
+#: leaves before its response.
 RequestHandler = Callable[
     [http_codecs.Message, Caller], Callable[[], object] | None
 ]
@@ -44,9 +44,10 @@
 
 
 class ListenerOptions(NamedTuple):
-    """Hold what a port works by; the limits change with the configuration.
+    """Hold the callbacks of a listener.
 
-    `parts` tells whether callers had better come back by a new connection.
+    `get_limits` returns the limits of the configuration in force, and
+    `closes_connections` whether each response should end its connection.
     """
 
     handle_request: RequestHandler
@@ -55,10 +56,10 @@
 
 
 class Listener:
-    """Own the connections of one address."""
+    """Hold the connections of callers on one address."""
 
     def __init__(self, options: ListenerOptions) -> None:
-        """Prepare without listening."""
+        """Start without listening."""
         self.options = options
         self.is_stopping = False
         self.connections: set[CallerConnection] = set()
@@ -72,27 +73,27 @@
         )
 
     def stop(self) -> None:
-        """Have each answer end its connection from now on."""
+        """Make each response end its connection from now on."""
         self.is_stopping = True
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections without a request in flight."""
         for connection in tuple(self.connections):
             if connection.is_idle():
                 connection.close()
 
     def count_busy(self) -> int:
-        """Count the connections on which a request is under way."""
+        """Count the connections with a request in flight."""
         return sum(
             1 for connection in self.connections if not connection.is_idle()
         )
 
 
 class CallerConnection(asyncio.Protocol):
-    """Own one connection that a caller opened."""
+    """Handle one connection that a caller has opened."""
 
     def __init__(self, listener: Listener) -> None:
-        """Wait for the connection."""
+        """Start unconnected."""
         self._listener = listener
         self._codec = server_codecs.ServerCodec(listener.options.get_limits())
         self._transport: asyncio.Transport | None = None
@@ -105,7 +106,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Keep the open connection and start the idle timeout."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         connections.set_socket_options(transport.get_extra_info('socket'))
@@ -113,7 +114,7 @@
         self._set_timer(self._codec.limits.idle)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a request."""
+        """Handle bytes of requests."""
         if self._is_responding:
             self._pipelined_bytes += len(data)
             if self._pipelined_bytes > MAX_PIPELINED_BYTES:
@@ -127,7 +128,7 @@
             self._decode_next()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever works for the caller that it has left."""
+        """Abandon the caller's request in flight."""
         self._listener.connections.discard(self)
         self._set_timer(None)
         abandon = self._abandon
@@ -136,13 +137,13 @@
             abandon()
 
     def read_peer_state(self) -> connections.PeerState:
-        """Tell whether the caller still waits, and how far away it is.
+        """Return whether the caller has left, and its round trip.
 
-        The end of a connection is read after the request that came before it;
-        a host that was busy or stood still would work for nobody first. A
-        caller's time runs from before it opens its connection, which takes
-        one round trip more. Without this, answers given at the last moment
-        reach a caller who is 3 ms away after its objective.
+        The end of a connection is read after the request before it, so a
+        host that was busy or suspended would start work for absent callers.
+        A caller's latency includes the opening of its connection, so the
+        first request counts one round trip more. Otherwise a response just
+        in time reaches a caller 3 ms away after its latency objective.
         """
         if self._transport is None or self._transport.is_closing():
             return connections.PeerState(has_left=True, round_trip_s=0.0)
@@ -155,7 +156,7 @@
         )
 
     def respond(self, response: http_codecs.EncodedAnswer) -> None:
-        """Send the whole answer."""
+        """Send the whole response."""
         closes = (
             self._listener.is_stopping
             or self._listener.options.closes_connections()
@@ -169,7 +170,7 @@
     def send_chunk(
         self, chunk: bytes, *, last: bool, fields: events.Fields = ()
     ) -> None:
-        """Send a piece of the answer; the last one ends it."""
+        """Send a chunk of the response; the last one ends it."""
         if not self._is_streaming:
             self._is_streaming = True
             _write(self._transport, self._codec.encode_stream_head(fields))
@@ -178,11 +179,11 @@
             self._finish_response(closes=False)
 
     def is_idle(self) -> bool:
-        """Tell whether no request has begun to arrive."""
+        """Return whether no request is in flight or partly received."""
         return not self._is_responding and not self._is_receiving
 
     def close(self) -> None:
-        """End the connection once what was written is sent."""
+        """Close the connection once the written bytes are sent."""
         if self._transport is not None:
             self._transport.close()
 
@@ -201,11 +202,11 @@
             self.close()
 
     def _decode_next(self) -> None:
-        """Take the next request once it is whole."""
+        """Decode the next request, and handle it once it is whole."""
         if self._is_responding:
             return
         if not self._is_receiving:
-            # The time for a request is bounded from its first byte on.
+            # The timeout of a request starts with its first byte.
             self._is_receiving = True
             self._set_timer(self._codec.limits.head)
         try:
@@ -241,7 +242,7 @@
             asyncio.get_running_loop().call_soon(self._decode_next)
 
     def _reject(self, status: int) -> None:
-        """Refuse what is no proper request, and end the connection."""
+        """Reject an invalid request, and close the connection."""
         self._set_timer(None)
         if not self._is_responding:
             self._is_responding = True
--- a/fuchsiahaven/relay/pools.py
+++ b/fuchsiahaven/relay/pools.py
@@ -1,6 +1,6 @@
-"""Own the connections to one target and what is under way on them.
+"""Send attempts to one target over a pool of connections.
 
-Every sending that is handed in ends in exactly one event.
+Every attempt ends in exactly one event.
 """
 
 import collections
@@ -17,13 +17,13 @@
 )
 from fuchsiahaven.routing import events, instances
 
-#: A sending is given up so long after its end: the target's own answer that
-#: the time is over may come a little late.
+#: How long after its deadline an attempt times out: the target's own response
+#: that the deadline has passed may arrive a little late.
 DEADLINE_GRACE_S: Final = 0.25
-#: Work for a caller that has left is broken off after this time; most of it
-#: ends sooner, and the connection is kept.
+#: How long a cancelled attempt may go on; most end sooner, which keeps their
+#: connection.
 CANCEL_GRACE_S: Final = 0.2
-#: Kept back from the time after which a target closes an idle connection.
+#: Margin before the time at which a target closes an idle connection.
 IDLE_MARGIN_S: Final = 0.5
 KEEP_ALIVE_TIMEOUT: Final = 'timeout='
 
@@ -33,14 +33,14 @@
 
 
 class ActiveAttempt(NamedTuple):
-    """Hold what a connection carries, and until when."""
+    """Hold an attempt in flight and its expiry."""
 
     attempt: events.SendAttempt
     expires_at: float
 
 
 class Pool:
-    """Own the connections to one target."""
+    """Hold the connections and the queued attempts of one target."""
 
     def __init__(
         self,
@@ -50,10 +50,9 @@
         byte_counts: traffic.ByteCounts | None = None,
         may_send: Callable[[events.AttemptKey], bool] = _always_send,
     ) -> None:
-        """Start without a connection; bytes go into the tally.
+        """Start without a connection; `byte_counts` counts its bytes.
 
-        `may_leave` tells whether what has waited for a connection is still to
-        be sent.
+        `may_send` returns whether a queued attempt should still be sent.
         """
         self._may_send = may_send
         self.instance = instance
@@ -71,7 +70,7 @@
         )
 
     def send(self, attempt: events.SendAttempt) -> None:
-        """Send at once where a connection is idle, or else when one is."""
+        """Send an attempt now if a connection is idle, else once one is."""
         now = self._clock()
         connection = self._idle.pop(now, proven=attempt.fresh_connection)
         if connection is not None:
@@ -81,7 +80,7 @@
         self._open_if_needed(now)
 
     def cancel(self, key: events.AttemptKey, *, also_sent: bool) -> None:
-        """Do not send what has not left; end soon what has, if asked to."""
+        """Withdraw an unsent attempt; with `also_sent` end a sent one soon."""
         for attempt in self._queue:
             if attempt.key == key:
                 self._queue.remove(attempt)
@@ -100,7 +99,7 @@
             self._active[connection] = active._replace(expires_at=expires_at)
 
     def expire(self, now: float) -> None:
-        """End what has taken too long, and connections idle for too long."""
+        """End expired attempts and expired idle connections."""
         expired = [
             it for it, active in self._active.items() if active.expires_at < now
         ]
@@ -110,7 +109,7 @@
         self._open_if_needed(now)
 
     def retire(self) -> bool:
-        """Send nothing that waits; tell whether nothing is under way."""
+        """Return queued attempts unsent; return whether the pool is unused."""
         self._retired = True
         while self._queue:
             key = self._queue.popleft().key
@@ -118,18 +117,18 @@
         return not (self._active or self.connector.count_pending())
 
     def try_connect(self) -> None:
-        """Open a connection to see whether the target can be reached."""
+        """Open a connection to find out whether the target is reachable."""
         if not self.connector.count_pending():
             self.connector.open()
 
     def count_connections(self) -> int:
-        """Count the connections, those being opened included."""
+        """Count the connections, including those being opened."""
         return (
             len(self._active) + len(self._idle) + self.connector.count_pending()
         )
 
     def close(self) -> None:
-        """Close every connection; what is under way ends as broken."""
+        """Close every connection, which breaks the attempts in flight."""
         self._retired = True
         self.connector.close()
         self._idle.close()
@@ -140,7 +139,7 @@
     def handle_response(
         self, connection: connections.Connection, message: http_codecs.Message
     ) -> None:
-        """Take an answer, and use the connection again."""
+        """Handle a response, and reuse the connection."""
         now = self._clock()
         active = self._active.pop(connection)
         self._idle.record_proof(connection, now)
@@ -151,13 +150,13 @@
     def handle_close(
         self, connection: connections.Connection, fault: messages.Fault
     ) -> None:
-        """Take the end of a connection."""
+        """Handle the end of a connection."""
         self._idle.discard(connection)
         active = self._active.pop(connection, None)
         if active is not None:
             self._post_event(events.AttemptBroken(active.attempt.key, fault))
             if fault is messages.Fault.CONNECTION_LOST and not self._retired:
-                # Only another connection tells whether the target has ended.
+                # Only a new connection shows whether the target has exited.
                 self.try_connect()
         self._open_if_needed(self._clock())
 
@@ -202,7 +201,7 @@
         elif self.count_connections() < self.max_connections:
             self.connector.open()
         elif self._idle:
-            # Those idle are too old for what waits.
+            # No idle connection is proven recently enough for the queue.
             self._idle.close_oldest()
 
     def _handle_connected(
@@ -218,12 +217,12 @@
         self._post_event(events.TargetConnected(self.instance.name))
 
     def _fail_queued(self) -> None:
-        """Send nothing that waits for a connection that cannot be had."""
+        """Return queued attempts unsent if no connection can be opened."""
         unreachable = not (self._active or self._idle)
         if not unreachable and not any(
             it.fresh_connection for it in self._queue
         ):
-            # A connection in use takes what waits when it is done.
+            # The connections in use take the queued attempts later.
             return
         queued = tuple(self._queue)
         self._queue.clear()
@@ -234,7 +233,7 @@
 
 
 def _parse_keep_alive(message: http_codecs.Message) -> float:
-    """Read for how many seconds a target keeps a connection open."""
+    """Return how many seconds a target keeps a connection open."""
     keep_alive = dict(message.fields).get('keep-alive', '')
     _, prefix, seconds = keep_alive.partition(KEEP_ALIVE_TIMEOUT)
     digits = seconds.partition(',')[0].strip()
--- a/fuchsiahaven/relay/quota_sockets.py
+++ b/fuchsiahaven/relay/quota_sockets.py
@@ -1,4 +1,4 @@
-"""Carry the words about customers' quotas between hosts, as datagrams."""
+"""Carry quota messages between hosts as UDP datagrams."""
 
 import asyncio
 import random
@@ -16,19 +16,19 @@
 
 PART: Final = 'quotas'
 START_ID_BITS: Final = 31
-#: What a datagram takes beside its own bytes.
+#: Headers of IP and UDP that each datagram adds.
 HEADER_BYTES: Final = 28
 
 
 def make_quota_settings(settings: deployments.Settings) -> quotas.Settings:
-    """Make the terms that quotas are kept by on this host."""
+    """Make the quota settings of this host."""
     start_id = random.getrandbits(START_ID_BITS)
     centres = settings.data_centres or (settings.host.data_centre,)
     return quotas.Settings(settings.quota, centres, start_id)
 
 
 class QuotaSocket:
-    """Own the socket for datagrams, which is open where there are quotas."""
+    """Send and receive quota messages; the socket is open if quotas are set."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         traffic_counts: traffic.TrafficCounts,
         post_event: Callable[[quota_messages.MessageReceived], None],
     ) -> None:
-        """Prepare without listening."""
+        """Start without a socket."""
         self._host = settings.host
         self._quotas = host_quotas
         self._quotas.settings = make_quota_settings(settings)
@@ -49,10 +49,10 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Listen on the port where this host answers other hosts.
+        """Bind to the address on which this host answers other hosts.
 
-        Without it no holder can be asked, and customers' requests are refused
-        here; those of others are served.
+        Without the socket no quota holder can be asked: requests of
+        customers are refused here, requests without one are served.
         """
         if self._transport is not None or self._quotas.settings.quota is None:
             return
@@ -70,7 +70,7 @@
             self._transport = endpoint[0]
 
     def update_settings(self, settings: deployments.Settings) -> None:
-        """Take other bounds of the deployment."""
+        """Apply changed quota settings, and open the socket if they need it."""
         quota_settings = self._quotas.settings
         self._quotas.settings = quota_settings._replace(quota=settings.quota)
         task = asyncio.create_task(self.open())
@@ -90,7 +90,10 @@
         action: quota_messages.SendMessage,
         local_hosts: Iterable[deployments.Host],
     ) -> None:
-        """Send a word to a host; those `near` are in this data centre."""
+        """Send a message to a host.
+
+        `local_hosts` are the hosts of this data centre, for the byte counts.
+        """
         if self._transport is None:
             return
         datagram = quota_codecs.encode_message(action.message)
@@ -122,25 +125,25 @@
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Pass datagrams on with their sender's address."""
+    """Pass datagrams and their senders' addresses to callbacks."""
 
     def __init__(
         self,
         handle_datagram: Callable[[bytes, str], None],
         log_error: Callable[[Exception], None],
     ) -> None:
-        """Take whom to pass them on to."""
+        """Keep the callbacks."""
         self._handle_datagram = handle_datagram
         self._log_error = log_error
 
     def datagram_received(
         self, data: bytes, addr: tuple[str | object, int]
     ) -> None:
-        """Pass one datagram on."""
+        """Handle one datagram."""
         self._handle_datagram(data, f'{addr[0]}:{addr[1]}')
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a datagram was not delivered."""
+        """Handle an undelivered datagram."""
         self._log_error(exc)
 
 
--- a/fuchsiahaven/relay/server_codecs.py
+++ b/fuchsiahaven/relay/server_codecs.py
@@ -1,4 +1,4 @@
-"""Assemble whole requests out of the bytes of one caller's connection."""
+"""Decode requests and encode responses on one caller's connection."""
 
 from http import HTTPStatus
 from typing import Final
@@ -12,7 +12,7 @@
 
 
 class InvalidRequest(Exception):
-    """Report bytes that are no proper request, and the status that says so."""
+    """Report bytes that are not a valid request, with the status to return."""
 
     def __init__(self, status: int) -> None:
         """Keep the status."""
@@ -21,10 +21,10 @@
 
 
 class ServerCodec:
-    """Own what was received on a connection and not yet taken as a request."""
+    """Hold the HTTP/1.1 state of a connection and its unparsed bytes."""
 
     def __init__(self, limits: configs.Limits) -> None:
-        """Start with nothing received."""
+        """Start without bytes."""
         self.limits = limits
         self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.head_bytes
@@ -33,16 +33,16 @@
         self._body = bytearray()
 
     def receive(self, data: bytes) -> None:
-        """Take bytes; raises Improper."""
+        """Receive bytes; raises InvalidRequest."""
         try:
             self._h11.receive_data(data)
         except h11.RemoteProtocolError as error:
             raise InvalidRequest(error.error_status_hint) from error
 
     def decode_request(self) -> http_codecs.Message | bytes:
-        """Take a whole request, or what to send so that more may come.
+        """Return the next whole request, or bytes to send before there is one.
 
-        Raises Improper.
+        Raises InvalidRequest.
         """
         try:
             return self._decode_request()
@@ -52,7 +52,7 @@
     def encode_response(
         self, response: http_codecs.EncodedAnswer, *, closes: bool
     ) -> bytes:
-        """Write an answer; `ends` tells that it is the connection's last."""
+        """Encode a response; with `closes` it ends the connection."""
         if self._h11.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return b''
         fields = [
@@ -72,7 +72,7 @@
         return self._encode(head, body, h11.EndOfMessage())
 
     def encode_stream_head(self, extra_fields: events.Fields) -> bytes:
-        """Write the head of an answer whose body comes in pieces."""
+        """Encode the head of a response with a chunked body."""
         fields = [
             (b'content-type', b'application/json'),
             (b'transfer-encoding', b'chunked'),
@@ -82,14 +82,14 @@
         return self._encode(head)
 
     def encode_chunk(self, chunk: bytes, *, last: bool) -> bytes:
-        """Write a piece of a body."""
+        """Encode a chunk of a body; with `last` also the body's end."""
         data = self._encode(h11.Data(data=chunk))
         if last:
             data += self._encode(h11.EndOfMessage())
         return data
 
     def start_next_request(self) -> bool:
-        """Make ready for the next request; False if there will be none."""
+        """Prepare for the next request; return False if there can be none."""
         if self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE:
@@ -98,7 +98,7 @@
         return True
 
     def has_buffered_bytes(self) -> bool:
-        """Tell whether bytes of a next request have come."""
+        """Return whether bytes of a next request have arrived."""
         return bool(self._h11.trailing_data[0])
 
     def _decode_request(self) -> http_codecs.Message | bytes:
--- a/fuchsiahaven/relay/target_pools.py
+++ b/fuchsiahaven/relay/target_pools.py
@@ -1,4 +1,4 @@
-"""Own the connections to all targets."""
+"""Hold the connection pools of all targets."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class TargetPools:
-    """Own a pool for each target that was sent anything."""
+    """Hold a pool for each target to which anything was sent."""
 
     def __init__(
         self,
@@ -32,24 +32,24 @@
         self._pools: dict[str, pools.Pool] = {}
 
     def send(self, attempt: events.SendAttempt) -> None:
-        """Send a request to its target."""
+        """Send an attempt to its target."""
         self._get_pool(attempt.instance).send(attempt)
 
     def cancel(self, key: events.AttemptKey, *, also_sent: bool) -> None:
-        """Do not send what has not left; end soon what has, if asked to."""
+        """Withdraw an unsent attempt; with `also_sent` end a sent one soon."""
         attempt = self._router.in_flight.get(key)
         if attempt is not None and attempt.instance in self._pools:
             self._pools[attempt.instance].cancel(key, also_sent=also_sent)
 
     def prune(self) -> None:
-        """Close the pools of targets that are gone, once they are unused.
-
-        What is under way at a target that leaves may end there. One that has
-        started again under its id has lost all that was under way: waiting
-        for it would cost callers their deadline where the connections were
-        not reset. What still waits for a connection is sent elsewhere: a
-        connection may be free seconds later, when the target is to get nothing
-        any more.
+        """Close the pools of removed targets once they are unused.
+
+        Attempts in flight at a leaving target may finish there. A target
+        that has restarted under its id has lost its attempts in flight: if
+        its connections were not reset, waiting would cost callers their
+        deadline. Queued attempts are returned to be sent elsewhere, because
+        a connection may come free only seconds later, when the target must
+        not get any more requests.
         """
         current = self._router.directory.by_name
         current_ids = {instance.id for instance in current.values()}
@@ -59,21 +59,21 @@
                 self._pools.pop(name).close()
 
     def update_limits(self) -> None:
-        """Work out how many connections each target has for this host."""
+        """Recompute the connection limit of this host at each target."""
         for pool in self._pools.values():
             self._update_limit(pool)
 
     def try_unconfirmed(self, now: float) -> None:
-        """Open connections to targets that may not be reached any more.
+        """Open connections to targets that may be unreachable.
 
-        A host that is sent nothing would not notice that they are back.
+        Without requests the host would not notice that they are back.
         """
         unconfirmed = reachability.list_unconfirmed(self._router, now)
         for name in self._pools.keys() & unconfirmed:
             self._pools[name].try_connect()
 
     def expire(self, now: float) -> None:
-        """End what has taken too long."""
+        """End attempts and idle connections that have expired."""
         for pool in tuple(self._pools.values()):
             pool.expire(now)
 
@@ -87,7 +87,7 @@
         return sum(pool.count_connections() for pool in self._pools.values())
 
     def count_opened(self) -> int:
-        """Count the connections that were opened so far."""
+        """Count the connections opened so far."""
         return sum(pool.connector.opened_count for pool in self._pools.values())
 
     def _get_pool(self, instance: instances.Instance) -> pools.Pool:
--- a/fuchsiahaven/relay/traffic.py
+++ b/fuchsiahaven/relay/traffic.py
@@ -1,8 +1,8 @@
-"""Count the bytes on connections that this host opened, by what they carry.
+"""Count the bytes on connections that this host has opened, by their kind.
 
-Each exchange is counted once in the fleet: by the host that asked. Bytes
-between data centres are dear, and which of them grow with searches, with hosts
-or with changes can only be told where they are sent.
+Each exchange is counted by the host that sends the request, so only once in a
+deployment. Traffic between data centres is expensive; only the sender can say
+whether it grows with searches, with hosts or with changes.
 """
 
 import enum
@@ -10,11 +10,11 @@
 
 
 class Kind(enum.StrEnum):
-    """Say what a connection carries.
+    """List the kinds of traffic.
 
-    PARTS are requests to targets, SHARES what other hosts gather, NEWS what
-    hosts tell each other of the store, STORE the calls to it, QUOTAS what
-    hosts tell each other of customers' tokens.
+    PARTS are requests to targets, SHARES delegated requests, NEWS reports
+    between hosts, STORE calls to the store, QUOTAS messages about customers'
+    tokens.
     """
 
     PARTS = enum.auto()
@@ -25,14 +25,14 @@
 
 
 class Flow(NamedTuple):
-    """Identify connections; `far` ones lead to another data centre."""
+    """Identify a kind of traffic, within or across data centres."""
 
     kind: Kind
     cross_centre: bool
 
 
 class ByteCounts:
-    """Own the count of one flow, in bytes."""
+    """Count the bytes of one flow."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -41,12 +41,12 @@
 
 
 class TrafficCounts:
-    """Own the counts of one process."""
+    """Hold the byte counts of one process by flow."""
 
     def __init__(self) -> None:
         """Start at zero."""
         self.by_flow: dict[Flow, ByteCounts] = {}
 
     def get_counts(self, kind: Kind, *, cross_centre: bool) -> ByteCounts:
-        """Find the count of a flow."""
+        """Return the byte counts of a flow."""
         return self.by_flow.setdefault(Flow(kind, cross_centre), ByteCounts())
--- a/tests/relay/test_fast_http.py
+++ b/tests/relay/test_fast_http.py
@@ -1,4 +1,4 @@
-"""Hold what is read and written without h11 to what h11 reads and writes."""
+"""Test that messages are encoded and decoded as h11 does it."""
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
     ('host', 'shop.example'),
     ('fuchsiahaven-request-id', 'request-number-1'),
 )
-#: Pieces of which answers are made, right ones and wrong ones.
+#: Valid and invalid lines of which responses are built.
 RESPONSE_PARTS: Final = (
     b'HTTP/1.1 200 OK\r\n',
     b'HTTP/1.1 200\r\n',
@@ -97,7 +97,7 @@
 
 
 def read_with_h11(data: bytes) -> http_codecs.Message:
-    """Read one whole answer after which the connection goes on."""
+    """Decode one whole response that keeps its connection open."""
     machine = h11.Connection(h11.CLIENT)
     machine.send(h11.Request(method='GET', target='/', headers=[('host', 'a')]))
     machine.send(h11.EndOfMessage())
@@ -116,7 +116,7 @@
 
 @given(RESPONSES)
 def test_decodes_responses_as_h11_does(data: bytes) -> None:
-    """Symptom: a target's odd bytes are taken for an answer, or otherwise."""
+    """Guard against unusual bytes of a target that are decoded differently."""
     message = fast_http.decode_response(data)
     if message is not None:
         assert message == read_with_h11(data)
@@ -133,7 +133,7 @@
 def test_encodes_requests_as_h11_does(
     method: str, target: str, fields: tuple[tuple[str, str], ...], body: bytes
 ) -> None:
-    """Symptom: one odd field of a caller becomes two for a target."""
+    """Guard against a caller's field that becomes two fields for a target."""
     encoded = fast_http.encode_request(method, target, fields, body)
     if encoded is None:
         return
@@ -146,7 +146,7 @@
 
 
 def test_decodes_a_common_response() -> None:
-    """Left to h11, each answer costs twice what all the rest does."""
+    """With h11 each response would cost twice the rest of its handling."""
     assert fast_http.decode_response(COMMON_RESPONSE) == read_with_h11(
         COMMON_RESPONSE
     )
@@ -171,12 +171,12 @@
     ],
 )
 def test_leaves_other_responses_to_h11(data: bytes) -> None:
-    """What is cut, longer, without a body or not kept open is read in full."""
+    """Partial, longer, bodiless or closing responses are left to h11."""
     assert fast_http.decode_response(data) is None
 
 
 def test_encodes_a_common_request() -> None:
-    """The host goes first, as h11 has it, and a body goes with its length."""
+    """The host field comes first, as with h11, and a body has its length."""
     assert fast_http.encode_request('GET', '/a/1', FIELDS, b'') == (
         b'GET /a/1 HTTP/1.1\r\nhost: shop.example\r\naccept: */*\r\n'
         b'fuchsiahaven-request-id: request-number-1\r\n\r\n'
@@ -202,7 +202,7 @@
 def test_leaves_other_requests_to_h11(
     fields: tuple[tuple[str, str], ...], body: bytes
 ) -> None:
-    """What does not say where it ends, or would say more, is checked."""
+    """Requests with ambiguous framing or fields are left to h11."""
     assert fast_http.encode_request('POST', '/a/1', fields, body) is None
 
 
@@ -230,10 +230,10 @@
 
 
 class RecordingOwner:
-    """Own a link and keep what it tells; it holds an exchange of pieces."""
+    """Own a connection with a chunked exchange, and record its callbacks."""
 
     def __init__(self) -> None:
-        """Send a request whose answer comes in pieces."""
+        """Send a request whose response is chunked."""
         self.received: list[object] = []
         self.connection = connections.Connection(self)
         transport = mock.Mock(spec=asyncio.Transport)
@@ -250,7 +250,7 @@
     def handle_response(
         self, connection: connections.Connection, message: http_codecs.Message
     ) -> None:
-        """Keep the end of an answer, and whether the connection goes on."""
+        """Record the end of a response, and whether it is reusable."""
         self.received.append(
             (message.status, message.fields, connection.reusable)
         )
@@ -258,11 +258,11 @@
     def handle_close(
         self, connection: connections.Connection, fault: messages.Fault
     ) -> None:
-        """Keep the end of the connection."""
+        """Record the end of the connection."""
         self.received.append(fault)
 
     def join_chunks(self) -> list[object]:
-        """Return what was told, the pieces of the body as one."""
+        """Return the records, with the chunks of the body joined."""
         bodies = [
             it for it in self.received if isinstance(it, bytes | bytearray)
         ]
@@ -280,16 +280,16 @@
 def test_decodes_chunks_as_h11_does(
     before: bytes, body: bytes, cuts: list[int]
 ) -> None:
-    """Symptom: what a host gathered is lost, or read as something else.
+    """Guard against reports of a helper that are lost or decoded wrongly.
 
-    The answer comes cut anywhere, once for the state machine alone.
+    The response is split anywhere, and decoded once by h11 alone.
     """
     data = before + CHUNKED + body
     boundaries = sorted({0, *(min(it, len(data)) for it in cuts), len(data)})
     outcomes = []
-    for decode_head in (fast_http.read_stream, lambda _: None):
+    for decode_head in (fast_http.decode_stream_head, lambda _: None):
         owner = RecordingOwner()
-        with mock.patch.object(fast_http, 'read_stream', decode_head):
+        with mock.patch.object(fast_http, 'decode_stream_head', decode_head):
             for start, end in itertools.pairwise(boundaries):
                 owner.connection.data_received(data[start:end])
         outcomes.append(owner.join_chunks())
