--- a/fuchsiahaven/relay/__init__.py
+++ b/fuchsiahaven/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Carry requests between callers and targets, and news between hosts."""
+"""Carry requests between callers and targets, and state between hosts."""
--- a/fuchsiahaven/relay/customer_counts.py
+++ b/fuchsiahaven/relay/customer_counts.py
@@ -1,4 +1,4 @@
-"""Count what each customer asked for and what came of it, for operators."""
+"""Count the requests of each customer by their result, for operators."""
 
 import collections
 from typing import Final, NamedTuple
@@ -6,26 +6,26 @@
 from fuchsiahaven.core import errors
 from fuchsiahaven.routing import events
 
-#: Customers that are shown by name.
+#: Customers that metrics and state list by name.
 MAX_LISTED_CUSTOMERS: Final = 20
-#: Customers that are counted each by itself.
+#: Customers with counts of their own; the others share one count.
 MAX_COUNTED_CUSTOMERS: Final = 1000
 
 ResultCounts = collections.Counter[str]
 
 
 class CustomerCount(NamedTuple):
-    """Hold how one customer's requests ended."""
+    """Hold one customer's requests, counted by result."""
 
     customer: str
     results: ResultCounts
 
 
 class CustomerCounts:
-    """Own the counts of one process.
+    """Count requests by customer in one process.
 
-    `others` are customers that were left out, and `unknown` tells why requests
-    were of no customer.
+    `others` sums the customers without counts of their own;
+    `unknown_key_reasons` counts the requests whose key no customer holds.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._counts: dict[str, ResultCounts] = {}
 
     def record_request(self, summary: events.RequestSummary) -> None:
-        """Count a caller's request; helpers' shares of it are none."""
+        """Count a caller's request; delegated requests are not counted."""
         if summary.assists:
             return
         if summary.result == errors.Kind.UNKNOWN_KEY:
@@ -50,7 +50,7 @@
         self._counts[summary.customer][summary.result] += 1
 
     def list_largest(self) -> list[CustomerCount]:
-        """List the customers that asked most, the first of them first."""
+        """List the customers with the most requests in descending order."""
         ranked = sorted(
             (CustomerCount(*row) for row in self._counts.items()),
             key=lambda it: (-it.results.total(), it.customer),
@@ -58,7 +58,7 @@
         return ranked[:MAX_LISTED_CUSTOMERS]
 
     def sum_others(self) -> ResultCounts:
-        """Sum up the customers that are not listed."""
+        """Return the sum of the counts of all customers that are not listed."""
         listed = {account.customer for account in self.list_largest()}
         summed = self.others.copy()
         for customer, results in self._counts.items():
@@ -67,7 +67,7 @@
         return summed
 
     def _evict_smallest(self) -> None:
-        """Count those that asked least as others where there are too many."""
+        """Add the smaller half to `others` if there are too many customers."""
         if len(self._counts) < MAX_COUNTED_CUSTOMERS:
             return
         ranked = sorted(self._counts, key=lambda it: self._counts[it].total())
--- a/fuchsiahaven/relay/decoders.py
+++ b/fuchsiahaven/relay/decoders.py
@@ -1,4 +1,4 @@
-"""Decode the store's values once for each time they are written."""
+"""Decode each value of the store once for each time that it is written."""
 
 from typing import Final, NamedTuple
 
@@ -7,35 +7,35 @@
 from fuchsiahaven.routing import facts, instances
 
 PART: Final = 'news'
-#: Keys of which the last value is kept. Whoever writes under ever new keys
-#: would fill the memory; all of them can be decoded once more.
+#: Keys with a cached value. A writer of ever new keys would fill the memory;
+#: after the cache is cleared each value is decoded once more.
 MAX_CACHED_KEYS: Final = 8192
 
 
 class CachedValue(NamedTuple):
-    """Hold a value as it was decoded, and where it was written."""
+    """Hold a decoded value and the stamp under which it was written."""
 
     stamp: facts.Stamp
     value: facts.Value | None
 
 
 class Decoder:
-    """Own what was decoded last of each key."""
+    """Cache the last decoded value of each key."""
 
     def __init__(self, log: journal.Journal) -> None:
-        """Start with nothing decoded."""
+        """Start with an empty cache."""
         self._log = log
         self._cache: dict[facts.Key, CachedValue] = {}
 
     def decode(
         self, key: facts.Key, stamp: facts.Stamp, encoded: str
     ) -> facts.Value | None:
-        """Decode a value; of a malformed one the last good one stays.
+        """Decode a value; if it is malformed return the last valid one.
 
-        A target whose entry is malformed counts as leaving until it writes
-        a good one: whether it still takes requests is not known. It is not
-        taken for vanished, because an entry that somebody spoilt says
-        nothing of the store.
+        A target with a malformed entry counts as leaving until it writes a
+        valid one, because it may not accept requests any more. It does not
+        count as removed: many removals at once are taken for a fault of the
+        store, of which a malformed entry is no sign.
         """
         cached = self._cache.get(key)
         if cached is not None and cached.stamp == stamp:
--- a/fuchsiahaven/relay/eras.py
+++ b/fuchsiahaven/relay/eras.py
@@ -1,4 +1,4 @@
-"""Read from the store's answers which of its histories they belong to."""
+"""Track the era of the store, the history to which a response belongs."""
 
 from typing import Final
 
@@ -10,18 +10,18 @@
 
 
 class EraTracker:
-    """Own which era of the store was heard of last."""
+    """Hold the latest era that the store has reported."""
 
     def __init__(self, log: journal.Journal) -> None:
-        """Start without having heard of any."""
+        """Start without an era."""
         self.latest: int | None = None
         self._log = log
 
     def record_era(self, fields: events.Fields) -> int | None:
-        """Read the era of an answer; None where none can be read.
+        """Record and return the era of a response; None without a valid one.
 
-        A header that nobody can read says nothing about the body, which is
-        used as that of a store without one.
+        A malformed header says nothing about the body, which is used like
+        that of a store without eras.
         """
         try:
             era = store.decode_era(fields)
--- a/fuchsiahaven/relay/evacuations.py
+++ b/fuchsiahaven/relay/evacuations.py
@@ -1,4 +1,4 @@
-"""Keep which data centres operators have evacuated, and log each order."""
+"""Hold the evacuation orders of operators, and log each change."""
 
 import time
 from collections.abc import Collection, Mapping
@@ -10,21 +10,21 @@
 
 
 class EvacuationOrder(NamedTuple):
-    """Hold the store's revision of an order, and when this host learned it."""
+    """Hold the store's revision of an order and when this host received it."""
 
     revision: int
     learned_at: float
 
 
 class EvacuationStatus(TypedDict):
-    """Tell of an order that is in force, for people."""
+    """Hold an order in force and its age in seconds, for operators."""
 
     revision: int
     for_s: float
 
 
 class Evacuations:
-    """Own the orders that this host knows to be in force."""
+    """Hold the orders in force."""
 
     def __init__(self, log: journal.Journal) -> None:
         """Start without an order."""
@@ -34,10 +34,10 @@
     def update(
         self, orders: Mapping[str, int], data_centres: Collection[str]
     ) -> frozenset[str]:
-        """Take the orders there are now; return the data centres they name.
+        """Replace the orders; return the data centres that they name.
 
-        An order for a data centre that the deployment does not have keeps
-        nothing from anybody, and is most likely a slip of whoever gave it.
+        An order for a data centre that the deployment does not have has no
+        effect and is most likely a typing error, so it is logged as such.
         """
         now = time.monotonic()
         for name in self._orders.keys() - orders.keys():
@@ -54,7 +54,7 @@
         return frozenset(self._orders)
 
     def describe(self) -> Mapping[str, EvacuationStatus]:
-        """Tell by which revision each is evacuated, and for how long."""
+        """Return the revision and the age of each order by data centre."""
         now = time.monotonic()
         return {
             name: EvacuationStatus(
--- a/fuchsiahaven/relay/host_entries.py
+++ b/fuchsiahaven/relay/host_entries.py
@@ -1,4 +1,4 @@
-"""Keep the entry in the store by which other hosts find this one."""
+"""Keep this host's entry in the store, by which other hosts find it."""
 
 import asyncio
 import contextlib
@@ -10,24 +10,23 @@
 from fuchsiahaven.routing import facts
 
 PART: Final = 'entry'
-#: How long the entry of a host outlives it, and how often it is renewed: a
-#: store that is away for the difference does not lose it.
+#: How long a host's entry outlives the host, and how often its lease is
+#: renewed: an outage of the store as long as the difference keeps the entry.
 LEASE_TTL_S: Final = 30.0
 RENEW_INTERVAL_S: Final = 9.0
-#: How soon a host without an entry of its own tries to write one again;
-#: doubled each time up to the longest, because a store that turns a host away
-#: does so for seconds, and each call that it refuses is a call.
+#: Delay between attempts to write the entry, doubled each time up to the
+#: maximum: a store refuses a host for seconds, and each refused call is load.
 MIN_RETRY_DELAY_S: Final = 0.5
 MAX_RETRY_DELAY_S: Final = 4.0
 
 
 def compute_retry_delay(failures: int) -> float:
-    """Count the seconds until the next try, after so many failed before."""
+    """Return the delay in seconds after a number of earlier failures."""
     return float(min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2**failures))
 
 
 class HostEntry:
-    """Own the lease of this host's entry."""
+    """Keep this host's entry and its lease."""
 
     def __init__(
         self, sync: store_sync.StoreSync, log: journal.Journal
@@ -41,7 +40,7 @@
         self._restored = asyncio.Event()
 
     async def run(self) -> None:
-        """Keep the entry, for ever."""
+        """Keep the entry until cancelled."""
         while True:
             delay_s = MIN_RETRY_DELAY_S
             if (
@@ -52,12 +51,12 @@
             await self._wait(delay_s)
 
     def handle_restore(self) -> None:
-        """Enter anew: the store may have lost the lease, or given it away."""
+        """Write a new entry: the store may have lost or reused the lease."""
         self._lease = None
         self._restored.set()
 
     async def _wait(self, timeout_s: float) -> None:
-        """Wait for so long, or for this host's turn after a restore."""
+        """Wait for the timeout, or after a restore for a random delay."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._restored.wait()
@@ -97,7 +96,7 @@
         )
 
     async def _renew(self) -> bool:
-        """Renew the lease; False if there is none or its entry is gone."""
+        """Renew the lease; return False without a lease or an entry."""
         lease = self._lease
         if lease is None:
             return False
--- a/fuchsiahaven/relay/internal_api.py
+++ b/fuchsiahaven/relay/internal_api.py
@@ -1,4 +1,4 @@
-"""Answer other hosts, the balancer and whoever scrapes the metrics."""
+"""Serve the internal HTTP API: other hosts, the balancer, metrics, state."""
 
 import asyncio
 import importlib
@@ -39,14 +39,14 @@
 
 
 class PeerReporters(NamedTuple):
-    """Hold who takes in what other hosts tell."""
+    """Hold the handlers of what other hosts report."""
 
     notice_sender: suspect_notices.NoticeSender
     silence_reporter: silence_reports.SilenceReporter
 
 
 class InternalApi:
-    """Join what is asked to who knows the answer."""
+    """Handle the requests of the internal API."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         find_obstacle: Callable[[], str],
         record_poll: Callable[[], object],
     ) -> None:
-        """Take whom to ask."""
+        """Keep the parts that the handlers use."""
         self._keys = runner.router.controls.freshness
         self._runner = runner
         self._store_sync = sync
@@ -72,7 +72,7 @@
     def handle_request(
         self, message: http_codecs.Message, caller: listeners.Caller
     ) -> Callable[[], object] | None:
-        """Take a question; return what to call if who asks leaves."""
+        """Handle a request; return what to call if its caller leaves."""
         path, _, query = message.uri.partition('?')
         match path:
             case http_codecs.READINESS_PATH:
@@ -116,7 +116,7 @@
     def handle_balancer_request(
         self, message: http_codecs.Message, caller: listeners.Caller
     ) -> Callable[[], object] | None:
-        """Take a question of the balancer, which decides by the answer."""
+        """Handle a request on the balancer's address, and record its polls."""
         if message.uri == http_codecs.READINESS_PATH:
             self._record_poll()
         return self.handle_request(message, caller)
@@ -129,12 +129,12 @@
             return None
         missing_state = dispatch.find_missing_state(self._runner.router)
         if missing_state:
-            # Told that all parts are lost, who asks would send them itself,
-            # and with it all hosts that have just started at once.
+            # A report that all parts are lost would make the delegating host
+            # send them itself, and all hosts that have just started at once.
             caller.respond(_make_refusal(missing_state, HTTPStatus.TOO_EARLY))
             return None
         if caller.read_peer_state().has_left:
-            # The search was answered while this host did not come to read.
+            # The query has ended before this busy host read its delegation.
             caller.respond(_make_refusal('nobody waits'))
             return None
         try:
@@ -165,7 +165,7 @@
     def _handle_notice(
         self, message: http_codecs.Message
     ) -> http_codecs.EncodedAnswer:
-        """Take in what another host knows against requests, or tell it."""
+        """Return this host's suspect reports, or handle another's notice."""
         if message.method == 'GET':
             reports = self._runner.router.suspects.list_reports(
                 time.monotonic()
@@ -199,7 +199,7 @@
         return http_codecs.EncodedAnswer(HTTPStatus.OK, TEXT_FIELDS, b'ready\n')
 
     def _make_state(self) -> http_codecs.EncodedAnswer:
-        """Tell what this host believes, for people."""
+        """Return the state of this host for operators."""
         now = time.monotonic()
         router = self._runner.router
         state: dict[str, object] = {
@@ -212,8 +212,8 @@
             'source': self._store_sync.source,
             'evacuated': self._evacuations.describe(),
             'quarantined': [
-                suspect_codecs.encode_report(found)
-                for found in suspects.select_quarantined(
+                suspect_codecs.encode_report(report)
+                for report in suspects.select_quarantined(
                     router.suspects.list_reports(now)
                 )
             ],
@@ -224,9 +224,9 @@
                     target.name: target_health.describe(
                         router.target_health.get(target.name), now
                     )
-                    for target in found
+                    for target in targets
                 }
-                for service, found in router.directory.by_service.items()
+                for service, targets in router.directory.by_service.items()
             },
             'budgets': {
                 service: round(
@@ -242,7 +242,7 @@
         if contention.is_contended(router.index):
             state['silent'] = sorted(router.centre_health.list_silent())
         if self._keys.is_enforced:
-            # Before anything is proved the age has no end.
+            # The age is infinite before the first proof.
             state['keys_age'] = f'{self._keys.compute_age():.2f}'
             state['keys_stale'] = self._keys.compute_wait() > 0
         customers = router.index.configuration.customers
@@ -267,10 +267,10 @@
         }
 
     def _send_metrics(self, caller: listeners.Caller) -> Callable[[], object]:
-        """Answer with the page, once what writes it is there.
+        """Respond with the metrics once the module that renders them is loaded.
 
-        It is loaded by a thread when the page is first asked for: neither a
-        start nor the requests in hand wait for it.
+        A thread loads it on the first request for metrics, so that neither
+        the start nor requests in flight wait for it.
         """
         loop = asyncio.get_running_loop()
         loading = loop.run_in_executor(
@@ -281,7 +281,7 @@
             if loaded.cancelled():
                 return
             gauges = metrics.read_gauges(self._runner, self._store_sync)
-            body = loaded.result().write(
+            body = loaded.result().render(
                 self._metrics, gauges, self._runner.traffic_counts
             )
             caller.respond(
@@ -295,7 +295,7 @@
 def _handle_report(
     message: http_codecs.Message, handle_report: Callable[[bytes], None]
 ) -> http_codecs.EncodedAnswer:
-    """Take in what another host tells of what it sees."""
+    """Handle a report of another host; refuse a malformed one."""
     try:
         handle_report(message.body)
     except ValueError as error:
--- a/fuchsiahaven/relay/journal.py
+++ b/fuchsiahaven/relay/journal.py
@@ -1,7 +1,7 @@
-"""Write the log: JSON lines on standard output, bounded, never waited for.
+"""Write the log as JSON lines to standard output without blocking.
 
-A thread of its own writes. Where whoever reads the output is stuck, lines are
-left out and counted, and requests go on.
+A separate thread writes a bounded queue. If the reader of the output is
+stuck, lines are dropped and counted, and requests are served on.
 """
 
 import json
@@ -12,19 +12,19 @@
 import time
 from typing import Final
 
-#: Lines that may wait to be written; at 300 bytes each about 0.6 MB.
+#: Lines in the queue; at 300 bytes each about 0.6 MB.
 MAX_QUEUED_LINES: Final = 2000
-#: Lines a second that tell of requests that went as planned. Failures have
-#: as many again, so that success never crowds them out.
+#: Lines a second about successful requests. Failed requests have a limit of
+#: their own of the same size, so that successes never crowd them out.
 MAX_REQUEST_LINES_PER_S: Final = 100
-#: How long the end of the process waits for the last lines, in seconds.
+#: How long the end of the process waits for the last lines.
 FLUSH_TIMEOUT_S: Final = 0.3
-#: How long lines are gathered before they are written, in seconds.
+#: How long lines are gathered for one write.
 BATCH_DELAY_S: Final = 0.2
 
 
 class Journal:
-    """Own the log of one process."""
+    """Write the log of one process; `left_out` counts dropped lines."""
 
     def __init__(self, host: str, output: int | None = None) -> None:
         """Start the thread that writes to a file descriptor."""
@@ -38,13 +38,16 @@
         self._thread.start()
 
     def log_event(self, part: str, text: str, **fields: object) -> None:
-        """Write a line about the process, however many there are."""
+        """Log an event of the process, without a rate limit."""
         self._enqueue(part, text, fields)
 
     def log_request(
         self, part: str, text: str, *, good: bool, **fields: object
     ) -> None:
-        """Write a line about a request, unless this second has had many."""
+        """Log an event of a request, within the limit of lines a second.
+
+        `good` says that the request succeeded.
+        """
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
@@ -56,7 +59,7 @@
         self._enqueue(part, text, fields)
 
     def close(self) -> None:
-        """Write what waits, but not for long."""
+        """Write the queued lines, for FLUSH_TIMEOUT_S at most."""
         try:
             self._lines.put_nowait(None)
         except queue.Full:
@@ -87,7 +90,7 @@
         while not ended:
             lines = [self._lines.get()]
             if lines[0] is not None:
-                # One write for many lines: each costs a system call.
+                # One write for many lines, as each write is a system call.
                 time.sleep(BATCH_DELAY_S)
             while not self._lines.empty():
                 lines.append(self._lines.get())
@@ -99,6 +102,6 @@
             try:
                 written = os.write(self._output, data)
             except OSError:
-                # Nobody reads: there is nowhere to tell it.
+                # The reader is gone, so there is nowhere to report it.
                 return
             data = data[written:]
--- a/fuchsiahaven/relay/key_refresher.py
+++ b/fuchsiahaven/relay/key_refresher.py
@@ -1,8 +1,8 @@
-"""Learn by a second way which keys are valid, where the first brings no word.
+"""Refresh the knowledge of valid keys by a second path if the first fails.
 
-A host that asks one host for its news, or reads the store itself, may wait in
-vain for seconds. Before it has to refuse requests with keys it asks others
-for nothing but the configuration, or reads that alone.
+A host that polls another host, or reads the store, may get no answer for
+seconds. Before it has to refuse requests with keys it polls other hosts for
+the configuration alone, or reads the configuration alone from the store.
 """
 
 import asyncio
@@ -30,23 +30,23 @@
 PART: Final = 'keys'
 PATH: Final = '/v1/keys'
 VERSION_PARAMETER: Final = 'version'
-#: How often it is looked at whether a second way is needed, in seconds.
+#: How often to check whether a refresh is needed.
 CHECK_INTERVAL_S: Final = 0.5
-#: The same where keys need not die in time.
+#: The same if the settings bound no time for the revocation of keys.
 IDLE_CHECK_INTERVAL_S: Final = 2.0
-#: A try is given up after so many seconds; the next one asks somebody else.
+#: Timeout of one attempt; the next one goes to another source.
 ATTEMPT_TIMEOUT_S: Final = 0.3
-#: The pause after each try in vain is longer by so many seconds, up to the
-#: longest: mostly the store is away for all by then.
+#: The delay grows by one step with each failed attempt, because by then the
+#: store is mostly down for all hosts.
 RETRY_DELAY_STEP_S: Final = 0.1
 MAX_RETRY_DELAY_S: Final = 0.5
-#: How many hosts that were asked last are not asked again at once.
+#: Hosts polled last that are not polled again at once.
 MAX_RECENT_PEERS: Final = 8
 AGE_DIGITS: Final = 2
 
 
 class KeyRefresher:
-    """Own the second way, and whether the host was stale when last seen."""
+    """Refresh the knowledge of keys, and log when it becomes stale."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._stale_since: float | None = None
 
     async def run(self) -> None:
-        """Keep the knowledge of keys fresh, for ever."""
+        """Keep the knowledge of keys fresh until cancelled."""
         while True:
             await asyncio.sleep(await self._run_once())
 
@@ -84,7 +84,7 @@
         self._peer_clients.close()
 
     async def _run_once(self) -> float:
-        """Try once if that is needed; return how long to pause."""
+        """Make one attempt if needed; return the delay to the next, in s."""
         self._log_staleness()
         if self._keys.revoke_s is None:
             return IDLE_CHECK_INTERVAL_S
@@ -98,7 +98,7 @@
         return min(MAX_RETRY_DELAY_S, RETRY_DELAY_STEP_S * self._failures)
 
     async def _attempt(self) -> bool:
-        """Ask once; tell whether what is known is fresh by it."""
+        """Ask one source; return whether the knowledge of keys is fresh now."""
         hosts = facts.list_hosts(self._store_sync.view)
         source = sources.choose_alternate(
             self._host, hosts, self._recent_peers, random.random()
@@ -121,9 +121,9 @@
         return self._keys.compute_urgent_delay() > 0
 
     async def _read_store(self) -> None:
-        """Read the configuration alone.
+        """Read only the configuration from the store.
 
-        Raises calls.CallFailed and records.Malformed.
+        Raises http_clients.CallFailed and records.MalformedError.
         """
         sent_at = self._keys.read_clock()
         response = await self.store_client.call(
@@ -131,7 +131,7 @@
         )
         if response.status != store.OK:
             raise http_clients.CallFailed(
-                f'the store answers {response.status}'
+                f'the store returned status {response.status}'
             )
         response_era = self._store_sync.era_tracker.record_era(response.fields)
         era = (
@@ -141,14 +141,15 @@
         changed = () if fact is None else (fact,)
         report = facts.Report(0, changed, False, 0, era=era)
         if not self._store_sync.merge_configuration(report):
-            raise http_clients.CallFailed(
-                f'the store answers from its era {era}'
-            )
+            raise http_clients.CallFailed(f'the store responded from era {era}')
         self._keys.record_read(sent_at, era)
         self._store_sync.long_polls.answer_stale()
 
     async def _poll_peer(self, address: str) -> None:
-        """Ask a host; raises calls.CallFailed and codecs.Malformed."""
+        """Poll a host for the configuration.
+
+        Raises http_clients.CallFailed and report_codecs.MalformedReport.
+        """
         cross_centre = not sources.has_similar_prefix(
             self._host.address, address
         )
@@ -167,18 +168,18 @@
         )
         if response.status != store.OK:
             raise http_clients.CallFailed(
-                f'{address} answers {response.status}'
+                f'{address} returned status {response.status}'
             )
         report = report_codecs.decode_report(response.body)
         if not self._store_sync.merge_configuration(report):
             raise http_clients.CallFailed(
-                f'{address} tells of era {report.era}'
+                f'{address} reported era {report.era}'
             )
         self._keys.record_proof(sent_at, report.proof, report.era)
         self._store_sync.long_polls.answer_stale()
 
     def _log_staleness(self) -> None:
-        """Log when requests with keys begin to be refused, and when it ends."""
+        """Log when refusals of requests with keys begin and end."""
         stale = self._keys.is_enforced and self._keys.compute_wait() > 0
         if stale == (self._stale_since is not None):
             return
@@ -203,7 +204,7 @@
 def encode_configuration(
     sync: store_sync.StoreSync, keys: freshness.Freshness, query: str
 ) -> bytes:
-    """Write the answer to a host that asks for the configuration alone."""
+    """Encode the report for a host that polls for the configuration alone."""
     arrived_at = keys.read_clock()
     version_text = urllib.parse.parse_qs(query).get(VERSION_PARAMETER, ['0'])[0]
     version = int(version_text) if version_text.isdigit() else 0
--- a/fuchsiahaven/relay/listings.py
+++ b/fuchsiahaven/relay/listings.py
@@ -1,19 +1,19 @@
-"""Write everything that a host knows once for all that ask for it."""
+"""Encode the full listing of the store view once for many hosts."""
 
 from typing import Final, NamedTuple
 
 from fuchsiahaven.routing import changes, facts, freshness, report_codecs
 
-#: How old a listing may be, in seconds. A whole data centre asks its first
-#: host within a few tenths when all have just started, and would wait for one
-#: listing after the other.
+#: How old a cached listing may be. When all hosts of a data centre start, they
+#: ask its first host within a few tenths of a second, and would wait while it
+#: encodes one listing after the other.
 MAX_LISTING_AGE_S: Final = 0.1
 
 
 class CachedListing(NamedTuple):
-    """Hold a listing, and what it was written of and when.
+    """Hold an encoded listing, the state that it shows and its time.
 
-    `uptime` is when it was written by the clock that counts suspension.
+    `encoded_uptime` is the time by the clock that counts suspension.
     """
 
     cursor: facts.Cursor
@@ -24,10 +24,10 @@
 
 
 class ListingCache:
-    """Own the listing that was written last."""
+    """Cache the last listing."""
 
     def __init__(self, keys: freshness.Freshness) -> None:
-        """Start with nothing written."""
+        """Start without a listing."""
         self._keys = keys
         self._last = CachedListing(
             facts.START_CURSOR, False, float('-inf'), b''
@@ -36,7 +36,7 @@
     def encode(
         self, view: facts.StoreView, now: float, *, store_lost: bool
     ) -> bytes:
-        """Write a listing, or return the last one if it says the same."""
+        """Return an encoded listing, cached if it is current."""
         last = self._last
         uptime = self._keys.read_clock()
         is_same = last.cursor == view.cursor and last.store_lost == store_lost
@@ -46,7 +46,8 @@
         )
         if not is_same or is_expired:
             report = changes.list_changes(view, facts.START_CURSOR, now)
-            # Whoever is given it has asked before it is old.
+            # The proof holds for the latest poll that may get this listing,
+            # which arrives just before the listing expires.
             proof = self._keys.make_proof(uptime + MAX_LISTING_AGE_S)
             body = report_codecs.encode_report(
                 report._replace(store_lost=store_lost, proof=proof)
--- a/fuchsiahaven/relay/long_polls.py
+++ b/fuchsiahaven/relay/long_polls.py
@@ -1,4 +1,4 @@
-"""Answer other hosts that ask for news, once there is any."""
+"""Answer other hosts that poll for changes of the store view."""
 
 import asyncio
 import math
@@ -16,24 +16,24 @@
     sources,
 )
 
-#: How long a host that asks is kept waiting where there is nothing new.
+#: How long a poll is held while there are no changes.
 MAX_HOLD_S: Final = 0.7
-#: Where a question says how old the knowledge of keys is, in seconds.
+#: Query parameter: age of the polling host's knowledge of keys, in seconds.
 KEYS_AGE_PARAMETER: Final = 'keys_age'
 
 
 class StoreState(NamedTuple):
-    """Hold what is known; `lost` tells that the store cannot be read."""
+    """Hold the store view; `store_lost` says that the store is unreadable."""
 
     view: facts.StoreView
     store_lost: bool
 
 
 class PendingPoll(NamedTuple):
-    """Hold a question that is answered when there is something new.
+    """Hold a poll that is answered when there are changes.
 
-    `keys_age` is how old the knowledge of keys was of who asked, `arrived` when
-    that was, by the clock that counts suspension.
+    `keys_age` is the age in seconds of the polling host's knowledge of keys at
+    `arrived_at`, a time of the clock that counts suspension.
     """
 
     cursor: facts.Cursor
@@ -44,12 +44,12 @@
 
 
 class LongPolls:
-    """Own the questions that wait for an answer."""
+    """Hold the polls that wait for an answer."""
 
     def __init__(
         self, get_state: Callable[[], StoreState], keys: freshness.Freshness
     ) -> None:
-        """Start with nobody waiting."""
+        """Start without a pending poll."""
         self._get_state = get_state
         self._keys = keys
         self._pending: dict[asyncio.TimerHandle, PendingPoll] = {}
@@ -58,9 +58,10 @@
     def handle_poll(
         self, query: str, respond: Callable[[bytes], None]
     ) -> Callable[[], None] | None:
-        """Tell what was learned after a place, at once or when there is any.
+        """Answer a poll with the changes after its cursor, at once or later.
 
-        Returns what to call if nobody waits for it any more.
+        Returns the function that discards the poll when its host has left;
+        None if the poll was answered.
         """
         fields = urllib.parse.parse_qs(query)
         cursor = report_codecs.decode_cursor(fields.get('after', [''])[0])
@@ -86,7 +87,7 @@
         return discard
 
     def answer_all(self) -> None:
-        """Tell all who wait; most of them have waited about as long."""
+        """Answer all pending polls, as most were held about as long."""
         pending = self._pending
         self._pending = {}
         for timer, poll in pending.items():
@@ -94,7 +95,7 @@
             self._answer(poll)
 
     def answer_stale(self) -> None:
-        """Tell those whose knowledge of keys gains by it."""
+        """Answer the polls whose hosts need a fresher proof of keys."""
         pending = self._pending
         stale = {it for it in pending if self._needs_proof(pending[it])}
         self._pending = {it: pending[it] for it in pending if it not in stale}
@@ -135,7 +136,7 @@
 
 
 def _parse_age(text: str) -> float | None:
-    """Read how old the knowledge of keys is; None where none is told."""
+    """Parse the age of the knowledge of keys; None if there is none."""
     try:
         age = float(text)
     except ValueError:
--- a/fuchsiahaven/relay/metrics.py
+++ b/fuchsiahaven/relay/metrics.py
@@ -1,8 +1,8 @@
-"""Count what a host does, in plain figures.
+"""Count requests and read gauges without the metrics library.
 
-The library that writes the page of metrics costs a fourth of the processor
-time of a start, and a host that lost its power has no time for it: `pages`
-brings it in when the page is first asked for.
+Loading the library takes a quarter of the processor time of a start, which
+delays hosts that start after a power loss. `pages` imports it when metrics are
+first scraped.
 """
 
 import bisect
@@ -15,7 +15,7 @@
 from fuchsiahaven.relay import customer_counts, runners, store_sync, work_queues
 from fuchsiahaven.routing import events, queued_work
 
-#: Seconds; finer where the objectives of the routes lie.
+#: Upper bounds in seconds; finer around the objectives of the routes.
 LATENCY_BUCKETS_S: Final = (
     0.01,
     0.02,
@@ -35,14 +35,14 @@
 
 
 class Gauges(NamedTuple):
-    """Hold what is so at this moment.
+    """Hold current values, in the order of pages.GAUGES.
 
-    `version` is the configuration's, `age` the seconds since the news was
-    read, `links` the open connections to targets, `opened` those opened so
-    far, `calls` the calls to the store so far, `era` the store's (-1 without
-    one), `forgotten` the watches that it answered with its history gone,
-    `keys_age` the seconds that the knowledge of keys is old at most, None where
-    keys need not die in time.
+    `view_age_s` is the time since the store view was read, `connections` are
+    open to targets, `opened_connections` and `store_calls` count from the start
+    of the process, `store_era` is -1 without an era, `watches_forgotten` counts
+    the watches that the store answered with a history that is gone.
+    `keys_age_s` bounds the age of the knowledge of keys, None if the settings
+    bound no time for the revocation of keys.
     """
 
     configuration_version: int
@@ -59,7 +59,7 @@
 
 
 class RequestMetrics:
-    """Own the figures of one process."""
+    """Hold the request counts of one process."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -73,7 +73,7 @@
         self._by_bucket: collections.Counter[int] = collections.Counter()
 
     def record_request(self, summary: events.RequestSummary) -> None:
-        """Count one request; parts that go back are counted as such."""
+        """Count a request, except for delegated parts returned unsent."""
         if summary.result == queued_work.HANDED_BACK:
             return
         self.outcomes[summary.result] += 1
@@ -86,14 +86,14 @@
         self.customer_counts.record_request(summary)
 
     def list_latency_buckets(self) -> list[tuple[str, int]]:
-        """List how many took so many seconds at most, for each bound."""
+        """List the cumulative count for each upper bound of latency."""
         bounds = (*(str(float(bound)) for bound in LATENCY_BUCKETS_S), '+Inf')
         counts = (self._by_bucket[index] for index in range(len(bounds)))
         return list(zip(bounds, itertools.accumulate(counts), strict=True))
 
 
 def read_gauges(runner: runners.Runner, sync: store_sync.StoreSync) -> Gauges:
-    """Read what the decisions, the connections and the news are like now."""
+    """Read the current values of router, connections and store view."""
     now = time.monotonic()
     keys = runner.router.controls.freshness
     reports = runner.router.suspects.list_reports(now)
--- a/fuchsiahaven/relay/pages.py
+++ b/fuchsiahaven/relay/pages.py
@@ -1,4 +1,4 @@
-"""Write the page of metrics that is scraped."""
+"""Render the metrics in the text format of Prometheus."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -24,7 +24,7 @@
 
 
 class MetricsCollector(registry.Collector):
-    """Hold what the page is written from."""
+    """Collect the metrics of one process for the library."""
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         gauges: metrics.Gauges,
         traffic_counts: traffic.TrafficCounts,
     ) -> None:
-        """Take the figures."""
+        """Keep the counts and gauges."""
         self._traffic_counts = traffic_counts
         self._metrics = request_metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[core.Metric]:
-        """Give the figures as the library's families."""
+        """Yield all metric families."""
         outcomes = core.CounterMetricFamily(
             f'{PREFIX}_outcomes',
             'Requests by how they ended.',
@@ -77,7 +77,7 @@
                 yield core.GaugeMetricFamily(f'{PREFIX}_{name}', text, value)
 
     def _collect_customers(self) -> Iterator[core.Metric]:
-        """Give the figures of customers where there are any."""
+        """Yield the request counts of customers if there are any."""
         counts = self._metrics.customer_counts
         by_customer = core.CounterMetricFamily(
             f'{PREFIX}_customer_requests',
@@ -109,7 +109,7 @@
                 yield family
 
     def _collect_queue(self) -> Iterator[core.Metric]:
-        """Give the figures of new work that waited, where any has."""
+        """Yield the counts of queued work if there are any."""
         counts = self._metrics.queue_counts
         queued = core.GaugeMetricFamily(
             f'{PREFIX}_waiting',
@@ -146,7 +146,7 @@
                 yield family
 
     def _collect_bytes(self) -> core.Metric:
-        """Give the bytes by what they were for and how far they went."""
+        """Return the bytes by kind, distance and direction."""
         flows = core.CounterMetricFamily(
             f'{PREFIX}_bytes',
             'Bytes on connections that this host opened.',
@@ -162,12 +162,12 @@
         return flows
 
 
-def write(
+def render(
     request_metrics: metrics.RequestMetrics,
     gauges: metrics.Gauges,
     traffic_counts: traffic.TrafficCounts,
 ) -> bytes:
-    """Write the page."""
+    """Return the rendered metrics."""
     collectors = registry.CollectorRegistry()
     collectors.register(
         MetricsCollector(request_metrics, gauges, traffic_counts)
--- a/fuchsiahaven/relay/peer_polls.py
+++ b/fuchsiahaven/relay/peer_polls.py
@@ -1,4 +1,4 @@
-"""Ask other hosts what is new, and remember which of them told nothing."""
+"""Poll other hosts for changes, and avoid hosts that fail or are stale."""
 
 import collections
 import time
@@ -22,9 +22,9 @@
 )
 
 PART: Final = 'news'
-#: How long a host that has just started waits for a connection. Where all
-#: hosts lost power at once the one that is asked may still be dark, and a
-#: connection takes 16 ms between the farthest data centres.
+#: Connect timeout of a host that has just started. After a power loss of all
+#: hosts the polled one may still be down, and opening a connection takes 16 ms
+#: between the farthest data centres.
 START_CONNECT_TIMEOUT_S: Final = 0.04
 ANSWER_TIMEOUT_S: Final = 0.4
 POLL_TIMEOUT_S: Final = long_polls.MAX_HOLD_S + ANSWER_TIMEOUT_S
@@ -32,10 +32,10 @@
 
 
 class PeerPoller:
-    """Own the connections to other hosts and how far each was heard.
+    """Hold the clients of other hosts and the cursor at each.
 
-    `doubted` and `behind` say until when a host is passed over, because it
-    gave no answer or no news.
+    `failed_until` and `stale_until` map addresses to the time until which a
+    host is not polled, because it did not answer or its report was stale.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         traffic_counts: traffic.TrafficCounts,
         keys: freshness.Freshness,
     ) -> None:
-        """Start with nobody asked."""
+        """Start without a cursor."""
         self.failed_until: dict[str, float] = {}
         self.stale_until: dict[str, float] = {}
         self._log = log
@@ -56,7 +56,7 @@
     async def poll(
         self, address: str, view: facts.StoreView, *, near: bool
     ) -> facts.Report | None:
-        """Ask a host for what it has learned since it was asked last."""
+        """Poll a host for its changes since the last poll; None on failure."""
         client = self._clients.get_client(address, cross_centre=not near)
         cursor = self._cursors.get(address, facts.START_CURSOR)
         query = {
@@ -93,7 +93,7 @@
     def record_stale(
         self, address: str, report: facts.Report, delay_factor: float
     ) -> None:
-        """Pass over a host for a while that told no news."""
+        """Back off from a host whose report was stale."""
         backoff_s = sources.STALE_BACKOFF_S * delay_factor
         self.stale_until[address] = time.monotonic() + backoff_s
         self._log.log_event(
@@ -105,11 +105,11 @@
         )
 
     def record_success(self, address: str) -> None:
-        """Note that a host has told news."""
+        """Reset the failures of a host whose report was current."""
         self._failures.pop(address, None)
 
     def reset_cursors(self) -> None:
-        """Ask each host for everything the next time."""
+        """Poll each host for its full listing the next time."""
         self._cursors.clear()
 
     def close(self) -> None:
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -1,4 +1,4 @@
-"""Wire one process together on the platform, and stop it without a cut."""
+"""Assemble and run the process of one host, and stop it gracefully."""
 
 import asyncio
 import contextlib
@@ -43,25 +43,25 @@
 
 PART: Final = 'process'
 STOPPING: Final = internal_api.STOPPING
-#: How long a host goes on as ever once it is asked to stop: the balancer asks
-#: once a second and passes over a host after two answers that are not 200.
+#: How long a stopping host still accepts requests: the balancer polls once a
+#: second, and removes a host after two responses other than 200.
 BALANCER_LAG_S: Final = 2.6
-#: Kept back from the time until the kill, to end what is left in order.
+#: Margin before the platform kills the process, for an orderly end.
 GRACE_MARGIN_S: Final = 0.7
 STOP_CHECK_INTERVAL_S: Final = 0.05
-#: How often the settings file is looked at.
-SETTINGS_S: Final = 2.0
-#: What lines tell only where callers show keys.
+#: How often the settings file is checked for changes.
+SETTINGS_CHECK_INTERVAL_S: Final = 2.0
+#: Fields that log lines have only for requests with keys.
 CUSTOMER_FIELDS: Final = ('customer', 'why')
 
 
 class Process:
-    """Join the decisions, the ports and the news of one process."""
+    """Connect the router, the listeners and the store view of one process."""
 
     def __init__(
         self, settings: deployments.Settings, log: journal.Journal
     ) -> None:
-        """Prepare without listening."""
+        """Create all parts without listening."""
         self.settings = settings
         self.log = log
         self.metrics = metrics.RequestMetrics()
@@ -139,7 +139,7 @@
         self._stop_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until a signal asks for the planned stop, then make it."""
+        """Serve until SIGTERM or SIGINT, then stop gracefully."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
@@ -173,7 +173,7 @@
                     task.cancel()
 
     def find_obstacle(self) -> str:
-        """Say why no new work should come to this host; empty if it may."""
+        """Return why this host should get no new requests; '' if it may."""
         if self._stop_requested.is_set():
             return STOPPING
         return self.readiness.find_obstacle()
@@ -209,11 +209,11 @@
         stack.callback(caller_server.close)
 
     async def _stop(self) -> None:
-        """Stop without cutting a request.
+        """Stop without breaking a request.
 
-        The balancer sends on for its lag after it has been told; what comes
-        in that time is served, and each answer ends its connection. Idle
-        connections are closed only then, when hardly any request can cross.
+        The balancer sends requests until its lag has passed; they are
+        served, and each response ends its connection. Idle connections are
+        closed only after that, when a new request on one is unlikely.
         """
         began_at = time.monotonic()
         deadline = began_at + self.settings.grace_s - GRACE_MARGIN_S
@@ -235,11 +235,11 @@
         )
 
     async def _watch_settings(self) -> None:
-        """Notice changes of the settings file that no signal tells."""
+        """Reload the settings file when it changes without a signal."""
         path = settings_files.find_path()
         loaded_ns = _read_modified_ns(path)
         while path is not None:
-            await asyncio.sleep(SETTINGS_S)
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
             modified_ns = _read_modified_ns(path)
             if modified_ns != loaded_ns:
                 loaded_ns = modified_ns
@@ -251,7 +251,7 @@
             return
         reading = settings_files.read_file(path)
         if reading.settings is None:
-            # What was in force stays; a file may be seen half written.
+            # The settings in force stay, as the file may be partly written.
             self.log.log_event(
                 PART, 'settings are wrong', faults=reading.faults
             )
@@ -342,7 +342,7 @@
 
 
 def _read_modified_ns(path: Path | None) -> int:
-    """Find when a file was written, in nanoseconds; 0 if it is not there."""
+    """Return the time of a file's last change, in ns; 0 without a file."""
     try:
         return path.stat().st_mtime_ns if path is not None else 0
     except OSError:
@@ -350,7 +350,7 @@
 
 
 def serve() -> int:
-    """Serve with the settings file that the platform names."""
+    """Serve with the settings file of the platform; return the exit code."""
     path = settings_files.find_path()
     if path is None:
         print(f'{settings_files.PATH_VARIABLE} names no settings file')
--- a/fuchsiahaven/relay/quarantine_entries.py
+++ b/fuchsiahaven/relay/quarantine_entries.py
@@ -1,6 +1,7 @@
-"""Enter in the store the requests that end their targets.
+"""Write the requests that crash their targets to the store.
 
-Hosts that start, or were cut off when the others were told, read of them there.
+Hosts read these entries that start later, or that were cut off when notices
+were sent.
 """
 
 import asyncio
@@ -14,25 +15,25 @@
 from fuchsiahaven.routing import facts, states
 
 PART: Final = 'suspects'
-#: Hosts that see to an entry of another host's finding, by their rank for the
-#: request, and how long they wait for it, in seconds.
+#: Hosts that write the entry if the reporting host does not, by their rank for
+#: the request, and how long they wait for it.
 BACKUP_WRITERS: Final = 2
 BACKUP_DELAY_S: Final = 1.5
-#: How often an entry is tried to be written, and how soon after a failure.
+#: Attempts to write an entry, and the delay between them.
 MAX_WRITE_ATTEMPTS: Final = 5
 RETRY_DELAY_S: Final = 1.0
-#: Moments at which targets ended that make an entry. The first one is mostly of
-#: an innocent request, which the next success clears.
+#: Moments of crashes from which on an entry is written. The first one is mostly
+#: of an innocent request, which its next success clears.
 MIN_CRASHES: Final = 2
-#: The longest lease that the store gives. An entry outlives its quarantine, so
-#: that a host that starts learns how often the request was tried.
+#: The longest lease that the store grants. An entry outlives its quarantine, so
+#: that a started host learns the number of crashes.
 LEASE_TTL_S: Final = 600.0
-#: Entries that this host may be about to write.
+#: Entries with a pending write on this host.
 MAX_PENDING_ENTRIES: Final = 16
 
 
 class QuarantineEntries:
-    """Own the calls by which quarantines are entered."""
+    """Write quarantine entries to the store."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         sync: store_sync.StoreSync,
         log: journal.Journal,
     ) -> None:
-        """Start with nothing to enter."""
+        """Start without a pending write."""
         self._router = router
         self._store_sync = sync
         self._log = log
@@ -48,17 +49,17 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the pending writes."""
         for task in tuple(self._tasks.values()):
             task.cancel()
 
     def write_own(self, report: suspects.News) -> None:
-        """Enter what this host found out, if it belongs there."""
+        """Write the entry of this host's own report if it is due."""
         if self._needs_entry(report):
             self._schedule(report, 0.0)
 
     def handle_restore(self) -> None:
-        """See that what the store has lost is entered again."""
+        """Schedule writes of entries that a restored store may lack."""
         settings = self._store_sync.settings
         spread_s = leases.compute_rewrite_spread(
             settings, self._router.host_count
@@ -68,11 +69,11 @@
             self.write_backup(report, random.uniform(0, spread_s))
 
     def write_backup(self, report: suspects.News, delay_s: float = 0.0) -> None:
-        """See that what another host found out is entered.
+        """Schedule a write of another host's report after the usual delay.
 
-        That host may be turned away by the store, or end before it has
-        written; a few of those that it told write it then, so many seconds
-        later.
+        The store may refuse that host, or the host may end before its write.
+        A few of the hosts that got its notice then write the entry;
+        `delay_s` is added to their delay.
         """
         hosts = (*self._router.hosts, self._router.host)
         ranked = rendezvous.rank(
@@ -85,7 +86,7 @@
             self._schedule(report, BACKUP_DELAY_S + delay_s)
 
     def _needs_entry(self, report: suspects.News) -> bool:
-        """Tell whether an entry is due: what stands, or that it is over."""
+        """Return whether to write an entry: of a quarantine or of its end."""
         if report.crashes >= MIN_CRASHES:
             return True
         return not report.crashes and self._find_entry(report) is not None
@@ -94,7 +95,7 @@
         key = facts.Key(facts.Subject.QUARANTINE, report.identity.digest)
         fact = self._store_sync.view.facts.get(key)
         if fact is None or fact.era != self._store_sync.view.era:
-            # What the store held in an earlier era it may have lost.
+            # A restored store may have lost the entries of earlier eras.
             return None
         entry = fact.value
         return entry if isinstance(entry, suspects.News) else None
@@ -103,7 +104,7 @@
         digest = report.identity.digest
         previous = self._tasks.pop(digest, None)
         if previous is not None:
-            # What is known by now is more.
+            # The new report supersedes the pending one.
             previous.cancel()
         if len(self._tasks) < MAX_PENDING_ENTRIES:
             task = asyncio.create_task(
--- a/fuchsiahaven/relay/readiness.py
+++ b/fuchsiahaven/relay/readiness.py
@@ -1,4 +1,4 @@
-"""Keep whether callers had better go to other hosts, and tell them so."""
+"""Track whether callers should use other hosts, and let them know."""
 
 import time
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 from fuchsiahaven.routing import balancer_polls, events
 
 PART: Final = 'readiness'
-#: How long an obstacle that was worked out counts, in seconds. It is asked for
-#: with each answer, and all shards are looked at for it.
+#: How long a computed obstacle is valid. Each response needs it, and computing
+#: it looks at all shards.
 OBSTACLE_LIFETIME_S: Final = 0.1
 RETRY_DIGITS: Final = 2
 
 
 class Readiness:
-    """Own what was worked out last, and what the balancer was told."""
+    """Cache the obstacle, and record the balancer's polls."""
 
     def __init__(
         self, find_obstacle: Callable[[], str], log: journal.Journal
     ) -> None:
-        """Start without an opinion."""
+        """Start without an obstacle."""
         self._find_obstacle = find_obstacle
         self._log = log
         self._obstacle = ''
@@ -29,7 +29,7 @@
         self._polls = balancer_polls.BalancerPolls()
 
     def find_obstacle(self) -> str:
-        """Say why callers should go elsewhere; empty if they should not."""
+        """Return why callers should use other hosts; '' if they need not."""
         now = time.monotonic()
         if now >= self._expires_at:
             self._expires_at = now + OBSTACLE_LIFETIME_S
@@ -37,17 +37,17 @@
         return self._obstacle
 
     def is_obstructed(self) -> bool:
-        """Tell whether each answer is to end its caller's connection.
+        """Return whether each response should end its caller's connection.
 
-        A balancer moves new connections only. Callers that keep theirs to a
-        host that is cut off go on being refused for as long as the cut lasts;
-        one that is closed with the answer opens its next one at a host that
-        the balancer still chooses.
+        The balancer directs only new connections. Callers with a connection
+        to a host that is cut off would be refused for as long as the
+        partition lasts; one whose connection is closed reconnects to a host
+        that the balancer still uses.
         """
         return bool(self.find_obstacle())
 
     def record_poll(self) -> str:
-        """Take a question of the balancer; return the obstacle, if any."""
+        """Record a poll of the balancer; return the obstacle, if any."""
         obstacle = self.find_obstacle()
         self._polls = balancer_polls.record_poll(
             self._polls, time.monotonic(), ready=not obstacle
@@ -55,13 +55,13 @@
         return obstacle
 
     def adjust_retry_after(self, outcome: events.Outcome) -> events.Outcome:
-        """Have a caller that is refused come back when others take it."""
+        """Have a refused caller retry when other hosts will accept it."""
         if not isinstance(outcome, errors.Failure) or not self.is_obstructed():
             return outcome
         if outcome.retry_after is None:
             return outcome
         if outcome.kind is errors.Kind.QUARANTINED:
-            # No other host would take it sooner.
+            # No other host would accept it sooner.
             return outcome
         delay_s = balancer_polls.estimate_removal_delay(
             self._polls, time.monotonic()
--- a/fuchsiahaven/relay/restores.py
+++ b/fuchsiahaven/relay/restores.py
@@ -1,4 +1,4 @@
-"""Tell operators what a store that came back from a copy has brought."""
+"""Log what a restore of the store from a copy has changed."""
 
 from typing import Final
 
@@ -6,14 +6,14 @@
 from fuchsiahaven.routing import facts
 
 PART: Final = 'news'
-#: Facts that one line names.
+#: Facts that one log line names.
 MAX_LOGGED_NAMES: Final = 8
 
 
 def log_restore(
     log: journal.Journal, merged: facts.MergeResult, source: str
 ) -> None:
-    """Write lines for a restore and for what it has dropped."""
+    """Log a restore and the facts that it has dropped."""
     if merged.restore is not None:
         restore = merged.restore
         log.log_event(
--- a/fuchsiahaven/relay/router_updates.py
+++ b/fuchsiahaven/relay/router_updates.py
@@ -1,4 +1,4 @@
-"""Turn news into what the decisions learn, and log what has changed."""
+"""Apply changes of the store view to the router, and log them."""
 
 from collections.abc import Callable
 from typing import Final
@@ -8,14 +8,14 @@
 from fuchsiahaven.routing import deployments, events, facts, instances
 
 PART: Final = 'process'
-#: What changes which targets may get new work.
+#: Subjects whose changes affect which targets may get new requests.
 DIRECTORY_SUBJECTS: Final = frozenset(
     (facts.Subject.INSTANCE, facts.Subject.EVACUATION)
 )
 
 
 class RouterUpdater:
-    """Own what was learned last of the orders of operators."""
+    """Post changes of the store view to the router as events."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         log: journal.Journal,
         find_obstacle: Callable[[], str],
     ) -> None:
-        """Take whom to teach."""
+        """Start without quarantines and evacuations."""
         self.settings = settings
         self.evacuations = evacuations.Evacuations(log)
         self._runner = runner
@@ -33,7 +33,7 @@
         self._quarantines: list[suspects.News] = []
 
     def apply(self, merged: facts.MergeResult) -> None:
-        """Take in what has changed."""
+        """Apply the changed subjects of a merge."""
         view = merged.view
         if facts.Subject.CONFIGURATION in merged.changed_subjects:
             configuration = facts.get_configuration(view)
@@ -66,11 +66,11 @@
         self._runner.update(events.DirectoryChanged(directory))
 
     def _post_quarantines(self, view: facts.StoreView) -> None:
-        """Take in the quarantines that were written since the last time.
+        """Post the quarantines that were written since the last merge.
 
-        An entry says how often the request was tried, not since when: a
-        quarantine that is learned late lasts longer here, and what another
-        host finds out by a trial ends it.
+        An entry holds the number of crashes, not the start of the
+        quarantine. A quarantine that arrives late lasts longer on this host,
+        until another host's trial ends it.
         """
         entries = facts.list_quarantines(view)
         added = [it for it in entries if it not in self._quarantines]
@@ -83,7 +83,7 @@
             self._runner.post(events.SuspectsReported(reports))
 
     def _update_hosts(self, view: facts.StoreView) -> None:
-        # Until the hosts have entered themselves the seeds are all there is.
+        # Until the hosts have written their entries only the seeds are known.
         hosts = tuple(facts.list_hosts(view))
         count = max(len(hosts), len(self.settings.seeds))
         self._runner.update(events.HostsChanged(count, hosts))
--- a/fuchsiahaven/relay/runners.py
+++ b/fuchsiahaven/relay/runners.py
@@ -1,4 +1,4 @@
-"""Drive the decisions: events in, actions carried out, timers kept."""
+"""Run the router: pass events in, perform its actions and set timers."""
 
 import asyncio
 import collections
@@ -14,10 +14,10 @@
 )
 from fuchsiahaven.routing import dispatch, events, reachability, states
 
-#: How often connections are looked at for what takes too long.
+#: How often connections are checked for expiry.
 SWEEP_INTERVAL_S: Final = 0.1
-#: How often a host that is cut off tries whether it still is, in seconds. Its
-#: balancer asks once a second.
+#: How often a host that is cut off tries to connect to targets. The balancer
+#: polls it once a second.
 TRY_INTERVAL_S: Final = 0.4
 
 Reply = Callable[[events.Outcome], None]
@@ -26,10 +26,10 @@
 
 
 class Runner:
-    """Own the decisions and whom to tell what comes of them."""
+    """Run the router of one host."""
 
     def __init__(self, router: states.Router, notify: Notify) -> None:
-        """Start with nothing to do."""
+        """Start without events."""
         self.router = router
         self.traffic_counts = traffic.TrafficCounts()
         self.target_pools = target_pools.TargetPools(
@@ -53,7 +53,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def submit_request(self, request: events.Request, reply: Reply) -> int:
-        """Take a request; `reply` is called once, unless it is abandoned."""
+        """Submit a request; `reply` is called once unless it is abandoned."""
         self._last_number += 1
         self._replies[self._last_number] = reply
         self.work_queue.submit(
@@ -64,7 +64,7 @@
     def submit_delegated(
         self, delegated: events.DelegatedRequest, send_report: SendReport
     ) -> int:
-        """Take another host's request; `give` is called with each share."""
+        """Submit a delegated request; `send_report` gets each report."""
         self._last_number += 1
         self._report_senders[self._last_number] = send_report
         self.work_queue.submit(
@@ -73,18 +73,18 @@
         return self._last_number
 
     def abandon(self, number: int) -> None:
-        """Take note that a caller, or the host that asked, has left."""
+        """Abandon a request whose caller or delegating host has left."""
         self._replies.pop(number, None)
         self._report_senders.pop(number, None)
         if not self.work_queue.remove(number):
             self.post(events.RequestAbandoned(number))
 
     def count_pending(self) -> int:
-        """Count the callers and hosts that have yet to get their reply."""
+        """Count the callers and hosts that wait for their reply."""
         return len(self._replies) + len(self._report_senders)
 
     def post(self, event: events.Event) -> None:
-        """Take in an event and do what it asks for."""
+        """Pass an event to the router, and perform the resulting actions."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -102,7 +102,7 @@
         | events.DirectoryChanged
         | events.HostsChanged,
     ) -> None:
-        """Take news of what there is, and what follows for connections."""
+        """Apply a change of configuration, targets or hosts to all parts."""
         self.post(event)
         if isinstance(event, events.ConfigurationReceived):
             self.work_queue.update_priorities()
@@ -110,7 +110,7 @@
         self.target_pools.update_limits()
 
     async def run_sweeps(self) -> None:
-        """Look at the connections from time to time, for ever."""
+        """Expire connections and check targets regularly until cancelled."""
         next_try_at = 0.0
         while True:
             due = time.monotonic() + SWEEP_INTERVAL_S
@@ -163,7 +163,7 @@
         if reply is not None:
             reply(action.outcome)
             if action.due:
-                # What this turn costs shows on the clock at the next one.
+                # The time of this pass shows on the clock in the next one.
                 loop = asyncio.get_running_loop()
                 loop.call_soon(
                     lambda: dispatch.record_reply(
--- a/fuchsiahaven/relay/silence_reports.py
+++ b/fuchsiahaven/relay/silence_reports.py
@@ -1,7 +1,7 @@
-"""Tell the hosts of this data centre which others are out of reach.
+"""Report unreachable data centres to the other hosts of this data centre.
 
-The balancer moves callers only once no host of a data centre that is cut off
-says that it is ready. Hosts that are asked little would notice last.
+The balancer moves callers away from a data centre that is cut off only once
+none of its hosts is ready. Hosts with few requests would notice last.
 """
 
 import asyncio
@@ -15,16 +15,16 @@
 
 PART: Final = 'silences'
 PATH: Final = '/v1/silences'
-#: How often it is looked at whether there is something to tell.
+#: How often to check whether there is silence to report.
 CHECK_INTERVAL_S: Final = 0.1
 CALL_TIMEOUT_S: Final = 0.5
-#: More than there are data centres is no list of them.
+#: A list with more names is not a list of data centres.
 MAX_DATA_CENTRES: Final = 256
 MAX_NAME_LENGTH: Final = 200
 
 
 class SilenceReporter:
-    """Own the calls by which hosts beside this one learn of silence."""
+    """Send and handle reports of silent data centres."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         log: journal.Journal,
         traffic_counts: traffic.TrafficCounts,
     ) -> None:
-        """Start with nothing to tell."""
+        """Start without a report."""
         self._router = router
         self._log = log
         self._peer_clients = http_clients.Clients(traffic_counts)
@@ -41,19 +41,19 @@
         self._next_report_at = 0.0
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the calls in flight."""
         for task in tuple(self._tasks):
             task.cancel()
         self._peer_clients.close()
 
     async def run(self) -> None:
-        """Tell as long as there is something to tell, for ever."""
+        """Send reports while there is silence to report, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._check(time.monotonic())
 
     def handle_report(self, body: bytes) -> None:
-        """Take in what a host tells; raises ValueError."""
+        """Handle another host's report; raises ValueError."""
         report = decode_report(body)
         if report.data_centre == self._router.host.data_centre:
             self._router.centre_health.update_report(report, time.monotonic())
@@ -92,13 +92,13 @@
         try:
             await client.call(call, CALL_TIMEOUT_S)
         except http_clients.CallFailed as error:
-            # It is told again as long as it matters.
+            # The report is repeated while the silence lasts.
             reason = str(error)
             self._log.log_request(PART, 'not told', good=False, why=reason)
 
 
 def encode_report(report: centre_health.SilenceReport) -> bytes:
-    """Write which data centres a host hears nothing of."""
+    """Encode a report of silent data centres."""
     row = {
         'host': report.host,
         'data_centre': report.data_centre,
@@ -108,7 +108,7 @@
 
 
 def decode_report(text: bytes) -> centre_health.SilenceReport:
-    """Read which data centres a host hears nothing of; raises ValueError."""
+    """Decode a report of silent data centres; raises ValueError."""
     try:
         row = json.loads(text)
         host = _decode_name(row['host'])
--- a/fuchsiahaven/relay/store_readers.py
+++ b/fuchsiahaven/relay/store_readers.py
@@ -1,4 +1,4 @@
-"""Read the store: list all that it holds, then watch what changes."""
+"""Read the store: list its entries once, then watch for changes."""
 
 import time
 from typing import Final
@@ -8,24 +8,23 @@
 from fuchsiahaven.routing import facts, freshness
 
 PART: Final = eras.PART
-#: How long the reader waits for changes in one call. Changes come at once, and
-#: a connection that has fallen silent is noticed after this and the time for
-#: the answer.
+#: How long one watch waits for changes, which arrive at once. A dead connection
+#: is noticed after this time and the timeout of the response.
 WATCH_WAIT_S: Final = 1.8
 WATCH_ANSWER_TIMEOUT_S: Final = 0.6
-#: How often the reader lists everything, in case that changes were missed.
+#: How often the reader lists all entries, in case it has missed changes.
 LIST_INTERVAL_S: Final = 20.0
-#: The store answers in 4 ms, and in 0.25 s when it is sixty times as slow.
+#: The store responds in 4 ms, and in 0.25 s when it is sixty times as slow.
 STORE_TIMEOUT_S: Final = 0.8
-#: How often a listing is begun anew because the store came back in between.
+#: Attempts at a listing, which starts again if the store is restored meanwhile.
 MAX_LIST_ATTEMPTS: Final = 3
 
 
 class StoreReader:
-    """Own what the readings of the store go on from.
+    """Read the store and decode its entries.
 
-    `forgotten` counts the watches that met a history that is gone. `left` is
-    when the last reading began, by the clock that counts suspension.
+    `watches_forgotten` counts the watches whose history was gone. `sent_at` is
+    when the last read started, by the clock that counts suspension.
     """
 
     def __init__(
@@ -36,7 +35,7 @@
         keys: freshness.Freshness,
         delay_factor: float = 1.0,
     ) -> None:
-        """Begin with a listing; waits take a share `pace` of the usual."""
+        """Start with a listing; `delay_factor` scales the watch time."""
         self._watch_wait_s = delay_factor * WATCH_WAIT_S
         self.watches_forgotten = 0
         self._client = client
@@ -48,13 +47,13 @@
         self._next_list_at = 0.0
 
     def force_listing(self) -> None:
-        """List the next time: changes may have been missed."""
+        """List at the next read, because changes may have been missed."""
         self._next_list_at = 0
 
     async def read(self, view: facts.StoreView) -> facts.Report:
-        """Read what has changed, or everything.
+        """Read the changes, or all entries if a listing is due.
 
-        Raises calls.CallFailed and records.Malformed.
+        Raises http_clients.CallFailed and records.MalformedError.
         """
         now = time.monotonic()
         report = None
@@ -66,7 +65,7 @@
         return report
 
     async def _watch(self, view: facts.StoreView) -> facts.Report | None:
-        """Read what has changed; None if only a listing tells."""
+        """Watch for changes; return None if a listing is needed."""
         wait_s = self._keys.limit_time(
             self._watch_wait_s, freshness.WATCH_FRACTION
         )
@@ -77,8 +76,8 @@
         )
         era = self._get_era(response, view)
         if era != view.era:
-            # The revision was of another history. If the store has passed it
-            # by now, nothing but the era tells that changes are missing.
+            # The revision belongs to another history. If the store has already
+            # passed it, only the era shows that changes are missing.
             return None
         if response.status == store.HISTORY_GONE:
             self._record_forgotten(view)
@@ -90,16 +89,14 @@
     def _get_era(
         self, response: http_clients.Response, view: facts.StoreView
     ) -> int:
-        """Find the era of an answer; one that tells none is of the last.
+        """Return the era of a response; without one that of the view.
 
-        Raises calls.CallFailed for an answer of an earlier era.
+        Raises http_clients.CallFailed for a response of an earlier era.
         """
         response_era = self._era_tracker.record_era(response.fields)
         era = view.era if response_era is None else response_era
         if era < view.era:
-            raise http_clients.CallFailed(
-                f'the store answers from its era {era}'
-            )
+            raise http_clients.CallFailed(f'the store responded from era {era}')
         return era
 
     def _record_forgotten(self, view: facts.StoreView) -> None:
@@ -113,17 +110,19 @@
         )
 
     async def _list(self, view: facts.StoreView) -> facts.Report:
-        """List everything, again if the store comes back meanwhile."""
+        """List all entries, again if the store is restored meanwhile."""
         attempts = 0
         while attempts < MAX_LIST_ATTEMPTS:
             attempts += 1
             report = await self._list_once(view)
             if report is not None:
                 return report
-        raise http_clients.CallFailed('the store came back while it was listed')
+        raise http_clients.CallFailed(
+            'the store was restored during the listing'
+        )
 
     async def _list_once(self, view: facts.StoreView) -> facts.Report | None:
-        """List everything; None if the pages are not of one era."""
+        """List all entries; return None if the pages are of several eras."""
         began_at = time.monotonic()
         self.sent_at = self._keys.read_clock()
         listed: list[facts.Fact] = []
@@ -140,8 +139,8 @@
                 return None
             page = store.decode_page(response.body, era, self._decoder.decode)
             listed.extend(page.items)
-            # Pages are not a snapshot: only the first one's revision holds
-            # for all of them.
+            # Pages are no snapshot: only the first page's revision is valid for
+            # all of them.
             revision = revision or page.revision
             after = page.next_after
         age = time.monotonic() - began_at
@@ -150,4 +149,6 @@
 
 def _check_status(response: http_clients.Response) -> None:
     if response.status != store.OK:
-        raise http_clients.CallFailed(f'the store answers {response.status}')
+        raise http_clients.CallFailed(
+            f'the store returned status {response.status}'
+        )
--- a/fuchsiahaven/relay/store_sync.py
+++ b/fuchsiahaven/relay/store_sync.py
@@ -1,4 +1,4 @@
-"""Keep up with what the store holds, from it or from other hosts."""
+"""Keep a view of the store up to date, from the store or other hosts."""
 
 import asyncio
 import math
@@ -28,31 +28,32 @@
 )
 
 PART: Final = 'news'
-#: The least time between two such calls: many changes come in one answer.
+#: Delay between two reads of the store, so that one response carries many
+#: changes.
 MIN_READ_INTERVAL_S: Final = 0.4
-#: How soon to ask again where nobody had an answer.
+#: Delay after a round in which no source had an answer.
 RETRY_DELAY_S: Final = 0.25
-#: The same for a host that has just started and knows nothing: it refuses all
-#: requests until it has an answer.
+#: The same for a host that has just started without a view: it refuses all
+#: requests until it has one.
 START_RETRY_DELAY_S: Final = 0.05
-#: How long a host waits for the seeds when the whole system starts for the
-#: first time: nobody calls it yet, and one listing serves all.
+#: How long a host waits for the seeds at the first start of a deployment: no
+#: caller waits yet, and one listing of the store serves all hosts.
 MAX_SEED_WAIT_S: Final = 3.0
-#: How long a store that did not answer is left alone, in seconds.
+#: How long the store is not called after it did not answer.
 STORE_BACKOFF_S: Final = 0.7
-#: Sources tried in one round before the next round is waited for.
+#: Sources tried in one round.
 MAX_ROUND_ATTEMPTS: Final = 3
-#: News this old means that the store was away for all hosts, not for this one
-#: alone: the others would have passed theirs on.
+#: A view this old means that the store was down for all hosts: otherwise the
+#: others would have passed their reports on.
 MIN_OUTAGE_S: Final = 2.5
-#: No two starts of a process have the same number, for all practical purposes.
+#: Bits of the random number of a start; a collision is practically impossible.
 INCARNATION_BITS: Final = 48
 
 ApplyMerge = Callable[[facts.MergeResult], None]
 
 
 class StoreSync:
-    """Own the calls to the store and what they brought."""
+    """Hold the view of the store, and update it."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         traffic_counts: traffic.TrafficCounts,
         keys: freshness.Freshness,
     ) -> None:
-        """Start with nothing known."""
+        """Start with an empty view."""
         self._keys = keys
         self.view = store_views.create(
             random.SystemRandom().getrandbits(INCARNATION_BITS),
@@ -99,11 +100,11 @@
 
     @property
     def watches_forgotten(self) -> int:
-        """Return how many watches met a history that is gone."""
+        """Return the number of watches whose history was gone."""
         return self._reader.watches_forgotten
 
     async def run(self) -> None:
-        """Keep up, for ever."""
+        """Update the view until cancelled."""
         while True:
             delay_s = await self._run_round()
             await asyncio.sleep(delay_s)
@@ -112,14 +113,14 @@
         return long_polls.StoreState(self.view, self.store_lost)
 
     def merge_configuration(self, report: facts.Report) -> bool:
-        """Take in a configuration that was learned by another way.
+        """Merge a configuration that another path has brought.
 
-        What is of a later era is not taken: only a listing tells what else
-        has changed.
+        Returns False and merges nothing if it is of a later era: only a
+        listing shows what else has changed.
         """
         if report.era > self.view.era:
             return False
-        # It tells nothing of when the rest of what is known was read.
+        # It does not say when the rest of the view was read.
         undated = report._replace(age=math.inf)
         self._merge(undated, time.monotonic(), -math.inf)
         return True
@@ -131,7 +132,7 @@
         self._peer_poller.close()
 
     async def _run_round(self) -> float:
-        """Ask until there is an answer; return how long it will do."""
+        """Ask sources until one answers; return the delay to the next round."""
         attempts = 0
         delay_s = None
         while delay_s is None and attempts < MAX_ROUND_ATTEMPTS:
@@ -158,10 +159,10 @@
                 return delay_s if succeeded else None
             case sources.Peer(address):
                 self.source = address
-                # What this host has heard from others may lack removals that
-                # they held back, so it lists before it watches.
+                # Reports of peers may lack removals that they held back, so
+                # the next read of the store must be a listing, not a watch.
                 self._reader.force_listing()
-                # The answer is held until there is something new.
+                # No delay, because peers hold a poll until there are changes.
                 return 0 if await self._poll_peer(address) else None
 
     def _make_source_inputs(self) -> sources.SourceInputs:
@@ -194,7 +195,7 @@
         if self.store_lost:
             self.store_lost = False
             if now - self.view.read_at > MIN_OUTAGE_S:
-                # Nobody could read it, so targets could not renew either.
+                # No host could read it, so targets could not renew leases.
                 self._store_returned_at = now
             self._log.log_event(
                 PART, 'the store is back', revision=report.revision
@@ -207,8 +208,8 @@
                 known=self.view.revision,
                 era=self.era_tracker.latest,
             )
-        # What was learned here may differ from what others know by now, and
-        # they would tell only what changes for them.
+        # The view may now differ from what peers have reported, and from
+        # their last cursors they would report only their own changes.
         self._peer_poller.reset_cursors()
         self._keys.record_read(self._reader.sent_at, report.era)
         self._merge(report, now, self._store_returned_at)
@@ -235,7 +236,7 @@
     def _is_stale(
         self, report: facts.Report, merged: facts.MergeResult
     ) -> bool:
-        """Tell whether what a host has told is no news."""
+        """Return whether a host's report leaves the view out of date."""
         if report.store_lost or merged.from_earlier_era or not report.revision:
             return True
         return time.monotonic() - self.view.read_at > sources.MAX_REPORT_AGE_S
--- a/fuchsiahaven/relay/suspect_notices.py
+++ b/fuchsiahaven/relay/suspect_notices.py
@@ -1,7 +1,7 @@
-"""Tell other hosts of requests that end targets.
+"""Tell other hosts which requests are suspected of crashing targets.
 
-They are told at once, from one host to the next: the caller's own repeat may
-reach any of them a few milliseconds later.
+Notices are sent at once and forwarded from host to host, because a caller's
+retry may reach any host a few milliseconds later.
 """
 
 import asyncio
@@ -22,25 +22,25 @@
 
 PART: Final = quarantine_entries.PART
 PATH: Final = '/v1/suspects'
-#: Hosts that are told by one host; in a small fleet those are all.
+#: Hosts to which one host sends a notice; in a small deployment all.
 FAN_OUT: Final = 8
-#: Hops beyond those that reach every host if no two hosts tell the same one.
+#: Hops beyond the minimum, which holds if no host gets a notice twice.
 EXTRA_HOPS: Final = 1
 CALL_TIMEOUT_S: Final = 0.5
-#: How often a host is tried, and how soon after a failure: its connection may
-#: have been reset, or not be open yet.
+#: Attempts for each host, and the delay between them: the connection may have
+#: been reset, or not be open yet.
 MAX_ATTEMPTS: Final = 3
 RETRY_DELAY_S: Final = 0.3
-#: Hosts that one that has just started asks, and how soon it asks again as long
-#: as it knows none.
+#: Hosts from which a started host fetches reports, and how often it checks
+#: whether it knows any host yet.
 FETCHED_HOSTS: Final = 2
 START_CHECK_INTERVAL_S: Final = 0.1
-#: Calls under way at most, where many hosts do not answer.
+#: Bounds the calls in flight if many hosts do not answer.
 MAX_CALLS_IN_FLIGHT: Final = 64
 
 
 class NoticeSender:
-    """Own the calls by which other hosts learn of requests."""
+    """Send, forward and fetch notices of suspect requests."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         traffic_counts: traffic.TrafficCounts,
         post_event: Callable[[events.SuspectsReported], None],
     ) -> None:
-        """Start with nothing to tell."""
+        """Start without a call in flight."""
         self._router = router
         self._post_event = post_event
         self._quarantine_entries = entries
@@ -59,26 +59,26 @@
         self._tasks: set[asyncio.Task[bytes | None]] = set()
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the calls in flight."""
         for task in tuple(self._tasks):
             task.cancel()
         self._peer_clients.close()
 
     def publish(self, report: suspects.News) -> None:
-        """Tell of what this host found out."""
+        """Publish a report of this host, and write its quarantine entry."""
         hops = compute_hops(len(self._router.hosts))
         self._broadcast(suspect_codecs.SuspectNotice((report,), hops))
         self._quarantine_entries.write_own(report)
 
     def forward(self, notice: suspect_codecs.SuspectNotice) -> None:
-        """Hand on what was news here."""
+        """Forward the reports of a notice that were new to this host."""
         if notice.hops:
             self._broadcast(notice._replace(hops=notice.hops - 1))
         for report in notice.reports:
             self._quarantine_entries.write_backup(report)
 
     def log_malformed(self, reason: str) -> None:
-        """Take note that a host told what cannot be read."""
+        """Log a malformed notice of another host."""
         self._log.log_request(PART, 'malformed', good=False, why=reason)
 
     def _broadcast(self, notice: suspect_codecs.SuspectNotice) -> None:
@@ -91,7 +91,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def fetch(self) -> None:
-        """Ask other hosts what they know, once some are known."""
+        """Fetch the reports of other hosts as soon as any host is known."""
         while not self._router.hosts:
             await asyncio.sleep(START_CHECK_INTERVAL_S)
         hosts = self._sample_hosts(FETCHED_HOSTS)
@@ -121,7 +121,7 @@
     async def _call(
         self, host: deployments.Host, call: store.Call
     ) -> bytes | None:
-        """Call a host, again if that fails; None without an answer."""
+        """Call a host with retries; return None if all attempts fail."""
         cross_centre = host.data_centre != self._router.host.data_centre
         client = self._peer_clients.get_client(
             host.address, cross_centre=cross_centre
@@ -139,7 +139,7 @@
 
 
 def compute_hops(host_count: int) -> int:
-    """Count how often a notice is handed on to reach so many hosts."""
+    """Return how often a notice is forwarded to reach all hosts."""
     if host_count <= FAN_OUT:
         return 0
     return math.ceil(math.log(host_count, FAN_OUT)) + EXTRA_HOPS
--- a/fuchsiahaven/relay/work_queues.py
+++ b/fuchsiahaven/relay/work_queues.py
@@ -1,8 +1,8 @@
-"""Do new work at once, or in its turn where more of it is there.
+"""Start new work at once, or queue it if other work is waiting.
 
-In one pass of the loop one piece of new work is begun. What else has come by
-then waits; answers and shares are taken in between, as they come. A host that
-is not behind finds one piece at a time and keeps nothing waiting.
+Each pass of the event loop starts one unit of new work and queues the others.
+Responses and delegation reports are handled in between as they arrive. A host
+that keeps up finds one unit in each pass and queues nothing.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 
 
 class QueueCounts:
-    """Own what is counted of the work that waited, by priority."""
+    """Count queued work by priority."""
 
     def __init__(self, count_waiting: Callable[[], dict[int, int]]) -> None:
-        """Start at zero; waits are in seconds."""
-        #: Asked only where somebody looks: a busy host has no time to count.
+        """Start at zero."""
+        #: Called only when metrics are read, as counting takes time.
         self.count_waiting = count_waiting
         self.started: collections.Counter[int] = collections.Counter()
         self.waited_s: dict[int, float] = {}
@@ -33,14 +33,14 @@
         )
 
     def record_started(self, work: queued_work.Work, now: float) -> None:
-        """Count work that waited and was begun."""
+        """Count work that has left the queue and is started."""
         self.started[work.priority] += 1
         previous_s = self.waited_s.get(work.priority, 0.0)
         self.waited_s[work.priority] = previous_s + now - work.arrived_at
 
 
 class WorkQueue:
-    """Own the new work that waits, and see to it that it ends."""
+    """Queue new work until it is started, removed or refused."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         post_event: Callable[[events.Event], None],
         perform_action: Callable[[events.Action], None],
     ) -> None:
-        """Start with nothing that waits."""
+        """Start with an empty queue."""
         self._router = router
         self._post_event = post_event
         self._perform_action = perform_action
@@ -59,7 +59,7 @@
         self._is_scheduled = False
 
     def submit(self, event: queued_work.NewEvent) -> None:
-        """Take new work; where customers compete, in its turn."""
+        """Start new work; queue it if customers compete and others wait."""
         if not contention.is_contended(self._router.index):
             self._post_event(event)
         elif self._is_scheduled or self._queue:
@@ -68,17 +68,17 @@
             self._start(event)
 
     def remove(self, number: int) -> bool:
-        """Drop what nobody waits for any more; tell whether it waited."""
+        """Remove an abandoned request; return whether it was queued."""
         return self._queue.remove(number) is not None
 
     def update_priorities(self) -> None:
-        """Go by the priorities that hold now, for what waits as well."""
+        """Apply the current priorities to the queued work."""
         self._queue.update_priorities(
             lambda it: queued_work.find_priority(self._router, it)
         )
 
     def refuse_all(self) -> None:
-        """Refuse all that waits, because this host stops."""
+        """Refuse all queued work because this host stops."""
         self._refuse(self._queue.pop_all(), queued_work.QueueRefusal.STOPPING)
 
     def _enqueue(self, event: queued_work.NewEvent) -> None:
@@ -95,16 +95,17 @@
         self._post_event(event)
 
     def _schedule_next(self) -> None:
-        """See to it that what waits is looked at in the next pass."""
+        """Schedule the next start for the next pass of the event loop."""
         self._is_scheduled = True
         asyncio.get_running_loop().call_soon(self._start_next)
 
     def _start_next(self) -> None:
-        """Begin the next in turn, in a pass of its own."""
+        """Start the next queued work."""
         self._is_scheduled = False
         if not self._queue:
             return
-        # Before anything that may fail: what waits must not wait for ever.
+        # Scheduled before anything that may fail, so that the rest of the queue
+        # is not stuck.
         self._schedule_next()
         now = time.monotonic()
         self._refuse(
--- a/tests/relay/test_metrics.py
+++ b/tests/relay/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the figures and of the page that shows them."""
+"""Test the counts and their rendering as metrics."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 
 
 def test_latency_buckets_are_cumulative() -> None:
-    """The page's bounds are cumulative, and one has no upper end."""
+    """The counts are cumulative, and the last bucket has no bound."""
     request_metrics = metrics.RequestMetrics()
     for took in (0.005, 0.03, 9):
         request_metrics.record_request(SUMMARY._replace(took=took))
@@ -25,11 +25,11 @@
 
 
 def test_renders_each_metric() -> None:
-    """Names and kinds are what dashboards rely on."""
+    """Dashboards rely on the names and types of the metrics."""
     request_metrics = metrics.RequestMetrics()
     request_metrics.record_request(SUMMARY)
     lines = (
-        pages.write(request_metrics, GAUGES, TRAFFIC_COUNTS)
+        pages.render(request_metrics, GAUGES, TRAFFIC_COUNTS)
         .decode()
         .splitlines()
     )
@@ -47,10 +47,10 @@
 
 
 def test_renders_customers_only_when_present() -> None:
-    """Nothing comes on top for deployments without keys."""
+    """Deployments without keys get no additional metrics."""
     request_metrics = metrics.RequestMetrics()
     request_metrics.record_request(SUMMARY)
-    assert b'customer' not in pages.write(
+    assert b'customer' not in pages.render(
         request_metrics, GAUGES, TRAFFIC_COUNTS
     )
     request_metrics.record_request(SUMMARY._replace(customer='a "b"'))
@@ -59,7 +59,7 @@
         SUMMARY._replace(result='unknown_key', why=why)
     )
     lines = (
-        pages.write(request_metrics, GAUGES, TRAFFIC_COUNTS)
+        pages.render(request_metrics, GAUGES, TRAFFIC_COUNTS)
         .decode()
         .splitlines()
     )
@@ -71,10 +71,10 @@
 
 
 def test_start_does_not_load_the_metrics_library() -> None:
-    """All hosts that lost power serve nobody until they have started.
+    """Guard against a slow start after a power loss.
 
-    The library costs 0.07 to 0.1 s of processor time to load, on half a core
-    0.15 to 0.2 s in which each request of a data centre fails.
+    Loading the library takes 0.07 to 0.1 s of processor time, on half a core
+    0.15 to 0.2 s in which every request of a data centre fails.
     """
     script = (
         'import sys, fuchsiahaven.relay.process;'
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -16,12 +16,12 @@
 
 
 async def search(host: process.Process) -> tuple[int, str, bytes]:
-    """Ask a host a query over all shards."""
+    """Send a host a query over all shards."""
     return await clusters.fetch(host.settings.caller_address, '/search/1')
 
 
 def test_serves_a_query_from_the_store_alone() -> None:
-    """A host that knows nothing but its settings answers a moment later."""
+    """A host with nothing but its settings serves after reading the store."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -45,7 +45,7 @@
 
 
 def test_delegates_to_a_host_near_the_targets() -> None:
-    """The far host opens no connection to a shard's target itself."""
+    """The far host opens no connection to a target itself."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -63,9 +63,9 @@
 
 
 def test_forwards_a_version_to_a_cut_off_host() -> None:
-    """Symptom: one host stays at an old version while the others move on.
+    """Guard against one host that stays at an old version.
 
-    The second host cannot read the store; the first one tells it.
+    The second host cannot read the store and gets the version from the first.
     """
 
     async def check() -> None:
@@ -86,7 +86,7 @@
 
 
 def test_starts_from_a_peer_while_the_store_is_down() -> None:
-    """Symptom: a host that restarts during an outage refuses everything."""
+    """Guard against a host that refuses all requests after a restart."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -99,7 +99,7 @@
 
 
 def test_serves_while_the_store_is_down() -> None:
-    """What was known before an outage is served by all through it."""
+    """Hosts serve from their view throughout an outage of the store."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -117,7 +117,7 @@
 
 
 def test_skips_a_target_without_an_entry() -> None:
-    """A target that leaves gets no new request once that is known."""
+    """A leaving target gets no new request once its entry is removed."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -141,11 +141,11 @@
 
 
 def test_skips_an_evacuated_data_centre() -> None:
-    """Symptom: targets get work 5 s after operators have forbidden it.
+    """Guard against targets that get requests 5 s after their evacuation.
 
-    One host reads the store, the other hears from it. Both refuse at once,
+    One host reads the store, the other gets its reports. Both refuse at once,
     because no other data centre has targets, and both serve again once the
-    order is taken back.
+    evacuation is withdrawn.
     """
 
     async def check() -> None:
@@ -163,7 +163,7 @@
 async def check_evacuated(
     cluster: clusters.Cluster, wanted: set[str], served: int
 ) -> None:
-    """Check what is known of evacuations, and how many requests arrive."""
+    """Check the evacuations that hosts know, and how many requests arrive."""
     await servers.wait_for(
         lambda: all(
             host.router.directory.evacuated == wanted for host in cluster.hosts
@@ -176,9 +176,9 @@
 
 
 async def count_served(cluster: clusters.Cluster) -> tuple[int, int]:
-    """Ask each host for a record; count answers, and arrivals at the target.
+    """Fetch a record from each host; count responses and target requests.
 
-    Whoever is refused is told when to come back.
+    Refusals must say when to retry.
     """
     before = len(cluster.targets['i-5'].request_heads)
     replies = await asyncio.gather(
@@ -195,10 +195,10 @@
 
 
 def test_finishes_requests_before_stopping() -> None:
-    """Symptom: a planned stop cuts requests.
+    """Guard against a stop that breaks requests.
 
-    A target takes its time. The host is asked to stop meanwhile, and the
-    caller still gets its whole answer.
+    A target is slow, and the host is asked to stop meanwhile. The caller still
+    gets its whole response.
     """
     may_answer = asyncio.Event()
 
@@ -230,11 +230,11 @@
 def test_reloads_changed_settings(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The bound on repeats follows the file; a wrong file changes nothing."""
+    """The bound on extra load follows the file; an invalid file is ignored."""
     path = tmp_path / 'boot.conf'
     path.write_text(test_settings.TEXT)
     monkeypatch.setenv(settings.PATH_VARIABLE, str(path))
-    monkeypatch.setattr(process, 'SETTINGS_S', 0.01)
+    monkeypatch.setattr(process, 'SETTINGS_CHECK_INTERVAL_S', 0.01)
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -252,7 +252,7 @@
 
 
 def test_readiness_follows_the_stop() -> None:
-    """200 while requests may come, 503 once it was asked to stop."""
+    """The status is 200 while the host is ready, 503 once it is stopping."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -267,7 +267,7 @@
 
 
 def test_serves_metrics_and_state() -> None:
-    """Counters stand on a port of their own, the state on the hosts' one."""
+    """Metrics have a port of their own; the state is on the hosts' port."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
--- a/tests/relay/test_work_queues.py
+++ b/tests/relay/test_work_queues.py
@@ -1,4 +1,4 @@
-"""Test that new work is begun at once, or waits while other work is there."""
+"""Test that new work starts at once, or is queued behind other work."""
 
 import asyncio
 import time
@@ -17,10 +17,10 @@
 
 
 class QueueRig:
-    """Own an order, and what it has begun and refused."""
+    """Hold a queue, and the work that it has started and refused."""
 
     def __init__(self, customers: tuple[configs.Customer, ...] | None) -> None:
-        """Put a route in force."""
+        """Start with a route in force."""
         self.rig = router_rig.Rig([], router_rig.make_instances(['records']))
         self.started: list[events.Event] = []
         self.actions: list[events.Action] = []
@@ -36,7 +36,7 @@
         self.rig.configure(version, [ROUTE], customers)
 
     def submit(self, number: int, key: str, wait: float = 9.0) -> None:
-        """Bring a request."""
+        """Submit a request."""
         now = time.monotonic()
         request = events.Request(
             f'id-{number}',
@@ -52,7 +52,7 @@
         self.work_queue.submit(events.RequestReceived(number, request))
 
     def list_started(self) -> list[int]:
-        """List the numbers of what was begun."""
+        """List the numbers of the started requests."""
         return [
             it.number
             for it in self.started
@@ -60,7 +60,7 @@
         ]
 
     def list_refused(self) -> list[int]:
-        """List the numbers of what was refused as not run."""
+        """List the numbers of the requests refused as not run."""
         return [
             it.request_number
             for it in self.actions
@@ -71,24 +71,24 @@
 
 
 def fail_to_perform(action: events.Action) -> None:
-    """Fail to carry a refusal out."""
+    """Fail to perform a refusal."""
     message = f'cannot write {action}'
     raise OSError(message)
 
 
 async def run_two_passes() -> None:
-    """Let the loop make two passes."""
+    """Let the event loop make two passes."""
     await asyncio.sleep(0)
     await asyncio.sleep(0)
 
 
 async def run_many_passes() -> None:
-    """Let the loop make many passes."""
+    """Let the event loop make many passes."""
     await asyncio.sleep(0.02)
 
 
 def test_queues_nothing_without_customers() -> None:
-    """Symptom: deployments without customers are served later."""
+    """Guard against added latency in deployments without customers."""
 
     async def check() -> None:
         rig = QueueRig(None)
@@ -100,7 +100,7 @@
 
 
 def test_starts_at_once_without_a_queue() -> None:
-    """Symptom: each request waits for a pass of the loop."""
+    """Guard against requests that wait for a pass of the event loop."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -111,7 +111,7 @@
         assert rig.list_started() == [0, 1]
         counts = rig.work_queue.counts
         assert not counts.started
-        page = pages.write(
+        page = pages.render(
             metrics.RequestMetrics(), GAUGES, traffic.TrafficCounts()
         )
         assert b'wait' not in page
@@ -120,7 +120,7 @@
 
 
 def test_urgent_work_starts_first() -> None:
-    """Symptom: one urgent request waits behind a hot customer's."""
+    """Guard against urgent requests queued behind a busy customer's."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -134,7 +134,7 @@
         assert sorted(rig.list_started()) == [0, 1, 2, 3, 4, 9]
         request_metrics = metrics.RequestMetrics()
         request_metrics.queue_counts = rig.work_queue.counts
-        page = pages.write(
+        page = pages.render(
             request_metrics, GAUGES, traffic.TrafficCounts()
         ).decode()
         assert 'wait_seconds_count{priority="1"} 4.0' in page
@@ -143,7 +143,7 @@
 
 
 def test_counts_queued_work_before_any_starts() -> None:
-    """Symptom: operators see no queue while nothing gets its turn."""
+    """Guard against a blocked queue that metrics do not show."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -151,7 +151,7 @@
             rig.submit(number, 'hot-key')
         request_metrics = metrics.RequestMetrics()
         request_metrics.queue_counts = rig.work_queue.counts
-        page = pages.write(
+        page = pages.render(
             request_metrics, GAUGES, traffic.TrafficCounts()
         ).decode()
         assert 'waiting{priority="1"} 4.0' in page
@@ -160,7 +160,7 @@
 
 
 def test_removed_work_is_not_started() -> None:
-    """Symptom: targets work for callers that left before their turn."""
+    """Guard against work for callers that left while queued."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -175,7 +175,7 @@
 
 
 def test_a_stop_refuses_queued_work() -> None:
-    """Symptom: a stop cuts requests that wait, and nobody is told."""
+    """Guard against a stop that drops queued requests without a reply."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -190,7 +190,7 @@
 
 
 def test_a_stop_loses_no_work() -> None:
-    """Symptom: a planned stop loses requests, or refuses what has begun."""
+    """Guard against a stop that loses requests or refuses started ones."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -210,7 +210,7 @@
 
 
 def test_refuses_expired_work() -> None:
-    """Symptom: a request is begun after its caller has given up."""
+    """Guard against a request that starts after its deadline."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -224,7 +224,7 @@
 
 
 def test_a_failed_refusal_does_not_block_the_queue() -> None:
-    """Symptom: new work waits for ever after one reply could not be written."""
+    """Guard against a queue that is stuck after a failed reply."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
@@ -245,7 +245,7 @@
 
 
 def test_a_new_version_reorders_the_queue() -> None:
-    """Symptom: requests that wait go by priorities that were taken back."""
+    """Guard against queued requests that keep outdated priorities."""
 
     async def check() -> None:
         rig = QueueRig(CUSTOMERS)
