--- a/tests/relay/clusters.py
+++ b/tests/relay/clusters.py
@@ -1,4 +1,4 @@
-"""Run whole hosts against a store and targets of this repository's own."""
+"""Run whole hosts against stand-ins of the store and the targets."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,13 @@
 from tests.relay import servers
 
 SHARDS: Final = ('shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e')
-#: How soon an accepted configuration is promised to be in force.
+#: Bound on the time until an accepted configuration is in force.
 MAX_APPLY_S: Final = 3.0
 EXTRA_LOAD: Final = deployments.ExtraLoadLimit(0.2, 50.0, 10.0)
 
 
 def make_configuration(version: int, **changed: Any) -> dict[str, Any]:
-    """Write a configuration of the operator: a search and a single route."""
+    """Make an operator's configuration: a search and a single route."""
     common = {
         'host': 'shop.example',
         'timeout_ms': 2000,
@@ -55,14 +55,14 @@
 
 
 class Cluster:
-    """Own a store, targets and hosts on loopback."""
+    """Hold a store, targets and hosts on loopback."""
 
     def __init__(self, stack: contextlib.AsyncExitStack) -> None:
-        """Prepare without anything running."""
+        """Start with nothing running."""
         self.store = metadata_store.Store()
         self.targets: dict[str, servers.Server] = {}
         self.hosts: list[process.Process] = []
-        #: Where hosts that are started write their logs.
+        #: File to which started hosts write their logs.
         self.log_path = os.devnull
         self.revoke_s: float | None = None
         self._stack = stack
@@ -85,7 +85,7 @@
         self.store.put('op/config', make_configuration(3))
 
     async def add_target(self, name: str, service: str) -> servers.Server:
-        """Start a target and enter it."""
+        """Start a target and write its entry."""
         body = service[-1].encode() * 16
         server = await self._stack.enter_async_context(
             servers.listen(servers.make_script(body))
@@ -97,7 +97,7 @@
     async def add_host(
         self, name: str, data_centre: str = 'south', *, ready: bool = True
     ) -> process.Process:
-        """Start a host and wait until it is ready, if it can be."""
+        """Start a host, and with `ready` wait until it is ready."""
         ports = [hosts.find_port() for _ in range(4)]
         addresses = [f'{servers.LOOPBACK}:{port}' for port in ports]
         seeds = tuple(host.settings.host.address for host in self.hosts)
@@ -125,12 +125,12 @@
         return host
 
     async def add_hosts(self, *names: str) -> None:
-        """Start hosts and wait until all know of each other."""
+        """Start hosts, and wait until all know each other."""
         await asyncio.gather(*[self.add_host(name) for name in names])
         await self.wait_for_hosts()
 
     async def wait_for_hosts(self) -> None:
-        """Wait until all hosts have entered themselves and know it."""
+        """Wait until all hosts have written their entries and read them."""
         await servers.wait_for(
             lambda: all(
                 host.store_sync.view.revision == self.store.revision
@@ -141,12 +141,12 @@
         )
 
     async def put_version(self, version: int) -> None:
-        """Accept a version and wait until it is in force."""
+        """Put a version into the store, and wait until it is in force."""
         self.store.put('op/config', make_configuration(version))
         await self.wait_for_version(version)
 
     async def wait_for_version(self, version: int) -> None:
-        """Wait until all hosts have a version in force, as long as promised."""
+        """Wait until a version is in force on all hosts, within MAX_APPLY_S."""
         async with asyncio.timeout(MAX_APPLY_S):
             await servers.wait_for(
                 lambda: all(
@@ -157,7 +157,7 @@
 
 
 def copy_without(store: metadata_store.Store, prefix: str) -> histories.History:
-    """Take a copy of before what begins so and its leases were written."""
+    """Copy a store without the keys of a prefix and their leases."""
     copy = store.copy()
     for key, row in store.items.items():
         if key.startswith(prefix):
@@ -169,7 +169,7 @@
 
 @contextlib.asynccontextmanager
 async def make() -> AsyncIterator[Cluster]:
-    """Make a world with its store and targets."""
+    """Run a cluster with a store and targets."""
     async with contextlib.AsyncExitStack() as stack:
         cluster = Cluster(stack)
         await cluster.start()
@@ -177,7 +177,7 @@
 
 
 async def kill(task: asyncio.Task[None]) -> None:
-    """End a host as a kill would."""
+    """Cancel a host's task, as a kill ends its process."""
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
--- a/tests/relay/servers.py
+++ b/tests/relay/servers.py
@@ -1,4 +1,4 @@
-"""Offer scripted servers on loopback, and run a test's coroutine."""
+"""Scripted servers on loopback, and helpers to run a test's coroutine."""
 
 import asyncio
 import contextlib
@@ -8,25 +8,25 @@
 from fuchsiahaven.routing import instances
 
 LOOPBACK: Final = '127.0.0.1'
-#: A test that takes longer than this hangs.
+#: A test that takes longer counts as hung.
 MAX_TEST_S: Final = 20.0
 HEAD_END: Final = b'\r\n\r\n'
 
 Result = TypeVar('Result')
-#: Takes the head of a request and writes what the script says.
+#: Gets the head of a request and writes the response.
 Script = Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
 def run(test: Coroutine[Any, Any, Result]) -> Result:
-    """Run a test's coroutine, and end it if it hangs."""
+    """Run a test's coroutine, and cancel it if it hangs."""
     return asyncio.run(asyncio.wait_for(test, MAX_TEST_S))
 
 
 class Server:
-    """Own a scripted server; `heads` are the requests it has got."""
+    """Run a scripted server; `request_heads` are those it has received."""
 
     def __init__(self, script: Script) -> None:
-        """Prepare without listening."""
+        """Start without listening."""
         self.address = ''
         self.request_heads: list[bytes] = []
         self.connection_count = 0
@@ -36,7 +36,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer one connection."""
+        """Serve one connection."""
         self.connection_count += 1
         self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -92,7 +92,7 @@
 def encode_response(
     request_id: str, body: bytes = b'', fields: tuple[str, ...] = ()
 ) -> bytes:
-    """Write a signed answer to a request."""
+    """Encode a signed response to a request."""
     lines = (
         'HTTP/1.1 200 OK',
         f'Content-Length: {len(body)}',
@@ -106,7 +106,7 @@
 
 
 def make_script(body: bytes) -> Script:
-    """Answer every request with a body."""
+    """Make a script that answers every request with a body."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(encode_response(find_request_id(head), body))
--- a/tests/relay/test_compression.py
+++ b/tests/relay/test_compression.py
@@ -1,4 +1,4 @@
-"""Test that what hosts send each other is compressed, and read again."""
+"""Test the compression of messages between hosts."""
 
 import json
 import zlib
@@ -15,9 +15,9 @@
 
 
 def test_decompresses_each_chunk_at_once() -> None:
-    """Symptom: parts that are in wait in a buffer until the last one is.
+    """Guard against parts that are delayed until the last one arrives.
 
-    A compressor keeps what it was given until it has enough of it.
+    A compressor buffers its input unless it is flushed.
     """
     compressor = compression.Compressor()
     decompressor = compression.Decompressor()
@@ -27,7 +27,7 @@
 
 
 def test_decompresses_bytes_split_anywhere() -> None:
-    """The network cuts an answer where it likes."""
+    """The network may split a response anywhere."""
     compressor = compression.Compressor()
     compressed = b''.join(
         compressor.compress(chunk, last=False) for chunk in CHUNKS
@@ -42,15 +42,16 @@
 
 @pytest.mark.parametrize('encoded', [b'{"parts":[]}\n', b'\x78\x9c\xff\xff'])
 def test_rejects_invalid_compressed_bytes(encoded: bytes) -> None:
-    """Bytes that say they are compressed, and are not, are no answer."""
+    """Bytes that are declared but not compressed are malformed."""
     with pytest.raises(report_codecs.MalformedReport):
         compression.decompress(encoded)
 
 
 def test_rejects_an_oversized_body() -> None:
-    """Symptom: a host is killed for its memory by an answer of some kilobytes.
+    """Guard against a response of some kilobytes that exhausts the memory.
 
-    Zeros shrink to a thousandth, so a short answer may unpack to gigabytes.
+    Zeros compress to a thousandth, so a short response may decompress to
+    gigabytes.
     """
     compressed = zlib.compress(bytes(compression.MAX_DECOMPRESSED_BYTES + 1))
     with pytest.raises(report_codecs.MalformedReport):
@@ -58,7 +59,7 @@
 
 
 def test_compresses_only_on_request() -> None:
-    """A host of an earlier version gets JSON that it can read."""
+    """A host of an earlier version gets plain JSON."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -84,7 +85,7 @@
 
 
 def test_search_uses_a_helper_host() -> None:
-    """All targets are in the south, so a host of the north has them asked."""
+    """All targets are in the south, so the host in the north delegates."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
--- a/tests/relay/test_customer_counts.py
+++ b/tests/relay/test_customer_counts.py
@@ -1,4 +1,4 @@
-"""Test what is counted for each customer."""
+"""Test the request counts of customers."""
 
 from fuchsiahaven.relay import customer_counts
 from fuchsiahaven.routing import events
@@ -17,7 +17,7 @@
 
 
 def test_lists_the_largest_and_sums_the_others() -> None:
-    """Symptom: the page of metrics grows with the number of customers."""
+    """Guard against metrics that grow with the number of customers."""
     counts = customer_counts.CustomerCounts()
     for number in range(customer_counts.MAX_LISTED_CUSTOMERS + 5):
         record_requests(counts, f'c-{number:02}', number + 1)
@@ -28,9 +28,9 @@
 
 
 def test_bounds_the_counted_customers() -> None:
-    """Symptom: memory grows with each customer that ever came.
+    """Guard against memory that grows with each customer ever seen.
 
-    None of the requests is lost, and the largest is shown all along.
+    No request is lost from the sums, and the largest customer stays listed.
     """
     counts = customer_counts.CustomerCounts()
     record_requests(counts, 'large', 50)
@@ -47,7 +47,7 @@
 
 
 def test_counts_only_requests_of_callers() -> None:
-    """What a helper gathers is counted by the host that asked for it."""
+    """A delegated request is counted by the delegating host alone."""
     counts = customer_counts.CustomerCounts()
     counts.record_request(SUMMARY._replace(customer='shop', assists=True))
     counts.record_request(SUMMARY)
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -1,4 +1,4 @@
-"""Test whole hosts whose callers show keys."""
+"""Test whole hosts whose callers present keys."""
 
 import asyncio
 import json
@@ -23,20 +23,20 @@
 def make_configuration(
     version: int, customers: tuple[object, ...] = CUSTOMERS, **changed: Any
 ) -> dict[str, Any]:
-    """Write a configuration with customers."""
+    """Make a configuration with customers."""
     written = clusters.make_configuration(version, **changed)
     return {**written, 'tenants': list(customers)}
 
 
 def find_customer_field(head: bytes) -> str:
-    """Find the customer that a target is shown."""
+    """Find the customer's name in the head of a target's request."""
     return servers.find_field(head, 'fuchsiahaven-tenant')
 
 
 async def put_configuration(
     cluster: clusters.Cluster, written: dict[str, Any]
 ) -> None:
-    """Accept a version and wait until it is in force."""
+    """Put a version into the store, and wait until it is in force."""
     cluster.store.put('op/config', written)
     await cluster.wait_for_version(written['version'])
 
@@ -44,7 +44,7 @@
 async def fetch_statuses(
     hosts_asked: Iterable[process.Process], *requests: tuple[str, ...]
 ) -> list[int]:
-    """Ask hosts for paths, with fields; return the statuses."""
+    """Send requests to hosts; return the statuses."""
     answers = await asyncio.gather(
         *[
             clusters.fetch(host.settings.caller_address, *request)
@@ -58,13 +58,13 @@
 async def put_and_fetch(
     cluster: clusters.Cluster, written: dict[str, Any]
 ) -> list[int]:
-    """Accept a version; return what each host answers to a key then."""
+    """Put a version; return each host's status for a request with a key."""
     await put_configuration(cluster, written)
     return await fetch_statuses(cluster.hosts, ('/one/1', KEY_FIELD))
 
 
 async def add_distant_pair(cluster: clusters.Cluster) -> list[process.Process]:
-    """Start a host near the targets, and one that has it gather parts."""
+    """Start a host near the targets, and one that delegates to it."""
     near = await cluster.add_host('host-1')
     far = await cluster.add_host('host-2', 'north')
     await servers.wait_for(lambda: far.router.hosts)
@@ -72,7 +72,7 @@
 
 
 async def fetch_reports(host: process.Process) -> list[str]:
-    """Return all that a host tells: its state, metrics, and news."""
+    """Return a host's state, metrics and report to peers."""
     pages = await asyncio.gather(
         *[
             clusters.fetch(host.settings.metrics_address, path)
@@ -85,7 +85,7 @@
 async def spoil_configuration(
     cluster: clusters.Cluster, host: process.Process
 ) -> None:
-    """Have the store turn a host away, accept a version, and be spoilt."""
+    """Put a valid version while a host is cut off, and then an invalid one."""
     address = host.store_sync.store_client.address
     host.store_sync.store_client.address = f'127.0.0.1:{hosts.find_port()}'
     host.store_sync.store_client.close()
@@ -99,14 +99,14 @@
 
 
 def list_heads(cluster: clusters.Cluster) -> list[bytes]:
-    """List what all targets were sent."""
+    """List the heads of the requests that all targets have received."""
     return [
         head for it in cluster.targets.values() for head in it.request_heads
     ]
 
 
 def test_serves_callers_with_a_key() -> None:
-    """Targets see the customer's name, whatever name the caller sends."""
+    """Targets get the customer's name, whatever name the caller sends."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -131,7 +131,7 @@
 
 
 def test_applies_removed_and_added_keys() -> None:
-    """A key that is taken away is refused, and is served when it is back."""
+    """A removed key is refused, and served once it is added again."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -147,7 +147,7 @@
 
 
 def test_public_route_needs_no_key() -> None:
-    """It needs no key, and whatever is shown there goes to no target."""
+    """A public route needs no key, and passes no credentials to targets."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -172,10 +172,10 @@
 def test_no_host_reveals_a_key(
     tmp_path: Path,
 ) -> None:
-    """Symptom: a key stands in a line, or in what hosts send each other.
+    """Guard against keys in log lines or in messages between hosts.
 
-    The far host has its parts gathered by the near one. Both tell of customers
-    in their state, metrics and lines.
+    The far host delegates its parts to the near one. Both report customers in
+    their state, metrics and log lines.
     """
     log = tmp_path / 'log'
     log.touch()
@@ -215,9 +215,9 @@
 
 
 def test_ignores_an_invalid_version() -> None:
-    """Symptom: one customer that is written wrongly ends all service.
+    """Guard against one invalid customer that stops all service.
 
-    The second host has heard of the version in force from the first only.
+    The second host got the version in force only from the first.
     """
 
     async def check() -> None:
@@ -241,7 +241,7 @@
 
 
 def test_starts_on_an_invalid_version() -> None:
-    """Until then it knows no key, and says when to come back."""
+    """It knows no key and refuses requests until a valid version arrives."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
--- a/tests/relay/test_decoders.py
+++ b/tests/relay/test_decoders.py
@@ -1,4 +1,4 @@
-"""Test that what cannot be decoded names no target and stops nothing."""
+"""Test that a malformed value makes no target and stops nothing."""
 
 import base64
 import json
@@ -19,20 +19,20 @@
 
 
 class RecordingLog(journal.Journal):
-    """Keep what is told in place of writing it."""
+    """Record log lines instead of writing them."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Start without lines."""
         self.lines: list[dict[str, object]] = []
 
     def log_event(self, part: str, text: str, **fields: object) -> None:
-        """Keep a line."""
+        """Record a line."""
         self.lines.append(fields)
 
     def log_request(
         self, part: str, text: str, *, good: bool, **fields: object
     ) -> None:
-        """Keep a line."""
+        """Record a line."""
         self.lines.append(fields)
 
 
@@ -42,11 +42,11 @@
 
 
 def test_invalid_target_entry_counts_as_leaving() -> None:
-    """Symptom: requests go to a target whose entry nobody can read.
+    """Guard against requests to a target whose entry is malformed.
 
-    Another writer spoils the entry of a target. It gets no new work until it
-    writes a good one, and it is no vanished target, of which many at once
-    would be taken for a fault of the store.
+    Another writer overwrites a target's entry. The target gets no new requests
+    until it writes a valid one. It does not count as removed, as many removals
+    at once would be taken for a fault of the store.
     """
     log = RecordingLog()
     decoder = decoders.Decoder(log)
@@ -60,7 +60,7 @@
 
 
 def test_logs_an_invalid_entry_once() -> None:
-    """It is listed again and again; the line names the key and is short."""
+    """A malformed entry is listed repeatedly, but logged once and briefly."""
     log = RecordingLog()
     decoder = decoders.Decoder(log)
     for _ in range(3):
@@ -76,7 +76,7 @@
 
 
 def test_decodes_a_revision_again_in_another_era() -> None:
-    """A store that came back gives revisions out again, for other values."""
+    """A restored store assigns its revisions again to other values."""
     decoder = decoders.Decoder(RecordingLog())
     decoder.decode(KEY, facts.Stamp(1, 5), encode(ENTRY))
     leaving = {**ENTRY, 'state': 'draining'}
--- a/tests/relay/test_helper_clients.py
+++ b/tests/relay/test_helper_clients.py
@@ -1,4 +1,4 @@
-"""Test how other hosts are asked for assistance."""
+"""Test the delegation of requests to helper hosts."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 
 def make_delegate(number: int, address: str) -> events.Delegate:
-    """Make what is asked of a host, until soon."""
+    """Make a delegation to a host with a near deadline."""
     now = time.monotonic()
     request = events.Request(
         'r', 'GET', '/search/', 'shop.example', (), b'', now, now + DEADLINE_S
@@ -27,7 +27,7 @@
 
 
 async def expire_delegation() -> list[events.Event]:
-    """Have a host forget what it was asked, and ask another one at that."""
+    """Let a delegation expire, and delegate to another host in its event."""
     posted: list[events.Event] = []
     arrived = asyncio.Event()
 
@@ -59,10 +59,10 @@
 
 
 def test_delegates_anew_while_expiring() -> None:
-    """Symptom: a host that was never asked before ends the process.
+    """Guard against a crash when a new client is added during expiry.
 
-    Hosts that are cut off from many others ask the next one while they go
-    through those that they have asked.
+    A host that is cut off from many others delegates to the next one from the
+    event of an expired delegation, while it iterates over its clients.
     """
     (first,) = asyncio.run(expire_delegation())
     assert isinstance(first, events.DelegationFailed)
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -1,4 +1,4 @@
-"""Test that the log is bounded and that nothing waits for it."""
+"""Test that the log is bounded and never blocks."""
 
 import json
 import os
@@ -7,13 +7,13 @@
 
 
 def read_lines(descriptor: int) -> list[dict[str, object]]:
-    """Read what was written so far."""
+    """Read the lines written so far."""
     data = os.read(descriptor, 1_000_000)
     return [json.loads(line) for line in data.splitlines()]
 
 
 def test_writes_lines_with_their_fields() -> None:
-    """A line is one JSON object that says who tells it."""
+    """A line is one JSON object with the host, part, text and fields."""
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
     log.log_event('process', 'started', version=3)
@@ -28,17 +28,18 @@
 
 
 def test_drops_lines_while_the_pipe_is_full() -> None:
-    """Symptom: a host stops serving because its log is stuck.
+    """Guard against a host that stops serving because its log is stuck.
 
-    The pipe is full and nobody reads: the thread that writes waits, lines
-    beyond what may wait are left out and counted, and no call takes long.
+    The pipe is full and has no reader: the writing thread blocks, lines beyond
+    the queue's limit are dropped and counted, and no call blocks.
     """
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
     left_out = 0
     for number in range(3 * journal.MAX_QUEUED_LINES):
         log.log_event('process', 'x' * 200, number=number)
-        # The first batch is taken meanwhile, and the next line tells of them.
+        # The thread takes the first batch meanwhile; the next line then reports
+        # and resets the count.
         left_out = max(left_out, log.left_out)
     assert left_out > 0
     log.close()
@@ -46,7 +47,7 @@
 
 
 def test_limits_successes_and_failures_apart() -> None:
-    """In one second there may be as many lines of either kind."""
+    """Successes and failures have separate limits of lines a second."""
     reader, writer = os.pipe()
     log = journal.Journal('host-1', writer)
     for number in range(3 * journal.MAX_REQUEST_LINES_PER_S):
--- a/tests/relay/test_key_refresher.py
+++ b/tests/relay/test_key_refresher.py
@@ -1,4 +1,4 @@
-"""Test whole hosts that have to prove how fresh their knowledge of keys is."""
+"""Test whole hosts whose knowledge of valid keys has to stay fresh."""
 
 import asyncio
 import base64
@@ -22,7 +22,7 @@
 from tests.relay import clusters, servers, test_customers, test_decoders
 
 REVOKE_S: Final = 1.5
-#: Longer than it takes to notice a host that stands still.
+#: Longer than it takes to detect a hung host.
 LONG_REVOKE_S: Final = 3.0
 HOST_NAMES: Final = ('host-1', 'host-2', 'host-3')
 CLOSED_ADDRESS: Final = f'{servers.LOOPBACK}:1'
@@ -34,7 +34,7 @@
 async def make_cluster(
     *names: str, revoke_s: float = REVOKE_S
 ) -> AsyncIterator[clusters.Cluster]:
-    """Make a world with hosts and customers, of a store that has no eras."""
+    """Run a cluster with hosts and customers, and a store without eras."""
     async with clusters.make() as cluster:
         cluster.revoke_s = revoke_s
         cluster.store.era = None
@@ -44,7 +44,7 @@
 
 
 def cut_off_store(host: process.Process) -> None:
-    """Have the store turn a host away, on its first way and on its second."""
+    """Cut a host off from the store, for the sync and for the refresher."""
     closed = f'{servers.LOOPBACK}:{hosts.find_port()}'
     host.key_refresher.store_client.address = closed
     host.key_refresher.store_client.close()
@@ -55,7 +55,7 @@
 def replace_address(
     host: process.Process, other: deployments.Host, address: str
 ) -> None:
-    """Have a host take another one for being at an address."""
+    """Replace the address of another host in a host's view."""
     view = host.store_sync.view
     moved = other._replace(address=address)
     facts_by_key = {
@@ -66,7 +66,7 @@
 
 
 async def stay_fresh(host: process.Process) -> None:
-    """Wait for longer than the time, in which a host has to stay fresh."""
+    """Check that a host stays fresh for longer than LONG_REVOKE_S."""
     until = boot_clock.read_clock() + 1.5 * LONG_REVOKE_S
 
     def is_over() -> bool:
@@ -77,9 +77,10 @@
 
 
 def test_refuses_keys_while_the_store_is_down() -> None:
-    """Symptom: keys that were taken away are served for as long as it lasts.
+    """Guard against revoked keys that are served during an outage.
 
-    Public routes go on, and soon after its return requests with keys too.
+    Public routes are served throughout, and requests with keys again soon
+    after the store is back.
     """
 
     async def check() -> None:
@@ -113,9 +114,9 @@
 
 
 def test_peers_refresh_a_host_cut_off_from_the_store() -> None:
-    """Symptom: one host refuses keys while the others are served.
+    """Guard against one host that refuses keys while the others serve.
 
-    It is the one that reads the store for all.
+    The store refuses the host that reads it for all hosts.
     """
 
     async def check() -> None:
@@ -131,7 +132,10 @@
 
 
 def test_hosts_stay_fresh_when_the_reader_hangs() -> None:
-    """Symptom: all hosts refuse keys because one of them stands still."""
+    """Guard against hosts that all refuse keys because one host hangs.
+
+    The hung host is the one that reads the store and answers the others' polls.
+    """
 
     async def check() -> None:
         async with make_cluster(*HOST_NAMES, revoke_s=LONG_REVOKE_S) as cluster:
@@ -147,7 +151,7 @@
 
 
 def test_keys_path_returns_the_configuration() -> None:
-    """The configuration comes along with the proof, and nothing else does."""
+    """The keys path returns a proof and only a newer configuration."""
 
     async def check() -> None:
         async with make_cluster('host-1') as cluster:
@@ -180,7 +184,7 @@
 def test_logs_staleness_and_its_end(
     tmp_path: Path,
 ) -> None:
-    """An operator goes from a refusal to its cause by these."""
+    """Log and metrics let operators find the cause of refusals."""
 
     async def check() -> None:
         log = tmp_path / 'log'
@@ -208,7 +212,7 @@
     keys: freshness.Freshness,
     settings: deployments.Settings,
 ) -> store_sync.StoreSync:
-    """Make the news of a host that knows hosts and a version with customers."""
+    """Make the sync of a host that knows hosts and a version with customers."""
     keyed = configs.EMPTY_CONFIGURATION._replace(version=5, customers=())
     keys.update_configuration(keyed)
     listed = [facts.Fact(CONFIGURATION_KEY, 1, keyed)]
@@ -233,9 +237,10 @@
 async def refresh_keys(
     *others: str, store: str = CLOSED_ADDRESS
 ) -> freshness.Freshness:
-    """Have a host confirm its keys that has no first way; return what it knows.
+    """Run only the refresher of a host until its keys are fresh; return them.
 
-    It knows version 5 and hosts at the addresses given, and is nearly stale.
+    The host knows version 5 and hosts at the given addresses, and is nearly
+    stale.
     """
     keys = freshness.Freshness(REVOKE_S)
     keys.record_read(boot_clock.read_clock() - REVOKE_S / 2, facts.NO_ERA)
@@ -268,7 +273,7 @@
 
 
 def make_json_script(row: object) -> servers.Script:
-    """Answer every question with a body."""
+    """Make a script that answers every request with a JSON body."""
 
     async def script(request_head: bytes, writer: asyncio.StreamWriter) -> None:
         body = json.dumps(row).encode()
@@ -279,11 +284,11 @@
 
 
 async def never_respond(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Hold a question for ever."""
+    """Leave a request without a response."""
 
 
 def test_polls_another_peer_after_a_hung_one() -> None:
-    """Symptom: a host refuses keys because one other stands still."""
+    """Guard against a host that refuses keys because one peer hangs."""
     proof = facts.Proof(-0.1, facts.NO_ERA)
     report = facts.Report(0, (), full=False, age=0, proof=proof)
     row = json.loads(report_codecs.encode_report(report))
@@ -301,7 +306,7 @@
 
 
 def test_reads_only_the_configuration() -> None:
-    """Symptom: a host that no other host reaches refuses keys."""
+    """Guard against a host without reachable peers that refuses keys."""
     encoded = json.dumps(test_customers.make_configuration(5)).encode()
     row = {
         'key': 'op/config',
@@ -319,7 +324,7 @@
 
 
 def test_sends_no_proof_without_a_key_deadline() -> None:
-    """Deployments without it send, log and serve as before."""
+    """Deployments without a revocation bound stay unchanged."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
--- a/tests/relay/test_listeners.py
+++ b/tests/relay/test_listeners.py
@@ -1,4 +1,4 @@
-"""Test how requests of callers come in and answers go out."""
+"""Test how callers' requests are received and answered."""
 
 import asyncio
 import contextlib
@@ -18,10 +18,10 @@
 
 
 class ListenerRig:
-    """Own a port; answer at once unless told to hold."""
+    """Run a listener that responds at once, or holds the callers."""
 
     def __init__(self) -> None:
-        """Take nothing yet."""
+        """Start without listening."""
         self.messages: list[http_codecs.Message] = []
         self.abandoned_count = 0
         self.held_callers: list[listeners.Caller] | None = None
@@ -33,7 +33,7 @@
     def handle_request(
         self, message: http_codecs.Message, caller: listeners.Caller
     ) -> Callable[[], None]:
-        """Take a request."""
+        """Respond to a request, or hold its caller."""
         self.messages.append(message)
         if self.held_callers is None:
             caller.respond(
@@ -44,7 +44,7 @@
         return self.abandon
 
     def abandon(self) -> None:
-        """Note that the caller has left."""
+        """Count a caller that has left."""
         self.abandoned_count += 1
 
     async def connect(
@@ -56,7 +56,7 @@
 
 @contextlib.asynccontextmanager
 async def serve() -> AsyncIterator[ListenerRig]:
-    """Run a port."""
+    """Run a listener."""
     host = ListenerRig()
     server = await host.listener.listen(f'{servers.LOOPBACK}:0')
     host.address = server.sockets[0].getsockname()
@@ -65,7 +65,7 @@
 
 
 async def exchange_bytes(host: ListenerRig, sent: bytes) -> bytes:
-    """Send bytes in small pieces; return all that comes back."""
+    """Send bytes in small segments; return all bytes received."""
     reader, writer = await host.connect()
     for start in range(0, len(sent), SEGMENT_BYTES):
         writer.write(sent[start : start + SEGMENT_BYTES])
@@ -75,7 +75,7 @@
 
 
 def test_answers_pipelined_requests_in_order() -> None:
-    """Two requests sent at once get two answers, in order."""
+    """Two requests sent at once get two responses in order."""
 
     async def check() -> None:
         async with serve() as host:
@@ -87,7 +87,7 @@
 
 
 def test_decodes_sized_and_chunked_bodies() -> None:
-    """A body comes out whole, however it was cut on the way."""
+    """A body is complete however the network splits it."""
     head = b'POST /a/1 HTTP/1.1\r\nHost: shop\r\n'
 
     async def check() -> None:
@@ -102,7 +102,7 @@
 
 
 def test_sends_a_continue_response() -> None:
-    """A caller may ask first whether its body is wanted."""
+    """A caller may wait for permission to send its body."""
     head = (
         b'POST /a/1 HTTP/1.1\r\nHost: shop\r\nContent-Length: 2\r\n'
         b'Expect: 100-continue\r\n\r\n'
@@ -141,7 +141,7 @@
     ],
 )
 def test_rejects_invalid_requests(sent: bytes, status: int) -> None:
-    """Two lengths, no host, too much or too slow: refused, nothing runs."""
+    """Two lengths, no host, too large or too slow: rejected unhandled."""
 
     async def check() -> None:
         async with serve() as host:
@@ -153,7 +153,7 @@
 
 
 def test_closes_an_idle_connection() -> None:
-    """No answer is sent on a connection without a request."""
+    """No response is sent on a connection without a request."""
 
     async def check() -> None:
         async with serve() as host:
@@ -163,7 +163,7 @@
 
 
 def test_reports_a_caller_that_leaves() -> None:
-    """Symptom: targets work on for callers that have long gone."""
+    """Guard against targets that work for callers that have left."""
 
     async def check() -> None:
         async with serve() as host:
@@ -173,7 +173,7 @@
             await servers.wait_for(lambda: host.held_callers)
             writer.close()
             await servers.wait_for(lambda: host.abandoned_count)
-            # An answer that is ready now finds nobody.
+            # A response after that has no effect.
             host.held_callers[0].respond(
                 http_codecs.EncodedAnswer(200, (), b'late')
             )
@@ -182,10 +182,10 @@
 
 
 def test_closes_connections_when_not_ready() -> None:
-    """Symptom: callers are refused for as long as a data centre is cut off.
+    """Guard against callers that are refused as long as a partition lasts.
 
-    The balancer moves new connections to other hosts; callers that keep
-    theirs open stay with the host that cannot serve them.
+    The balancer directs only new connections to other hosts; callers with an
+    open connection stay with the host that cannot serve them.
     """
 
     async def check() -> None:
@@ -206,7 +206,7 @@
 
 
 def test_measures_the_round_trip() -> None:
-    """The first request of a connection has one round trip more behind it."""
+    """The round trip is measured, and counted twice for a first request."""
 
     async def check() -> None:
         async with serve() as host:
@@ -227,10 +227,10 @@
 
 
 def test_closes_connections_while_stopping() -> None:
-    """Symptom: a planned stop cuts requests.
+    """Guard against a stop that breaks requests.
 
-    A request under way when the stop begins is answered in full, the answer
-    says that the connection ends, and idle connections are closed later.
+    A request in flight when the stop begins gets its whole response, which
+    announces the end of the connection; idle connections are closed later.
     """
 
     async def check() -> None:
@@ -254,10 +254,10 @@
 
 
 def test_detects_a_closed_peer_before_reading() -> None:
-    """Symptom: a host that stood still works for callers that are gone.
+    """Guard against a suspended host that starts work for absent callers.
 
-    Request and end of the connection wait together; the request is read
-    first, and work for it would begin.
+    The request and the end of its connection are both unread, and the request
+    is read first.
     """
 
     async def check() -> None:
@@ -269,7 +269,7 @@
             (caller,) = host.held_callers
             assert not caller.read_peer_state().has_left
             writer.write_eof()
-            # No turn of the loop lies between: nothing was read meanwhile.
+            # The event loop has made no pass, so nothing was read meanwhile.
             assert caller.read_peer_state().has_left
             writer.close()
 
--- a/tests/relay/test_listings.py
+++ b/tests/relay/test_listings.py
@@ -1,4 +1,4 @@
-"""Test that a listing is written once for all that ask for it."""
+"""Test that a listing is encoded once for many hosts."""
 
 from fuchsiahaven.relay import listings
 from fuchsiahaven.routing import (
@@ -12,7 +12,7 @@
 
 
 def make_view(revision: int) -> facts.StoreView:
-    """Make what a host knows after it has read the store."""
+    """Make the view of a host that has read the store."""
     name = f'host-{revision}'
     host = deployments.Host(name, '10.0.0.1:7000', 'north')
     fact = facts.Fact(facts.Key(facts.Subject.HOST, name), revision, host)
@@ -23,10 +23,10 @@
 
 
 def test_encodes_a_listing_once() -> None:
-    """Symptom: hosts that start together are ready one after the other.
+    """Guard against hosts that start together but are ready one by one.
 
-    All hosts of a data centre have just started and ask the first one for
-    everything; it writes the same 190 kB for each of them.
+    All hosts of a data centre have just started and ask the first one for a
+    listing, which would encode the same 190 kB for each of them.
     """
     cache = listings.ListingCache(freshness.Freshness())
     view = make_view(5)
@@ -36,7 +36,7 @@
 
 
 def test_encodes_a_changed_view_again() -> None:
-    """News, the loss of the store and time make another listing."""
+    """Changes, a lost store and time invalidate the cached listing."""
     cache = listings.ListingCache(freshness.Freshness())
     view = make_view(5)
     first = cache.encode(view, 10, store_lost=False)
@@ -56,7 +56,7 @@
 
 
 def test_proof_allows_for_the_age_of_a_listing() -> None:
-    """Symptom: who asks late counts what was proved as so much fresher."""
+    """Guard against a cached proof that a host counts as fresher than it is."""
     now = 50.0
     keys = freshness.Freshness(5, lambda: now)
     keys.update_configuration(
@@ -72,7 +72,7 @@
 
 
 def test_encodes_again_after_a_suspension() -> None:
-    """Symptom: the same, as the steady clock stood still meanwhile."""
+    """Guard against the same when the monotonic clock stops in a suspension."""
     uptime = [50.0]
     cache = listings.ListingCache(freshness.Freshness(5, lambda: uptime[0]))
     view = make_view(5)
--- a/tests/relay/test_long_polls.py
+++ b/tests/relay/test_long_polls.py
@@ -1,4 +1,4 @@
-"""Test when hosts that ask for news are answered, and what is proved then."""
+"""Test when polls of other hosts are answered, and with which proof."""
 
 import asyncio
 import math
@@ -20,10 +20,10 @@
 
 
 class Rig:
-    """Own a host that knows one other, and whoever asks it."""
+    """Hold the polls of a host that knows one other host."""
 
     def __init__(self, *, keyed: bool = True) -> None:
-        """Start with what it read a second ago."""
+        """Start with a view that was read a second ago."""
         self.now = 100.0
         self.keys = freshness.Freshness(REVOKE_S, lambda: self.now)
         if keyed:
@@ -42,7 +42,7 @@
         self.long_polls = long_polls.LongPolls(self._get_state, self.keys)
 
     def poll(self, keys_age_s: float | None) -> None:
-        """Ask for what is newer than all that is known."""
+        """Poll for changes after the current view."""
         query = {'after': report_codecs.encode_cursor(self.ledger.cursor)}
         if keys_age_s is not None:
             query[long_polls.KEYS_AGE_PARAMETER] = str(keys_age_s)
@@ -56,7 +56,7 @@
 
 
 def test_answers_a_stale_poll_at_once() -> None:
-    """Symptom: a host stays stale while the one that it asks is fresh."""
+    """Guard against a host that stays stale while its peer is fresh."""
 
     async def check() -> None:
         rig = Rig()
@@ -69,7 +69,7 @@
 
 
 def test_holds_a_poll_until_a_fresher_proof() -> None:
-    """Symptom: hosts that are calm ask each other without a pause."""
+    """Guard against fresh hosts that poll each other without a delay."""
 
     async def check() -> None:
         rig = Rig()
@@ -90,7 +90,7 @@
 
 
 def test_proves_nothing_without_customers() -> None:
-    """Hosts of other deployments send what they sent before."""
+    """Reports of deployments without customers stay unchanged."""
 
     async def check() -> None:
         rig = Rig(keyed=False)
--- a/tests/relay/test_pools.py
+++ b/tests/relay/test_pools.py
@@ -1,4 +1,4 @@
-"""Test how requests travel to a target and what comes back of them."""
+"""Test how attempts are sent to a target and how they end."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class PoolRig:
-    """Own a pool to one server and keep what it reports."""
+    """Hold a pool to one server, and record its events."""
 
     def __init__(
         self, server: servers.Server, max_connections: int = 2
@@ -37,7 +37,7 @@
     def send(
         self, wait: float = 5, *, fresh: bool = False
     ) -> events.AttemptKey:
-        """Send a request that ends after so many seconds."""
+        """Send a request with a deadline in `wait` seconds."""
         self._last_number += 1
         now = time.monotonic()
         request = events.Request(
@@ -60,21 +60,21 @@
         return key
 
     def count(self, kind: type[events.Event]) -> int:
-        """Count the reports of one kind; different kinds may be equal."""
+        """Count the events of one type; events of two types may be equal."""
         return sum(isinstance(event, kind) for event in self.posted)
 
     def list_end_events(self) -> list[events.Event]:
-        """List how sendings ended."""
+        """List the events that end attempts."""
         return [event for event in self.posted if isinstance(event, END_EVENTS)]
 
     async def wait_for_end(self, count: int = 1) -> events.Event:
-        """Wait until so many sendings have ended; return the last end."""
+        """Wait until `count` attempts have ended; return the last event."""
         await servers.wait_for(lambda: len(self.list_end_events()) >= count)
         return self.list_end_events()[-1]
 
 
 def test_reuses_a_connection() -> None:
-    """Two requests one after the other share a connection."""
+    """Two consecutive requests share a connection and name the target."""
 
     async def check() -> None:
         async with servers.listen(servers.make_script(b'x' * 16)) as server:
@@ -95,7 +95,7 @@
 
 
 def test_reads_a_body_until_the_connection_closes() -> None:
-    """An answer may end with its connection."""
+    """A response without a length ends with its connection."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
         text = (
@@ -118,26 +118,26 @@
 
 
 async def truncate(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Promise more than is sent."""
+    """Send fewer bytes than the stated length."""
     whole = servers.encode_response(servers.find_request_id(head), b'z' * 64)
     writer.write(whole[:-10])
     writer.close()
 
 
 async def write_garbage(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Write what is no answer."""
+    """Send bytes that are not HTTP."""
     writer.write(b'\x16\x03\x01 no answer at all\r\n\r\n')
 
 
 async def reset(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection without a word."""
+    """Reset the connection without a response."""
     writer.transport.abort()
 
 
 async def reset_without_length(
     head: bytes, writer: asyncio.StreamWriter
 ) -> None:
-    """Begin an answer without length, and reset."""
+    """Start a response without a length, and reset the connection."""
     text = (
         'HTTP/1.1 200 OK\r\n'
         f'Fuchsiahaven-Request-Id: {servers.find_request_id(head)}\r\n'
@@ -148,7 +148,7 @@
     await asyncio.sleep(0.05)
     linger = writer.get_extra_info('socket')
     assert linger is not None
-    # An end of the connection with a reset, as after a crash.
+    # Makes the close send a reset, as after a crash.
     linger.setsockopt(1, 13, b'\x01\0\0\0\0\0\0\0')
     writer.transport.abort()
 
@@ -157,10 +157,10 @@
     'script', [truncate, write_garbage, reset, reset_without_length]
 )
 def test_incomplete_response_breaks_the_attempt(script: servers.Script) -> None:
-    """Symptom: a caller gets half of an answer that looks complete.
+    """Guard against half a response that looks complete to the caller.
 
-    Whatever breaks off after the request has left ends with an unknown
-    outcome, and the connection is not used again.
+    A failure after the request is sent leaves its outcome unknown, and the
+    connection is not used again.
     """
 
     async def check() -> None:
@@ -177,11 +177,11 @@
 
 
 def test_skips_a_duplicate_response() -> None:
-    """Symptom: a caller gets the answer of another caller.
+    """Guard against a caller that gets another caller's response.
 
-    The target sends its first answer twice, the second time just before the
-    answer to the next request on that connection. The id tells them apart,
-    and what belongs to the next request is still taken.
+    The target sends its first response twice, the second time just before the
+    response to the next request on that connection. The request id tells them
+    apart, and the response to the next request is still accepted.
     """
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -205,7 +205,7 @@
 
 
 def test_closes_a_connection_with_extra_bytes() -> None:
-    """Bytes after an answer belong to nobody: the connection is closed."""
+    """Bytes after a response belong to no request."""
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(
@@ -228,10 +228,10 @@
 
 
 def test_non_idempotent_needs_a_proven_connection() -> None:
-    """Symptom: a refund's outcome is unknown because a connection was stale.
+    """Guard against an unknown outcome of a refund on a stale connection.
 
-    The kept connection has been idle for longer than it proves to work; the
-    request that may run once goes out on a new one.
+    The idle connection is not proven to work any more, so the non-idempotent
+    request is sent on a new one.
     """
 
     async def check() -> None:
@@ -251,7 +251,7 @@
 
 
 def test_bounds_its_connections() -> None:
-    """Ten requests at once share two connections, and all are answered."""
+    """Ten concurrent requests share two connections and all are answered."""
 
     async def check() -> None:
         async with servers.listen(servers.make_script(b'')) as server:
@@ -266,7 +266,7 @@
 
 
 def test_refused_connection_means_not_sent() -> None:
-    """A refused connection proves that the request did not run."""
+    """A refused connection proves that the request was not sent."""
 
     async def check() -> None:
         async with servers.listen(servers.make_script(b'')) as server:
@@ -280,11 +280,11 @@
 
 
 async def never_respond(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Leave a request without an answer."""
+    """Leave a request without a response."""
 
 
 def test_times_out_after_the_deadline() -> None:
-    """What nobody answers ends as broken, a little after its time."""
+    """An attempt without a response breaks a little after its deadline."""
 
     async def check() -> None:
         async with servers.listen(never_respond) as server:
@@ -301,7 +301,7 @@
 
 
 def test_cancels_work_of_an_absent_caller() -> None:
-    """The connection closes soon, so that the target stops working."""
+    """The connection is closed soon, so that the target stops the work."""
 
     async def check() -> None:
         async with servers.listen(never_respond) as server:
@@ -316,7 +316,7 @@
 
 
 def test_withdraws_a_queued_attempt() -> None:
-    """What has not left ends as not sent; what has left goes on."""
+    """An unsent attempt is withdrawn; a sent one continues."""
 
     async def check() -> None:
         async with servers.listen(never_respond) as server:
@@ -333,10 +333,10 @@
 
 
 def test_detects_an_exited_target() -> None:
-    """Symptom: a process that ended looks like a connection that broke.
+    """Guard against an exited process that looks like a broken connection.
 
-    The port is closed when the pool looks, right after the connection of a
-    request was lost.
+    The port is closed when the pool reconnects, right after a request has lost
+    its connection.
     """
 
     async def check() -> None:
@@ -361,7 +361,7 @@
 
 
 def test_reconnects_after_a_reset() -> None:
-    """A target that accepts the next connection is told to be reached."""
+    """A target that accepts the next connection is reported as connected."""
 
     async def check() -> None:
         async with servers.listen(reset) as server:
--- a/tests/relay/test_queries_of_death.py
+++ b/tests/relay/test_queries_of_death.py
@@ -1,11 +1,11 @@
-"""Test that a request that ends its targets stops reaching them.
-
-Seen: targets ended by the dozen at nine moments of a day; under one request
-three had ended, and it was sent on, 121 ended in all, while callers of the same
-shards were refused. How it came about: each target that begins to run the
-request ends; a query runs at a target of each shard at once, the host sent each
-part that broke to a second target, and the caller's repeat began anew, at this
-host or another.
+"""Test that a request that crashes its targets stops reaching them.
+
+The failure: targets crashed by the dozen at nine moments of a day. One request
+had crashed three targets and was still sent on; 121 targets crashed in all,
+while callers of the same shards were refused. The cause: each target that
+starts to run the request crashes. A query runs at a target of each shard at
+once, the host retried each broken part at a second target, and the caller's
+retry started again at this host or another.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 from fuchsiahaven.relay import process
 from tests.relay import clusters, servers
 
-#: What a request that ends its targets asks for.
+#: Part of the path of a request that crashes its targets.
 DEADLY_PATH: Final = b'death'
-#: Sendings that are allowed once a request has ended three targets.
+#: Crashes that are allowed after a request has crashed three targets.
 MAX_LATE_EXITS: Final = 3
-#: For how long callers go on asking, in seconds, and how often.
+#: How long callers go on sending the request, and how often.
 LOAD_S: Final = 3.0
 ROUND_INTERVAL_S: Final = 0.1
 REPLICAS: Final = 2
 
 
 class Target:
-    """Own a target that ends with its connections when it runs DEADLY."""
+    """Run a target that exits when it gets a request for DEADLY_PATH."""
 
     def __init__(self, name: str, service: str) -> None:
-        """Prepare without listening."""
+        """Start without listening."""
         self.name = name
         self.service = service
         self.has_exited = False
@@ -50,7 +50,7 @@
         return f'{host}:{port}'
 
     def exit(self) -> None:
-        """End as a process does."""
+        """Close the port and reset the connections, as an exit does."""
         self.has_exited = True
         if self._server is not None:
             self._server.close()
@@ -70,7 +70,7 @@
     ) -> None:
         head = await reader.readuntil(servers.HEAD_END)
         self.run_count += 1
-        # Work takes a while, so that other requests are under way beside it.
+        # Work takes a while, so that other requests are in flight beside it.
         await asyncio.sleep(0.01)
         if DEADLY_PATH in head.split(b'\r\n')[0]:
             self.deadly_count += 1
@@ -83,7 +83,7 @@
 
 
 class CrashCluster:
-    """Own hosts, and targets that are replaced when they have ended."""
+    """Hold hosts, and targets that are replaced after an exit."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         """Start without targets."""
@@ -92,7 +92,7 @@
         self._last_number = 0
 
     async def add(self, service: str) -> None:
-        """Start a target and enter it."""
+        """Start a target and write its entry."""
         self._last_number += 1
         target = Target(f'n-{self._last_number}', service)
         self.targets.append(target)
@@ -100,7 +100,7 @@
         self.cluster.store.put_target(target.name, service, address)
 
     async def replace_exited(self) -> None:
-        """Start another target for each that has ended and is entered."""
+        """Replace each target that has exited and still has an entry."""
         exited = [
             it
             for it in self.targets
@@ -112,26 +112,26 @@
         await asyncio.gather(*[self.add(it.service) for it in exited])
 
     def count_runs(self) -> int:
-        """Count the requests that targets have begun to run so far."""
+        """Count the requests that targets have started so far."""
         return sum(target.run_count for target in self.targets)
 
     def count_deadly(self) -> int:
-        """Count the requests that ended a target, each where it ran."""
+        """Count the requests that made a target exit."""
         return sum(target.deadly_count for target in self.targets)
 
     def count_exited(self) -> int:
-        """Count the targets that have ended so far."""
+        """Count the targets that have exited so far."""
         return sum(target.has_exited for target in self.targets)
 
     async def fetch(self, host: process.Process, path: str) -> tuple[int, str]:
-        """Ask a host; return the status and the head of the answer."""
+        """Send a request to a host; return the status and the head."""
         status, head, _ = await clusters.fetch(
             host.settings.caller_address, path
         )
         return status, head
 
     async def fetch_from_all(self, path: str) -> list[tuple[int, str]]:
-        """Ask all hosts in turn, and replace what has ended."""
+        """Send a request to all hosts at once, and replace exited targets."""
         answers = await asyncio.gather(
             *[self.fetch(host, path) for host in self.cluster.hosts]
         )
@@ -142,7 +142,7 @@
     async def fetch_for(
         self, seconds: float, path: str
     ) -> list[tuple[int, str]]:
-        """Ask all hosts for so long, with pauses."""
+        """Send a request to all hosts repeatedly for a time in seconds."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         answers = []
@@ -151,14 +151,14 @@
         return answers
 
     async def fetch_until_exited(self, count: int, path: str) -> None:
-        """Ask until so many targets have ended."""
+        """Send a request repeatedly until `count` targets have exited."""
         while self.count_exited() < count:
             await self.fetch_from_all(path)
 
 
 @contextlib.asynccontextmanager
 async def make_cluster(hosts: int = 3) -> AsyncIterator[CrashCluster]:
-    """Make hosts that know two targets of each service."""
+    """Run hosts with two targets of each service."""
     async with clusters.make() as cluster:
         field = CrashCluster(cluster)
         for target_name in cluster.targets:
@@ -178,16 +178,16 @@
 
 
 def list_refusals(answers: list[tuple[int, str]]) -> list[str]:
-    """List the heads of refusals that say that nothing has run."""
+    """List the heads of refusals, which promise that nothing has run."""
     return [head for status, head in answers if status == 503]
 
 
 @pytest.mark.parametrize('path', ['/search/death', '/one/death'])
 def test_stops_sending_a_deadly_request(path: str) -> None:
-    """A query over shards, and a request for one target.
+    """Test a query over shards, and a request to one target.
 
-    Callers repeat it under new ids at all hosts, and targets come back. Their
-    ends were no coincidence: nothing else ends a target here.
+    Callers retry it under new ids at all hosts, and exited targets are
+    replaced. Nothing but the request makes a target exit here.
     """
 
     async def check() -> None:
@@ -197,7 +197,7 @@
             ran = field.count_deadly()
             answers = await field.fetch_for(LOAD_S, path)
             assert field.count_exited() - exited <= MAX_LATE_EXITS
-            # Whatever ran nowhere is refused with a promise, and only that.
+            # Only requests that ran nowhere are refused as not run.
             refused = list_refusals(answers)
             assert len(answers) - len(refused) <= field.count_deadly() - ran
             assert all('retry-after' in head for head in refused)
@@ -206,16 +206,17 @@
 
 
 def test_serves_requests_beside_a_deadly_one() -> None:
-    """Symptom: callers of the same shards are refused for seconds.
+    """Guard against refusals for seconds to callers of the same shards.
 
-    Their requests run beside it, and each is sent to another target.
+    Their requests are in flight beside the deadly one, and are retried at
+    another target.
     """
 
     async def check() -> None:
         async with make_cluster() as field:
             await field.fetch(field.cluster.hosts[0], '/search/1')
             await field.fetch(field.cluster.hosts[0], '/search/death')
-            # The second target of nearly each shard lives.
+            # Nearly every shard has a second target that is running.
             status, _ = await field.fetch(field.cluster.hosts[1], '/search/1')
             assert status == 200
 
@@ -225,17 +226,18 @@
 def fetch_twice_from_all(
     field: CrashCluster, path: str
 ) -> asyncio.Future[list[tuple[int, str]]]:
-    """Ask all hosts for the same at once, twice each."""
+    """Send a request twice to all hosts at once."""
     return asyncio.gather(
         *[field.fetch(host, path) for host in field.cluster.hosts * 2]
     )
 
 
 def test_serves_a_popular_query_after_a_rack_fails() -> None:
-    """Symptom: what many callers ask for is refused because a rack died.
+    """Guard against a popular query that is refused after a rack fails.
 
-    Targets of all shards end at one moment, under the same query of several
-    callers at all hosts. It is repeated, and served whenever it is asked again.
+    Targets of all shards exit at one moment while several callers at all hosts
+    have the same query in flight. The query is retried, and served when it is
+    sent again.
     """
 
     async def check() -> None:
--- a/tests/relay/test_quota_sockets.py
+++ b/tests/relay/test_quota_sockets.py
@@ -1,4 +1,4 @@
-"""Test that words about quotas pass between hosts."""
+"""Test the exchange of quota messages between hosts."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class QuotaHost:
-    """Own one host's socket, and what it heard and logged."""
+    """Hold one host's socket, its received messages and its log."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         quota: deployments.QuotaTolerance | None,
         port: int = 0,
     ) -> None:
-        """Prepare without listening."""
+        """Start without a socket."""
         read, write = os.pipe()
         stack.callback(os.close, read)
         stack.callback(os.close, write)
@@ -69,7 +69,7 @@
         stack.callback(self.quota_socket.close)
 
     def read_line(self) -> str:
-        """Read what the first line of the log tells."""
+        """Return the text of the first log line."""
         self.log.close()
         line = os.read(self._read, 65_536).splitlines()[0]
         return str(json.loads(line)['text'])
@@ -79,7 +79,7 @@
     'garbage', [b'no word', b'["ask"]', b'\xff', b'[' * 9999]
 )
 def test_receives_a_message_after_garbage(garbage: bytes) -> None:
-    """Guard against bytes of something else that stop the words."""
+    """Guard against invalid datagrams that stop the socket."""
 
     async def check() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -105,7 +105,7 @@
 
 
 def test_opens_no_port_without_quotas() -> None:
-    """Guard against a port that deployments without quotas do not need."""
+    """Guard against an unneeded port in deployments without quotas."""
 
     async def check() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -128,7 +128,7 @@
 
 
 def test_logs_a_port_in_use() -> None:
-    """Guard against a host that does not start for want of this port."""
+    """Guard against a host that fails to start if the port is in use."""
 
     async def check() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -144,7 +144,7 @@
 
 
 def test_opens_the_port_on_reload() -> None:
-    """Guard against a reload after which nobody can be asked."""
+    """Guard against a reload that sets a quota but opens no socket."""
 
     async def check() -> None:
         async with contextlib.AsyncExitStack() as stack:
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -1,4 +1,4 @@
-"""Test what callers and the balancer are told by a host that is not ready."""
+"""Test the retry times and log lines of a host that is not ready."""
 
 import time
 
@@ -11,19 +11,19 @@
 
 
 class RecordingLog(journal.Journal):
-    """Keep what is told in place of writing it."""
+    """Record log texts instead of writing them."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Start without texts."""
         self.texts: list[str] = []
 
     def log_event(self, part: str, text: str, **fields: object) -> None:
-        """Keep a line."""
+        """Record the text of a line."""
         self.texts.append(text)
 
 
 class ReadinessRig:
-    """Own a host's readiness and what stands in its way."""
+    """Hold a host's readiness and its obstacle."""
 
     def __init__(self) -> None:
         """Start ready."""
@@ -32,24 +32,25 @@
         self.readiness = readiness.Readiness(lambda: self.obstacle, self.log)
 
     def change_obstacle(self, obstacle: str) -> None:
-        """Have something stand in the way; wait until that is worked out."""
+        """Change the obstacle, and wait until the host has recomputed it."""
         self.obstacle = obstacle
         end = time.monotonic() + 5
         while self.readiness.find_obstacle() != obstacle:
             assert time.monotonic() < end
 
     def get_retry_after(self) -> float | None:
-        """Return when a caller that is refused is told to come back."""
+        """Return the retry time that a refused caller gets."""
         advised = self.readiness.adjust_retry_after(FAILURE)
         assert isinstance(advised, errors.Failure)
         return advised.retry_after
 
 
 def test_retry_after_follows_the_balancer() -> None:
-    """Symptom: callers of a host that is cut off are refused twice.
+    """Guard against callers that a host refuses twice while it is cut off.
 
-    The balancer asks once a second and moves them after two answers; before
-    that they are told to wait for it, and to come back at once after.
+    The balancer polls once a second and removes the host after two responses.
+    Until then refused callers are told to wait for it, afterwards to retry at
+    once.
     """
     host = ReadinessRig()
     assert host.get_retry_after() == 7.0
--- a/tests/relay/test_restores.py
+++ b/tests/relay/test_restores.py
@@ -1,4 +1,4 @@
-"""Test hosts whose store comes back from an older copy of itself."""
+"""Test hosts whose store is restored from an older copy."""
 
 import asyncio
 import time
@@ -10,10 +10,10 @@
 
 
 def test_applies_versions_after_a_restore() -> None:
-    """Symptom: accepted configurations are not in force for many seconds.
+    """Guard against configurations that are not in force for many seconds.
 
-    The store comes back with lower revisions and gives them out again; what is
-    written then ranks below what hosts hold of the history before.
+    The restored store has a lower revision and assigns revisions again, so new
+    writes have lower revisions than those that hosts hold of the earlier era.
     """
 
     async def check() -> None:
@@ -33,10 +33,10 @@
 
 
 def test_decodes_a_reused_revision_again() -> None:
-    """Symptom: a host takes the version before for the one that it reads.
+    """Guard against a host that uses an earlier version for the one it reads.
 
-    What was decoded is remembered by its revision, which the store gives out
-    again for another value.
+    Decoded values are cached by revision, and the restored store assigns a
+    revision again to another value.
     """
 
     async def check() -> None:
@@ -52,10 +52,10 @@
 
 
 def test_writes_its_entry_under_a_new_lease() -> None:
-    """Symptom: a host is missing to the others, though its lease is renewed.
+    """Guard against a host without an entry that renews its old lease.
 
-    The lease was lost with the entry, and its number is another's now: neither
-    is it renewed nor ended.
+    The lease was lost with the entry, and its number now belongs to another
+    writer. The host must neither renew nor end it.
     """
 
     async def check() -> None:
@@ -75,7 +75,7 @@
 
 
 def test_keeps_the_host_count_after_a_restore() -> None:
-    """Symptom: after a restore each host takes all of the bound on repeats."""
+    """Guard against hosts that each use all extra load after a restore."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -89,9 +89,9 @@
 
 
 def test_rejects_a_lease_of_another_era() -> None:
-    """Symptom: the entry goes with somebody else's lease.
+    """Guard against an entry that ends with another writer's lease.
 
-    The store comes back between the two calls that make an entry.
+    The store is restored between the two calls that write an entry.
     """
 
     async def check() -> None:
@@ -121,7 +121,7 @@
 
 
 def test_writes_quarantines_again() -> None:
-    """Symptom: a host that starts ends one target of each shard anew."""
+    """Guard against a started host that crashes a target of each shard."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -143,7 +143,7 @@
 
 
 def test_forwards_a_restore_to_a_cut_off_host() -> None:
-    """Symptom: one host stays in the era before, and at its version."""
+    """Guard against one host that stays in the earlier era and its version."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -161,7 +161,7 @@
 
 
 def test_handles_two_restores_within_a_second() -> None:
-    """Symptom: the second return is taken for the first one."""
+    """Guard against a second restore that is taken for the first."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -180,9 +180,10 @@
 
 
 def test_a_started_host_gets_the_latest_version() -> None:
-    """Symptom: a host that restarts serves the version of the copy.
+    """Guard against a restarted host that serves the version of the copy.
 
-    The operator has not written again yet; the other host has the version.
+    The operator has not written the later version again, but the other host
+    still has it.
     """
 
     async def check() -> None:
--- a/tests/relay/test_silence_reports.py
+++ b/tests/relay/test_silence_reports.py
@@ -1,4 +1,4 @@
-"""Test how hosts beside each other learn which data centre is silent."""
+"""Test how hosts of a data centre report other, silent data centres."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def put_customers(host: process.Process) -> None:
-    """Have a host know that customers compete."""
+    """Put a configuration with customers in force on a host."""
     configuration = host.router.index.configuration._replace(
         version=1_000_000, customers=()
     )
@@ -18,13 +18,13 @@
 
 
 def silence_north(host: process.Process) -> None:
-    """Have a host hear nothing of what it has sent to the north."""
+    """Make a host send requests to the north without any response."""
     for name in ('a', 'b', 'c'):
         host.router.centre_health.record_sent('north', name, time.monotonic())
 
 
 def test_reports_and_withdraws_silence() -> None:
-    """Symptom: only some hosts of a data centre that is cut off say so."""
+    """Guard against some hosts that stay ready in a partitioned centre."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -43,7 +43,7 @@
 
 
 def test_encodes_and_decodes_a_report() -> None:
-    """What is read is what was written."""
+    """A decoded report equals the encoded one."""
     report = centre_health.SilenceReport('host-1', 'south', ('north', 'west'))
     assert (
         silence_reports.decode_report(silence_reports.encode_report(report))
@@ -67,6 +67,6 @@
     ],
 )
 def test_rejects_malformed_reports(text: bytes) -> None:
-    """Nonsense of another host takes no data centre out of service."""
+    """Malformed reports do not take a data centre out of service."""
     with pytest.raises(ValueError):
         silence_reports.decode_report(text)
--- a/tests/relay/test_store_readers.py
+++ b/tests/relay/test_store_readers.py
@@ -1,4 +1,4 @@
-"""Test how the store is read while it comes back from copies."""
+"""Test how the store is read across restores."""
 
 import asyncio
 import contextlib
@@ -12,23 +12,23 @@
 from fuchsiahaven.routing import configs, facts, freshness, store_views
 from tests.relay import servers, test_decoders
 
-#: A page of a listing that is not the last one, and one that is.
+#: A page of a listing before the last one, and the last one.
 FIRST_PAGE = {'items': [{'key': 'other/a', 'value': '', 'revision': 1}]}
 LAST_PAGE: dict[str, Any] = {'items': []}
 
 
 class StoreScript:
-    """Own what a store answers, one call after the other."""
+    """Serve scripted responses of a store in turn."""
 
     def __init__(self, *answers: tuple[int, str, dict[str, Any]]) -> None:
-        """Take statuses, eras and bodies."""
+        """Keep the responses: status, era and body."""
         self.targets: list[str] = []
         self._answers = list(answers)
 
     async def answer(
         self, request_head: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        """Give the next answer."""
+        """Send the next response."""
         self.targets.append(request_head.split(b' ')[1].decode())
         status, era, row = self._answers.pop(0)
         body = json.dumps(row).encode()
@@ -43,7 +43,7 @@
     delay_factor: float = 1,
     keys: freshness.Freshness | None = None,
 ) -> AsyncIterator[store_readers.StoreReader]:
-    """Read a store that answers by a script."""
+    """Open a reader of a scripted store."""
     async with servers.listen(script.answer) as server:
         client = http_clients.Client(server.address)
         log = test_decoders.RecordingLog()
@@ -58,27 +58,27 @@
 
 
 def make_page(revision: int, *, more: bool = False) -> dict[str, Any]:
-    """Write a page of a listing."""
+    """Make a page of a listing."""
     row = FIRST_PAGE if more else LAST_PAGE
     return {**row, 'has_more': more, 'store_revision': revision}
 
 
 def make_events(revision: int) -> dict[str, Any]:
-    """Write that nothing has changed."""
+    """Make the response to a watch without changes."""
     return {'events': [], 'store_revision': revision}
 
 
 def merge_first(report: facts.Report) -> facts.StoreView:
-    """Begin with a report."""
+    """Merge a report into an empty view."""
     return store_views.merge_report(
         store_views.create(1), report, 0, returned_at=None
     ).view
 
 
 def test_lists_again_in_a_new_era() -> None:
-    """Symptom: changes are never heard of, and no watch is refused.
+    """Guard against changes that are missed although no watch is refused.
 
-    The store came back from a copy and had passed the reader's revision by
+    The store was restored from a copy and had passed the reader's revision by
     the next watch; only the era shows it.
     """
 
@@ -97,7 +97,7 @@
 
 
 def test_discards_a_listing_across_eras() -> None:
-    """Symptom: targets vanish that stand on a page of the era before."""
+    """Guard against targets that vanish after pages of two eras are mixed."""
 
     async def check() -> None:
         script = StoreScript(
@@ -114,7 +114,7 @@
 
 
 def test_rejects_an_earlier_era() -> None:
-    """Symptom: what was read of the new era is undone by a late answer."""
+    """Guard against a late response that reverts the new era."""
 
     async def check() -> None:
         script = StoreScript(
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize('era', ['', 'seven'])
 def test_assumes_the_last_era_without_a_field(era: str) -> None:
-    """A platform of before has no header; a broken one loses no body."""
+    """A store may send no era; a malformed one does not lose the body."""
 
     async def check() -> None:
         script = StoreScript(
@@ -145,7 +145,7 @@
 
 
 def test_lists_after_a_forgotten_history() -> None:
-    """It is counted, so that it can be told from a store that is quiet."""
+    """It is counted, to distinguish it from a store without changes."""
 
     async def check() -> None:
         script = StoreScript(
@@ -160,7 +160,7 @@
 
 
 def test_delay_factor_shortens_the_watch() -> None:
-    """A deployment may promise changes sooner than others."""
+    """A deployment may require changes sooner than others."""
 
     async def check() -> None:
         script = StoreScript(
@@ -175,9 +175,9 @@
 
 
 def test_key_deadline_shortens_the_watch() -> None:
-    """Symptom: calm hosts refuse keys where nothing changes in the store.
+    """Guard against refused keys while nothing changes in the store.
 
-    A reading proves the moment at which it left, however long it waited.
+    A read proves the state at the time it was sent, however long it waited.
     """
 
     async def check() -> None:
@@ -200,7 +200,7 @@
 
 
 def test_listing_dates_from_its_first_page() -> None:
-    """The configuration may stand on a page that was read before a change."""
+    """The configuration may be on a page that was read before a change."""
 
     async def check() -> None:
         now = iter((20.0, 30.0))
--- a/tests/relay/test_suspect_notices.py
+++ b/tests/relay/test_suspect_notices.py
@@ -1,4 +1,4 @@
-"""Test how hosts learn of requests that end their targets."""
+"""Test how hosts learn of requests that crash their targets."""
 
 import asyncio
 import json
@@ -14,20 +14,20 @@
 
 
 def count_crashes(host: process.Process) -> int:
-    """Count the moments that speak against ONE at a host."""
+    """Return the crashes that a host has recorded for IDENTITY."""
     report = host.router.suspects.make_report(IDENTITY, 0)
     return 0 if report is None else report.crashes
 
 
 def report_crashes(host: process.Process, crashes: int) -> None:
-    """Have a host find out that ONE ends its targets."""
+    """Make a host report that IDENTITY has crashed targets."""
     report = suspects.News(IDENTITY, 0, crashes, suspects.MIN_QUARANTINE_S)
     host.runner.post(events.SuspectsReported((report,)))
     host.peer_reporters.notice_sender.publish(report)
 
 
 def test_notifies_every_host() -> None:
-    """Symptom: the caller's repeat ends the targets of the next host."""
+    """Guard against a caller's retry that crashes targets by the next host."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -46,7 +46,7 @@
 
 
 def test_a_started_host_fetches_reports() -> None:
-    """Symptom: each host that starts ends one target of each shard anew."""
+    """Guard against started hosts that each crash a target of each shard."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -59,7 +59,7 @@
 
 
 def test_a_quarantine_outlives_all_hosts() -> None:
-    """Symptom: after all hosts lost power the request ends targets again."""
+    """Guard against new crashes by the request after all hosts lost power."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -80,7 +80,7 @@
 
 
 def test_another_host_writes_the_entry() -> None:
-    """The store turns the finder away and serves the others."""
+    """The store refuses the reporting host and accepts the others."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -95,7 +95,7 @@
 
 
 def test_rejects_a_malformed_notice() -> None:
-    """Whoever sends nonsense is told so, and nothing is held back."""
+    """A malformed notice is refused with status 400 and has no effect."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -115,7 +115,7 @@
 
 
 def test_state_lists_quarantines() -> None:
-    """An operator sees it without reading the log."""
+    """Operators see quarantines without reading the log."""
 
     async def check() -> None:
         async with clusters.make() as cluster:
@@ -130,7 +130,7 @@
 
 
 def test_reaches_a_large_deployment_in_few_hops() -> None:
-    """Each host tells a few others."""
+    """Each host forwards a notice to a few others."""
     assert suspect_notices.compute_hops(suspect_notices.FAN_OUT) == 0
     hops = suspect_notices.compute_hops(3100)
     assert suspect_notices.FAN_OUT**hops > 3100
--- a/tests/relay/test_target_pools.py
+++ b/tests/relay/test_target_pools.py
@@ -1,4 +1,4 @@
-"""Test which connections to targets are kept when the targets change."""
+"""Test which connections are kept when the targets change."""
 
 import asyncio
 import time
@@ -14,11 +14,11 @@
 
 
 async def never_respond(head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Take requests and answer none."""
+    """Leave a request without a response."""
 
 
 def make_attempt(target: instances.Instance, number: int) -> events.SendAttempt:
-    """Ask for a request to be sent that may take half a minute."""
+    """Make an attempt with a deadline in half a minute."""
     now = time.monotonic()
     request = events.Request(
         f'id-{number}',
@@ -37,10 +37,10 @@
 
 
 def test_returns_queued_attempts_on_evacuation() -> None:
-    """Symptom: a request reaches a target seconds after its evacuation.
+    """Guard against a request that reaches a target long after its evacuation.
 
-    Two requests are for a target with one connection. The second one waits for
-    it when the order comes; the first one ends there in peace.
+    Two requests are sent to a target with one connection. The second one is
+    queued when the target is evacuated; the first one may finish there.
     """
 
     async def check() -> list[events.Event]:
@@ -57,7 +57,7 @@
             all_pools.send(make_attempt(target, 2))
             router.directory = instances.build_directory([target], {'north'})
             all_pools.prune()
-            # Closing all of it would tell the same.
+            # Closing the pools would post the same event.
             posted_before_close = list(recorded)
             all_pools.close()
         return posted_before_close
@@ -68,11 +68,11 @@
 
 
 def test_fails_attempts_at_a_restarted_target() -> None:
-    """Symptom: a request waits until its deadline at a process that is gone.
+    """Guard against a request that waits for a dead process until its deadline.
 
-    A target is restarted under its id behind a cut that resets nothing. Its
-    new entry tells that the process before has ended, and that the outcome
-    of what was sent there is not known.
+    A target restarts under its id behind a network partition that resets no
+    connection. Its new entry shows that the earlier process has ended, so the
+    outcome of attempts sent to it is unknown.
     """
 
     async def check() -> list[events.Event]:
@@ -91,7 +91,7 @@
             )
             router.directory = instances.build_directory([second])
             all_pools.prune()
-            # Closing all of it would tell the same.
+            # Closing the pools would post the same event.
             posted_before_close = list(recorded)
             all_pools.close()
         return posted_before_close
