--- a/fuchsiahaven/relay/http_clients.py
+++ b/fuchsiahaven/relay/http_clients.py
@@ -131,7 +131,7 @@
         self._clients: dict[str, Client] = {}
 
     def get_client(self, address: str, *, cross_centre: bool) -> Client:
-        """Return a host's client, with one more if there is none.
+        """Return a host's client, which is created on its first use.
 
         `cross_centre` says that the host is in another data centre.
         """
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -245,8 +245,8 @@
 
     async def check() -> None:
         async with clusters.make() as cluster:
-            spoilt = ({**SHOP, 'api_keys': KEY},)
-            cluster.store.put('op/config', make_configuration(5, spoilt))
+            invalid = ({**SHOP, 'api_keys': KEY},)
+            cluster.store.put('op/config', make_configuration(5, invalid))
             host = await cluster.add_host('host-1', ready=False)
             await servers.wait_for(lambda: host.store_sync.view.revision)
             assert await fetch_statuses([host], ('/one/1', KEY_FIELD)) == [503]
--- a/tests/relay/test_fast_http.py
+++ b/tests/relay/test_fast_http.py
@@ -63,7 +63,7 @@
     st.binary(max_size=80),
     st.lists(st.sampled_from(RESPONSE_PARTS), max_size=8).map(b''.join),
     st.lists(st.sampled_from(RESPONSE_PARTS[8:25]), max_size=4).map(
-        lambda found: b''.join((RESPONSE_PARTS[0], *found, b'\r\nbody'))
+        lambda lines: b''.join((RESPONSE_PARTS[0], *lines, b'\r\nbody'))
     ),
     st.builds(
         lambda start, new, gone: b''.join(
@@ -126,7 +126,7 @@
     st.sampled_from(('GET', 'POST', 'HEAD', 'CONNECT', 'OPTIONS', 'get')),
     st.one_of(TEXTS, st.just('/a/1?b=c')),
     st.lists(st.tuples(NAMES, TEXTS), max_size=3).map(
-        lambda found: (*found, ('host', 'shop.example'))
+        lambda others: (*others, ('host', 'shop.example'))
     ),
     st.sampled_from((b'', b'body')),
 )
--- a/tests/relay/test_listeners.py
+++ b/tests/relay/test_listeners.py
@@ -57,16 +57,16 @@
 @contextlib.asynccontextmanager
 async def serve() -> AsyncIterator[ListenerRig]:
     """Run a listener."""
-    host = ListenerRig()
-    server = await host.listener.listen(f'{servers.LOOPBACK}:0')
-    host.address = server.sockets[0].getsockname()
-    yield host
+    rig = ListenerRig()
+    server = await rig.listener.listen(f'{servers.LOOPBACK}:0')
+    rig.address = server.sockets[0].getsockname()
+    yield rig
     server.close()
 
 
-async def exchange_bytes(host: ListenerRig, sent: bytes) -> bytes:
+async def exchange_bytes(rig: ListenerRig, sent: bytes) -> bytes:
     """Send bytes in small segments; return all bytes received."""
-    reader, writer = await host.connect()
+    reader, writer = await rig.connect()
     for start in range(0, len(sent), SEGMENT_BYTES):
         writer.write(sent[start : start + SEGMENT_BYTES])
     answer = await reader.read()
@@ -78,10 +78,10 @@
     """Two requests sent at once get two responses in order."""
 
     async def check() -> None:
-        async with serve() as host:
-            answer = await exchange_bytes(host, GET + GET.replace(b'/1', b'/2'))
+        async with serve() as rig:
+            answer = await exchange_bytes(rig, GET + GET.replace(b'/1', b'/2'))
             assert answer.count(b'HTTP/1.1 200 OK') == 2
-            assert [it.uri for it in host.messages] == ['/a/1', '/a/2']
+            assert [it.uri for it in rig.messages] == ['/a/1', '/a/2']
 
     servers.run(check())
 
@@ -91,12 +91,12 @@
     head = b'POST /a/1 HTTP/1.1\r\nHost: shop\r\n'
 
     async def check() -> None:
-        async with serve() as host:
+        async with serve() as rig:
             await exchange_bytes(
-                host, b'%sContent-Length: 6\r\n\r\nabcdef' % head
+                rig, b'%sContent-Length: 6\r\n\r\nabcdef' % head
             )
-            await exchange_bytes(host, b'%s%s' % (head, CHUNKED))
-            assert [it.body for it in host.messages] == [b'abcdef'] * 2
+            await exchange_bytes(rig, b'%s%s' % (head, CHUNKED))
+            assert [it.body for it in rig.messages] == [b'abcdef'] * 2
 
     servers.run(check())
 
@@ -109,8 +109,8 @@
     )
 
     async def check() -> None:
-        async with serve() as host:
-            reader, writer = await host.connect()
+        async with serve() as rig:
+            reader, writer = await rig.connect()
             writer.write(head)
             interim = await reader.readuntil(b'\r\n\r\n')
             assert interim.startswith(b'HTTP/1.1 100')
@@ -144,10 +144,10 @@
     """Two lengths, no host, too large or too slow: rejected unhandled."""
 
     async def check() -> None:
-        async with serve() as host:
-            answer = await exchange_bytes(host, sent)
+        async with serve() as rig:
+            answer = await exchange_bytes(rig, sent)
             assert answer.startswith(f'HTTP/1.1 {status} '.encode())
-            assert not host.messages
+            assert not rig.messages
 
     servers.run(check())
 
@@ -156,8 +156,8 @@
     """No response is sent on a connection without a request."""
 
     async def check() -> None:
-        async with serve() as host:
-            assert not await exchange_bytes(host, b'')
+        async with serve() as rig:
+            assert not await exchange_bytes(rig, b'')
 
     servers.run(check())
 
@@ -166,15 +166,15 @@
     """Guard against targets that work for callers that have left."""
 
     async def check() -> None:
-        async with serve() as host:
-            host.held_callers = []
-            _, writer = await host.connect()
+        async with serve() as rig:
+            rig.held_callers = []
+            _, writer = await rig.connect()
             writer.write(GET)
-            await servers.wait_for(lambda: host.held_callers)
+            await servers.wait_for(lambda: rig.held_callers)
             writer.close()
-            await servers.wait_for(lambda: host.abandoned_count)
+            await servers.wait_for(lambda: rig.abandoned_count)
             # A response after that has no effect.
-            host.held_callers[0].respond(
+            rig.held_callers[0].respond(
                 http_codecs.EncodedAnswer(200, (), b'late')
             )
 
@@ -189,12 +189,12 @@
     """
 
     async def check() -> None:
-        async with serve() as host:
-            reader, writer = await host.connect()
+        async with serve() as rig:
+            reader, writer = await rig.connect()
             writer.write(GET)
             head = await reader.readuntil(b'\r\n\r\n')
             assert b'connection: close' not in head.lower()
-            host.listener.options = host.listener.options._replace(
+            rig.listener.options = rig.listener.options._replace(
                 closes_connections=lambda: True
             )
             writer.write(GET)
@@ -209,17 +209,17 @@
     """The round trip is measured, and counted twice for a first request."""
 
     async def check() -> None:
-        async with serve() as host:
-            host.held_callers = []
-            _, writer = await host.connect()
+        async with serve() as rig:
+            rig.held_callers = []
+            _, writer = await rig.connect()
             writer.write(GET)
-            await servers.wait_for(lambda: host.held_callers)
-            (caller,) = host.held_callers
+            await servers.wait_for(lambda: rig.held_callers)
+            (caller,) = rig.held_callers
             first = caller.read_peer_state().round_trip_s
             assert 0 < first < 0.1
             caller.respond(http_codecs.EncodedAnswer(200, (), b''))
             writer.write(GET)
-            await servers.wait_for(lambda: len(host.held_callers or ()) == 2)
+            await servers.wait_for(lambda: len(rig.held_callers or ()) == 2)
             assert 0 < caller.read_peer_state().round_trip_s < 0.1
             writer.close()
 
@@ -234,15 +234,15 @@
     """
 
     async def check() -> None:
-        async with serve() as host:
-            host.held_callers = []
-            reader, writer = await host.connect()
+        async with serve() as rig:
+            rig.held_callers = []
+            reader, writer = await rig.connect()
             writer.write(GET)
-            await servers.wait_for(lambda: host.held_callers)
-            host.listener.stop()
-            host.listener.close_idle()
-            assert host.listener.count_busy() == 1
-            host.held_callers[0].respond(
+            await servers.wait_for(lambda: rig.held_callers)
+            rig.listener.stop()
+            rig.listener.close_idle()
+            assert rig.listener.count_busy() == 1
+            rig.held_callers[0].respond(
                 http_codecs.EncodedAnswer(200, (), b'whole')
             )
             answer = (await reader.read()).lower()
@@ -261,12 +261,12 @@
     """
 
     async def check() -> None:
-        async with serve() as host:
-            host.held_callers = []
-            _, writer = await host.connect()
+        async with serve() as rig:
+            rig.held_callers = []
+            _, writer = await rig.connect()
             writer.write(GET)
-            await servers.wait_for(lambda: host.held_callers)
-            (caller,) = host.held_callers
+            await servers.wait_for(lambda: rig.held_callers)
+            (caller,) = rig.held_callers
             assert not caller.read_peer_state().has_left
             writer.write_eof()
             # The event loop has made no pass, so nothing was read meanwhile.
--- a/tests/relay/test_long_polls.py
+++ b/tests/relay/test_long_polls.py
@@ -32,7 +32,7 @@
         self.keys.record_read(99, facts.NO_ERA)
         host = deployments.Host('host-1', '10.0.0.1:7000', 'north')
         fact = facts.Fact(facts.Key(facts.Subject.HOST, host.name), 1, host)
-        self.ledger = store_views.merge_report(
+        self.view = store_views.merge_report(
             store_views.create(7),
             facts.Report(1, (fact,), full=True, age=0),
             asyncio.get_running_loop().time(),
@@ -43,7 +43,7 @@
 
     def poll(self, keys_age_s: float | None) -> None:
         """Poll for changes after the current view."""
-        query = {'after': report_codecs.encode_cursor(self.ledger.cursor)}
+        query = {'after': report_codecs.encode_cursor(self.view.cursor)}
         if keys_age_s is not None:
             query[long_polls.KEYS_AGE_PARAMETER] = str(keys_age_s)
         self.long_polls.handle_poll(urllib.parse.urlencode(query), self._record)
@@ -52,7 +52,7 @@
         self.reports.append(report_codecs.decode_report(body))
 
     def _get_state(self) -> long_polls.StoreState:
-        return long_polls.StoreState(self.ledger, store_lost=False)
+        return long_polls.StoreState(self.view, store_lost=False)
 
 
 def test_answers_a_stale_poll_at_once() -> None:
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -52,25 +52,25 @@
     Until then refused callers are told to wait for it, afterwards to retry at
     once.
     """
-    host = ReadinessRig()
-    assert host.get_retry_after() == 7.0
-    host.change_obstacle('cut off')
-    first = host.get_retry_after()
+    rig = ReadinessRig()
+    assert rig.get_retry_after() == 7.0
+    rig.change_obstacle('cut off')
+    first = rig.get_retry_after()
     assert first is not None
     assert 1.5 < first < 2.5
-    host.readiness.record_poll()
-    host.readiness.record_poll()
-    last = host.get_retry_after()
+    rig.readiness.record_poll()
+    rig.readiness.record_poll()
+    last = rig.get_retry_after()
     assert last is not None
     assert last < 0.2
-    host.change_obstacle('')
-    assert host.get_retry_after() == 7.0
+    rig.change_obstacle('')
+    assert rig.get_retry_after() == 7.0
 
 
 def test_logs_each_change_once() -> None:
     """The log says when a host became ready or not."""
-    host = ReadinessRig()
-    host.change_obstacle('cut off')
-    host.change_obstacle('')
-    host.readiness.find_obstacle()
-    assert host.log.texts == ['not ready', 'ready']
+    rig = ReadinessRig()
+    rig.change_obstacle('cut off')
+    rig.change_obstacle('')
+    rig.readiness.find_obstacle()
+    assert rig.log.texts == ['not ready', 'ready']
