--- a/tests/relay/test_long_polls.py
+++ b/tests/relay/test_long_polls.py
@@ -1,4 +1,4 @@
-"""Test when hosts that ask for news are answered, and what is proved then."""
+"""Test when polls of other hosts are answered, and with which proof."""
 
 import asyncio
 import math
@@ -20,10 +20,10 @@
 
 
 class Rig:
-    """Own a host that knows one other, and whoever asks it."""
+    """Hold the polls of a host that knows one other host."""
 
     def __init__(self, *, keyed: bool = True) -> None:
-        """Start with what it read a second ago."""
+        """Start with a view that was read a second ago."""
         self.now = 100.0
         self.keys = freshness.Freshness(REVOKE_S, lambda: self.now)
         if keyed:
@@ -32,7 +32,7 @@
         self.keys.record_read(99, facts.NO_ERA)
         host = deployments.Host('host-1', '10.0.0.1:7000', 'north')
         fact = facts.Fact(facts.Key(facts.Subject.HOST, host.name), 1, host)
-        self.ledger = store_views.merge_report(
+        self.view = store_views.merge_report(
             store_views.create(7),
             facts.Report(1, (fact,), full=True, age=0),
             asyncio.get_running_loop().time(),
@@ -42,8 +42,8 @@
         self.long_polls = long_polls.LongPolls(self._get_state, self.keys)
 
     def poll(self, keys_age_s: float | None) -> None:
-        """Ask for what is newer than all that is known."""
-        query = {'after': report_codecs.encode_cursor(self.ledger.cursor)}
+        """Poll for changes after the current view."""
+        query = {'after': report_codecs.encode_cursor(self.view.cursor)}
         if keys_age_s is not None:
             query[long_polls.KEYS_AGE_PARAMETER] = str(keys_age_s)
         self.long_polls.handle_poll(urllib.parse.urlencode(query), self._record)
@@ -52,11 +52,11 @@
         self.reports.append(report_codecs.decode_report(body))
 
     def _get_state(self) -> long_polls.StoreState:
-        return long_polls.StoreState(self.ledger, store_lost=False)
+        return long_polls.StoreState(self.view, store_lost=False)
 
 
 def test_answers_a_stale_poll_at_once() -> None:
-    """Symptom: a host stays stale while the one that it asks is fresh."""
+    """Guard against a host that stays stale while its peer is fresh."""
 
     async def check() -> None:
         rig = Rig()
@@ -69,7 +69,7 @@
 
 
 def test_holds_a_poll_until_a_fresher_proof() -> None:
-    """Symptom: hosts that are calm ask each other without a pause."""
+    """Guard against fresh hosts that poll each other without a delay."""
 
     async def check() -> None:
         rig = Rig()
@@ -90,7 +90,7 @@
 
 
 def test_proves_nothing_without_customers() -> None:
-    """Hosts of other deployments send what they sent before."""
+    """Reports of deployments without customers stay unchanged."""
 
     async def check() -> None:
         rig = Rig(keyed=False)
