--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from bench import capacity, footprint, records, runs, scenarios, worlds
+from bench import capacity, footprint, records, runs, scenarios, testbeds
 from standins import layouts
 
 EXAMPLES = """examples:
@@ -28,47 +28,49 @@
     if options.command == 'capacity':
         capacity.main(print)
         return 0
-    turns = _run(options)
-    lines = records.compare(turns)
-    lines.extend(
-        f'{turn.policy}: {turn.refusals} {turn.faults} {turn.limit}'
-        for turn in turns
+    results = _run_rounds(options)
+    report = records.compare(results)
+    report.extend(
+        f'{figures.policy}: {figures.refusals} {figures.faults} {figures.limit}'
+        for figures in results
     )
-    print('\n'.join(lines))
+    print('\n'.join(report))
     if options.json:
-        text = json.dumps([turn._asdict() for turn in turns], indent=1)
+        text = json.dumps([figures._asdict() for figures in results], indent=1)
         Path(options.json).write_text(text, encoding='utf-8')
     return 0
 
 
-def _run(options: argparse.Namespace) -> list[records.Figures]:
+def _run_rounds(options: argparse.Namespace) -> list[records.Figures]:
     policies = [options.policy]
     if options.against:
         policies.append(options.against)
-    turns = []
-    for number in range(options.rounds):
+    results = []
+    for round_number in range(options.rounds):
         # The order alternates, so that a drift of the machine hits both.
         policies.reverse()
         for policy in policies:
-            turns.append(_run_turn(options, policy, number))
-            print(json.dumps(turns[-1]._asdict()), file=sys.stderr)
-    return turns
+            results.append(_run_round(options, policy, round_number))
+            print(json.dumps(results[-1]._asdict()), file=sys.stderr)
+    return results
 
 
-def _run_turn(
-    options: argparse.Namespace, policy: str, number: int
+def _run_round(
+    options: argparse.Namespace, policy: str, round_number: int
 ) -> records.Figures:
     scenario = scenarios.SCENARIOS[options.scenario]
-    plan = worlds.Plan(
+    plan = testbeds.Plan(
         options.deployment,
-        options.first_port or next(worlds.find_free_ports()),
+        options.first_port or next(testbeds.find_free_ports()),
         policy,
         options.hosts,
         scenario.data_centres,
     )
-    seed = options.seed + number
-    order = runs.Order(scenario, plan, options.seconds, options.rate, seed)
-    return runs.run(order)
+    seed = options.seed + round_number
+    run_options = runs.RunOptions(
+        scenario, plan, options.seconds, options.rate, seed
+    )
+    return runs.run(run_options)
 
 
 def _parse() -> argparse.Namespace:
@@ -82,20 +84,26 @@
     commands.add_parser('list', help='list the scenarios')
     commands.add_parser('capacity', help='work out the size aimed at')
     commands.add_parser('footprint', help="measure a host's decisions")
-    run = commands.add_parser('run', help='run one scenario')
-    run.add_argument('scenario', choices=tuple(scenarios.SCENARIOS))
-    run.add_argument(
+    run_parser = commands.add_parser('run', help='run one scenario')
+    run_parser.add_argument('scenario', choices=tuple(scenarios.SCENARIOS))
+    run_parser.add_argument(
         '--deployment', choices=tuple(layouts.SERVICES), default='santiago'
     )
-    run.add_argument('--policy', default='standard')
-    run.add_argument('--against', help='another policy, run by turns')
-    run.add_argument('--seconds', type=float, default=20)
-    run.add_argument('--rate', type=float, default=40, help='requests a second')
-    run.add_argument('--rounds', type=int, default=1)
-    run.add_argument('--seed', type=int, default=1)
-    run.add_argument('--hosts', type=int, default=2, help='per data centre')
-    run.add_argument('--first-port', type=int, help='or a free range')
-    run.add_argument('--json', help='a file for the figures of each turn')
+    run_parser.add_argument('--policy', default='standard')
+    run_parser.add_argument('--against', help='another policy, run by turns')
+    run_parser.add_argument('--seconds', type=float, default=20)
+    run_parser.add_argument(
+        '--rate', type=float, default=40, help='requests a second'
+    )
+    run_parser.add_argument('--rounds', type=int, default=1)
+    run_parser.add_argument('--seed', type=int, default=1)
+    run_parser.add_argument(
+        '--hosts', type=int, default=2, help='per data centre'
+    )
+    run_parser.add_argument('--first-port', type=int, help='or a free range')
+    run_parser.add_argument(
+        '--json', help='a file for the figures of each turn'
+    )
     return parser.parse_args()
 
 
--- a/bench/balancers.py
+++ b/bench/balancers.py
@@ -6,14 +6,14 @@
 from collections.abc import Sequence
 from typing import Final
 
-from bench import exchanges
+from bench import http_client
 
-PAUSE_S: Final = 0.5
-TIMEOUT_S: Final = 1.0
-READY: Final = 200
+PROBE_INTERVAL_S: Final = 0.5
+PROBE_TIMEOUT_S: Final = 1.0
+READY_STATUS: Final = 200
 
 
-class Word(enum.Enum):
+class Readiness(enum.Enum):
     """List what a host was heard to say of itself last.
 
     LEFT covers one that accepts no connection, SILENT one that did not answer
@@ -22,7 +22,7 @@
 
     READY = enum.auto()
     SILENT = enum.auto()
-    LEFT = enum.auto()
+    UNREACHABLE = enum.auto()
 
 
 class Balancer:
@@ -33,53 +33,59 @@
     stops would go on getting requests for as long as another one is slow.
     """
 
-    def __init__(self, client: exchanges.Client, ports: Sequence[int]) -> None:
+    def __init__(
+        self, client: http_client.Client, ports: Sequence[int]
+    ) -> None:
         """Start with every host taken for ready."""
         self._client = client
         self._ports = ports
-        self._words = [Word.READY for _ in ports]
-        self._asked = itertools.count()
-        self._latest = [-1 for _ in ports]
+        self._states = [Readiness.READY for _ in ports]
+        self._probe_numbers = itertools.count()
+        self._newest = [-1 for _ in ports]
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Go on asking, if that has not begun, until the loop ends."""
         if not self._tasks:
             self._tasks = [
-                asyncio.create_task(self._watch(number))
-                for number in range(len(self._ports))
+                asyncio.create_task(self._probe_repeatedly(index))
+                for index in range(len(self._ports))
             ]
 
     def list_usable(self) -> list[int]:
         """List the hosts that are ready; without one, those that may be."""
-        for word in Word:
-            found = [it for it, told in enumerate(self._words) if told is word]
-            if found:
-                return found
+        for state in Readiness:
+            usable = [
+                it
+                for it, reported in enumerate(self._states)
+                if reported is state
+            ]
+            if usable:
+                return usable
         return []
 
-    async def ask_all(self) -> bool:
+    async def probe_all(self) -> bool:
         """Ask each host once; tell whether all are ready."""
-        numbers = range(len(self._ports))
-        await asyncio.gather(*(self._ask(number) for number in numbers))
-        return all(word is Word.READY for word in self._words)
+        indexes = range(len(self._ports))
+        await asyncio.gather(*(self._probe(index) for index in indexes))
+        return all(state is Readiness.READY for state in self._states)
 
-    async def _watch(self, number: int) -> None:
+    async def _probe_repeatedly(self, index: int) -> None:
         while True:
-            await self._ask(number)
-            await asyncio.sleep(PAUSE_S)
+            await self._probe(index)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
-    async def _ask(self, number: int) -> None:
-        place = next(self._asked)
-        outcome = await self._client.send(
-            self._ports[number], 'GET', '/readyz', timeout_s=TIMEOUT_S
+    async def _probe(self, index: int) -> None:
+        probe_number = next(self._probe_numbers)
+        response = await self._client.send(
+            self._ports[index], 'GET', '/readyz', timeout_s=PROBE_TIMEOUT_S
         )
-        word = Word.LEFT
-        if outcome.status == READY:
-            word = Word.READY
-        elif outcome.body.get('why') == exchanges.SILENT:
-            word = Word.SILENT
-        if place > self._latest[number]:
+        state = Readiness.UNREACHABLE
+        if response.status == READY_STATUS:
+            state = Readiness.READY
+        elif response.body.get('why') == http_client.NO_ANSWER:
+            state = Readiness.SILENT
+        if probe_number > self._newest[index]:
             # A slow answer to an earlier question is no news.
-            self._latest[number] = place
-            self._words[number] = word
+            self._newest[index] = probe_number
+            self._states[index] = state
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 from typing import Any, Final, NamedTuple
 
-SLOPES: Final = Path(__file__).with_name('slopes.json')
+SLOPES_PATH: Final = Path(__file__).with_name('slopes.json')
 DAY_S: Final = 86_400
 KIB: Final = 1024
 MIB: Final = 1024 * 1024
 #: The deal of seats gives each host this many replicas of a shard.
-REPLICAS_DEALT: Final = 2
+REPLICAS_PER_HOST: Final = 2
 #: The platform takes several hundred writes a second.
-CLAIM_WRITES_S: Final = 300
+CLAIM_WRITES_PER_S: Final = 300
 
 
 SERVING: Final = 'host, serving'
@@ -27,17 +27,17 @@
 Slopes = dict[str, Any]
 
 
-class Size(NamedTuple):
+class CapacityTarget(NamedTuple):
     """Hold the size that the users aim at."""
 
     nodes: int = 3100
     searchers: int = 91_000
     data_centres: int = 28
-    queries_s: float = 2.8e6
+    queries_per_s: float = 2.8e6
     fan_out: int = 270
-    changes_day: int = 51_000
-    fails_day: int = 260
-    restarts_day: int = 9400
+    changes_per_day: int = 51_000
+    failures_per_day: int = 260
+    restarts_per_day: int = 9400
 
     @property
     def hosts(self) -> float:
@@ -50,184 +50,192 @@
         return self.searchers / self.data_centres
 
     @property
-    def changes_s(self) -> float:
+    def changes_per_s(self) -> float:
         """Count the changes of configuration in a second."""
-        return self.changes_day / DAY_S
+        return self.changes_per_day / DAY_S
 
     @property
-    def member_events_s(self) -> float:
+    def member_events_per_s(self) -> float:
         """Count joins and leaves in one data centre in a second."""
-        events = self.fails_day * 2 + self.restarts_day * 2
+        events = self.failures_per_day * 2 + self.restarts_per_day * 2
         return events / self.data_centres / DAY_S
 
 
-class Line(NamedTuple):
+class TableRow(NamedTuple):
     """Hold one line of the table."""
 
     role: str
-    what: str
+    quantity: str
     arithmetic: str
-    figure: str
+    value: str
 
 
 def main(write: Callable[[str], None]) -> None:
     """Print the table."""
-    slopes = json.loads(SLOPES.read_text(encoding='utf-8'))
+    slopes = json.loads(SLOPES_PATH.read_text(encoding='utf-8'))
     write('| role | what | arithmetic | at that size |\n|---|---|---|---|')
-    for line in list_lines(Size(), slopes):
-        write(f'| {" | ".join(line)} |')
+    for row in list_rows(CapacityTarget(), slopes):
+        write(f'| {" | ".join(row)} |')
 
 
-def list_lines(size: Size, slopes: Slopes) -> Iterator[Line]:
+def list_rows(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
     """Work out every line."""
     yield from _list_serving(size, slopes)
-    yield from _list_member(size, slopes)
+    yield from _list_control(size, slopes)
     yield from _list_platform(size, slopes)
 
 
-def fit(points: dict[str, float], at: float) -> float:
+def extrapolate(points: dict[str, float], size: float) -> float:
     """Extend measured points by a straight line; one point stands alone."""
-    places = [float(place) for place in points]
-    if len(places) < 2:
+    sizes = [float(place) for place in points]
+    if len(sizes) < 2:
         return statistics.mean(points.values())
-    line = statistics.linear_regression(places, list(points.values()))
-    return line.intercept + line.slope * at
+    line = statistics.linear_regression(sizes, list(points.values()))
+    return line.intercept + line.slope * size
 
 
-def _list_serving(size: Size, slopes: Slopes) -> Iterator[Line]:
+def _list_serving(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
     role = SERVING
-    queries = size.queries_s / size.nodes
-    parts = queries * size.fan_out
-    yield Line(
+    queries = size.queries_per_s / size.nodes
+    sub_requests = queries * size.fan_out
+    yield TableRow(
         role,
         'sub-requests a second',
-        f'{size.queries_s:,.0f} / {size.nodes} x {size.fan_out}',
-        f'{parts:,.0f}',
+        f'{size.queries_per_s:,.0f} / {size.nodes} x {size.fan_out}',
+        f'{sub_requests:,.0f}',
     )
     for name in ('sub_request_us_loop', 'sub_request_us_process'):
         cost = slopes[name]['value']
-        yield Line(
+        yield TableRow(
             role,
             f'cores ({name})',
-            f'{parts:,.0f} x {cost} us',
-            f'{parts * cost / 1e6:,.0f}',
+            f'{sub_requests:,.0f} x {cost} us',
+            f'{sub_requests * cost / 1e6:,.0f}',
         )
-    yield Line(
+    yield TableRow(
         role,
         'targets with a seat, at least',
-        f'{size.fan_out} shards x {REPLICAS_DEALT} replicas',
-        f'{size.fan_out * REPLICAS_DEALT:,}',
+        f'{size.fan_out} shards x {REPLICAS_PER_HOST} replicas',
+        f'{size.fan_out * REPLICAS_PER_HOST:,}',
     )
 
 
-def _list_member(size: Size, slopes: Slopes) -> Iterator[Line]:
+def _list_control(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
     yield from _list_control_cpu(size, slopes)
     yield from _list_control_bytes(size, slopes)
-    each = slopes['state_bytes_per_target']['value']
-    yield Line(
+    target_bytes = slopes['state_bytes_per_target']['value']
+    yield TableRow(
         CONTROL,
         'memory of the decisions',
-        f'{size.targets:,.0f} targets x {each} bytes',
-        f'{size.targets * each / MIB:.1f} MB',
+        f'{size.targets:,.0f} targets x {target_bytes} bytes',
+        f'{size.targets * target_bytes / MIB:.1f} MB',
     )
 
 
-def _list_control_cpu(size: Size, slopes: Slopes) -> Iterator[Line]:
-    quiet = fit(slopes['quiet_cpu_percent']['value'], size.hosts)
-    task = fit(slopes['change_cpu_ms']['value'], size.hosts)
-    taken = slopes['change_dispatch_ms']['value']
-    deal = slopes['member_dispatch_ms']['value']
-    for_changes = size.changes_s * (task + taken) / 10
-    for_members = size.member_events_s * deal / 10
-    yield Line(
+def _list_control_cpu(
+    size: CapacityTarget, slopes: Slopes
+) -> Iterator[TableRow]:
+    idle_cpu = extrapolate(slopes['quiet_cpu_percent']['value'], size.hosts)
+    task_ms = extrapolate(slopes['change_cpu_ms']['value'], size.hosts)
+    dispatch_ms = slopes['change_dispatch_ms']['value']
+    member_ms = slopes['member_dispatch_ms']['value']
+    changes_cpu = size.changes_per_s * (task_ms + dispatch_ms) / 10
+    members_cpu = size.member_events_per_s * member_ms / 10
+    yield TableRow(
         CONTROL,
         'core at rest',
         f'line through the points, {size.hosts:.0f} hosts',
-        f'{quiet:.2f} %',
+        f'{idle_cpu:.2f} %',
     )
-    yield Line(
+    yield TableRow(
         CONTROL,
         'core for changes',
-        f'{size.changes_s:.2f}/s x ({task:.1f} + {taken}) ms',
-        f'{for_changes:.2f} %',
+        f'{size.changes_per_s:.2f}/s x ({task_ms:.1f} + {dispatch_ms}) ms',
+        f'{changes_cpu:.2f} %',
     )
-    yield Line(
+    yield TableRow(
         CONTROL,
         'core for members that come and go',
-        f'{size.member_events_s:.4f}/s x {deal} ms',
-        f'{for_members:.2f} %',
+        f'{size.member_events_per_s:.4f}/s x {member_ms} ms',
+        f'{members_cpu:.2f} %',
     )
-    yield Line(
+    yield TableRow(
         CONTROL,
         'core, sum (2.8 % allowed)',
         'the three above',
-        f'{quiet + for_changes + for_members:.2f} %',
+        f'{idle_cpu + changes_cpu + members_cpu:.2f} %',
     )
 
 
-def _list_control_bytes(size: Size, slopes: Slopes) -> Iterator[Line]:
-    gossip = fit(slopes['quiet_peer_bytes_s']['value'], size.hosts)
+def _list_control_bytes(
+    size: CapacityTarget, slopes: Slopes
+) -> Iterator[TableRow]:
+    gossip = extrapolate(slopes['quiet_peer_bytes_s']['value'], size.hosts)
     for kind, name in (
         ('mean host', 'change_peer_bytes'),
         ('host with the most', 'change_peer_bytes_most'),
     ):
-        spread = fit(slopes[name]['value'], size.hosts)
-        total = gossip + size.changes_s * spread
-        yield Line(
+        change_bytes = extrapolate(slopes[name]['value'], size.hosts)
+        total = gossip + size.changes_per_s * change_bytes
+        yield TableRow(
             CONTROL,
             f'bytes a second between hosts, {kind}',
-            f'{gossip:,.0f} + {size.changes_s:.2f}/s x {spread:,.0f}',
+            f'{gossip:,.0f} + {size.changes_per_s:.2f}/s x {change_bytes:,.0f}',
             f'{total / KIB:.2f} KB',
         )
     yield from _list_watcher(size, slopes)
 
 
-def _list_watcher(size: Size, slopes: Slopes) -> Iterator[Line]:
+def _list_watcher(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
     # A watcher reads the whole manifest for each change, so its costs grow
     # with the targets that stand in it: here those of one data centre.
     role = 'host, watcher'
-    cost = fit(slopes['change_cpu_ms_watcher']['value'], size.targets)
-    yield Line(
+    change_ms = extrapolate(
+        slopes['change_cpu_ms_watcher']['value'], size.targets
+    )
+    yield TableRow(
         role,
         'core for changes, in place of the above',
-        f'{size.changes_s:.2f}/s x {cost:.1f} ms',
-        f'{size.changes_s * cost / 10:.2f} %',
+        f'{size.changes_per_s:.2f}/s x {change_ms:.1f} ms',
+        f'{size.changes_per_s * change_ms / 10:.2f} %',
+    )
+    change_bytes = extrapolate(
+        slopes['change_platform_bytes_watcher']['value'], size.targets
     )
-    read = fit(slopes['change_platform_bytes_watcher']['value'], size.targets)
-    yield Line(
+    yield TableRow(
         role,
         'bytes a second from the platform, besides',
-        f'{size.changes_s:.2f}/s x {read:,.0f}',
-        f'{size.changes_s * read / KIB:.2f} KB',
+        f'{size.changes_per_s:.2f}/s x {change_bytes:,.0f}',
+        f'{size.changes_per_s * change_bytes / KIB:.2f} KB',
     )
 
 
-def _list_platform(size: Size, slopes: Slopes) -> Iterator[Line]:
-    calls = slopes['editor_calls_per_change']['value']
-    watch = slopes['watcher_calls_per_change']['value']
-    rest = fit(slopes['quiet_calls_minute']['value'], size.hosts)
-    yield Line(
+def _list_platform(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
+    editor_calls = slopes['editor_calls_per_change']['value']
+    watcher_calls = slopes['watcher_calls_per_change']['value']
+    idle_calls = extrapolate(slopes['quiet_calls_minute']['value'], size.hosts)
+    yield TableRow(
         PLATFORM,
         'calls of commands, a second',
-        f'{size.changes_s:.2f}/s x {calls}',
-        f'{size.changes_s * calls:.1f}',
+        f'{size.changes_per_s:.2f}/s x {editor_calls}',
+        f'{size.changes_per_s * editor_calls:.1f}',
     )
-    yield Line(
+    yield TableRow(
         PLATFORM,
         'calls of watchers, a second',
-        f'{size.changes_s:.2f}/s x {size.data_centres} x {watch}',
-        f'{size.changes_s * size.data_centres * watch:.0f}',
+        f'{size.changes_per_s:.2f}/s x {size.data_centres} x {watcher_calls}',
+        f'{size.changes_per_s * size.data_centres * watcher_calls:.0f}',
     )
-    yield Line(
+    yield TableRow(
         PLATFORM,
         'calls of all hosts at rest, a second',
-        f'{size.data_centres} x {rest:.0f} / 60',
-        f'{size.data_centres * rest / 60:.0f}',
+        f'{size.data_centres} x {idle_calls:.0f} / 60',
+        f'{size.data_centres * idle_calls / 60:.0f}',
     )
-    for rate, each in slopes['claims_per_write']['value'].items():
-        yield Line(
+    for rate, claims_per_write in slopes['claims_per_write']['value'].items():
+        yield TableRow(
             PLATFORM,
-            f'claims a second in {CLAIM_WRITES_S} writes, as at {rate}/s',
-            f'{CLAIM_WRITES_S} x {each}',
-            f'{CLAIM_WRITES_S * each:,.0f}',
+            f'claims a second in {CLAIM_WRITES_PER_S} writes, as at {rate}/s',
+            f'{CLAIM_WRITES_PER_S} x {claims_per_write}',
+            f'{CLAIM_WRITES_PER_S * claims_per_write:,.0f}',
         )
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
 
-from bench import worlds
+from bench import testbeds
 from fuchsiahaven.core import rates, request_ids
 from fuchsiahaven.core.configuration import (
     changes,
@@ -27,13 +27,13 @@
 from fuchsiahaven.edge import config_client, store
 from standins import wire
 
-ROUNDS: Final = 15
-CENTRES: Final = 28
-TARGETS: Final = 3250
+CHANGES_PER_CASE: Final = 15
+DATA_CENTRES: Final = 28
+TARGETS_PER_DATA_CENTRE: Final = 3250
 GROUPS: Final = 4
 #: Far above the budget of a process, which one command does not reach.
-RATE: Final = rates.Rate(100_000, burst=100_000)
-LIMITS: Final = store.Limits(read_rate=RATE, write_rate=RATE)
+STORE_RATE: Final = rates.Rate(100_000, burst=100_000)
+STORE_LIMITS: Final = store.Limits(read_rate=STORE_RATE, write_rate=STORE_RATE)
 
 
 class Case(NamedTuple):
@@ -41,37 +41,46 @@
 
     name: str
     configuration: configurations.Configuration
-    make: Callable[[int], changes.Change]
+    make_change: Callable[[int], changes.Change]
 
 
 def main() -> None:
     """Print one line of JSON for each measurement."""
     if sys.argv[1:] == ['race']:
-        measure_races(build(3, 24))
+        measure_races(build_configuration(3, 24))
         return
-    for centres in (1, CENTRES):
-        show(measure_codec(build(centres, TARGETS // GROUPS)))
-    small, large = build(3, 24), build(3, TARGETS // GROUPS)
-    huge = build(CENTRES, TARGETS // GROUPS)
+    for data_centres in (1, DATA_CENTRES):
+        print_row(
+            measure_codec(
+                build_configuration(
+                    data_centres, TARGETS_PER_DATA_CENTRE // GROUPS
+                )
+            )
+        )
+    small, medium = (
+        build_configuration(3, 24),
+        build_configuration(3, TARGETS_PER_DATA_CENTRE // GROUPS),
+    )
+    large = build_configuration(DATA_CENTRES, TARGETS_PER_DATA_CENTRE // GROUPS)
     cases = (
-        Case('label, 288 targets', small, label),
-        Case('label, 9,744 targets', large, label),
-        Case('add a target, 9,744 targets', large, add_target),
-        Case('drain, 9,744 targets', large, drain),
-        Case('drain, data centre named', large, drain_there),
-        Case('label, 90,944 targets', huge, label),
-        Case('add a target, 90,944 targets', huge, add_target),
+        Case('label, 288 targets', small, make_label_change),
+        Case('label, 9,744 targets', medium, make_label_change),
+        Case('add a target, 9,744 targets', medium, make_addition),
+        Case('drain, 9,744 targets', medium, make_drain),
+        Case('drain, data centre named', medium, make_drain_in_data_centre),
+        Case('label, 90,944 targets', large, make_label_change),
+        Case('add a target, 90,944 targets', large, make_addition),
     )
     for case in cases:
         with contextlib.ExitStack() as stack:
-            show(measure_changes(case, start_platform(stack)))
+            print_row(measure_changes(case, start_platform(stack)))
     measure_races(small)
 
 
 def measure_manifest(platform: store.Store) -> int:
     """Return the bytes of the stored manifest, its last changes included."""
-    found = platform.read(manifests.MANIFEST_KEY)
-    return len(found.value.encode()) if found else 0
+    stored = platform.read(manifests.MANIFEST_KEY)
+    return len(stored.value.encode()) if stored else 0
 
 
 def measure_races(configuration: configurations.Configuration) -> None:
@@ -79,15 +88,17 @@
     for operators in (1, 2, 4, 8):
         with contextlib.ExitStack() as stack:
             url = start_platform(stack)
-            show(measure_race(configuration, operators, url))
+            print_row(measure_race(configuration, operators, url))
 
 
-def show(row: dict[str, Any]) -> None:
+def print_row(row: dict[str, Any]) -> None:
     """Print one measurement."""
     print(json.dumps(row), flush=True)
 
 
-def build(centres: int, size: int) -> configurations.Configuration:
+def build_configuration(
+    data_centres: int, group_size: int
+) -> configurations.Configuration:
     """Build `GROUPS` groups of `size` targets in each data centre."""
     groups = tuple(
         configurations.Group(
@@ -99,8 +110,8 @@
                     f'10.{c}.{g * 32 + t // 250}.{t % 250}:7001',
                     f'dc{c:02}',
                 )
-                for c in range(centres)
-                for t in range(size)
+                for c in range(data_centres)
+                for t in range(group_size)
             ),
         )
         for g in range(GROUPS)
@@ -108,28 +119,30 @@
     return configurations.Configuration(1, groups)
 
 
-def label(turn: int) -> changes.Change:
+def make_label_change(number: int) -> changes.Change:
     """Set a label of a group."""
-    return changes.LabelGroup('service-0', (('turn', f't{turn}'),))
+    return changes.LabelGroup('service-0', (('turn', f't{number}'),))
 
 
-def drain(turn: int) -> changes.Change:
+def make_drain(number: int) -> changes.Change:
     """Mark one target as leaving, or not any more."""
-    name = f'dc00-service-0-{turn // 2:04}/1'
-    return changes.MarkLeaving('service-0', (name,), turn % 2 == 0)
+    name = f'dc00-service-0-{number // 2:04}/1'
+    return changes.MarkLeaving('service-0', (name,), number % 2 == 0)
 
 
-def drain_there(turn: int) -> changes.Change:
+def make_drain_in_data_centre(number: int) -> changes.Change:
     """Mark one target as leaving, and say in which data centre it is."""
-    name = f'dc00-service-0-{turn // 2:04}/1'
-    leaving = turn % 2 == 0
+    name = f'dc00-service-0-{number // 2:04}/1'
+    leaving = number % 2 == 0
     return changes.MarkLeaving('service-0', (name,), leaving, 'dc00')
 
 
-def add_target(turn: int) -> changes.Change:
+def make_addition(number: int) -> changes.Change:
     """Add a target to a group."""
-    added = configurations.Target(f'new-{turn}/1', f'10.99.0.{turn}:1', 'dc00')
-    return changes.AddTargets('service-0', (added,))
+    target = configurations.Target(
+        f'new-{number}/1', f'10.99.0.{number}:1', 'dc00'
+    )
+    return changes.AddTargets('service-0', (target,))
 
 
 def measure_codec(
@@ -138,20 +151,21 @@
     """Time encoding and decoding, and measure the sizes."""
     encoded = manifests.encode(configuration)
     assert isinstance(encoded, manifests.Encoded)
-    kept = encoded.manifest.stored_parts
+    stored_parts = encoded.manifest.stored_parts
     targets = sum(len(group.targets) for group in configuration.groups)
     parts = [len(text.encode()) for text in encoded.part_texts.values()]
     return {
-        'codec': f'{targets} targets in {len(kept)} parts',
+        'codec': f'{targets} targets in {len(stored_parts)} parts',
         'encode_ms': time_ms(lambda: manifests.encode(configuration)),
         'encode_kept_ms': time_ms(
-            lambda: manifests.encode(configuration, (), kept)
+            lambda: manifests.encode(configuration, (), stored_parts)
         ),
         'decode_ms': time_ms(
             lambda: manifests.decode(encoded.text, encoded.part_texts)
         ),
         'manifest_bytes': len(encoded.text.encode()),
-        'manifest_bytes_per_part': len(encoded.text.encode()) / len(kept),
+        'manifest_bytes_per_part': len(encoded.text.encode())
+        / len(stored_parts),
         'part_bytes_per_target': sum(parts) / targets,
     }
 
@@ -159,20 +173,20 @@
 def time_ms(work: Callable[[], object]) -> float:
     """Return the median processor time of some runs, in milliseconds."""
     work()
-    spent = []
-    for _ in range(ROUNDS):
-        began = time.process_time()
+    times_ms = []
+    for _ in range(CHANGES_PER_CASE):
+        started_at = time.process_time()
         work()
-        spent.append((time.process_time() - began) * 1000)
-    return round(statistics.median(spent), 2)
+        times_ms.append((time.process_time() - started_at) * 1000)
+    return round(statistics.median(times_ms), 2)
 
 
 def start_platform(stack: contextlib.ExitStack) -> str:
     """Start the platform's stand-in and return its URL."""
-    port = next(worlds.find_free_ports())
-    words = ('-m', 'standins', 'platform', '--port', str(port))
+    port = next(testbeds.find_free_ports())
+    arguments = ('-m', 'standins', 'platform', '--port', str(port))
     process = subprocess.Popen(  # noqa: S603
-        (sys.executable, *words), stdout=subprocess.PIPE, text=True
+        (sys.executable, *arguments), stdout=subprocess.PIPE, text=True
     )
     stack.enter_context(process)
     stack.callback(process.terminate)
@@ -183,12 +197,14 @@
 
 def open_store(url: str, stack: contextlib.ExitStack) -> store.Store:
     """Open a store that measures more calls a second than it may make."""
-    opened = store.Store(url, LIMITS)
+    opened = store.Store(url, STORE_LIMITS)
     stack.callback(opened.close)
     return opened
 
 
-def make(platform: store.Store, change: changes.Change) -> transactions.Outcome:
+def commit_change(
+    platform: store.Store, change: changes.Change
+) -> transactions.Outcome:
     """Make one change."""
     bits = int.from_bytes(os.urandom(9)) & ((1 << request_ids.RANDOM_BITS) - 1)
     change_id = request_ids.make_request_id(time.time(), bits)
@@ -200,29 +216,32 @@
     """Time one kind of change and count its calls of the platform."""
     with contextlib.ExitStack() as stack:
         platform = open_store(url, stack)
-        fill(platform, case.configuration)
+        store_configuration(platform, case.configuration)
         # The trail is filled first, so that each change archives an entry.
-        for turn in range(proposals.MAX_KEPT_ENTRIES):
-            make(platform, label(turn + 1000))
+        for number in range(proposals.MAX_KEPT_ENTRIES):
+            commit_change(platform, make_label_change(number + 1000))
         platform.calls.clear()
-        walls, work = [], []
-        for turn in range(ROUNDS):
-            wall, processor = time.monotonic(), time.process_time()
-            told = make(platform, case.make(turn))
-            assert isinstance(told, proposals.ChangeAccepted), told
-            walls.append((time.monotonic() - wall) * 1000)
-            work.append((time.process_time() - processor) * 1000)
+        wall_times, processor_times = [], []
+        for number in range(CHANGES_PER_CASE):
+            started_at, cpu_start_s = time.monotonic(), time.process_time()
+            outcome = commit_change(platform, case.make_change(number))
+            assert isinstance(outcome, proposals.ChangeAccepted), outcome
+            wall_times.append((time.monotonic() - started_at) * 1000)
+            processor_times.append((time.process_time() - cpu_start_s) * 1000)
         return {
             'change': case.name,
-            'wall_ms': round(statistics.median(walls), 1),
-            'worst_ms': round(max(walls), 1),
-            'processor_ms': round(statistics.median(work), 1),
-            'calls': {k: n / ROUNDS for k, n in platform.calls.items()},
+            'wall_ms': round(statistics.median(wall_times), 1),
+            'worst_ms': round(max(wall_times), 1),
+            'processor_ms': round(statistics.median(processor_times), 1),
+            'calls': {
+                call: count / CHANGES_PER_CASE
+                for call, count in platform.calls.items()
+            },
             'manifest_bytes': measure_manifest(platform),
         }
 
 
-def fill(
+def store_configuration(
     platform: store.Store, configuration: configurations.Configuration
 ) -> None:
     """Store a configuration as it is, without a change."""
@@ -239,33 +258,37 @@
     """Let operators set labels of their own at once, as fast as they can."""
     with contextlib.ExitStack() as stack:
         stores = [open_store(url, stack) for _ in range(operators)]
-        fill(stores[0], configuration)
+        store_configuration(stores[0], configuration)
         stores[0].calls.clear()
-        began = time.monotonic()
+        started_at = time.monotonic()
         with concurrent.futures.ThreadPoolExecutor(operators) as pool:
-            times = list(pool.map(race, stores, range(operators)))
-        spent = time.monotonic() - began
-        accepted = [it for found in times for it in found]
+            times = list(pool.map(commit_repeatedly, stores, range(operators)))
+        elapsed_s = time.monotonic() - started_at
+        accepted = [it for operator_times in times for it in operator_times]
         calls = sum(sum(each.calls.values()) for each in stores)
         return {
             'race': f'{operators} operators',
             'accepted': len(accepted),
-            'refused': operators * ROUNDS - len(accepted),
-            'accepted_per_s': round(len(accepted) / spent, 1),
+            'refused': operators * CHANGES_PER_CASE - len(accepted),
+            'accepted_per_s': round(len(accepted) / elapsed_s, 1),
             'calls_per_change': round(calls / len(accepted), 2),
             'median_ms': round(statistics.median(accepted), 1),
             'worst_ms': round(max(accepted), 1),
         }
 
 
-def race(platform: store.Store, number: int) -> list[float]:
+def commit_repeatedly(platform: store.Store, number: int) -> list[float]:
     """Set one label again and again; return the times of those accepted."""
     times = []
-    for turn in range(ROUNDS):
-        change = changes.LabelGroup('service-0', ((f'o{number}', f't{turn}'),))
-        began = time.monotonic()
-        if isinstance(make(platform, change), proposals.ChangeAccepted):
-            times.append((time.monotonic() - began) * 1000)
+    for round_number in range(CHANGES_PER_CASE):
+        change = changes.LabelGroup(
+            'service-0', ((f'o{number}', f't{round_number}'),)
+        )
+        started_at = time.monotonic()
+        if isinstance(
+            commit_change(platform, change), proposals.ChangeAccepted
+        ):
+            times.append((time.monotonic() - started_at) * 1000)
     return times
 
 
--- a/bench/checks.py
+++ b/bench/checks.py
@@ -9,7 +9,7 @@
 from fuchsiahaven.core.configuration import configurations
 from standins import catalogue, wire
 
-SINGLE: Final = configurations.Repeat.AT_MOST_ONCE
+AT_MOST_ONCE: Final = configurations.Repeat.AT_MOST_ONCE
 
 
 def find_fault(request: mixes.Request, answer: wire.Json) -> str:
@@ -17,10 +17,10 @@
     request_id = request.body['request_id']
     if answer['request_id'] != request_id:
         return 'another_request'
-    if request.rule.repeat is SINGLE:
-        wanted = [f'receipt-{request_id}']
-        right = [row['id'] for row in answer['rows']] == wanted
-        return '' if right else 'another_request'
+    if request.request_class.repeat is AT_MOST_ONCE:
+        expected = [f'receipt-{request_id}']
+        matches = [row['id'] for row in answer['rows']] == expected
+        return '' if matches else 'another_request'
     snapshots = answer['snapshots']
     if any(
         row['snapshot'] != snapshots.get(_find_service(row['id']))
@@ -30,9 +30,11 @@
     complete = not answer['coverage']['missing']
     if complete != (answer['status'] == 'complete'):
         return 'untrue_status'
-    found = [row['id'] for row in answer['rows']]
-    held = _list_held(answer['coverage']['covered'], request.body['query'])
-    return '' if found == held else 'untrue_coverage'
+    returned = [row['id'] for row in answer['rows']]
+    expected_ids = _list_expected_ids(
+        answer['coverage']['covered'], request.body['query']
+    )
+    return '' if returned == expected_ids else 'untrue_coverage'
 
 
 def measure_coverage(answer: wire.Json) -> float:
@@ -42,15 +44,17 @@
     return 1 - len(coverage['missing']) / shards if shards else 0.0
 
 
-def _list_held(covered: list[wire.Json], query: wire.Json) -> list[str]:
+def _list_expected_ids(
+    coverage_entries: list[wire.Json], query: wire.Json
+) -> list[str]:
     # What a true merge of the covered ranges gives, read from the catalogue.
     rows: list[wire.Json] = []
-    for entry in covered:
-        held = _search(entry['group'], query['text'])
+    for entry in coverage_entries:
+        matching = _search(entry['group'], query['text'])
         rows.extend(
             row
             for low, high in entry['ranges']
-            for row in held
+            for row in matching
             if low <= row['position'] < high
         )
     rows.sort(key=lambda row: (row['rank'], row['id']))
@@ -59,10 +63,10 @@
 
 @functools.cache
 def _search(service: str, text: str) -> list[wire.Json]:
-    every = catalogue.search(
+    encoded = catalogue.search(
         service, 0, 1 << 16, 0, text, catalogue.ROWS_PER_SERVICE
     )
-    return list(json.loads(every))
+    return list(json.loads(encoded))
 
 
 def _find_service(row_id: str) -> str:
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -19,15 +19,15 @@
 
 import urllib3
 
-from bench import worlds
+from bench import testbeds
 from fuchsiahaven.core import request_ids
 from fuchsiahaven.core.targets import messages
 from fuchsiahaven.edge import claim_owners, claim_task, store
 
 DEADLINE_S: Final = 0.8
-PAUSE_S: Final = 0.01
+POLL_INTERVAL_S: Final = 0.01
 # A call of the peer port costs about a millisecond.
-HOP_S: Final = 0.001
+PEER_CALL_S: Final = 0.001
 OUTCOME: Final = json.dumps({'rows': [{'id': 'x' * 300}]})
 
 
@@ -35,7 +35,7 @@
     """Hold one host's claims task and the events that it posts."""
 
     task: claim_task.Task
-    told: queue.SimpleQueue[messages.ClaimSettled]
+    events: queue.SimpleQueue[messages.ClaimSettled]
 
 
 def main() -> None:
@@ -52,22 +52,22 @@
     with contextlib.ExitStack() as stack:
         url = options.platform or _start_platform(stack)
         _control(url, slow_s=options.slow_ms / 1000)
-        crowd = Crowd(_start_hosts(url, options, stack), options.seed)
+        load = ClaimLoad(_start_hosts(url, options, stack), options.seed)
         before = _control(url)['calls']
-        used_s = time.process_time()
-        crowd.arrive(options.rate, options.seconds)
-        used_s = time.process_time() - used_s
+        cpu_s = time.process_time()
+        load.generate(options.rate, options.seconds)
+        cpu_s = time.process_time() - cpu_s
         after = _control(url)['calls']
     calls = {name: after[name] - before.get(name, 0) for name in after}
-    figures = {**crowd.summarise(), 'calls': calls, 'cpu_s': round(used_s, 2)}
+    figures = {**load.summarise(), 'calls': calls, 'cpu_s': round(cpu_s, 2)}
     print(json.dumps({**vars(options), **figures}))
 
 
 def _start_platform(stack: contextlib.ExitStack) -> str:
-    port = next(worlds.find_free_ports())
-    words = ('-m', 'standins', 'platform', '--port', str(port))
+    port = next(testbeds.find_free_ports())
+    arguments = ('-m', 'standins', 'platform', '--port', str(port))
     child = subprocess.Popen(
-        (sys.executable, *words), stdout=subprocess.PIPE, text=True
+        (sys.executable, *arguments), stdout=subprocess.PIPE, text=True
     )
     stack.enter_context(child)
     stack.callback(child.terminate)
@@ -75,8 +75,8 @@
     return f'http://127.0.0.1:{port}'
 
 
-def _control(url: str, **orders: object) -> dict[str, dict[str, int]]:
-    reply = urllib3.request('POST', f'{url}/control', json=orders)
+def _control(url: str, **settings: object) -> dict[str, dict[str, int]]:
+    reply = urllib3.request('POST', f'{url}/control', json=settings)
     return dict(reply.json())
 
 
@@ -85,8 +85,8 @@
 ) -> list[Host]:
     hosts: list[Host] = []
 
-    def ask(address: str, body: bytes, timeout_s: float) -> bytes | None:
-        time.sleep(HOP_S)
+    def call_peer(address: str, body: bytes, timeout_s: float) -> bytes | None:
+        time.sleep(PEER_CALL_S)
         return hosts[int(address)].task.handle_claims(body)
 
     def open_store() -> store.Store:
@@ -94,65 +94,69 @@
 
     names = [str(number) for number in range(options.hosts)]
     for name in names:
-        host = Host(claim_task.Task(open_store, ask), queue.SimpleQueue())
-        host.task.start(host.told.put, stack)
+        host = Host(claim_task.Task(open_store, call_peer), queue.SimpleQueue())
+        host.task.start(host.events.put, stack)
         hosts.append(host)
         if not options.alone:
-            listed = claim_owners.MemberAddresses(name, dict(zip(names, names)))
-            host.task.update_members(listed)
+            members = claim_owners.MemberAddresses(
+                name, dict(zip(names, names))
+            )
+            host.task.update_members(members)
     return hosts
 
 
-class Crowd:
+class ClaimLoad:
     """Own the claims of one run."""
 
     def __init__(self, hosts: list[Host], seed: int) -> None:
         """Start with nothing asked."""
         self._hosts = hosts
-        self._asked: list[float] = []
-        self._took: list[float] = []
+        self._due_times: list[float] = []
+        self._grant_times: list[float] = []
         self._results: collections.Counter[str] = collections.Counter()
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
 
-    def arrive(self, rate: float, seconds: float) -> None:
+    def generate(self, rate: float, seconds: float) -> None:
         """Ask `rate` claims a second and wait for all answers."""
         due = time.monotonic()
         end = due + seconds
         while due < end:
-            due += self._draws.expovariate(rate)
+            due += self._rng.expovariate(rate)
             time.sleep(max(0, due - time.monotonic()))
-            self._ask(due)
-            self._collect()
-        while self._results.total() < len(self._asked):
-            time.sleep(PAUSE_S)
-            self._collect()
+            self._send_claim(due)
+            self._handle_events()
+        while self._results.total() < len(self._due_times):
+            time.sleep(POLL_INTERVAL_S)
+            self._handle_events()
 
     def summarise(self) -> dict[str, float]:
         """Count the results and take the quantiles of the granted."""
-        cuts = statistics.quantiles(self._took, n=100)
+        percentiles = statistics.quantiles(self._grant_times, n=100)
         return {
             **self._results,
-            'p50_ms': round(cuts[49] * 1000, 1),
-            'p99_ms': round(cuts[98] * 1000, 1),
+            'p50_ms': round(percentiles[49] * 1000, 1),
+            'p99_ms': round(percentiles[98] * 1000, 1),
         }
 
-    def _ask(self, due: float) -> None:
-        number = self._draws.getrandbits(request_ids.RANDOM_BITS)
+    def _send_claim(self, due: float) -> None:
+        number = self._rng.getrandbits(request_ids.RANDOM_BITS)
         request_id = request_ids.make_request_id(time.time(), number)
-        token = len(self._asked)
-        self._asked.append(due)
+        token = len(self._due_times)
+        self._due_times.append(due)
         claim = messages.Claim(token, request_id, due + DEADLINE_S)
         self._hosts[token % len(self._hosts)].task.perform(claim)
 
-    def _collect(self) -> None:
+    def _handle_events(self) -> None:
         for host in self._hosts:
-            while not host.told.empty():
-                self._take(host, host.told.get())
+            while not host.events.empty():
+                self._handle_settled(host, host.events.get())
 
-    def _take(self, host: Host, event: messages.ClaimSettled) -> None:
+    def _handle_settled(self, host: Host, event: messages.ClaimSettled) -> None:
         self._results[event.result] += 1
         if event.result is messages.ClaimResult.GRANTED:
-            self._took.append(time.monotonic() - self._asked[event.token])
+            self._grant_times.append(
+                time.monotonic() - self._due_times[event.token]
+            )
             host.task.perform(messages.RecordOutcome(event.request_id, OUTCOME))
 
 
--- a/bench/control_host.py
+++ b/bench/control_host.py
@@ -24,47 +24,47 @@
 from fuchsiahaven.edge import authenticators, control, resources
 from fuchsiahaven.operate import logs, settings_reader
 
-COUNTED: Counter[str] = Counter(peers=0, platform=0)
+BYTE_COUNTS: Counter[str] = Counter(peers=0, platform=0)
 
 
 def main() -> None:
     """Serve until asked to end; a line for each thing that changes."""
-    read = settings_reader.read_file(Path(sys.argv[1]))
-    assert read.settings, read.faults
-    logs.set_up(read.settings.logs)
-    platform = read.settings.platform.addresses[0].port
+    parsed = settings_reader.read_file(Path(sys.argv[1]))
+    assert parsed.settings, parsed.faults
+    logs.set_up(parsed.settings.logs)
+    platform = parsed.settings.platform.addresses[0].port
     for name in ('send', 'sendall', 'recv', 'recv_into'):
-        count_calls(name, platform)
+        count_bytes(name, platform)
     stop = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: stop.set())
-    signal.signal(signal.SIGUSR1, lambda *_: write_line(COUNTED))
+    signal.signal(signal.SIGUSR1, lambda *_: write_line(BYTE_COUNTS))
     with contextlib.ExitStack() as stack:
-        caller = resources.open_peer_client(read.settings, stack)
-        links = control.Callbacks(
+        peer_client = resources.open_peer_client(parsed.settings, stack)
+        callbacks = control.Callbacks(
             post,
             lambda body: body,
             lambda listed: None,
             authenticators.Authenticator(freshness.Freshness()),
         )
-        control.start(read.settings, links, caller, stack)
+        control.start(parsed.settings, callbacks, peer_client, stack)
         stop.wait()
 
 
-def count_calls(name: str, platform: int) -> None:
+def count_bytes(name: str, platform_port: int) -> None:
     """Count the bytes that a method of all sockets carries."""
-    carry: Callable[..., Any] = getattr(socket.socket, name)
+    method: Callable[..., Any] = getattr(socket.socket, name)
 
-    @functools.wraps(carry)
-    def counted(sock: socket.socket, buffer: Any, *rest: Any) -> Any:
-        result = carry(sock, buffer, *rest)
+    @functools.wraps(method)
+    def count_and_call(sock: socket.socket, buffer: Any, *rest: Any) -> Any:
+        result = method(sock, buffer, *rest)
         size = len(result) if name == 'recv' else result
         size = len(buffer) if name == 'sendall' else size
         with contextlib.suppress(OSError):
-            there = sock.getpeername()[1] == platform
-            COUNTED['platform' if there else 'peers'] += size
+            to_platform = sock.getpeername()[1] == platform_port
+            BYTE_COUNTS['platform' if to_platform else 'peers'] += size
         return result
 
-    setattr(socket.socket, name, counted)
+    setattr(socket.socket, name, count_and_call)
 
 
 def post(event: control.Event) -> None:
@@ -76,9 +76,9 @@
             write_line({'members': len(hosts)})
 
 
-def write_line(told: dict[str, int]) -> None:
+def write_line(fields: dict[str, int]) -> None:
     """Print one line with its time."""
-    line = json.dumps({'at': time.time(), **told})
+    line = json.dumps({'at': time.time(), **fields})
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -29,11 +29,11 @@
 )
 from fuchsiahaven.edge import store
 
-CENTRE: Final = 'Quilicura'
-TICKS: Final = os.sysconf('SC_CLK_TCK')
+DATA_CENTRE: Final = 'Quilicura'
+TICKS_PER_S: Final = os.sysconf('SC_CLK_TCK')
 KIB: Final = 1024
 KEPT_ENTRIES: Final = 20
-SETTLE_S: Final = 90.0
+MAX_CONVERGENCE_S: Final = 90.0
 SETTINGS: Final = """
 [host]
 name = h{number}
@@ -54,7 +54,7 @@
 Figures = Mapping[str, float | int | bool]
 
 
-class Plan(NamedTuple):
+class RunOptions(NamedTuple):
     """Hold what one measurement is made of."""
 
     hosts: int
@@ -63,7 +63,7 @@
     tls: Path | None = None
     seconds: float = 30.0
     changes: int = 40
-    pause_s: float = 0.3
+    change_interval_s: float = 0.3
     first_port: int = 31_000
 
 
@@ -71,36 +71,38 @@
     """Hold what a process has used so far."""
 
     cpu_s: float
-    peers: int
-    platform: int
+    peer_bytes: int
+    platform_bytes: int
 
 
-class Tier:
+class ControlHosts:
     """Own the platform's stand-in and the hosts of one measurement."""
 
-    def __init__(self, plan: Plan, stack: contextlib.ExitStack) -> None:
+    def __init__(
+        self, options: RunOptions, stack: contextlib.ExitStack
+    ) -> None:
         """Start everything; the stack ends it."""
-        self._plan = plan
+        self._options = options
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         self._folder = Path(folder)
         self._stack = stack
-        self._port = plan.first_port + 999
-        words = ('standins', 'platform', '--port', str(self._port))
-        standin = self._spawn(words, 'platform')
-        while not self._read('platform').startswith('ready'):
+        self._port = options.first_port + 999
+        arguments = ('standins', 'platform', '--port', str(self._port))
+        standin = self._spawn(arguments, 'platform')
+        while not self._read_output('platform').startswith('ready'):
             assert standin.poll() is None
             time.sleep(0.05)
         self.store = store.Store(f'http://127.0.0.1:{self._port}')
         self._entries: tuple[audit_log.Entry, ...] = ()
-        self._number = 0
+        self._manifest_revision = 0
         self.revision = 0
-        self.change()
+        self.commit_change()
         self.running = {
             f'h{number}': self._start_host(number)
-            for number in range(plan.hosts)
+            for number in range(options.hosts)
         }
 
-    def change(self) -> float:
+    def commit_change(self) -> float:
         """Have a change of one label accepted; say when it was."""
         self.revision += 1
         field = ('groups', 'g0', 'labels', 'n')
@@ -115,54 +117,60 @@
             self.revision - 1,
         )
         self._entries = (*self._entries, entry)[-KEPT_ENTRIES:]
-        built = build(self._plan, self.revision)
-        encoded = manifests.encode(built, self._entries)
+        configuration = build_configuration(self._options, self.revision)
+        encoded = manifests.encode(configuration, self._entries)
         assert isinstance(encoded, manifests.Encoded)
         for key, text in encoded.part_texts.items():
             with contextlib.suppress(store.StoreConflict):
                 self.store.swap(key, text, 0)
         written = self.store.swap(
-            manifests.MANIFEST_KEY, encoded.text, self._number
+            manifests.MANIFEST_KEY, encoded.text, self._manifest_revision
         )
-        self._number = written.revision
+        self._manifest_revision = written.revision
         return time.time()
 
-    def order(self, **orders: object) -> dict[str, Any]:
+    def control_platform(self, **settings: object) -> dict[str, Any]:
         """Set faults of the platform; give its counts of calls."""
         url = f'http://127.0.0.1:{self._port}/control'
         answer: dict[str, Any]
-        answer = urllib3.request('POST', url, json=orders).json()
+        answer = urllib3.request('POST', url, json=settings).json()
         return answer
 
-    def kill(self, count: int) -> None:
+    def kill_last(self, count: int) -> None:
         """Kill hosts without a word, no seeds among them."""
         for name in list(self.running)[-count:]:
             process = self.running.pop(name)
             process.kill()
             process.wait()
 
-    def wait_members(self, since: float) -> float:
+    def wait_for_members(self, since: float) -> float:
         """Wait until all running hosts know each other; give the seconds."""
-        wanted = len(self.running)
-        while time.time() < since + SETTLE_S:
+        expected = len(self.running)
+        while time.time() < since + MAX_CONVERGENCE_S:
             last = [
-                [line for line in self._list(name) if 'members' in line][-1:]
+                [
+                    line
+                    for line in self._list_records(name)
+                    if 'members' in line
+                ][-1:]
                 for name in self.running
             ]
-            if all(line and line[0]['members'] == wanted for line in last):
+            if all(line and line[0]['members'] == expected for line in last):
                 return float(max(line[0]['at'] for line in last)) - since
             time.sleep(0.1)
         raise AssertionError('the hosts do not agree')
 
-    def wait_revision(self, since: float) -> float:
+    def wait_for_revision(self, since: float) -> float:
         """Wait until the last change is in force; give the seconds."""
-        while time.time() < since + SETTLE_S:
-            found = [
-                [it for it in self._list(name) if it.get('revision')][-1:]
+        while time.time() < since + MAX_CONVERGENCE_S:
+            last = [
+                [it for it in self._list_records(name) if it.get('revision')][
+                    -1:
+                ]
                 for name in self.running
             ]
-            if all(it and it[0]['revision'] == self.revision for it in found):
-                return float(max(it[0]['at'] for it in found)) - since
+            if all(it and it[0]['revision'] == self.revision for it in last):
+                return float(max(it[0]['at'] for it in last)) - since
             time.sleep(0.02)
         raise AssertionError('the change is not in force')
 
@@ -183,16 +191,16 @@
     def _measure(self, name: str, pid: int) -> Usage:
         fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2]
         user, system = fields.split()[11:13]
-        lines = [it for it in self._list(name) if 'peers' in it]
+        lines = [it for it in self._list_records(name) if 'peers' in it]
         counted = lines[-1] if lines else {}
         return Usage(
-            (int(user) + int(system)) / TICKS,
+            (int(user) + int(system)) / TICKS_PER_S,
             counted.get('peers', 0),
             counted.get('platform', 0),
         )
 
     def _start_host(self, number: int) -> subprocess.Popen[str]:
-        first = self._plan.first_port
+        first = self._options.first_port
         path = self._folder / f'h{number}.ini'
         path.write_text(
             SETTINGS.format(
@@ -208,7 +216,7 @@
         return self._spawn(('bench.control_host', str(path)), f'h{number}')
 
     def _write_tls(self) -> str:
-        folder = self._plan.tls
+        folder = self._options.tls
         if folder is None:
             return 'allow_plain = yes'
         return '\n'.join(
@@ -220,27 +228,29 @@
         )
 
     def _spawn(
-        self, words: tuple[str, ...], name: str
+        self, arguments: tuple[str, ...], name: str
     ) -> subprocess.Popen[str]:
         stdout = self._stack.enter_context(
             (self._folder / f'{name}.out').open('w')
         )
         process = subprocess.Popen(  # noqa: S603
-            (sys.executable, '-m', *words), stdout=stdout, text=True
+            (sys.executable, '-m', *arguments), stdout=stdout, text=True
         )
         self._stack.callback(process.wait)
         self._stack.callback(process.kill)
         return process
 
-    def _read(self, name: str) -> str:
+    def _read_output(self, name: str) -> str:
         return (self._folder / f'{name}.out').read_text()
 
-    def _list(self, name: str) -> list[dict[str, Any]]:
-        complete = self._read(name).rpartition('\n')[0]
-        return [json.loads(line) for line in complete.splitlines()]
+    def _list_records(self, name: str) -> list[dict[str, Any]]:
+        whole_lines = self._read_output(name).rpartition('\n')[0]
+        return [json.loads(line) for line in whole_lines.splitlines()]
 
 
-def build(plan: Plan, revision: int) -> configurations.Configuration:
+def build_configuration(
+    options: RunOptions, revision: int
+) -> configurations.Configuration:
     """Build a configuration of a size; the revision shows in a label."""
     groups = tuple(
         configurations.Group(
@@ -248,12 +258,14 @@
             (('n', str(revision)),) if number == 0 else (('tier', 'gold'),),
             tuple(
                 configurations.Target(
-                    f'g{number}-{it:03}/1', f'10.0.{number}.{it}:9000', CENTRE
+                    f'g{number}-{it:03}/1',
+                    f'10.0.{number}.{it}:9000',
+                    DATA_CENTRE,
                 )
-                for it in range(plan.targets)
+                for it in range(options.targets)
             ),
         )
-        for number in range(plan.groups)
+        for number in range(options.groups)
     )
     return configurations.Configuration(
         revision,
@@ -271,128 +283,138 @@
     return 0
 
 
-def run(plan: Plan) -> dict[str, Any]:
+def run(options: RunOptions) -> dict[str, Any]:
     """Run one measurement."""
     with contextlib.ExitStack() as stack:
-        began = time.time()
-        tier = Tier(plan, stack)
+        started_at = time.time()
+        control_hosts = ControlHosts(options, stack)
         figures: dict[str, Any] = {
-            'hosts': plan.hosts,
-            'targets': plan.groups * plan.targets,
-            'tls': plan.tls is not None,
-            'peer_bytes_counted': plan.tls is None,
-            'start_s': round(tier.wait_members(began), 2),
+            'hosts': options.hosts,
+            'targets': options.groups * options.targets,
+            'tls': options.tls is not None,
+            'peer_bytes_counted': options.tls is None,
+            'start_s': round(control_hosts.wait_for_members(started_at), 2),
         }
-        tier.wait_revision(began)
+        control_hosts.wait_for_revision(started_at)
         # News of the start are told for some seconds more.
         time.sleep(15)
-        figures['quiet'] = rest(tier, plan)
-        figures['changes'] = change(tier, plan)
-        figures['memory_mib'] = round(statistics.median(tier.read_memory()), 2)
-        figures['outage'] = fail_platform(tier)
-        figures['third_killed'] = kill_third(tier, plan)
+        figures['quiet'] = measure_idle(control_hosts, options)
+        figures['changes'] = measure_changes(control_hosts, options)
+        figures['memory_mib'] = round(
+            statistics.median(control_hosts.read_memory()), 2
+        )
+        figures['outage'] = measure_outage(control_hosts)
+        figures['third_killed'] = measure_third_killed(control_hosts, options)
     return figures
 
 
-def rest(tier: Tier, plan: Plan) -> Figures:
+def measure_idle(control_hosts: ControlHosts, options: RunOptions) -> Figures:
     """Measure hosts at rest."""
-    calls = count_calls(tier)
-    before = tier.measure()
-    time.sleep(plan.seconds)
-    used = list(compare(before, tier.measure()))
-    made = count_calls(tier) - calls
+    calls = count_calls(control_hosts)
+    before = control_hosts.measure()
+    time.sleep(options.seconds)
+    used = list(subtract_usage(before, control_hosts.measure()))
+    calls_made = count_calls(control_hosts) - calls
     return {
-        'seconds': plan.seconds,
-        **summarise(used, plan.seconds),
+        'seconds': options.seconds,
+        **summarise(used, options.seconds),
         'platform_calls_per_host_minute': round(
-            made / plan.hosts / plan.seconds * 60, 2
+            calls_made / options.hosts / options.seconds * 60, 2
         ),
     }
 
 
-def change(tier: Tier, plan: Plan) -> Figures:
+def measure_changes(
+    control_hosts: ControlHosts, options: RunOptions
+) -> Figures:
     """Measure changes, one after another."""
-    calls = count_calls(tier)
-    before = tier.measure()
-    began = time.monotonic()
+    calls = count_calls(control_hosts)
+    before = control_hosts.measure()
+    started_at = time.monotonic()
     times = []
-    for _ in range(plan.changes):
-        times.append(tier.wait_revision(tier.change()))
-        time.sleep(plan.pause_s)
-    seconds = time.monotonic() - began
-    used = list(compare(before, tier.measure()))
+    for _ in range(options.changes):
+        times.append(
+            control_hosts.wait_for_revision(control_hosts.commit_change())
+        )
+        time.sleep(options.change_interval_s)
+    seconds = time.monotonic() - started_at
+    used = list(subtract_usage(before, control_hosts.measure()))
     times.sort()
-    made = count_calls(tier) - calls
+    calls_made = count_calls(control_hosts) - calls
     return {
-        'count': plan.changes,
+        'count': options.changes,
         'seconds': round(seconds, 2),
         'p50_ms': round(statistics.median(times) * 1000, 1),
         'p99_ms': round(times[int(len(times) * 0.99) - 1] * 1000, 1),
         'worst_ms': round(times[-1] * 1000, 1),
         **summarise(used, seconds),
-        'platform_calls_per_change': round(made / plan.changes, 2),
+        'platform_calls_per_change': round(calls_made / options.changes, 2),
     }
 
 
-def fail_platform(tier: Tier) -> Figures:
+def measure_outage(control_hosts: ControlHosts) -> Figures:
     """Take the platform down for twenty seconds and have a change after."""
-    tier.order(down=True)
-    before = tier.measure()
+    control_hosts.control_platform(down=True)
+    before = control_hosts.measure()
     time.sleep(20)
-    used = list(compare(before, tier.measure()))
-    tier.order(down=False)
-    up = time.time()
-    tier.change()
+    used = list(subtract_usage(before, control_hosts.measure()))
+    control_hosts.control_platform(down=False)
+    restored_at = time.time()
+    control_hosts.commit_change()
     return {
-        'in_force_after_up_ms': round(tier.wait_revision(up) * 1000, 1),
+        'in_force_after_up_ms': round(
+            control_hosts.wait_for_revision(restored_at) * 1000, 1
+        ),
         **summarise(used, 20),
     }
 
 
-def kill_third(tier: Tier, plan: Plan) -> Figures:
+def measure_third_killed(
+    control_hosts: ControlHosts, options: RunOptions
+) -> Figures:
     """Kill a third at once; a change is accepted right after."""
-    tier.kill(plan.hosts // 3)
-    killed = time.time()
-    in_force = tier.wait_revision(tier.change())
+    control_hosts.kill_last(options.hosts // 3)
+    killed_at = time.time()
+    in_force = control_hosts.wait_for_revision(control_hosts.commit_change())
     return {
         'change_in_force_ms': round(in_force * 1000, 1),
-        'all_agree_s': round(tier.wait_members(killed), 2),
+        'all_agree_s': round(control_hosts.wait_for_members(killed_at), 2),
     }
 
 
-def count_calls(tier: Tier) -> int:
+def count_calls(control_hosts: ControlHosts) -> int:
     """Count all calls that the platform has answered."""
-    counted: Mapping[str, int] = tier.order()['calls']
+    counted: Mapping[str, int] = control_hosts.control_platform()['calls']
     return sum(counted.values()) - counted.get('limited', 0)
 
 
-def compare(
+def subtract_usage(
     before: Mapping[str, Usage], after: Mapping[str, Usage]
 ) -> Iterator[Usage]:
     """Yield what each host used in between."""
-    for name, late in after.items():
-        early = before[name]
+    for name, latest in after.items():
+        earlier = before[name]
         yield Usage(
-            late.cpu_s - early.cpu_s,
-            late.peers - early.peers,
-            late.platform - early.platform,
+            latest.cpu_s - earlier.cpu_s,
+            latest.peer_bytes - earlier.peer_bytes,
+            latest.platform_bytes - earlier.platform_bytes,
         )
 
 
 def summarise(used: list[Usage], seconds: float) -> Figures:
     """Give the median and the most of all hosts, a second."""
     cpu = [it.cpu_s / seconds * 100 for it in used]
-    peers = [it.peers / seconds for it in used]
+    peers = [it.peer_bytes / seconds for it in used]
     return {
         'cpu_percent': round(statistics.mean(cpu), 3),
         'cpu_percent_most': round(max(cpu), 3),
         'peer_bytes_per_s': round(statistics.mean(peers)),
         'peer_bytes_per_s_most': round(max(peers)),
         'platform_bytes_per_s': round(
-            statistics.mean(it.platform for it in used) / seconds
+            statistics.mean(it.platform_bytes for it in used) / seconds
         ),
         'platform_bytes_per_s_most': round(
-            max(it.platform for it in used) / seconds
+            max(it.platform_bytes for it in used) / seconds
         ),
     }
 
@@ -407,18 +429,18 @@
     parser.add_argument('--changes', type=int, default=40)
     parser.add_argument('--pause', type=float, default=0.3)
     parser.add_argument('--tls', type=Path, default=None)
-    asked = parser.parse_args()
-    for hosts in asked.hosts.split(','):
-        plan = Plan(
+    options = parser.parse_args()
+    for hosts in options.hosts.split(','):
+        run_options = RunOptions(
             int(hosts),
-            asked.groups,
-            asked.targets,
-            asked.tls,
-            asked.seconds,
-            asked.changes,
-            asked.pause,
+            options.groups,
+            options.targets,
+            options.tls,
+            options.seconds,
+            options.changes,
+            options.pause,
         )
-        print(json.dumps(run(plan)), flush=True)
+        print(json.dumps(run(run_options)), flush=True)
 
 
 if __name__ == '__main__':
--- a/bench/deals.py
+++ b/bench/deals.py
@@ -12,8 +12,8 @@
 
 SHARDS: Final = 270
 ROUNDS: Final = 5
-JOINS: Final = 20
-SAMPLE: Final = 6
+JOINING_HOSTS: Final = 20
+SAMPLE_SHARDS: Final = 6
 
 Rows = dict[str, allocator.Allocation]
 
@@ -49,31 +49,35 @@
         )
 
 
-def _name_all(prefix: str, count: int) -> list[str]:
+def _make_names(prefix: str, count: int) -> list[str]:
     return [f'{prefix}-{number:03}' for number in range(count)]
 
 
-def _name_shards(size: Size, count: int) -> list[list[str]]:
-    return [_name_all(f't{shard}', size.replicas) for shard in range(count)]
+def _make_shards(size: Size, count: int) -> list[list[str]]:
+    return [_make_names(f't{shard}', size.replicas) for shard in range(count)]
 
 
 def _measure_joins(size: Size) -> tuple[int, float, float]:
-    hosts = _name_all('host', size.hosts)
-    shards = _name_shards(size, SAMPLE)
+    hosts = _make_names('host', size.hosts)
+    shards = _make_shards(size, SAMPLE_SHARDS)
     before = allocator.allocate(hosts, shards, size.cap)
     total = sum(sum(row.values()) for row in before.values())
-    taken = []
-    gained = []
-    for joiner in _name_all('joiner', JOINS):
+    joiner_percents = []
+    gain_percents = []
+    for joiner in _make_names('joiner', JOINING_HOSTS):
         after = allocator.allocate([*hosts, joiner], shards, size.cap)
-        taken.append(sum(after[joiner].values()) * 100 / total)
-        gained.append(_count_gains(before, after) * 100 / total)
+        joiner_percents.append(sum(after[joiner].values()) * 100 / total)
+        gain_percents.append(_count_gains(before, after) * 100 / total)
     fewest = min(
         len([target for target in shard if row.get(target)])
         for row in before.values()
         for shard in shards
     )
-    return fewest, statistics.mean(taken), statistics.mean(gained)
+    return (
+        fewest,
+        statistics.mean(joiner_percents),
+        statistics.mean(gain_percents),
+    )
 
 
 def _count_gains(before: Rows, after: Rows) -> int:
@@ -86,20 +90,20 @@
 
 def _measure_time(size: Size) -> float:
     """Return the median processor time of one shard's deal, in ms."""
-    hosts = _name_all('host', size.hosts)
-    shards = _name_shards(size, SHARDS)
+    hosts = _make_names('host', size.hosts)
+    shards = _make_shards(size, SHARDS)
     return statistics.median(
-        _time_deals(hosts, shards, size.cap) for _ in range(ROUNDS)
+        _time_allocations(hosts, shards, size.cap) for _ in range(ROUNDS)
     )
 
 
-def _time_deals(
+def _time_allocations(
     hosts: Sequence[str], shards: Sequence[Sequence[str]], cap: int
 ) -> float:
-    began = time.process_time()
+    started_at = time.process_time()
     for shard in shards:
         allocator.allocate(hosts, [shard], cap)
-    return (time.process_time() - began) * 1000 / len(shards)
+    return (time.process_time() - started_at) * 1000 / len(shards)
 
 
 if __name__ == '__main__':
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -12,32 +12,32 @@
 
 import urllib3
 
-from bench import worlds
+from bench import testbeds
 from fuchsiahaven.core import addresses
 from fuchsiahaven.operate import command_query, host_client
 from standins import wire
 
 HTTP_OK: Final = 200
-START_S: Final = 20.0
-PAUSE_S: Final = 0.1
+MAX_START_S: Final = 20.0
+POLL_INTERVAL_S: Final = 0.1
 
 
-class Visit(NamedTuple):
+class DemoQuery(NamedTuple):
     """Hold one question, and the deployment that it is put to."""
 
     deployment: str
     body: host_client.JsonObject
 
 
-VISITS: Final = (
-    Visit(
+QUERIES: Final = (
+    DemoQuery(
         'santiago',
         {
             'class': 'price-check',
             'query': {'text': 'combi oven', 'limit': 3},
         },
     ),
-    Visit(
+    DemoQuery(
         'ishikari',
         {
             'class': 'gate-lookup',
@@ -49,44 +49,46 @@
 
 def main() -> int:
     """Put each question and tell by the exit code whether all was answered."""
-    ports = worlds.find_free_ports()
+    ports = testbeds.find_free_ports()
     with contextlib.ExitStack() as stack:
-        started = [
-            (visit, _start(visit, next(ports), stack)) for visit in VISITS
+        running = [
+            (query, _start(query, next(ports), stack)) for query in QUERIES
         ]
-        answered = [_visit(visit, host) for visit, host in started]
-    return 0 if all(answered) else 1
+        complete = [_run_query(query, host) for query, host in running]
+    return 0 if all(complete) else 1
 
 
 def _start(
-    visit: Visit, first_port: int, stack: contextlib.ExitStack
+    query: DemoQuery, first_port: int, stack: contextlib.ExitStack
 ) -> addresses.Address:
-    plan = worlds.Plan(visit.deployment, first_port, hosts=1)
-    world = worlds.World(plan, stack)
-    print(f'{visit.deployment}: {len(world.layout.holdings)} searchers')
-    return addresses.Address(wire.LOOPBACK, world.hosts[0].port)
+    plan = testbeds.Plan(query.deployment, first_port, hosts=1)
+    testbed = testbeds.Testbed(plan, stack)
+    print(f'{query.deployment}: {len(testbed.layout.holdings)} searchers')
+    return addresses.Address(wire.LOOPBACK, testbed.hosts[0].port)
 
 
-def _visit(visit: Visit, host: addresses.Address) -> bool:
-    if not _wait_ready(host):
-        print(f'{visit.deployment}: the host did not get ready')
+def _run_query(query: DemoQuery, host: addresses.Address) -> bool:
+    if not _wait_until_ready(host):
+        print(f'{query.deployment}: the host did not get ready')
         return False
-    told = host_client.send_request(host, 'POST', '/v1/search', body=visit.body)
-    if isinstance(told, host_client.NoResponse):
-        print(f'{visit.deployment}: no answer: {told.reason}')
+    response = host_client.send_request(
+        host, 'POST', '/v1/search', body=query.body
+    )
+    if isinstance(response, host_client.NoResponse):
+        print(f'{query.deployment}: no answer: {response.reason}')
         return False
-    print(json.dumps(told.body, ensure_ascii=False))
-    lines = command_query.format_response(told)
-    print(f'{visit.deployment}, {visit.body["class"]}: {lines[-1]}')
-    return told.body.get('status') == 'complete'
+    print(json.dumps(response.body, ensure_ascii=False))
+    lines = command_query.format_response(response)
+    print(f'{query.deployment}, {query.body["class"]}: {lines[-1]}')
+    return response.body.get('status') == 'complete'
 
 
-def _wait_ready(host: addresses.Address) -> bool:
-    until = time.monotonic() + START_S
-    while time.monotonic() < until:
+def _wait_until_ready(host: addresses.Address) -> bool:
+    deadline = time.monotonic() + MAX_START_S
+    while time.monotonic() < deadline:
         if _is_ready(host):
             return True
-        time.sleep(PAUSE_S)
+        time.sleep(POLL_INTERVAL_S)
     return False
 
 
--- a/bench/entry_costs.py
+++ b/bench/entry_costs.py
@@ -19,18 +19,18 @@
 from bench.soak import hosts, proxies, targets
 from standins import metadata_store
 
-CENTRES: Final = ('north', 'south')
+DATA_CENTRES: Final = ('north', 'south')
 HOSTS: Final = 8
 QUERIES: Final = 300
-WARM_UP: Final = 60
-SIZES: Final = (10, 20, 40, 90, 180, 270)
+WARM_UP_QUERIES: Final = 60
+SHARD_COUNTS: Final = (10, 20, 40, 90, 180, 270)
 TICK_S: Final = 1 / os.sysconf('SC_CLK_TCK')
 #: Where the processor time of a process stands in its line of `/proc`, in
 #: user mode and in the kernel, counted after the name in brackets.
-TIMES: Final = slice(11, 13)
-MILLISECONDS: Final = 1000
-START_S: Final = 20.0
-SEEDS: Final = 3
+CPU_TIME_FIELDS: Final = slice(11, 13)
+MS_PER_S: Final = 1000
+MAX_START_S: Final = 20.0
+SEED_HOSTS: Final = 3
 IDLE_S: Final = 3.0
 CONFIGURATION_KEY: Final = 'op/config'
 
@@ -39,20 +39,20 @@
     """State the processor time of a query, in milliseconds."""
 
     shards: int
-    entry: float
-    others: float
-    complete: int
+    entry_ms: float
+    others_ms: float
+    answered: int
 
 
-class Use(NamedTuple):
+class Usage(NamedTuple):
     """State what the hosts used, in seconds, and how many were answered."""
 
-    lasted: float
-    seconds: list[float]
+    elapsed_s: float
+    cpu_s: list[float]
     answered: int | None
 
 
-class World:
+class Testbed:
     """Own the hosts, the targets and the store of one size."""
 
     def __init__(self, shards: int, folder: Path) -> None:
@@ -60,23 +60,25 @@
         self.services = tuple(f's{number:03}' for number in range(shards))
         self.store = metadata_store.Store()
         self.hosts = [
-            hosts.Host(f'host-{it}', CENTRES[it % len(CENTRES)], folder)
+            hosts.Host(
+                f'host-{it}', DATA_CENTRES[it % len(DATA_CENTRES)], folder
+            )
             for it in range(HOSTS)
         ]
-        self._ledger = targets.Ledger()
+        self._run_log = targets.RunLog()
 
     async def start(self, stack: contextlib.AsyncExitStack) -> None:
         """Start all and wait until all hosts are ready."""
-        listening = await asyncio.start_server(
+        store_server = await asyncio.start_server(
             self.store.serve, hosts.LOOPBACK, 0
         )
-        stack.callback(listening.close)
-        host, port = listening.sockets[0].getsockname()
+        stack.callback(store_server.close)
+        host, port = store_server.sockets[0].getsockname()
         await asyncio.gather(
             *[self._add_target(it, stack) for it in self.services]
         )
         self.store.put(CONFIGURATION_KEY, make_configuration(self.services))
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(MAX_START_S):
             await asyncio.gather(
                 *[
                     self._add_host(it, f'{host}:{port}', stack)
@@ -87,7 +89,7 @@
     async def _add_target(
         self, service: str, stack: contextlib.AsyncExitStack
     ) -> None:
-        target = targets.Target(f'i-{service}', service, self._ledger)
+        target = targets.Target(f'i-{service}', service, self._run_log)
         await target.listen(hosts.LOOPBACK)
         stack.callback(target.crash)
         self.store.put_target(target.name, service, target.address)
@@ -98,7 +100,7 @@
         host.store = proxies.Proxy(hosts.LOOPBACK, store)
         await host.store.listen()
         stack.callback(host.store.close)
-        await host.start([it.name_address(0) for it in self.hosts[:SEEDS]])
+        await host.start([it.get_address(0) for it in self.hosts[:SEED_HOSTS]])
         stack.push_async_callback(host.kill)
         await wait_until_ready(host)
 
@@ -128,11 +130,11 @@
 
 async def wait_until_ready(host: hosts.Host) -> None:
     """Ask a host until it says that it is ready."""
-    while await ask(host.ports[2], '/ready', 'ready') != '200':
+    while await send_request(host.ports[2], '/ready', 'ready') != '200':
         await asyncio.sleep(0.1)
 
 
-async def ask(port: int, path: str, request_id: str) -> str:
+async def send_request(port: int, path: str, request_id: str) -> str:
     """Ask for a page on a connection of its own; return the status."""
     try:
         reader, writer = await asyncio.open_connection(hosts.LOOPBACK, port)
@@ -148,62 +150,68 @@
     return answer.split(b' ', 2)[1].decode() if answer else ''
 
 
-def read_time(host: hosts.Host) -> float:
+def read_cpu_s(host: hosts.Host) -> float:
     """Read how much processor time a host has used, in seconds."""
-    text = Path(f'/proc/{host.find_id()}/stat').read_text()
+    text = Path(f'/proc/{host.get_pid()}/stat').read_text()
     fields = text.rpartition(')')[2].split()
-    return sum(int(field) for field in fields[TIMES]) * TICK_S
+    return sum(int(field) for field in fields[CPU_TIME_FIELDS]) * TICK_S
 
 
 async def measure(shards: int, folder: Path) -> Cost:
     """Measure one number of shards."""
     async with contextlib.AsyncExitStack() as stack:
-        world = World(shards, folder)
-        await world.start(stack)
-        port = world.hosts[0].ports[1]
-        await ask_many(port, WARM_UP)
-        idle = await measure_use(world, asyncio.sleep(IDLE_S))
-        busy = await measure_use(world, ask_many(port, QUERIES))
-        entry, *others = [
-            MILLISECONDS * (used - rest * busy.lasted / idle.lasted) / QUERIES
-            for used, rest in zip(busy.seconds, idle.seconds, strict=True)
+        testbed = Testbed(shards, folder)
+        await testbed.start(stack)
+        port = testbed.hosts[0].ports[1]
+        await send_searches(port, WARM_UP_QUERIES)
+        idle = await measure_usage(testbed, asyncio.sleep(IDLE_S))
+        busy = await measure_usage(testbed, send_searches(port, QUERIES))
+        entry_ms, *others_ms = [
+            MS_PER_S
+            * (busy_cpu_s - idle_cpu_s * busy.elapsed_s / idle.elapsed_s)
+            / QUERIES
+            for busy_cpu_s, idle_cpu_s in zip(
+                busy.cpu_s, idle.cpu_s, strict=True
+            )
         ]
-        return Cost(shards, entry, sum(others), busy.answered or 0)
+        return Cost(shards, entry_ms, sum(others_ms), busy.answered or 0)
 
 
-async def measure_use(
-    world: World, work: Coroutine[Any, Any, int | None]
-) -> Use:
+async def measure_usage(
+    testbed: Testbed, work: Coroutine[Any, Any, int | None]
+) -> Usage:
     """Measure the processor time of each host while something is done."""
-    began = time.monotonic()
-    before = [read_time(it) for it in world.hosts]
+    started_at = time.monotonic()
+    before = [read_cpu_s(it) for it in testbed.hosts]
     answered = await work
-    after = [read_time(it) for it in world.hosts]
-    seconds = [now - was for now, was in zip(after, before, strict=True)]
-    return Use(time.monotonic() - began, seconds, answered)
+    after = [read_cpu_s(it) for it in testbed.hosts]
+    seconds = [
+        later - earlier for later, earlier in zip(after, before, strict=True)
+    ]
+    return Usage(time.monotonic() - started_at, seconds, answered)
 
 
-async def ask_many(port: int, count: int) -> int:
+async def send_searches(port: int, count: int) -> int:
     """Ask for so many searches in turn; return how many were answered."""
     answered = 0
-    left = count
-    while left:
-        left -= 1
-        status = await ask(port, '/search/', f'{left:016x}')
+    remaining = count
+    while remaining:
+        remaining -= 1
+        status = await send_request(port, '/search/', f'{remaining:016x}')
         answered += status == '200'
     return answered
 
 
 def main() -> None:
     """Measure each size that is named, or the usual ones."""
-    sizes = [int(word) for word in sys.argv[1:]] or SIZES
+    sizes = [int(word) for word in sys.argv[1:]] or SHARD_COUNTS
     print('shards  entry ms  others ms  answered')
     with tempfile.TemporaryDirectory() as folder:
         for shards in sizes:
             cost = asyncio.run(measure(shards, Path(folder)))
             print(
-                f'{cost.shards:6}  {cost.entry:8.2f}  {cost.others:9.2f}'
-                f'  {cost.complete}/{QUERIES}',
+                f'{cost.shards:6}  {cost.entry_ms:8.2f}  {cost.others_ms:9.2f}'
+                f'  {cost.answered}/{QUERIES}',
                 flush=True,
             )
 
--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -32,43 +32,43 @@
 TERMS: Final = {'text': 'combi oven', 'limit': 10}
 LAYOUT: Final = layouts.build('santiago', FIRST_PORT)
 
-Ask = Callable[[], int]
+RunQuery = Callable[[], int]
 
 
 def main() -> None:
     """Run the ways by turns and print the medians."""
     with contextlib.ExitStack() as stack:
         _start_targets(stack)
-        ways: dict[str, Ask] = {
+        methods: dict[str, RunQuery] = {
             'a thread each': _use_threads(stack),
             'one after another': _use_pool(stack),
             'dispatch loop': _use_loop(stack),
         }
-        spent: dict[str, list[float]] = {name: [] for name in ways}
+        times: dict[str, list[float]] = {name: [] for name in methods}
         for _ in range(ROUNDS):
-            for name, ask in ways.items():
-                spent[name].append(_measure(ask))
-    yardstick = statistics.median(spent['a thread each'])
-    for name, figures in spent.items():
-        median = statistics.median(figures)
+            for name, run_query in methods.items():
+                times[name].append(_measure(run_query))
+    baseline = statistics.median(times['a thread each'])
+    for name, method_times in times.items():
+        median = statistics.median(method_times)
         print(
             f'{name:18} {median:7.1f} us '
-            f'({min(figures):.1f}..{max(figures):.1f}) '
-            f'{median / yardstick:.2f} of a thread each'
+            f'({min(method_times):.1f}..{max(method_times):.1f}) '
+            f'{median / baseline:.2f} of a thread each'
         )
 
 
-def _measure(ask: Ask) -> float:
-    ask()
-    began = time.process_time()
-    count = sum(ask() for _ in range(QUERIES))
-    return (time.process_time() - began) / count * 1e6
+def _measure(run_query: RunQuery) -> float:
+    run_query()
+    started_at = time.process_time()
+    sub_requests = sum(run_query() for _ in range(QUERIES))
+    return (time.process_time() - started_at) / sub_requests * 1e6
 
 
 def _start_targets(stack: contextlib.ExitStack) -> None:
-    words = ('standins', 'searchers', '--deployment', 'santiago')
+    arguments = ('standins', 'searchers', '--deployment', 'santiago')
     process = subprocess.Popen(  # noqa: S603
-        (sys.executable, '-m', *words, '--first-port', str(FIRST_PORT)),
+        (sys.executable, '-m', *arguments, '--first-port', str(FIRST_PORT)),
         stdout=subprocess.PIPE,
         text=True,
     )
@@ -86,10 +86,10 @@
     for group in LAYOUT.configuration.groups[:2]:
         shards: set[int] = set()
         for target in group.targets:
-            for held in LAYOUT.holdings[target.name]:
-                if held.shard not in shards:
-                    shards.add(held.shard)
-                    yield target.address, _write_body(group.name, held.shard)
+            for holding in LAYOUT.holdings[target.name]:
+                if holding.shard not in shards:
+                    shards.add(holding.shard)
+                    yield target.address, _write_body(group.name, holding.shard)
 
 
 def _write_body(group: str, shard: int) -> bytes:
@@ -119,28 +119,28 @@
     return 1
 
 
-def _use_threads(stack: contextlib.ExitStack) -> Ask:
-    wanted = list(_list_requests())
-    manager = urllib3.PoolManager(num_pools=len(wanted), maxsize=2)
-    pool = concurrent.futures.ThreadPoolExecutor(len(wanted))
+def _use_threads(stack: contextlib.ExitStack) -> RunQuery:
+    requests = list(_list_requests())
+    manager = urllib3.PoolManager(num_pools=len(requests), maxsize=2)
+    pool = concurrent.futures.ThreadPoolExecutor(len(requests))
     stack.enter_context(pool)
-    return lambda: sum(pool.map(lambda each: _send(manager, *each), wanted))
+    return lambda: sum(pool.map(lambda each: _send(manager, *each), requests))
 
 
-def _use_pool(stack: contextlib.ExitStack) -> Ask:
-    wanted = list(_list_requests())
-    manager = urllib3.PoolManager(num_pools=len(wanted), maxsize=2)
+def _use_pool(stack: contextlib.ExitStack) -> RunQuery:
+    requests = list(_list_requests())
+    manager = urllib3.PoolManager(num_pools=len(requests), maxsize=2)
     stack.callback(manager.clear)
-    return lambda: sum(_send(manager, *each) for each in wanted)
+    return lambda: sum(_send(manager, *each) for each in requests)
 
 
-def _use_loop(stack: contextlib.ExitStack) -> Ask:
-    bounds = dispatch_loop.Settings(
+def _use_loop(stack: contextlib.ExitStack) -> RunQuery:
+    settings = dispatch_loop.Settings(
         max_answer_bytes=1_000_000, probe_timeout_s=0.5, connect_timeout_s=0.5
     )
-    place = layouts.DATA_CENTRES['santiago'][0]
-    state = states.make_state(place, random.random)
-    dispatcher = dispatch_loop.DispatchLoop(state, bounds, _ignore)
+    data_centre = layouts.DATA_CENTRES['santiago'][0]
+    state = states.make_state(data_centre, random.random)
+    dispatcher = dispatch_loop.DispatchLoop(state, settings, _ignore)
     thread = threading.Thread(target=dispatcher.run)
     thread.start()
     stack.callback(thread.join)
@@ -148,10 +148,10 @@
     dispatcher.post(messages.ConfigurationReceived(LAYOUT.configuration))
     while dispatcher.status.unready_reason:
         time.sleep(0.1)
-    return lambda: _ask_loop(dispatcher)
+    return lambda: _query_loop(dispatcher)
 
 
-def _ask_loop(dispatcher: dispatch_loop.DispatchLoop) -> int:
+def _query_loop(dispatcher: dispatch_loop.DispatchLoop) -> int:
     now = time.monotonic()
     reply_to: dispatch_loop.ReplyQueue = queue.SimpleQueue()
     query = messages.Query(
--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -16,13 +16,13 @@
 from fuchsiahaven.core.queries import dispatch, states
 from fuchsiahaven.core.targets import messages, snapshots
 
-CENTRE: Final = 'Quilicura'
+DATA_CENTRE: Final = 'Quilicura'
 REPLICAS: Final = 12
-CAP: Final = 25
+CONNECTIONS: Final = 25
 POSITIONS: Final = 65_536
 GROUPS: Final = 9
 CHANGES: Final = 9
-MICROSECONDS: Final = 1e6
+US_PER_S: Final = 1e6
 LOAD: Final = messages.Load(0, 0, 2)
 
 
@@ -46,75 +46,77 @@
     longest_event_ms: float
 
 
-class _Clocked:
+class _TimedState:
     """Drive one host's decisions and time each event."""
 
     def __init__(self, state: states.State) -> None:
         self.state = state
         self.now = 1000.0
-        self.longest = 0.0
+        self.max_event_s = 0.0
 
-    def tell(self, event: messages.Event) -> float:
+    def handle(self, event: messages.Event) -> float:
         """Let an event happen; return its processor time in seconds."""
-        began = time.process_time()
-        handled = dispatch.handle_event(self.state, event, self.now)
-        self.state = handled[0]
-        took = time.process_time() - began
-        self.longest = max(self.longest, took)
-        return took
-
-    def settle(self) -> float:
+        started_at = time.process_time()
+        result = dispatch.handle_event(self.state, event, self.now)
+        self.state = result[0]
+        cpu_s = time.process_time() - started_at
+        self.max_event_s = max(self.max_event_s, cpu_s)
+        return cpu_s
+
+    def run_timers(self) -> float:
         """Let the timers of ten seconds go off; return processor time."""
-        took = 0.0
+        cpu_s = 0.0
         for _ in range(1000):
             self.now += 0.01
-            took += self.tell(messages.Tick())
-        return took
+            cpu_s += self.handle(messages.Tick())
+        return cpu_s
 
 
 def measure(size: Size) -> Footprint:
     """Measure one size."""
     # Following each allocation is slow, so it is done on a run of its own.
     tracemalloc.start()
-    followed = _start(size)[0]
-    grown = tracemalloc.get_traced_memory()[0]
+    traced = _start(size)[0]
+    traced_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    followed.state.tables.timers.clear()
-    clocked, configuration, start_s = _start(size)
-    quiet = clocked.settle()
-    change_s = statistics.median(_time_changes(clocked, configuration))
-    member_s = statistics.median(_time_members(clocked, size, quiet))
-    names = list(clocked.state.tables.targets)
-    report_s = sum(map(clocked.tell, _report_all(size, names, 99))) / len(names)
+    traced.state.tables.timers.clear()
+    timed, configuration, start_s = _start(size)
+    idle_s = timed.run_timers()
+    change_s = statistics.median(_time_changes(timed, configuration))
+    member_s = statistics.median(_time_members(timed, size, idle_s))
+    names = list(timed.state.tables.targets)
+    report_s = sum(map(timed.handle, _list_reports(size, names, 99))) / len(
+        names
+    )
     return Footprint(
         size.hosts,
         len(names),
-        round(grown / len(names)),
+        round(traced_bytes / len(names)),
         round(start_s * 1000, 1),
         round(change_s * 1000, 1),
         round(member_s * 1000, 1),
-        round(report_s * MICROSECONDS, 1),
-        round(clocked.longest * 1000, 1),
+        round(report_s * US_PER_S, 1),
+        round(timed.max_event_s * 1000, 1),
     )
 
 
 def _start(
     size: Size,
-) -> tuple[_Clocked, configurations.Configuration, float]:
+) -> tuple[_TimedState, configurations.Configuration, float]:
     draw = random.Random(1).random
-    state = states.make_state(CENTRE, draw)._replace(own_name='host-0')
-    clocked = _Clocked(state)
-    configuration = _configure(size)
+    state = states.make_state(DATA_CENTRE, draw)._replace(own_name='host-0')
+    timed = _TimedState(state)
+    configuration = _make_configuration(size)
     hosts = tuple(f'host-{number}' for number in range(size.hosts))
-    took = clocked.tell(messages.MembersChanged(hosts))
-    took += clocked.tell(messages.ConfigurationReceived(configuration))
+    cpu_s = timed.handle(messages.MembersChanged(hosts))
+    cpu_s += timed.handle(messages.ConfigurationReceived(configuration))
     names = [target.name for target in _list_targets(configuration)]
-    took += sum(map(clocked.tell, _report_all(size, names, 1)))
-    return clocked, configuration, took + clocked.settle()
+    cpu_s += sum(map(timed.handle, _list_reports(size, names, 1)))
+    return timed, configuration, cpu_s + timed.run_timers()
 
 
 def _time_changes(
-    clocked: _Clocked, configuration: configurations.Configuration
+    timed: _TimedState, configuration: configurations.Configuration
 ) -> Iterable[float]:
     for number in range(CHANGES):
         label = ('tier', f'{number}')
@@ -124,20 +126,20 @@
             groups=(first, *configuration.groups[1:]),
         )
         # No seat moves, so nothing but probes comes of it later.
-        yield clocked.tell(messages.ConfigurationReceived(configuration))
+        yield timed.handle(messages.ConfigurationReceived(configuration))
 
 
 def _time_members(
-    clocked: _Clocked, size: Size, quiet: float
+    timed: _TimedState, size: Size, idle_s: float
 ) -> Iterable[float]:
     for number in range(CHANGES):
         hosts = [f'host-{each}' for each in range(size.hosts)]
         hosts[-1] = f'newcomer-{number}'
-        took = clocked.tell(messages.MembersChanged(tuple(hosts)))
-        yield took + max(0.0, clocked.settle() - quiet)
+        cpu_s = timed.handle(messages.MembersChanged(tuple(hosts)))
+        yield cpu_s + max(0.0, timed.run_timers() - idle_s)
 
 
-def _configure(size: Size) -> configurations.Configuration:
+def _make_configuration(size: Size) -> configurations.Configuration:
     groups = []
     for number in range(GROUPS):
         shards = range(number, size.shards, GROUPS)
@@ -145,18 +147,22 @@
             configurations.Target(
                 f'group-{number}-{shard}/{copy}',
                 f'10.{number}.{shard % 250}.{copy}:{8000 + shard}',
-                CENTRE,
+                DATA_CENTRE,
             )
             for shard in shards
             for copy in range(REPLICAS)
         )
         labels = (('part', f'{number}'),)
         groups.append(
-            configurations.Group(f'group-{number}', labels, targets, 2, CAP)
+            configurations.Group(
+                f'group-{number}', labels, targets, 2, CONNECTIONS
+            )
         )
-    one = configurations.RequestClass('search')
+    request_class = configurations.RequestClass('search')
     selector = configurations.Selector('search', 'search', 'part')
-    return configurations.Configuration(1, tuple(groups), (selector,), (one,))
+    return configurations.Configuration(
+        1, tuple(groups), (selector,), (request_class,)
+    )
 
 
 def _list_targets(
@@ -166,16 +172,16 @@
         yield from group.targets
 
 
-def _report_all(
+def _list_reports(
     size: Size, names: list[str], sequence: int
 ) -> Iterable[messages.TargetProbed]:
     for name in names:
         group, shard = map(int, name.partition('/')[0].split('-')[1:])
         shards = len(range(group, size.shards, GROUPS))
-        place = (shard - group) // GROUPS
-        low = POSITIONS * place // shards
-        high = POSITIONS * (place + 1) // shards
-        holding = snapshots.Holding(1, place, shards, low, high)
+        shard_index = (shard - group) // GROUPS
+        low = POSITIONS * shard_index // shards
+        high = POSITIONS * (shard_index + 1) // shards
+        holding = snapshots.Holding(1, shard_index, shards, low, high)
         health = messages.Health(
             name, messages.TargetState.LIVE, 1.0, sequence, LOAD, (holding,)
         )
--- a/bench/exchanges.py
+++ b/bench/http_client.py
@@ -9,27 +9,27 @@
 from standins import wire
 
 HEAD_END: Final = b'\r\n\r\n'
-CLOSE: Final = re.compile(rb'\r\nconnection:[ \t]*close', re.IGNORECASE)
+CLOSE_FIELD: Final = re.compile(rb'\r\nconnection:[ \t]*close', re.IGNORECASE)
 #: Why there is no answer: none came in time.
-SILENT: Final = 'silent'
+NO_ANSWER: Final = 'silent'
 
 
-class Outcome(NamedTuple):
+class Response(NamedTuple):
     """Hold an answer; status 0 where none came, with the reason."""
 
     status: int
     body: wire.Json
 
 
-class Exchange(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """Own one connection with one question at a time."""
 
     def __init__(self) -> None:
         """Start without a question."""
         self._buffer = b''
-        self._asked: asyncio.Future[Outcome] | None = None
-        self._answered = 0
-        self._told_to_close = False
+        self._pending: asyncio.Future[Response] | None = None
+        self._answers = 0
+        self._must_close = False
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -42,38 +42,38 @@
         # What came before on this connection tells a host that cuts a request
         # from a caller that goes on after it was told to leave.
         detail = (
-            f'{exc!r} after {self._answered} answers, '
-            f'told to close: {self._told_to_close}, '
+            f'{exc!r} after {self._answers} answers, '
+            f'told to close: {self._must_close}, '
             f'bytes of an answer: {len(self._buffer)}'
         )
-        self._settle(Outcome(0, {'why': 'cut', 'detail': detail}))
+        self._resolve(Response(0, {'why': 'cut', 'detail': detail}))
 
     def data_received(self, data: bytes) -> None:
         """Settle the question once its answer is whole."""
         self._buffer += data
-        head, found, rest = self._buffer.partition(HEAD_END)
-        if not found:
+        head, separator, body = self._buffer.partition(HEAD_END)
+        if not separator:
             return
-        if len(rest) >= wire.parse_content_length(head.lower()):
+        if len(body) >= wire.parse_content_length(head.lower()):
             self._buffer = b''
-            self._answered += 1
-            self._told_to_close = CLOSE.search(head) is not None
-            if self._told_to_close:
+            self._answers += 1
+            self._must_close = CLOSE_FIELD.search(head) is not None
+            if self._must_close:
                 # The server reads nothing more here, and its end may come
                 # after the next request has been written.
                 self.transport.close()
             status = int(head.split(b' ', 2)[1])
-            self._settle(Outcome(status, _load(rest)))
+            self._resolve(Response(status, _decode_body(body)))
 
-    def ask(self, data: bytes) -> asyncio.Future[Outcome]:
+    def send_request(self, data: bytes) -> asyncio.Future[Response]:
         """Write one question."""
-        self._asked = asyncio.get_running_loop().create_future()
+        self._pending = asyncio.get_running_loop().create_future()
         self.transport.write(data)
-        return self._asked
+        return self._pending
 
-    def _settle(self, outcome: Outcome) -> None:
-        if self._asked is not None and not self._asked.done():
-            self._asked.set_result(outcome)
+    def _resolve(self, response: Response) -> None:
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_result(response)
 
 
 class Client:
@@ -81,7 +81,7 @@
 
     def __init__(self) -> None:
         """Start without connections."""
-        self._idle: dict[int, list[Exchange]]
+        self._idle: dict[int, list[Connection]]
         self._idle = collections.defaultdict(list)
 
     async def send(
@@ -91,7 +91,7 @@
         path: str,
         body: wire.Json | None = None,
         timeout_s: float = 5.0,
-    ) -> Outcome:
+    ) -> Response:
         """Send JSON to a loopback port, by a connection that is kept."""
         payload = b'' if body is None else json.dumps(body).encode()
         head = (
@@ -100,41 +100,41 @@
             f'Content-Length: {len(payload)}\r\n\r\n'
         )
         try:
-            exchange = await self._take(port)
+            connection = await self._open_connection(port)
         except OSError:
-            return Outcome(0, {'why': 'refused'})
-        asked = exchange.ask(head.encode() + payload)
+            return Response(0, {'why': 'refused'})
+        pending = connection.send_request(head.encode() + payload)
         try:
             # Not wait_for, which loses a cancellation that comes as it ends.
             async with asyncio.timeout(timeout_s):
-                outcome = await asked
+                response = await pending
         except TimeoutError:
-            exchange.transport.abort()
-            return Outcome(0, {'why': SILENT})
-        if not exchange.transport.is_closing():
-            self._idle[port].append(exchange)
-        return outcome
+            connection.transport.abort()
+            return Response(0, {'why': NO_ANSWER})
+        if not connection.transport.is_closing():
+            self._idle[port].append(connection)
+        return response
 
     def close(self) -> None:
         """Close every idle connection."""
-        for exchanges in self._idle.values():
-            for exchange in exchanges:
-                exchange.transport.close()
+        for connections in self._idle.values():
+            for connection in connections:
+                connection.transport.close()
         self._idle.clear()
 
-    async def _take(self, port: int) -> Exchange:
+    async def _open_connection(self, port: int) -> Connection:
         while self._idle[port]:
-            exchange = self._idle[port].pop()
-            if not exchange.transport.is_closing():
-                return exchange
+            connection = self._idle[port].pop()
+            if not connection.transport.is_closing():
+                return connection
         loop = asyncio.get_running_loop()
-        made = await loop.create_connection(Exchange, wire.LOOPBACK, port)
-        return made[1]
+        opened = await loop.create_connection(Connection, wire.LOOPBACK, port)
+        return opened[1]
 
 
-def _load(body: bytes) -> wire.Json:
+def _decode_body(body: bytes) -> wire.Json:
     try:
-        found = json.loads(body)
+        decoded = json.loads(body)
     except ValueError:
         return {'text': body.decode(errors='replace')}
-    return found if isinstance(found, dict) else {'text': found}
+    return decoded if isinstance(decoded, dict) else {'text': decoded}
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -24,16 +24,16 @@
 #: Worth that a late answer keeps, as the users' sheets state it for searches.
 LATE_WORTH: Final = 0.1
 #: Seconds of a row of the table by time.
-STEP_S: Final = 2.0
+TIME_STEP_S: Final = 2.0
 #: The balancer and the network on the way to a caller, there and back.
-WAY_S: Final = 0.006
-MARK: Final = '"part":"request"'
-STARTED: Final = '"text":"started"'
+CALLER_ROUND_TRIP_S: Final = 0.006
+REQUEST_MARK: Final = '"part":"request"'
+STARTED_MARK: Final = '"text":"started"'
 #: Rows of the table of where most was lost.
-MOST_ROWS: Final = 12
+MAX_ROWS: Final = 12
 UNKNOWN: Final = '?'
-UNTARGETED: Final = ': no_replica'
-SERVED: Final = frozenset(('complete', 'partial', 'relayed 200'))
+NO_REPLICA_SUFFIX: Final = ': no_replica'
+SERVED_RESULTS: Final = frozenset(('complete', 'partial', 'relayed 200'))
 
 
 class Ending(NamedTuple):
@@ -69,16 +69,16 @@
 
     Hosts that start name their data centres.
     """
-    centres: dict[str, str] = {}
-    for before, row in _read_rows(lines):
+    data_centres: dict[str, str] = {}
+    for prefix, row in _read_rows(lines):
         if row['part'] != 'request':
-            centres.update(_read_centre(row))
+            data_centres.update(_parse_data_centre(row))
         elif not row.get('assists'):
-            told = before.split()
-            at = float(told[0]) if told else row['up']
-            ending = _read_ending(row, at, objectives)
-            centre = centres.get(ending.host, UNKNOWN)
-            yield ending._replace(data_centre=centre)
+            words = prefix.split()
+            at = float(words[0]) if words else row['up']
+            ending = _make_ending(row, at, objectives)
+            data_centre = data_centres.get(ending.host, UNKNOWN)
+            yield ending._replace(data_centre=data_centre)
 
 
 def _read_rows(
@@ -86,23 +86,23 @@
 ) -> Iterator[tuple[str, Mapping[str, Any]]]:
     """Read the lines that count, each with what stands before it."""
     for line in lines:
-        before, brace, rest = line.partition('{')
-        if MARK in rest or STARTED in rest:
-            row = _read_row(f'{brace}{rest}')
+        prefix, brace, json_tail = line.partition('{')
+        if REQUEST_MARK in json_tail or STARTED_MARK in json_tail:
+            row = _parse_row(f'{brace}{json_tail}')
             if row is not None:
-                yield before, row
+                yield prefix, row
 
 
-def _read_centre(row: Mapping[str, Any]) -> dict[str, str]:
+def _parse_data_centre(row: Mapping[str, Any]) -> dict[str, str]:
     """Read the data centre of a host that has started."""
     settings = row.get('settings')
     if not settings:
         return {}
-    name, _, centre = settings[0]
-    return {name: centre}
+    name, _, data_centre = settings[0]
+    return {name: data_centre}
 
 
-def _read_row(text: str) -> dict[str, Any] | None:
+def _parse_row(text: str) -> dict[str, Any] | None:
     """Read a line; None for one that was cut where the process was killed."""
     try:
         row: dict[str, Any] = json.loads(text)
@@ -111,7 +111,7 @@
     return row
 
 
-def _read_ending(
+def _make_ending(
     row: Mapping[str, Any], at: float, objectives: Mapping[str, float]
 ) -> Ending:
     route = row['route']
@@ -125,18 +125,18 @@
         row['parts'],
         row['missing'],
         objective,
-        _name_cause(row),
+        _describe_cause(row),
     )
 
 
-def _name_cause(row: Mapping[str, Any]) -> str:
+def _describe_cause(row: Mapping[str, Any]) -> str:
     """Name why a request was not served, without names of targets.
 
     What befell the first part that lacks tells it best, or else how its first
     try ended.
     """
-    for told in (*row.get('lacking', ()), *row.get('tries', ())):
-        _, _, text = told.partition(': ')
+    for entry in (*row.get('lacking', ()), *row.get('tries', ())):
+        _, _, text = entry.partition(': ')
         if text.startswith('waits at'):
             text = 'waits at a helper' if 'helper' in text else 'waits'
         return f'{row["result"]}: {text}'
@@ -148,36 +148,36 @@
     counts = collections.Counter(
         (it.cause, 'once' if it.parts == 1 else 'shards')
         for it in endings
-        if it.result not in SERVED
+        if it.result not in SERVED_RESULTS
     )
     return [
-        f'{count:6} {ways:7} {cause}'
-        for (cause, ways), count in counts.most_common()
+        f'{count:6} {kind:7} {cause}'
+        for (cause, kind), count in counts.most_common()
     ]
 
 
-def weigh(ending: Ending) -> Loss:
+def compute_loss(ending: Ending) -> Loss:
     """Split what a request has lost by cause."""
-    if ending.result not in SERVED:
+    if ending.result not in SERVED_RESULTS:
         return Loss(unserved=1.0)
     covered = 1 - ending.missing / max(1, ending.parts)
-    kept = covered * covered
-    if ending.took + WAY_S > ending.objective:
-        return Loss(late=kept * (1 - LATE_WORTH), partial=1 - kept)
-    return Loss(partial=1 - kept)
+    worth = covered * covered
+    if ending.took + CALLER_ROUND_TRIP_S > ending.objective:
+        return Loss(late=worth * (1 - LATE_WORTH), partial=1 - worth)
+    return Loss(partial=1 - worth)
 
 
 def tabulate(
-    endings: Iterable[Ending], name: Callable[[Ending], str]
+    endings: Iterable[Ending], get_row_name: Callable[[Ending], str]
 ) -> list[str]:
     """Write a table of the worth lost, in % of what each row could earn."""
     counts: collections.Counter[str] = collections.Counter()
     sums: dict[str, collections.Counter[str]] = {}
     for ending in endings:
-        row = name(ending)
+        row = get_row_name(ending)
         counts[row] += 1
-        lost = sums.setdefault(row, collections.Counter())
-        lost.update(weigh(ending)._asdict())
+        row_losses = sums.setdefault(row, collections.Counter())
+        row_losses.update(compute_loss(ending)._asdict())
     titles = ''.join(f'{it:>10}' for it in CAUSES)
     rows = [f'{"":14} {"requests":>8}{titles}']
     for row in sorted(counts):
@@ -191,25 +191,25 @@
     """List where most was lost: time, route and data centre, by cause."""
     lost: dict[str, collections.Counter[str]] = {}
     for ending in endings:
-        step = _name_step(ending)
-        place = f'{step} {ending.route} {ending.data_centre}'
-        lost.setdefault(place, collections.Counter()).update(
-            weigh(ending)._asdict()
+        step = _format_step(ending)
+        key = f'{step} {ending.route} {ending.data_centre}'
+        lost.setdefault(key, collections.Counter()).update(
+            compute_loss(ending)._asdict()
         )
     ranked = sorted(lost, key=lambda it: -lost[it].total())
     return [
-        f'{lost[place].total():8.2f} {place}: {_list_shares(lost[place])}'
-        for place in ranked[:MOST_ROWS]
-        if lost[place].total()
+        f'{lost[key].total():8.2f} {key}: {_format_loss(lost[key])}'
+        for key in ranked[:MAX_ROWS]
+        if lost[key].total()
     ]
 
 
-def _list_shares(lost: collections.Counter[str]) -> str:
+def _format_loss(lost: collections.Counter[str]) -> str:
     return ', '.join(f'{name} {lost[name]:.2f}' for name in CAUSES)
 
 
-def _name_step(ending: Ending) -> str:
-    return f'{ending.at // STEP_S * STEP_S:6.0f} s'
+def _format_step(ending: Ending) -> str:
+    return f'{ending.at // TIME_STEP_S * TIME_STEP_S:6.0f} s'
 
 
 def _parse_objective(text: str) -> tuple[str, float]:
@@ -224,24 +224,24 @@
     parser.add_argument(
         '--objective', type=_parse_objective, action='append', default=[]
     )
-    given = parser.parse_args(arguments)
-    found = [
+    options = parser.parse_args(arguments)
+    endings = [
         ending
-        for ending in read_endings(given.log, dict(given.objective))
+        for ending in read_endings(options.log, dict(options.objective))
         if ending.route
         and ending.result != 'abandoned'
-        and not ending.cause.endswith(UNTARGETED)
+        and not ending.cause.endswith(NO_REPLICA_SUFFIX)
     ]
-    tables = (
+    row_names = (
         lambda it: it.route,
         lambda it: it.data_centre,
         lambda it: it.host,
-        _name_step,
+        _format_step,
     )
-    for name in tables:
-        sys.stdout.write('\n'.join([*tabulate(found, name), '', '']))
-    sys.stdout.write('\n'.join([*list_largest(found), '', '']))
-    sys.stdout.write('\n'.join([*count_causes(found), '']))
+    for get_row_name in row_names:
+        sys.stdout.write('\n'.join([*tabulate(endings, get_row_name), '', '']))
+    sys.stdout.write('\n'.join([*list_largest(endings), '', '']))
+    sys.stdout.write('\n'.join([*count_causes(endings), '']))
 
 
 if __name__ == '__main__':
--- a/bench/mixes.py
+++ b/bench/mixes.py
@@ -8,8 +8,8 @@
 from fuchsiahaven.core.configuration import configurations
 from standins import catalogue, wire
 
-LIMIT: Final = 20
-MIXES: Final = {
+MAX_RESULT_ROWS: Final = 20
+CLASS_WEIGHTS: Final = {
     'santiago': {
         'price-check': 40,
         'quick-lookup': 40,
@@ -29,46 +29,48 @@
 class Request(NamedTuple):
     """Hold one request of a caller, as it is sent."""
 
-    rule: configurations.RequestClass
+    request_class: configurations.RequestClass
     body: wire.Json
 
 
-class Mix:
+class RequestMix:
     """Draw requests from a seed."""
 
     def __init__(
         self,
         deployment: str,
-        rules: tuple[configurations.RequestClass, ...],
-        numbers: random.Random,
+        classes: tuple[configurations.RequestClass, ...],
+        rng: random.Random,
         *,
         only_at_most_once: bool,
     ) -> None:
         """Choose among all classes, or those that run at most once."""
-        single = configurations.Repeat.AT_MOST_ONCE
-        self._rules = [
+        at_most_once = configurations.Repeat.AT_MOST_ONCE
+        self._classes = [
             rule
-            for rule in rules
-            if rule.repeat is single or not only_at_most_once
+            for rule in classes
+            if rule.repeat is at_most_once or not only_at_most_once
         ]
-        weights = MIXES[deployment]
-        self._weights = [weights[rule.name] for rule in self._rules]
-        winter = deployment == 'ishikari'
-        self._titles = catalogue.TITLES['passes' if winter else 'listings']
-        self._numbers = numbers
+        weights = CLASS_WEIGHTS[deployment]
+        self._weights = [weights[rule.name] for rule in self._classes]
+        sells_passes = deployment == 'ishikari'
+        self._titles = catalogue.TITLES[
+            'passes' if sells_passes else 'listings'
+        ]
+        self._rng = rng
 
     def draw(self) -> Request:
         """Draw the next request."""
-        numbers = self._numbers
-        rule = numbers.choices(self._rules, self._weights)[0]
-        text = numbers.choice(self._titles)
-        bits = numbers.getrandbits(request_ids.RANDOM_BITS)
+        rng = self._rng
+        request_class = rng.choices(self._classes, self._weights)[0]
+        text = rng.choice(self._titles)
+        bits = rng.getrandbits(request_ids.RANDOM_BITS)
         body = {
-            'class': rule.name,
+            'class': request_class.name,
             'request_id': request_ids.make_request_id(time.time(), bits),
-            'deadline_ms': rule.deadline_ms,
-            'query': {'text': text, 'limit': LIMIT},
+            'deadline_ms': request_class.deadline_ms,
+            'query': {'text': text, 'limit': MAX_RESULT_ROWS},
         }
-        if rule.fan_out is configurations.FanOut.KEYED:
-            body['key'] = f'key-{numbers.randrange(10_000)}'
-        return Request(rule, body)
+        if request_class.fan_out is configurations.FanOut.KEYED:
+            body['key'] = f'key-{rng.randrange(10_000)}'
+        return Request(request_class, body)
--- a/bench/records.py
+++ b/bench/records.py
@@ -9,10 +9,10 @@
 
 from standins import wire
 
-HIGHEST_US: Final = 60_000_000
-DIGITS: Final = 3
-LATE_MS: Final = 5.0
-BUSY: Final = 0.8
+MAX_LATENCY_US: Final = 60_000_000
+SIGNIFICANT_DIGITS: Final = 3
+MAX_SEND_DELAY_MS: Final = 5.0
+MAX_CORE_FRACTION: Final = 0.8
 QUANTILES: Final = (50, 90, 99, 99.9)
 
 
@@ -59,10 +59,10 @@
     memory_mib: float
 
 
-def subtract(now: Usage, before: Usage) -> Usage:
+def subtract(after: Usage, before: Usage) -> Usage:
     """Work out what was used between two measurements."""
-    used = Usage(*(a - b for a, b in zip(now, before, strict=True)))
-    return used._replace(memory_mib=now.memory_mib)
+    used = Usage(*(a - b for a, b in zip(after, before, strict=True)))
+    return used._replace(memory_mib=after.memory_mib)
 
 
 class Figures(NamedTuple):
@@ -126,7 +126,7 @@
     quantiles = _measure_ms(record.took for record in answered)
     sub_requests = targets['counts'].get('received', 0)
     # An id that is asked for twice is still one request.
-    tried = {
+    shards_by_id = {
         record.request_id: record.shards
         for record in records
         if record.ran != 'no'
@@ -152,15 +152,17 @@
         },
         coverage=_average(record.coverage for record in records),
         answer_coverage=_average(record.coverage for record in answered),
-        extra_load=round(sub_requests / max(sum(tried.values()), 1) - 1, 4),
+        extra_load=round(
+            sub_requests / max(sum(shards_by_id.values()), 1) - 1, 4
+        ),
         sub_requests=sub_requests,
         refusals=_count(record.kind for record in records),
         untrue_refusals=sum(
             record.ran == 'no' and targets['runs'].get(record.request_id, 0) > 0
             for record in records
         ),
-        untrue_ids=_count_ids(records, targets, _all_told_no),
-        doubtful_ids=_count_ids(records, targets, _told_no_after_doubt),
+        untrue_ids=_count_ids(records, targets, _all_not_run),
+        doubtful_ids=_count_ids(records, targets, _not_run_after_unknown),
         untrue_answers=sum(
             record.request_id not in targets['runs'] for record in answered
         ),
@@ -181,15 +183,15 @@
         sent_late_p99_ms=sent_late[2],
         bench_cores=round(bench_cores, 3),
         standin_cores=round(standin_cores, 3),
-        limit=_find_limit(sent_late[2], bench_cores, standin_cores),
+        limit=_describe_limit(sent_late[2], bench_cores, standin_cores),
     )
 
 
-def compare(turns: Sequence[Figures]) -> list[str]:
+def compare(results: Sequence[Figures]) -> list[str]:
     """Set the medians and spreads of each policy side by side, in lines."""
     by_policy: dict[str, list[Figures]] = {}
-    for turn in turns:
-        by_policy.setdefault(turn.policy, []).append(turn)
+    for figures in results:
+        by_policy.setdefault(figures.policy, []).append(figures)
     numeric = (
         name
         for name, kind in Figures.__annotations__.items()
@@ -197,7 +199,7 @@
     )
     rows = [('', list(by_policy))]
     rows.extend(
-        (name, [_show_spread(name, group) for group in by_policy.values()])
+        (name, [_format_spread(name, group) for group in by_policy.values()])
         for name in numeric
     )
     return [
@@ -210,14 +212,14 @@
     """Count answers with a lower revision than their host had shown before."""
     highest: dict[int, int] = {}
     events = sorted(
-        (moment, asked, record.host, record.revision)
+        (at, is_request, record.host, record.revision)
         for record in records
         if record.revision
-        for moment, asked in ((record.sent, True), (record.done, False))
+        for at, is_request in ((record.sent, True), (record.done, False))
     )
     reverts = 0
-    for _, asked, host, revision in events:
-        if asked:
+    for _, is_request, host, revision in events:
+        if is_request:
             reverts += revision < highest.get(host, 0)
         else:
             highest[host] = max(highest.get(host, 0), revision)
@@ -228,10 +230,10 @@
     records: Iterable[Record], changes: Sequence[tuple[float, int]]
 ) -> float:
     lags = [
-        record.sent - moment
-        for moment, revision in changes
+        record.sent - changed_at
+        for changed_at, revision in changes
         for record in records
-        if record.sent > moment and 0 < record.revision < revision
+        if record.sent > changed_at and 0 < record.revision < revision
     ]
     return round(max(lags, default=0.0), 3)
 
@@ -239,35 +241,36 @@
 def _count_ids(
     records: Iterable[Record],
     targets: wire.Json,
-    told: Callable[[list[Record]], bool],
+    matches: Callable[[list[Record]], bool],
 ) -> int:
     by_id: dict[str, list[Record]] = {}
     for record in records:
         by_id.setdefault(record.request_id, []).append(record)
     return sum(
-        told(group) and targets['runs'].get(request_id, 0) > 0
+        matches(group) and targets['runs'].get(request_id, 0) > 0
         for request_id, group in by_id.items()
     )
 
 
-def _all_told_no(group: list[Record]) -> bool:
+def _all_not_run(group: list[Record]) -> bool:
     return all(record.ran == 'no' for record in group)
 
 
-def _told_no_after_doubt(group: list[Record]) -> bool:
-    doubts = [record.done for record in group if record.ran == 'unknown']
+def _not_run_after_unknown(group: list[Record]) -> bool:
+    unknown_at = [record.done for record in group if record.ran == 'unknown']
     return any(
-        record.ran == 'no' and record.sent > min(doubts, default=record.sent)
+        record.ran == 'no'
+        and record.sent > min(unknown_at, default=record.sent)
         for record in group
     )
 
 
 def _measure_ms(seconds: Iterable[float]) -> list[float]:
-    found = histogram.HdrHistogram(1, HIGHEST_US, DIGITS)
+    latencies = histogram.HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for each in seconds:
-        found.record_value(max(1, int(each * 1e6)))
+        latencies.record_value(max(1, int(each * 1e6)))
     return [
-        round(found.get_value_at_percentile(quantile) / 1000, 2)
+        round(latencies.get_value_at_percentile(quantile) / 1000, 2)
         for quantile in QUANTILES
     ]
 
@@ -280,25 +283,25 @@
 
 
 def _average(numbers: Iterable[float]) -> float:
-    found = list(numbers)
-    return round(statistics.fmean(found), 4) if found else 0.0
+    values = list(numbers)
+    return round(statistics.fmean(values), 4) if values else 0.0
 
 
 def _count(names: Iterable[str]) -> dict[str, int]:
     return dict(collections.Counter(name for name in names if name))
 
 
-def _find_limit(late_ms: float, bench: float, standin: float) -> str:
-    if late_ms > LATE_MS:
-        return f'requests were sent late: p99 {late_ms} ms'
-    if bench > BUSY:
+def _describe_limit(delay_ms: float, bench: float, standin: float) -> str:
+    if delay_ms > MAX_SEND_DELAY_MS:
+        return f'requests were sent late: p99 {delay_ms} ms'
+    if bench > MAX_CORE_FRACTION:
         return f'the bench used {bench:.2f} of one core'
-    if standin > BUSY:
+    if standin > MAX_CORE_FRACTION:
         return f'a stand-in used {standin:.2f} of one core'
     return ''
 
 
-def _show_spread(name: str, turns: Sequence[Figures]) -> str:
-    numbers = [float(getattr(turn, name)) for turn in turns]
-    middle = statistics.median(numbers)
-    return f'{middle:g} ({min(numbers):g}..{max(numbers):g})'
+def _format_spread(name: str, results: Sequence[Figures]) -> str:
+    numbers = [float(getattr(figures, name)) for figures in results]
+    median = statistics.median(numbers)
+    return f'{median:g} ({min(numbers):g}..{max(numbers):g})'
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -6,75 +6,93 @@
 import random
 from typing import Final, NamedTuple
 
-from bench import callers, exchanges, mixes, records, scenarios, scripts, worlds
+from bench import (
+    fault_injection,
+    http_client,
+    load_generator,
+    mixes,
+    records,
+    scenarios,
+    testbeds,
+)
 from standins import wire
 
-WARM_S: Final = 2.0
-LEEWAY_S: Final = 60.0
+WARM_UP_S: Final = 2.0
+EXTRA_TIME_S: Final = 60.0
 
 
-class Order(NamedTuple):
+class RunOptions(NamedTuple):
     """Hold what one turn runs; the rate is requests a second."""
 
     scenario: scenarios.Scenario
-    plan: worlds.Plan
+    plan: testbeds.Plan
     seconds: float
     rate: float
     seed: int
 
 
-def run(order: Order) -> records.Figures:
+def run(options: RunOptions) -> records.Figures:
     """Run one turn in a fresh world and end all that it started."""
     with contextlib.ExitStack() as stack:
-        world = worlds.World(order.plan, stack)
-        limit_s = 2 * order.seconds + LEEWAY_S
-        return asyncio.run(asyncio.wait_for(_run(order, world), limit_s))
-
-
-async def _run(order: Order, world: worlds.World) -> records.Figures:
-    crowd = _gather_callers(order, world)
-    await crowd.wait_ready()
-    await _warm_up(order, crowd)
-    before = await _count(crowd.client, world)
-    used = world.measure()
-    script = scripts.Script(world, crowd)
-    steps = order.scenario.make_steps(world.layout.services)
+        testbed = testbeds.Testbed(options.plan, stack)
+        limit_s = 2 * options.seconds + EXTRA_TIME_S
+        return asyncio.run(asyncio.wait_for(_run(options, testbed), limit_s))
+
+
+async def _run(
+    options: RunOptions, testbed: testbeds.Testbed
+) -> records.Figures:
+    load = _make_load(options, testbed)
+    await load.wait_until_ready()
+    await _warm_up(options, load)
+    before = await _fetch_counts(load.client, testbed)
+    used = testbed.measure()
+    injector = fault_injection.FaultInjector(testbed, load)
+    steps = options.scenario.make_steps(testbed.layout.services)
     await asyncio.gather(
-        script.follow(steps, order.seconds),
-        crowd.arrive(order.seconds, order.rate, order.scenario.repeats),
+        injector.run_steps(steps, options.seconds),
+        load.generate(
+            options.seconds, options.rate, options.scenario.repeat_fraction
+        ),
     )
-    usage = records.subtract(world.measure(), used)
-    counts = await _count(crowd.client, world)
+    usage = records.subtract(testbed.measure(), used)
+    counts = await _fetch_counts(load.client, testbed)
     counts['counts'].subtract(before['counts'])
-    crowd.client.close()
+    load.client.close()
     return records.summarise(
-        order.plan.policy, crowd.records, counts, usage, script.changes
+        options.plan.policy, load.records, counts, usage, injector.changes
     )
 
 
-def _gather_callers(order: Order, world: worlds.World) -> callers.Callers:
-    numbers = random.Random(order.seed)
-    mix = mixes.Mix(
-        order.plan.deployment,
-        world.layout.configuration.classes,
-        numbers,
-        only_at_most_once=order.scenario.only_at_most_once,
+def _make_load(
+    options: RunOptions, testbed: testbeds.Testbed
+) -> load_generator.LoadGenerator:
+    rng = random.Random(options.seed)
+    mix = mixes.RequestMix(
+        options.plan.deployment,
+        testbed.layout.configuration.classes,
+        rng,
+        only_at_most_once=options.scenario.only_at_most_once,
     )
-    return callers.Callers(world, mix, numbers)
+    return load_generator.LoadGenerator(testbed, mix, rng)
 
 
-async def _warm_up(order: Order, crowd: callers.Callers) -> None:
-    await crowd.arrive(WARM_S, order.rate)
-    crowd.records.clear()
+async def _warm_up(
+    options: RunOptions, load: load_generator.LoadGenerator
+) -> None:
+    await load.generate(WARM_UP_S, options.rate)
+    load.records.clear()
 
 
-async def _count(client: exchanges.Client, world: worlds.World) -> wire.Json:
-    gets = (
+async def _fetch_counts(
+    client: http_client.Client, testbed: testbeds.Testbed
+) -> wire.Json:
+    requests = (
         client.send(port, 'GET', '/control/runs')
-        for port in world.control_ports
+        for port in testbed.control_ports
     )
     total: dict[str, collections.Counter[str]] = {}
-    for outcome in await asyncio.gather(*gets):
-        for name, numbers in outcome.body.items():
+    for response in await asyncio.gather(*requests):
+        for name, numbers in response.body.items():
             total.setdefault(name, collections.Counter()).update(numbers)
     return dict(total)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -8,35 +8,35 @@
 
 from standins import layouts, wire
 
-STRAGGLE: Final = 20
-SLOW_SHARE: Final = 0.01
-OFTEN_SLOW_SHARE: Final = 0.05
+STRAGGLER_FACTOR: Final = 20
+SLOW_FRACTION: Final = 0.01
+OFTEN_SLOW_FRACTION: Final = 0.05
 # So slow that the searchers, and not the hosts' processors, set the limit.
 SLOW_MEDIAN_MS: Final = 100.0
 FREEZE_S: Final = 1.5
-SURGE: Final = 4.0
+SURGE_FACTOR: Final = 4.0
 NEXT_SNAPSHOT: Final = layouts.FIRST_SNAPSHOT + 1
 
 
-class TargetOrder(NamedTuple):
+class ControlTargets(NamedTuple):
     """Tell the targets' stand-ins something."""
 
     body: wire.Json
 
 
-class PlatformOrder(NamedTuple):
+class ControlPlatform(NamedTuple):
     """Tell the platform's stand-in something."""
 
     body: wire.Json
 
 
-class Leave(NamedTuple):
+class AnnounceLeaving(NamedTuple):
     """Let instances leave, and the host list say so later."""
 
     instances: tuple[str, ...]
 
 
-class CutCentre(NamedTuple):
+class CutDataCentre(NamedTuple):
     """Cut the last data centre off from the platform, or join it again."""
 
     cut: bool
@@ -67,27 +67,27 @@
     seconds: float
 
 
-class Change(NamedTuple):
+class CommitChange(NamedTuple):
     """Accept the next revision of the configuration."""
 
 
 Action = (
-    TargetOrder
-    | PlatformOrder
-    | Leave
-    | CutCentre
+    ControlTargets
+    | ControlPlatform
+    | AnnounceLeaving
+    | CutDataCentre
     | Surge
     | Restart
     | Kill
     | Freeze
-    | Change
+    | CommitChange
 )
 
 
 class Step(NamedTuple):
     """Hold one action and when it comes, as a share of the run."""
 
-    at: float
+    at_fraction: float
     action: Action
 
 
@@ -102,44 +102,47 @@
     summary: str
     make_steps: Callable[[Services], Steps]
     data_centres: int = 1
-    repeats: float = 0.0
+    repeat_fraction: float = 0.0
     only_at_most_once: bool = False
 
 
-def _wait(services: Services) -> Steps:
+def _do_nothing(services: Services) -> Steps:
     return ()
 
 
-def _straggle(services: Services) -> Steps:
+def _slow_two_searchers(services: Services) -> Steps:
     names = [f'{service.name}-07/0' for service in services[:2]]
-    return (_behave(0.1, names, straggle=STRAGGLE),)
+    return (_change_behaviour(0.1, names, straggle=STRAGGLER_FACTOR),)
 
 
-def _slow_down(services: Services) -> Steps:
-    return (_behave(0, '*', slow_share=SLOW_SHARE),)
+def _slow_some_runs(services: Services) -> Steps:
+    return (_change_behaviour(0, '*', slow_share=SLOW_FRACTION),)
 
 
-def _slow_down_often(services: Services) -> Steps:
-    return (_behave(0, '*', slow_share=OFTEN_SLOW_SHARE),)
+def _slow_more_runs(services: Services) -> Steps:
+    return (_change_behaviour(0, '*', slow_share=OFTEN_SLOW_FRACTION),)
 
 
-def _fill(services: Services) -> Steps:
-    return (_behave(0, '*', median_ms=SLOW_MEDIAN_MS),)
+def _slow_all_runs(services: Services) -> Steps:
+    return (_change_behaviour(0, '*', median_ms=SLOW_MEDIAN_MS),)
 
 
 def _lose_replicas(services: Services) -> Steps:
     names = _name_instances(services, 1)
-    return (_enter(0.3, names, 'dead'), _enter(0.7, names, 'cold'))
+    return (
+        _change_state(0.3, names, 'dead'),
+        _change_state(0.7, names, 'cold'),
+    )
 
 
-def _drain(services: Services) -> Steps:
+def _drain_instances(services: Services) -> Steps:
     steps: list[Step] = []
     # One at a time: neighbours hold the two replicas of one shard.
     for start, number in ((0.05, 1), (0.55, 2)):
         names = _name_instances(services, number)
-        steps.append(Step(start, Leave(names)))
-        steps.append(_enter(start + 0.25, names, 'dead'))
-        steps.append(_enter(start + 0.3, names, 'cold'))
+        steps.append(Step(start, AnnounceLeaving(names)))
+        steps.append(_change_state(start + 0.25, names, 'dead'))
+        steps.append(_change_state(start + 0.3, names, 'cold'))
     return tuple(steps)
 
 
@@ -147,14 +150,17 @@
     # The new snapshot comes instance by instance while the old one stands.
     first = services[0]
     rolling = (
-        _order(
+        _control_targets(
             0.2 + 0.3 * number / first.instances,
             [f'{service.name}-{number:02}' for service in services],
             add_snapshot=NEXT_SNAPSHOT,
         )
-        for number in range(max(one.instances for one in services))
+        for number in range(max(service.instances for service in services))
+    )
+    return (
+        *rolling,
+        _control_targets(0.8, '*', drop_snapshot=layouts.FIRST_SNAPSHOT),
     )
-    return (*rolling, _order(0.8, '*', drop_snapshot=layouts.FIRST_SNAPSHOT))
 
 
 def _repartition(services: Services) -> Steps:
@@ -162,60 +168,64 @@
     shards = services[0].shards + 5
     old = layouts.FIRST_SNAPSHOT
     return (
-        _order(0.3, name, add_snapshot=NEXT_SNAPSHOT, shards=shards),
-        _order(0.5, name, drop_snapshot=old),
+        _control_targets(0.3, name, add_snapshot=NEXT_SNAPSHOT, shards=shards),
+        _control_targets(0.5, name, drop_snapshot=old),
     )
 
 
-def _surge(services: Services) -> Steps:
-    return Step(0.3, Surge(SURGE)), Step(0.6, Surge(1))
+def _surge_arrivals(services: Services) -> Steps:
+    return Step(0.3, Surge(SURGE_FACTOR)), Step(0.6, Surge(1))
 
 
 def _stop_platform(services: Services) -> Steps:
-    down, up = PlatformOrder({'down': True}), PlatformOrder({'down': False})
+    down, up = ControlPlatform({'down': True}), ControlPlatform({'down': False})
     return Step(0.3, down), Step(0.7, up)
 
 
-def _restart(services: Services) -> Steps:
+def _restart_hosts(services: Services) -> Steps:
     return Step(0.1, Restart(0)), Step(0.6, Restart(1))
 
 
-def _cut_centre(services: Services) -> Steps:
+def _cut_data_centre(services: Services) -> Steps:
     return (
-        Step(0.2, CutCentre(cut=True)),
-        Step(0.4, Change()),
-        Step(0.7, CutCentre(cut=False)),
+        Step(0.2, CutDataCentre(cut=True)),
+        Step(0.4, CommitChange()),
+        Step(0.7, CutDataCentre(cut=False)),
     )
 
 
 def _lose_answers(services: Services) -> Steps:
-    lost = PlatformOrder({'lose_writes': 2})
+    lost = ControlPlatform({'lose_writes': 2})
     losses = [Step(at / 100, lost) for at in range(1, 100, 2)]
-    downs = [
-        Step(start / 10 + after, PlatformOrder({'down': not after}))
+    outages = [
+        Step(start / 10 + after, ControlPlatform({'down': not after}))
         for start in (2, 4, 8)
         for after in (0, 0.02)
     ]
     kills = [Step(at / 10, Kill(at % 2)) for at in range(1, 10)]
-    stills = [Step(at, Freeze(1, FREEZE_S)) for at in (0.25, 0.65)]
-    dropped = _behave(0, '*', drop='after', share=0.02)
-    return (dropped, *losses, *downs, *kills, *stills)
+    freezes = [Step(at, Freeze(1, FREEZE_S)) for at in (0.25, 0.65)]
+    dropped_answers = _change_behaviour(0, '*', drop='after', share=0.02)
+    return (dropped_answers, *losses, *outages, *kills, *freezes)
 
 
-def _change(services: Services) -> Steps:
-    return tuple(Step(at / 10, Change()) for at in range(1, 10, 2))
+def _commit_changes(services: Services) -> Steps:
+    return tuple(Step(at / 10, CommitChange()) for at in range(1, 10, 2))
 
 
-def _behave(at: float, targets: str | list[str], **changes: object) -> Step:
-    return _order(at, targets, behaviour=changes)
+def _change_behaviour(
+    at: float, targets: str | list[str], **changes: object
+) -> Step:
+    return _control_targets(at, targets, behaviour=changes)
 
 
-def _enter(at: float, targets: tuple[str, ...], state: str) -> Step:
-    return _order(at, list(targets), state=state)
+def _change_state(at: float, targets: tuple[str, ...], state: str) -> Step:
+    return _control_targets(at, list(targets), state=state)
 
 
-def _order(at: float, targets: str | list[str], **fields: object) -> Step:
-    return Step(at, TargetOrder({'targets': targets, **fields}))
+def _control_targets(
+    at: float, targets: str | list[str], **fields: object
+) -> Step:
+    return Step(at, ControlTargets({'targets': targets, **fields}))
 
 
 def _name_instances(services: Services, number: int) -> tuple[str, ...]:
@@ -225,26 +235,38 @@
 SCENARIOS: Final = {
     scenario.name: scenario
     for scenario in (
-        Scenario('steady', 'nothing goes wrong', _wait),
-        Scenario('straggler', 'two searchers take 20 times as long', _straggle),
-        Scenario('random-slow', '1% of all runs takes 200 ms more', _slow_down),
-        Scenario('often-slow', '5% of all runs do', _slow_down_often),
-        Scenario('heavy-work', 'each run takes 100 ms', _fill),
+        Scenario('steady', 'nothing goes wrong', _do_nothing),
+        Scenario(
+            'straggler',
+            'two searchers take 20 times as long',
+            _slow_two_searchers,
+        ),
+        Scenario(
+            'random-slow', '1% of all runs takes 200 ms more', _slow_some_runs
+        ),
+        Scenario('often-slow', '5% of all runs do', _slow_more_runs),
+        Scenario('heavy-work', 'each run takes 100 ms', _slow_all_runs),
         Scenario('replica-lost', 'an instance of each is lost', _lose_replicas),
-        Scenario('rolling-drain', 'instances leave one by one', _drain),
+        Scenario(
+            'rolling-drain', 'instances leave one by one', _drain_instances
+        ),
         Scenario('index-change', 'a new snapshot rolls out', _change_index),
         Scenario('repartition', 'five shards more', _repartition),
-        Scenario('surge', 'four times the arrivals', _surge),
+        Scenario('surge', 'four times the arrivals', _surge_arrivals),
         Scenario('platform-down', 'no platform for a while', _stop_platform),
-        Scenario('rolling-restart', 'each host restarts as planned', _restart),
-        Scenario('data-centre-cut', 'one of two is cut off', _cut_centre, 2),
+        Scenario(
+            'rolling-restart', 'each host restarts as planned', _restart_hosts
+        ),
+        Scenario(
+            'data-centre-cut', 'one of two is cut off', _cut_data_centre, 2
+        ),
         Scenario(
             'refunds',
             'answers are lost, hosts killed, ids asked for twice',
             _lose_answers,
-            repeats=0.3,
+            repeat_fraction=0.3,
             only_at_most_once=True,
         ),
-        Scenario('config-change', 'five changes are accepted', _change),
+        Scenario('config-change', 'five changes are accepted', _commit_changes),
     )
 }
--- a/bench/shapes.py
+++ b/bench/setups.py
@@ -28,13 +28,13 @@
     timeout: float
     coverage: float
     priority: int = 1
-    work: float = 1.0
-    times: float = 1.0
-    begins: float = 0.0
-    ends: float = float('inf')
+    work_factor: float = 1.0
+    burst_factor: float = 1.0
+    burst_start: float = 0.0
+    burst_end: float = float('inf')
 
 
-class Shape(NamedTuple):
+class Setup(NamedTuple):
     """Say what is played; `rate` is queries a second over all hosts.
 
     With `flows` each of them is a customer with a route of its own over the
@@ -64,132 +64,140 @@
     extra_load: deployments.ExtraLoadLimit = deployments.ExtraLoadLimit(
         0.2, 166.0, 10.0
     )
-    part: float = 0.0
-    share: float = 0.0
-    away: float = 0.0
+    part_cost: float = 0.0
+    delegation_cost: float = 0.0
+    caller_delay: float = 0.0
     flows: tuple[Flow, ...] = ()
     cores: tuple[float, ...] = ()
-    told: bool = True
-    dies: float = float('inf')
-    dead: frozenset[int] = frozenset()
-    bare: int = 0
-    pull: float = 1.0
-    swing: float = 0.0
-    period: float = 17.0
+    announces_cores: bool = True
+    power_loss_at: float = float('inf')
+    powerless_hosts: frozenset[int] = frozenset()
+    targetless_data_centres: int = 0
+    targetless_weight: float = 1.0
+    swing_fraction: float = 0.0
+    swing_period: float = 17.0
 
 
-def count_cores(shape: Shape, number: int) -> float:
+def get_cores(setup: Setup, number: int) -> float:
     """Count the cores of a host."""
-    if not shape.cores:
+    if not setup.cores:
         return 1.0
-    place = number // shape.data_centres
-    return shape.cores[min(place, len(shape.cores) - 1)]
+    index = number // setup.data_centres
+    return setup.cores[min(index, len(setup.cores) - 1)]
 
 
-def list_flows(shape: Shape) -> tuple[Flow, ...]:
+def list_flows(setup: Setup) -> tuple[Flow, ...]:
     """List who asks; where no customers are told, nobody by name."""
-    nobody = Flow(
-        '', shape.rate, shape.objective, shape.timeout, shape.coverage
+    anonymous = Flow(
+        '', setup.rate, setup.objective, setup.timeout, setup.coverage
     )
-    return shape.flows or (nobody,)
+    return setup.flows or (anonymous,)
 
 
-def find_rate(flow: Flow, now: float) -> float:
+def get_rate(flow: Flow, now: float) -> float:
     """Find how many queries a second a flow asks at a time."""
-    hot = flow.begins <= now < flow.ends
-    return flow.rate * flow.times if hot else flow.rate
+    is_burst = flow.burst_start <= now < flow.burst_end
+    return flow.rate * flow.burst_factor if is_burst else flow.rate
 
 
-def find_swing(shape: Shape, now: float) -> float:
+def compute_swing(setup: Setup, now: float) -> float:
     """Find how many times as much as usual is asked at a time."""
-    return 1 + shape.swing * math.sin(2 * math.pi * now / shape.period)
+    return 1 + setup.swing_fraction * math.sin(
+        2 * math.pi * now / setup.swing_period
+    )
 
 
-def draw_host(shape: Shape, numbers: random.Random) -> int:
+def draw_host(setup: Setup, rng: random.Random) -> int:
     """Draw the host that is asked next."""
-    if not shape.bare:
-        return numbers.randrange(shape.hosts)
-    held = shape.data_centres - shape.bare
+    if not setup.targetless_data_centres:
+        return rng.randrange(setup.hosts)
+    with_targets = setup.data_centres - setup.targetless_data_centres
     weights = [
-        1.0 if number % shape.data_centres < held else shape.pull
-        for number in range(shape.hosts)
+        1.0
+        if number % setup.data_centres < with_targets
+        else setup.targetless_weight
+        for number in range(setup.hosts)
     ]
-    return numbers.choices(range(shape.hosts), weights)[0]
+    return rng.choices(range(setup.hosts), weights)[0]
 
 
-def name_path(flow: Flow) -> str:
+def get_path(flow: Flow) -> str:
     """Name the path of the route that a flow asks."""
     return f'/{flow.customer or "search"}/'
 
 
-def make_desks(shape: Shape, numbers: random.Random) -> list[states.Router]:
+def make_routers(setup: Setup, rng: random.Random) -> list[states.Router]:
     """Make the decisions of hosts that know each other and wide routes."""
-    hosts = [_name_host(shape, number) for number in range(shape.hosts)]
-    routes = tuple(_make_route(shape, flow) for flow in list_flows(shape))
+    hosts = [_make_host(setup, number) for number in range(setup.hosts)]
+    routes = tuple(_make_route(setup, flow) for flow in list_flows(setup))
     configured = events.ConfigurationReceived(
         configs.Configuration(
-            1, routes, (), configs.Limits(), _list_customers(shape)
+            1, routes, (), configs.Limits(), _list_customers(setup)
         )
     )
-    directed = events.DirectoryChanged(_direct(shape, routes[0]))
-    counted = events.HostsChanged(len(hosts), tuple(hosts))
-    made = []
+    directory_changed = events.DirectoryChanged(
+        _make_directory(setup, routes[0])
+    )
+    hosts_changed = events.HostsChanged(len(hosts), tuple(hosts))
+    routers = []
     for host in hosts:
-        desk = states.Router(host, shape.extra_load, numbers.random)
-        for event in (configured, directed, counted):
-            dispatch.handle_event(desk, event, 0)
-        made.append(desk)
-    return made
+        router = states.Router(host, setup.extra_load, rng.random)
+        for event in (configured, directory_changed, hosts_changed):
+            dispatch.handle_event(router, event, 0)
+        routers.append(router)
+    return routers
 
 
-def _name_host(shape: Shape, number: int) -> deployments.Host:
+def _make_host(setup: Setup, number: int) -> deployments.Host:
     """Name a host; its number stands for its address."""
-    centre = number % shape.data_centres
+    data_centre = number % setup.data_centres
     name = f'host-{number:03}'
-    host = deployments.Host(name, str(number), f'dc-{centre}')
-    if shape.told:
-        return host._replace(capacity=count_cores(shape, number))
+    host = deployments.Host(name, str(number), f'dc-{data_centre}')
+    if setup.announces_cores:
+        return host._replace(capacity=get_cores(setup, number))
     return host
 
 
-def _list_customers(shape: Shape) -> tuple[configs.Customer, ...] | None:
+def _list_customers(setup: Setup) -> tuple[configs.Customer, ...] | None:
     """List the customers, each with its name as its key."""
-    if not shape.flows:
+    if not setup.flows:
         return None
     return tuple(
         configs.Customer(flow.customer, (flow.customer,))
-        for flow in shape.flows
+        for flow in setup.flows
     )
 
 
-def _make_route(shape: Shape, flow: Flow) -> configs.Route:
-    shards = tuple(f'shard-{number:03}' for number in range(shape.shards))
+def _make_route(setup: Setup, flow: Flow) -> configs.Route:
+    shards = tuple(f'shard-{number:03}' for number in range(setup.shards))
     return configs.Route(
         flow.customer or 'search',
         'host',
-        name_path(flow),
+        get_path(flow),
         configurations.Repeat.IDEMPOTENT,
         flow.timeout,
         flow.objective,
-        shape.attempts,
+        setup.attempts,
         flow.priority,
         configs.Gather(shards, 20, flow.coverage),
     )
 
 
-def _direct(shape: Shape, route: configs.Route) -> instances.Directory:
+def _make_directory(setup: Setup, route: configs.Route) -> instances.Directory:
     """Make a target of each shard in each data centre that is not bare."""
     return instances.build_directory(
         instances.Instance(
-            f'{shard}-{centre}',
-            f'{shard}-{centre}',
+            f'{shard}-{data_centre}',
+            f'{shard}-{data_centre}',
             shard,
             '',
-            f'dc-{centre}',
-            shape.slots,
+            f'dc-{data_centre}',
+            setup.slots,
             leaving=False,
             warming=0.0,
         )
         for shard in configs.list_services(route.way)
-        for centre in range(shape.data_centres - shape.bare)
+        for data_centre in range(
+            setup.data_centres - setup.targetless_data_centres
+        )
     )
--- a/bench/silent_partners.py
+++ b/bench/silent_partners.py
@@ -17,49 +17,51 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--hosts', type=int, default=30)
     parser.add_argument('--seeds', type=int, default=5)
-    asked = parser.parse_args()
-    for counted in (True, False):
-        rules = member_states.Timings(count_traffic=counted)
-        runs = [run(asked.hosts, it, rules) for it in range(asked.seeds)]
+    options = parser.parse_args()
+    for count_traffic in (True, False):
+        timings = member_states.Timings(count_traffic=count_traffic)
+        runs = [run(options.hosts, it, timings) for it in range(options.seeds)]
         figures = {
             name: statistics.median(one[name] for one in runs)
             for name in runs[0]
         }
-        print(json.dumps({'count_traffic': counted, **figures}))
+        print(json.dumps({'count_traffic': count_traffic, **figures}))
 
 
 def run(
-    hosts: int, seed: int, rules: member_states.Timings
+    hosts: int, seed: int, timings: member_states.Timings
 ) -> dict[str, float]:
     """Disturb hosts in four ways, and kill some; count what is told."""
-    network = networks.Network(hosts, seed, rules)
-    settle(network)
+    network = networks.Network(hosts, seed, timings)
+    wait_until_converged(network)
     figures: dict[str, float] = {}
     network.is_cut = lambda one, other: other == 'h5'
-    figures['unreachable_suspicions'] = count(network, 120)
+    figures['unreachable_suspicions'] = count_suspicions(network, 120)
     network.is_cut = lambda one, other: False
-    settle(network)
+    wait_until_converged(network)
     network.loss_fraction = 0.3
-    figures['loss_suspicions'] = count(network, 120)
+    figures['loss_suspicions'] = count_suspicions(network, 120)
     network.loss_fraction = 0
-    settle(network)
-    draws = random.Random(seed)
+    wait_until_converged(network)
+    rng = random.Random(seed)
     figures['pause_suspicions'] = 0
     for _ in range(30):
-        network.frozen = {f'h{draws.randrange(hosts)}'}
-        figures['pause_suspicions'] += count(network, draws.uniform(1, 5))
+        network.frozen = {f'h{rng.randrange(hosts)}'}
+        figures['pause_suspicions'] += count_suspicions(
+            network, rng.uniform(1, 5)
+        )
         network.frozen = set()
         network.run(1)
-    settle(network)
+    wait_until_converged(network)
     network.kill(f'h{hosts - 1}')
-    figures['one_killed_s'] = settle(network)
+    figures['one_killed_s'] = wait_until_converged(network)
     for number in range(hosts // 3):
         network.kill(f'h{hosts - 2 - number}')
-    figures['third_killed_s'] = settle(network)
+    figures['third_killed_s'] = wait_until_converged(network)
     return figures
 
 
-def count(network: networks.Network, seconds: float) -> int:
+def count_suspicions(network: networks.Network, seconds: float) -> int:
     """Let time pass and count suspicions that hosts take up."""
     network.reports.clear()
     network.run(seconds)
@@ -68,12 +70,12 @@
     return texts.count('member is suspect')
 
 
-def settle(network: networks.Network) -> float:
+def wait_until_converged(network: networks.Network) -> float:
     """Wait until all agree; give the seconds."""
-    began = network.now
+    started_at = network.now
     while not network.has_converged():
         network.run(0.25)
-    seconds = network.now - began
+    seconds = network.now - started_at
     network.run(20)
     return round(seconds, 2)
 
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -11,32 +11,32 @@
 from pathlib import Path
 from typing import Final
 
-from bench.soak import play
+from bench.soak import runs
 
-SECONDS: Final = 20.0
+DEFAULT_SECONDS: Final = 20.0
 
 
 def main() -> int:
     """Play the seeds and tell what was broken."""
     parser = argparse.ArgumentParser(prog='bench.soak', description=__doc__)
     parser.add_argument('--seed', type=int, action='append', default=[])
-    parser.add_argument('--seconds', type=float, default=SECONDS)
+    parser.add_argument('--seconds', type=float, default=DEFAULT_SECONDS)
     parser.add_argument('--hosts', type=int, default=4)
-    chosen = parser.parse_args()
-    broken = 0
-    for seed in chosen.seed or [1]:
+    options = parser.parse_args()
+    violations = 0
+    for seed in options.seed or [1]:
         folder = Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
         result = asyncio.run(
-            play.play(seed, chosen.seconds, chosen.hosts, folder)
+            runs.run_seed(seed, options.seconds, options.hosts, folder)
         )
-        broken += len(result.faults)
+        violations += len(result.violations)
         print(
-            f'seed {seed}: {result.asked} asked, {result.served} served, '
-            f'{len(result.faults)} broken promises, logs in {folder}'
+            f'seed {seed}: {result.sent} asked, {result.served} served, '
+            f'{len(result.violations)} broken promises, logs in {folder}'
         )
-        for fault in result.faults:
-            print(f'  {fault}')
-    return 1 if broken else 0
+        for violation in result.violations:
+            print(f'  {violation}')
+    return 1 if violations else 0
 
 
 if __name__ == '__main__':
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -12,40 +12,46 @@
 PATHS: Final = {'search': '/search/1', 'one': '/one/1', 'once': '/once/1'}
 DEADLINE_MS: Final = 1500
 #: A whole answer has to be there by then, good or bad.
-LONGEST_S: Final = 4.0
-PAUSE_S: Final = 0.05
-ASK_READY_S: Final = 0.5
-MISSES: Final = 2
+MAX_ANSWER_S: Final = 4.0
+MAX_PAUSE_S: Final = 0.05
+PROBE_INTERVAL_S: Final = 0.5
+MAX_FAILED_PROBES: Final = 2
 #: Requests of a hundred that show a key that was never valid.
-STRANGE: Final = 4
+UNKNOWN_KEY_PERCENT: Final = 4
 
 
 class Balancer:
     """Own which hosts are in rotation, by asking each whether it is ready."""
 
-    def __init__(self, known: list[hosts.Host]) -> None:
+    def __init__(self, all_hosts: list[hosts.Host]) -> None:
         """Start with every host in rotation."""
-        self.known = known
-        self._misses = dict.fromkeys((host.name for host in known), 0)
+        self.hosts = all_hosts
+        self._failed_probes = dict.fromkeys(
+            (host.name for host in all_hosts), 0
+        )
 
     def list_ready(self) -> list[hosts.Host]:
         """List the hosts in rotation, or all where none is."""
-        ready = [it for it in self.known if self._misses[it.name] < MISSES]
-        return ready or self.known
-
-    async def watch(self) -> None:
+        ready = [
+            it
+            for it in self.hosts
+            if self._failed_probes[it.name] < MAX_FAILED_PROBES
+        ]
+        return ready or self.hosts
+
+    async def probe_repeatedly(self) -> None:
         """Ask each host from time to time, for ever."""
         while True:
-            await asyncio.gather(*[self._ask(host) for host in self.known])
-            await asyncio.sleep(ASK_READY_S)
+            await asyncio.gather(*[self._probe(host) for host in self.hosts])
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
-    async def _ask(self, host: hosts.Host) -> None:
+    async def _probe(self, host: hosts.Host) -> None:
         status = 0
         with contextlib.suppress(OSError, TimeoutError, ValueError):
-            async with asyncio.timeout(ASK_READY_S):
+            async with asyncio.timeout(PROBE_INTERVAL_S):
                 status = await _fetch_ready(host)
-        missed = self._misses[host.name] + 1
-        self._misses[host.name] = 0 if status == checks.OK else missed
+        failed = self._failed_probes[host.name] + 1
+        self._failed_probes[host.name] = 0 if status == checks.OK else failed
 
 
 class Caller:
@@ -56,43 +62,43 @@
     ) -> None:
         """Start without a connection; one customer's alone, or any's."""
         self._customer = customer
-        self.seen: list[checks.Seen] = []
+        self.observations: list[checks.Observation] = []
         self._name = name
         self._balancer = balancer
-        self._random = random.Random(f'{seed} {name}')
+        self._rng = random.Random(f'{seed} {name}')
         self._numbers = itertools.count()
 
-    async def ask(self) -> None:
+    async def send_repeatedly(self) -> None:
         """Ask one request after the other, for ever."""
         while True:
-            host = self._random.choice(self._balancer.list_ready())
+            host = self._rng.choice(self._balancer.list_ready())
             with contextlib.suppress(OSError):
-                address, _, port = host.name_address(1).rpartition(':')
+                address, _, port = host.get_address(1).rpartition(':')
                 reader, writer = await asyncio.open_connection(
                     address, int(port)
                 )
                 with contextlib.closing(writer):
-                    await self._use(host, reader, writer)
-            await asyncio.sleep(PAUSE_S)
+                    await self._use_connection(host, reader, writer)
+            await asyncio.sleep(MAX_PAUSE_S)
 
-    async def _use(
+    async def _use_connection(
         self,
         host: hosts.Host,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        goes_on = True
-        while goes_on:
-            goes_on = await self._ask_one(host, reader, writer)
-            await asyncio.sleep(self._random.random() * PAUSE_S)
+        is_open = True
+        while is_open:
+            is_open = await self._send_request(host, reader, writer)
+            await asyncio.sleep(self._rng.random() * MAX_PAUSE_S)
 
-    async def _ask_one(
+    async def _send_request(
         self,
         host: hosts.Host,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        kind = self._random.choice(tuple(PATHS))
+        kind = self._rng.choice(tuple(PATHS))
         request_id = f'{self._name}x{next(self._numbers)}'
         customer = self._draw_customer()
         method = 'POST' if kind == 'once' else 'GET'
@@ -100,27 +106,27 @@
             f'{method} {PATHS[kind]} HTTP/1.1\r\nHost: shop.example\r\n'
             f'Fuchsiahaven-Request-Id: {request_id}\r\n'
             f'Fuchsiahaven-Deadline-Ms: {DEADLINE_MS}\r\n'
-            f'Authorization: Token {customers.find_key(customer)}\r\n'
+            f'Authorization: Token {customers.get_key(customer)}\r\n'
             'Content-Length: 0\r\n\r\n'
         )
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         if reader.at_eof():
             return False
         writer.write(text.encode())
         status, fields, body = await _read_answer(reader)
-        ended = time.monotonic()
-        self.seen.append(
-            checks.Seen(
+        ended_at = time.monotonic()
+        self.observations.append(
+            checks.Observation(
                 request_id,
                 kind,
                 status,
                 fields,
                 body,
-                sent,
-                ended,
-                host.stopping and not host.hurt,
+                sent_at,
+                ended_at,
+                host.stopping and not host.disturbed,
                 # What crosses the end of an idle connection was not read.
-                ended - sent > PAUSE_S,
+                ended_at - sent_at > MAX_PAUSE_S,
                 customer,
             )
         )
@@ -129,18 +135,18 @@
     def _draw_customer(self) -> str:
         if self._customer:
             return self._customer
-        if self._random.randrange(100) < STRANGE:
-            return customers.STRANGER
-        return self._random.choice(tuple(customers.KEYS))
+        if self._rng.randrange(100) < UNKNOWN_KEY_PERCENT:
+            return customers.NO_CUSTOMER
+        return self._rng.choice(tuple(customers.KEYS))
 
 
 async def _read_answer(
     reader: asyncio.StreamReader,
 ) -> tuple[int, dict[str, str], bytes]:
     try:
-        async with asyncio.timeout(LONGEST_S):
-            head = await reader.readuntil(targets.END_OF_HEAD)
-            fields = targets.read_fields(head)
+        async with asyncio.timeout(MAX_ANSWER_S):
+            head = await reader.readuntil(targets.HEAD_END)
+            fields = targets.decode_fields(head)
             body = await reader.readexactly(int(fields['content-length']))
     except (OSError, TimeoutError, asyncio.IncompleteReadError):
         return 0, {}, b''
@@ -148,7 +154,7 @@
 
 
 async def _fetch_ready(host: hosts.Host) -> int:
-    address, _, port = host.name_address(2).rpartition(':')
+    address, _, port = host.get_address(2).rpartition(':')
     reader, writer = await asyncio.open_connection(address, int(port))
     with contextlib.closing(writer):
         writer.write(
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -6,11 +6,11 @@
 from bench.soak import targets
 
 OK: Final = 200
-PROMISES: Final = frozenset((408, 421, 429, 503))
-LIMIT: Final = 3
+NOT_RUN_STATUSES: Final = frozenset((408, 421, 429, 503))
+MAX_RECORDS: Final = 3
 
 
-class Seen(NamedTuple):
+class Observation(NamedTuple):
     """State what a caller saw of one request.
 
     `status` is 0 where the connection ended without a whole answer. Times are
@@ -24,84 +24,90 @@
     status: int
     fields: dict[str, str]
     body: bytes
-    sent: float
-    ended: float
+    sent_at: float
+    ended_at: float
     stopping: bool
-    read: bool
+    was_read: bool
     customer: str = ''
 
 
-def check_search(seen: Seen, sets: Collection[tuple[str, ...]]) -> list[str]:
+def check_search(
+    observed: Observation, shard_sets: Collection[tuple[str, ...]]
+) -> list[str]:
     """Check an answer over shards: own parts, one version, true records."""
-    told = seen.fields.get('fuchsiahaven-part-signatures', '')
-    parts = [it.strip() for it in told.split(',')]
-    missing = int(seen.fields.get('fuchsiahaven-missing-parts', '0'))
+    signatures = observed.fields.get('fuchsiahaven-part-signatures', '')
+    parts = [it.strip() for it in signatures.split(',')]
+    missing = int(observed.fields.get('fuchsiahaven-missing-parts', '0'))
     services = [part.partition('.')[2] for part in parts]
-    faults = []
-    if any(it.partition('.')[0] != seen.request_id for it in parts):
-        faults.append('a part of another request')
+    violations = []
+    if any(it.partition('.')[0] != observed.request_id for it in parts):
+        violations.append('a part of another request')
     if len(set(services)) != len(services):
-        faults.append('a part twice')
+        violations.append('a part twice')
     if not any(
         set(services) <= set(shards) and len(services) + missing == len(shards)
-        for shards in sets
+        for shards in shard_sets
     ):
-        faults.append('parts of no single version')
+        violations.append('parts of no single version')
     records = [
         record
         for service in services
-        for record in targets.make_records(seen.request_id, service)
+        for record in targets.make_records(observed.request_id, service)
     ]
-    wanted = b''.join(sorted(records, reverse=True)[:LIMIT])
-    if seen.body != wanted:
-        faults.append('not the greatest records of its parts')
-    return faults
+    expected = b''.join(sorted(records, reverse=True)[:MAX_RECORDS])
+    if observed.body != expected:
+        violations.append('not the greatest records of its parts')
+    return violations
 
 
-def check_single(seen: Seen) -> list[str]:
+def check_single(observed: Observation) -> list[str]:
     """Check that the answer of one target is its own and whole."""
-    signature = seen.fields.get('fuchsiahaven-response-signature', '')
+    signature = observed.fields.get('fuchsiahaven-response-signature', '')
     request_id, _, service = signature.partition('.')
-    wanted = b''.join(targets.make_records(seen.request_id, service))
-    if request_id != seen.request_id or seen.body != wanted:
+    expected = b''.join(targets.make_records(observed.request_id, service))
+    if request_id != observed.request_id or observed.body != expected:
         return ['an answer that is not its own']
     return []
 
 
-def check_once(seen: Seen, ledger: targets.Ledger) -> list[str]:
+def check_at_most_once(
+    observed: Observation, run_log: targets.RunLog
+) -> list[str]:
     """Check what may not be repeated: at most once, and refusals true."""
-    runs = ledger.counts[seen.request_id]
-    faults = []
+    runs = run_log.counts[observed.request_id]
+    violations = []
     if runs > 1:
-        faults.append(f'ran {runs} times')
-    if seen.status in PROMISES and runs:
-        faults.append(f'told {seen.status} and has run')
-    return faults
+        violations.append(f'ran {runs} times')
+    if observed.status in NOT_RUN_STATUSES and runs:
+        violations.append(f'told {observed.status} and has run')
+    return violations
 
 
 def check(
-    seen: Seen, sets: Collection[tuple[str, ...]], ledger: targets.Ledger
+    observed: Observation,
+    shard_sets: Collection[tuple[str, ...]],
+    run_log: targets.RunLog,
 ) -> list[str]:
     """Check all that one request promises."""
-    faults = []
-    if seen.status == OK and seen.kind == 'search':
-        faults.extend(check_search(seen, sets))
-    elif seen.status == OK:
-        faults.extend(check_single(seen))
-    if seen.kind == 'once':
-        faults.extend(check_once(seen, ledger))
-    if seen.stopping and seen.read and not seen.status:
-        faults.append('cut by a planned stop')
-    return faults
+    violations = []
+    if observed.status == OK and observed.kind == 'search':
+        violations.extend(check_search(observed, shard_sets))
+    elif observed.status == OK:
+        violations.extend(check_single(observed))
+    if observed.kind == 'once':
+        violations.extend(check_at_most_once(observed, run_log))
+    if observed.stopping and observed.was_read and not observed.status:
+        violations.append('cut by a planned stop')
+    return violations
 
 
 def check_leaving(
-    ledger: targets.Ledger, left: dict[str, float], bound: float
+    run_log: targets.RunLog, left: dict[str, float], bound_s: float
 ) -> list[str]:
     """Check that no target that left got new work after the bound."""
     return [
-        f'{run.target} ran {run.request_id} {run.when - left[run.target]:.1f} s'
+        f'{run.target} ran {run.request_id} {run.at - left[run.target]:.1f} s'
         ' after it had left'
-        for run in ledger.runs
-        if run.target in left and run.when > left[run.target] + bound
+        for run in run_log.runs
+        if run.target in left and run.at > left[run.target] + bound_s
     ]
--- a/bench/soak/customers.py
+++ b/bench/soak/customers.py
@@ -9,59 +9,67 @@
 #: The customers' keys, by name.
 KEYS: Final = {'shop': 'key-9d1c', 'bank': 'key-70fe'}
 #: A caller without a customer shows a key that was never valid.
-STRANGER: Final = ''
-UNKNOWN: Final = 'key-none'
+NO_CUSTOMER: Final = ''
+UNKNOWN_KEY: Final = 'key-none'
 
 
-def write() -> list[dict[str, Any]]:
+def make_customers() -> list[dict[str, Any]]:
     """Write the customers of each version."""
     rows = [{'name': name, 'api_keys': [key]} for name, key in KEYS.items()]
-    return [*rows, quotas.write()]
+    return [*rows, quotas.make_customer()]
 
 
-def find_key(customer: str) -> str:
+def get_key(customer: str) -> str:
     """Find the key that a caller of a customer shows."""
-    if customer == quotas.HOT:
-        return quotas.KEY
-    return KEYS.get(customer, UNKNOWN)
+    if customer == quotas.HOT_CUSTOMER:
+        return quotas.HOT_KEY
+    return KEYS.get(customer, UNKNOWN_KEY)
 
 
-def check(seen: checks.Seen, ledger: targets.Ledger) -> list[str]:
+def check(observed: checks.Observation, run_log: targets.RunLog) -> list[str]:
     """Check that a request was its customer's wherever it ran."""
-    faults = []
-    shown = ledger.customers.get(seen.request_id, set())
-    if shown - {seen.customer}:
-        faults.append(f'of {seen.customer!r}, and targets were shown {shown}')
-    refused = seen.status == HTTPStatus.UNAUTHORIZED
-    if seen.customer != STRANGER and refused:
-        faults.append('a valid key is refused')
-    if seen.customer == STRANGER and (shown or seen.status == checks.OK):
-        faults.append('ran with an unknown key')
-    return faults
-
-
-def check_keys(ledger: targets.Ledger) -> list[str]:
+    violations = []
+    shown_names = run_log.customers.get(observed.request_id, set())
+    if shown_names - {observed.customer}:
+        violations.append(
+            f'of {observed.customer!r}, and targets were shown {shown_names}'
+        )
+    refused = observed.status == HTTPStatus.UNAUTHORIZED
+    if observed.customer != NO_CUSTOMER and refused:
+        violations.append('a valid key is refused')
+    if observed.customer == NO_CUSTOMER and (
+        shown_names or observed.status == checks.OK
+    ):
+        violations.append('ran with an unknown key')
+    return violations
+
+
+def check_keys(run_log: targets.RunLog) -> list[str]:
     """Check that no target was shown a key."""
-    return [f'{it} was shown a key' for it in sorted(ledger.keys)]
+    return [f'{it} was shown a key' for it in sorted(run_log.requests_with_key)]
 
 
-def check_all(seen: Iterable[checks.Seen], ledger: targets.Ledger) -> list[str]:
+def check_all(
+    observations: Iterable[checks.Observation], run_log: targets.RunLog
+) -> list[str]:
     """Check all requests of a run."""
-    faults = [
-        f'{one.kind} {one.request_id}: {fault}'
-        for one in seen
-        for fault in check(one, ledger)
+    violations = [
+        f'{it.kind} {it.request_id}: {violation}'
+        for it in observations
+        for violation in check(it, run_log)
     ]
-    return [*faults, *check_keys(ledger)]
+    return [*violations, *check_keys(run_log)]
 
 
-def check_served(seen: Iterable[checks.Seen], calm: float) -> list[str]:
+def check_served(
+    observations: Iterable[checks.Observation], since: float
+) -> list[str]:
     """Check that each request with a valid key is served when all is well.
 
     Another customer sends far more than it may all the while.
     """
     return [
-        f'{one.kind} {one.request_id}: {one.status} beside a hot customer'
-        for one in seen
-        if one.sent > calm and one.customer in KEYS and one.status != checks.OK
+        f'{it.kind} {it.request_id}: {it.status} beside a hot customer'
+        for it in observations
+        if it.sent_at > since and it.customer in KEYS and it.status != checks.OK
     ]
--- a/bench/soak/hosts.py
+++ b/bench/soak/hosts.py
@@ -13,33 +13,33 @@
 from bench.soak import proxies, quotas
 
 LOOPBACK: Final = '127.0.0.1'
-CENTRES: Final = ('north', 'south')
+DATA_CENTRES: Final = ('north', 'south')
 PORTS: Final = range(18_000, 32_000)
 #: A host that has not ended so long after it was asked to is killed, as the
 #: platform does it.
 GRACE_S: Final = 6.0
 
 
-_FOUND: Final[set[int]] = set()
+_USED_PORTS: Final[set[int]] = set()
 
 
 class Host:
     """Own one process and its way to the store."""
 
-    def __init__(self, name: str, centre: str, folder: Path) -> None:
+    def __init__(self, name: str, data_centre: str, folder: Path) -> None:
         """Choose ports; nothing runs yet."""
         self.name = name
-        self.centre = centre
+        self.data_centre = data_centre
         self.stopping = False
-        self.hurt = False
+        self.disturbed = False
         self.ports = [find_port() for _ in range(4)]
         self.store: proxies.Proxy | None = None
         self._folder = folder
         self._process: asyncio.subprocess.Process | None = None
 
-    def name_address(self, place: int) -> str:
+    def get_address(self, index: int) -> str:
         """Name one of the addresses: hosts, callers, readiness, metrics."""
-        return f'{LOOPBACK}:{self.ports[place]}'
+        return f'{LOOPBACK}:{self.ports[index]}'
 
     async def start(self, seeds: list[str]) -> None:
         """Start the process."""
@@ -59,21 +59,21 @@
                 env={**os.environ, 'FUCHSIAHAVEN_SETTINGS': str(path)},
             )
         self.stopping = False
-        self.hurt = False
+        self.disturbed = False
 
     def signal(self, number: signal.Signals) -> None:
         """Signal the process, if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
-    def find_id(self) -> int:
+    def get_pid(self) -> int:
         """Find the id of the process that runs."""
         assert self._process is not None
         return self._process.pid
 
     async def kill(self) -> None:
         """Kill the process."""
-        self.hurt = True
+        self.disturbed = True
         self.signal(signal.SIGKILL)
         await self._wait()
 
@@ -97,11 +97,11 @@
         ports = ','.join(str(port) for port in self.ports[2:])
         lines = (
             f'node={self.name}',
-            f'zone={self.centre}',
+            f'zone={self.data_centre}',
             f'ip={LOOPBACK}',
-            f'listen.control={self.name_address(0)}',
-            f'listen.front={self.name_address(1)}',
-            f'listen.ready={self.name_address(2)}',
+            f'listen.control={self.get_address(0)}',
+            f'listen.front={self.get_address(1)}',
+            f'listen.ready={self.get_address(2)}',
             f'internal_ports={ports}',
             f'seeds={",".join(seeds)}',
             f'platform.address={store}',
@@ -111,7 +111,7 @@
             'bounds.retry_window_s=10',
             f'bounds.grace_s={GRACE_S}',
             *quotas.SETTINGS,
-            *[f'zones.{name}=1' for name in CENTRES],
+            *[f'zones.{name}=1' for name in DATA_CENTRES],
             '',
         )
         return '\n'.join(lines)
@@ -126,9 +126,9 @@
     eight would have one port in common in one start of thirty.
     """
     while True:
-        left = [port for port in PORTS if port not in _FOUND]
-        port = random.SystemRandom().choice(left)
+        unused = [port for port in PORTS if port not in _USED_PORTS]
+        port = random.SystemRandom().choice(unused)
         with contextlib.suppress(OSError), socket.socket() as sock:
             sock.bind((LOOPBACK, port))
-            _FOUND.add(port)
+            _USED_PORTS.add(port)
             return port
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -5,10 +5,10 @@
 import enum
 from typing import Final
 
-CHUNK: Final = 65_536
+MAX_CHUNK_BYTES: Final = 65_536
 DELAY_S: Final = 0.2
 #: How often a held connection looks whether it may go on.
-STEP_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 
 
 class Mode(enum.StrEnum):
@@ -16,7 +16,7 @@
 
     PASS = 'pass'
     DELAY = 'delay'
-    SILENT = 'silent'
+    HOLD = 'silent'
     ONE_WAY = 'one_way'
     REFUSE = 'refuse'
 
@@ -63,8 +63,8 @@
             )
             self._writers |= {writer, far_writer}
             await asyncio.gather(
-                self._copy(reader, far_writer, back=False),
-                self._copy(far_reader, writer, back=True),
+                self._copy(reader, far_writer, to_client=False),
+                self._copy(far_reader, writer, to_client=True),
             )
             self._writers -= {writer, far_writer}
 
@@ -73,17 +73,19 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        to_client: bool,
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK):
-                while self._holds(back=back):
-                    await asyncio.sleep(STEP_S)
+            while data := await reader.read(MAX_CHUNK_BYTES):
+                while self._is_held(to_client=to_client):
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 if self.mode is Mode.DELAY:
                     await asyncio.sleep(DELAY_S)
                 writer.write(data)
                 await writer.drain()
         writer.close()
 
-    def _holds(self, *, back: bool) -> bool:
-        return self.mode is Mode.SILENT or (back and self.mode is Mode.ONE_WAY)
+    def _is_held(self, *, to_client: bool) -> bool:
+        return self.mode is Mode.HOLD or (
+            to_client and self.mode is Mode.ONE_WAY
+        )
--- a/bench/soak/quotas.py
+++ b/bench/soak/quotas.py
@@ -7,86 +7,102 @@
 from bench.soak import checks, targets
 
 #: The customer that has a quota and sends without a pause.
-HOT: Final = 'hot'
-KEY: Final = 'key-5a11'
-RATE: Final = 4.0
-BURST: Final = 4.0
+HOT_CUSTOMER: Final = 'hot'
+HOT_KEY: Final = 'key-5a11'
+QUOTA_PER_S: Final = 4.0
+QUOTA_BURST: Final = 4.0
 #: What the deployment tolerates beyond, in any window.
 WINDOW_S: Final = 5.0
-OVERAGE: Final = 0.1
-SLACK: Final = 20.0
+OVERAGE_FRACTION: Final = 0.1
+SLACK_REQUESTS: Final = 20.0
 #: Callers that send for it alone.
-CALLERS: Final = 6
+HOT_CALLERS: Final = 6
 #: The part of its rate that it gets when all is well.
-LEAST_SHARE: Final = 0.5
+MIN_SERVED_FRACTION: Final = 0.5
 SETTINGS: Final = (
     f'bounds.quota_window_s={WINDOW_S}',
-    f'bounds.quota_overage={OVERAGE}',
-    f'bounds.quota_slack={SLACK}',
+    f'bounds.quota_overage={OVERAGE_FRACTION}',
+    f'bounds.quota_slack={SLACK_REQUESTS}',
 )
 
 
-def write() -> dict[str, Any]:
+def make_customer() -> dict[str, Any]:
     """Write the customer of each version."""
     return {
-        'name': HOT,
-        'api_keys': [KEY],
-        'rate_per_s': RATE,
-        'burst': BURST,
+        'name': HOT_CUSTOMER,
+        'api_keys': [HOT_KEY],
+        'rate_per_s': QUOTA_PER_S,
+        'burst': QUOTA_BURST,
     }
 
 
 def count_allowed() -> float:
     """Count the requests that targets may run for it in any window."""
-    quota = RATE * WINDOW_S + BURST
-    return quota * (1 + OVERAGE) + SLACK
+    quota = QUOTA_PER_S * WINDOW_S + QUOTA_BURST
+    return quota * (1 + OVERAGE_FRACTION) + SLACK_REQUESTS
 
 
 def check(
-    seen: Sequence[checks.Seen], ledger: targets.Ledger, settled: float
+    observations: Sequence[checks.Observation],
+    run_log: targets.RunLog,
+    recovered_at: float,
 ) -> list[str]:
     """Check all requests of a run; the last fault was over at `settled`."""
-    faults = [
+    violations = [
         f'{it.request_id}: refused for a quota and has run'
-        for it in seen
+        for it in observations
         if it.status == HTTPStatus.TOO_MANY_REQUESTS
-        and ledger.counts[it.request_id]
+        and run_log.counts[it.request_id]
     ]
-    faults += [
+    violations += [
         f'{it.request_id}: of {it.customer!r}, which has no quota, refused'
-        for it in seen
-        if it.status == HTTPStatus.TOO_MANY_REQUESTS and it.customer != HOT
+        for it in observations
+        if it.status == HTTPStatus.TOO_MANY_REQUESTS
+        and it.customer != HOT_CUSTOMER
     ]
-    most = count_most(seen, ledger)
-    if most > count_allowed():
-        faults.append(f'{most} requests of {HOT} ran in a window')
+    most_in_window = count_most_in_window(observations, run_log)
+    if most_in_window > count_allowed():
+        violations.append(
+            f'{most_in_window} requests of {HOT_CUSTOMER} ran in a window'
+        )
     served = sum(
-        it.customer == HOT and it.status == checks.OK and it.sent > settled
-        for it in seen
+        it.customer == HOT_CUSTOMER
+        and it.status == checks.OK
+        and it.sent_at > recovered_at
+        for it in observations
     )
-    ends = max((it.ended for it in seen), default=settled)
-    if served < LEAST_SHARE * RATE * (ends - settled):
-        faults.append(f'{served} requests of {HOT} served when all is well')
-    return faults
+    ended_at = max((it.ended_at for it in observations), default=recovered_at)
+    if served < MIN_SERVED_FRACTION * QUOTA_PER_S * (ended_at - recovered_at):
+        violations.append(
+            f'{served} requests of {HOT_CUSTOMER} served when all is well'
+        )
+    return violations
 
 
-def count_most(seen: Sequence[checks.Seen], ledger: targets.Ledger) -> int:
+def count_most_in_window(
+    observations: Sequence[checks.Observation], run_log: targets.RunLog
+) -> int:
     """Count the most requests that ran in a window, by targets' own counts.
 
     Each counts once, however many targets ran parts of it. It was taken in
     after it was sent and before it first ran, so those with both in a
     window were taken in within it, whatever held up the others.
     """
-    sent = {it.request_id: it.sent for it in seen if it.customer == HOT}
+    sent_at = {
+        it.request_id: it.sent_at
+        for it in observations
+        if it.customer == HOT_CUSTOMER
+    }
     ran: dict[str, float] = {}
-    for run in ledger.runs:
-        if run.request_id in sent:
-            ran.setdefault(run.request_id, run.when)
-    spans = [(sent[name], when) for name, when in ran.items()]
+    for run in run_log.runs:
+        if run.request_id in sent_at:
+            ran.setdefault(run.request_id, run.at)
+    spans = [(sent_at[name], ran_at) for name, ran_at in ran.items()]
     return max((_count_within(spans, start) for start, _ in spans), default=0)
 
 
 def _count_within(spans: Sequence[tuple[float, float]], start: float) -> int:
     return sum(
-        start <= sent and when <= start + WINDOW_S for sent, when in spans
+        start <= sent_at and ran_at <= start + WINDOW_S
+        for sent_at, ran_at in spans
     )
--- a/bench/soak/targets.py
+++ b/bench/soak/targets.py
@@ -8,8 +8,8 @@
 import time
 from typing import Final, NamedTuple
 
-END_OF_HEAD: Final = b'\r\n\r\n'
-RECORDS: Final = 4
+HEAD_END: Final = b'\r\n\r\n'
+RECORDS_PER_ANSWER: Final = 4
 RECORD_BYTES: Final = 16
 WORK_S: Final = 0.004
 
@@ -19,10 +19,10 @@
 
     request_id: str
     target: str
-    when: float
+    at: float
 
 
-class Ledger:
+class RunLog:
     """Own what all targets ran.
 
     `customers` are those that targets were shown with a request, `keys` the
@@ -32,12 +32,12 @@
     def __init__(self) -> None:
         """Start with nothing run."""
         self.runs: list[Run] = []
-        self.strays: list[str] = []
+        self.requests_without_id: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
         self.customers: dict[str, set[str]] = {}
-        self.keys: set[str] = set()
+        self.requests_with_key: set[str] = set()
 
-    def note(self, fields: dict[str, str], target: str) -> None:
+    def record_run(self, fields: dict[str, str], target: str) -> None:
         """Note that a target runs a request with these fields."""
         request_id = fields['fuchsiahaven-request-id']
         self.runs.append(Run(request_id, target, time.monotonic()))
@@ -45,7 +45,7 @@
         customer = fields.get('fuchsiahaven-tenant', '')
         self.customers.setdefault(request_id, set()).add(customer)
         if 'authorization' in fields:
-            self.keys.add(request_id)
+            self.requests_with_key.add(request_id)
 
 
 def make_records(request_id: str, service: str) -> list[bytes]:
@@ -54,22 +54,22 @@
         hashlib.sha256(f'{request_id} {service} {number}'.encode()).digest()[
             :RECORD_BYTES
         ]
-        for number in range(RECORDS)
+        for number in range(RECORDS_PER_ANSWER)
     ]
 
 
 class Target:
     """Own one target process's port; it can be told to misbehave."""
 
-    def __init__(self, name: str, service: str, ledger: Ledger) -> None:
+    def __init__(self, name: str, service: str, run_log: RunLog) -> None:
         """Prepare without listening."""
         self.name = name
         self.service = service
         self.address = ''
-        self.slow = 1.0
-        self.spoils = 0.0
-        self._ledger = ledger
-        self._random = random.Random(name)
+        self.slow_factor = 1.0
+        self.spoilt_fraction = 0.0
+        self._run_log = run_log
+        self._rng = random.Random(name)
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -92,8 +92,8 @@
         self._writers.add(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                head = await reader.readuntil(END_OF_HEAD)
-                fields = read_fields(head)
+                head = await reader.readuntil(HEAD_END)
+                fields = decode_fields(head)
                 length = int(fields.get('content-length', '0'))
                 await reader.readexactly(length)
                 await self._answer(fields, writer)
@@ -104,7 +104,7 @@
     ) -> None:
         request_id = fields.get('fuchsiahaven-request-id', '')
         if not request_id:
-            self._ledger.strays.append(str(fields))
+            self._run_log.requests_without_id.append(str(fields))
             writer.write(
                 b'HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n'
             )
@@ -114,8 +114,8 @@
                 b'HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n'
             )
             return
-        self._ledger.note(fields, self.name)
-        await asyncio.sleep(WORK_S * self.slow)
+        self._run_log.record_run(fields, self.name)
+        await asyncio.sleep(WORK_S * self.slow_factor)
         body = b''.join(make_records(request_id, self.service))
         head = (
             'HTTP/1.1 200 OK\r\n'
@@ -124,21 +124,21 @@
             f'Fuchsiahaven-Response-Signature: {request_id}.{self.service}\r\n'
             '\r\n'
         )
-        whole = head.encode() + body
-        if self._random.random() < self.spoils:
+        answer = head.encode() + body
+        if self._rng.random() < self.spoilt_fraction:
             # Half of an answer, twice an answer, or none at all.
-            spoilt = (whole[:-20], whole * 2, b'')
-            writer.write(self._random.choice(spoilt))
+            variants = (answer[:-20], answer * 2, b'')
+            writer.write(self._rng.choice(variants))
             writer.close()
             return
-        writer.write(whole)
+        writer.write(answer)
         await writer.drain()
 
 
-def read_fields(head: bytes) -> dict[str, str]:
+def decode_fields(head: bytes) -> dict[str, str]:
     """Read the header fields of a message."""
     fields = {}
     for line in head.decode('latin-1').split('\r\n')[1:]:
-        name, _, told = line.partition(':')
-        fields[name.lower()] = told.strip()
+        name, _, value = line.partition(':')
+        fields[name.lower()] = value.strip()
     return fields
--- a/bench/worlds.py
+++ b/bench/testbeds.py
@@ -18,17 +18,17 @@
 from bench import records
 from standins import layouts, wire
 
-FIRST_RANGE: Final = 21_000
-LAST_RANGE: Final = 30_000
-RANGE: Final = 400
+MIN_FIRST_PORT: Final = 21_000
+MAX_FIRST_PORT: Final = 30_000
+PORTS_PER_RANGE: Final = 400
 # Where each kind of port lies in a range.
-PLATFORM: Final = 350
-CALLERS: Final = 360
-PEERS: Final = 380
-FLEETS: Final = 3
-END_S: Final = 15.0
-TICKS: Final = os.sysconf('SC_CLK_TCK')
-MIB: Final = 1024.0
+PLATFORM_OFFSET: Final = 350
+CALLERS_OFFSET: Final = 360
+PEERS_OFFSET: Final = 380
+SEARCHER_PROCESSES: Final = 3
+MAX_EXIT_S: Final = 15.0
+TICKS_PER_S: Final = os.sysconf('SC_CLK_TCK')
+KIB_PER_MIB: Final = 1024.0
 
 SETTINGS: Final = """
 [host]
@@ -50,7 +50,7 @@
 """
 
 
-POLICY: Final = """
+POLICY_SETTINGS: Final = """
 [policy]
 name = {}
 """
@@ -74,7 +74,7 @@
     settings: Path
 
 
-class World:
+class Testbed:
     """Own the stand-ins and the hosts of one run."""
 
     def __init__(self, plan: Plan, stack: contextlib.ExitStack) -> None:
@@ -83,27 +83,31 @@
         self.layout = layouts.build(
             plan.deployment, plan.first_port, plan.data_centres
         )
-        first = plan.first_port + PLATFORM
+        first = plan.first_port + PLATFORM_OFFSET
         self.platform_ports = range(first, first + plan.data_centres)
-        self.control_ports = range(plan.first_port, plan.first_port + FLEETS)
+        self.control_ports = range(
+            plan.first_port, plan.first_port + SEARCHER_PROCESSES
+        )
         self._stack = stack
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         self._folder = Path(folder)
-        self._standins = [self._start_platform()]
-        self._standins.extend(self._start_fleet(at) for at in range(FLEETS))
-        self.hosts = self._plan_hosts()
+        self._standin_processes = [self._start_platform()]
+        self._standin_processes.extend(
+            self._start_searchers(at) for at in range(SEARCHER_PROCESSES)
+        )
+        self.hosts = self._write_hosts()
         self._running: dict[str, subprocess.Popen[str]] = {}
         # A host that has ended took its part, by its process id.
-        self._spent_s: dict[int, float] = {}
+        self._cpu_s: dict[int, float] = {}
         for host in self.hosts:
             self.start(host)
 
     def start(self, host: Host) -> None:
         """Start one host of the tier."""
-        words = ('fuchsiahaven', 'serve', '--settings', str(host.settings))
-        self._running[host.name] = self._spawn(words, host.name)
+        arguments = ('fuchsiahaven', 'serve', '--settings', str(host.settings))
+        self._running[host.name] = self._spawn(arguments, host.name)
 
-    def ask_to_stop(self, host: Host) -> None:
+    def request_stop(self, host: Host) -> None:
         """Ask one host for a planned stop."""
         self.send_signal(host, signal.SIGTERM)
 
@@ -111,7 +115,7 @@
         """Send a signal to the process of one host."""
         self._running[host.name].send_signal(number)
 
-    def wait_end(self, host: Host) -> None:
+    def wait_for_exit(self, host: Host) -> None:
         """Wait until a host's process has ended."""
         self._running[host.name].wait()
 
@@ -124,13 +128,13 @@
         """Measure what the processes have used so far."""
         running = tuple(self._running.values())
         for process in running:
-            before_s = self._spent_s.get(process.pid, 0)
-            self._spent_s[process.pid] = max(before_s, _read_cpu_s(process))
+            earlier_s = self._cpu_s.get(process.pid, 0)
+            self._cpu_s[process.pid] = max(earlier_s, _read_cpu_s(process))
         return records.Usage(
             time.monotonic(),
-            sum(self._spent_s.values()),
+            sum(self._cpu_s.values()),
             time.process_time(),
-            max(_read_cpu_s(one) for one in self._standins),
+            max(_read_cpu_s(one) for one in self._standin_processes),
             max(_read_rss_mib(one) for one in running),
         )
 
@@ -138,13 +142,13 @@
         ports = (f'--port={port}' for port in self.platform_ports)
         return self._start_standin('platform', *ports)
 
-    def _start_fleet(self, share: int) -> subprocess.Popen[str]:
-        words = (f'--share={share}', f'--shares={FLEETS}')
-        return self._start_standin('searchers', *words)
+    def _start_searchers(self, index: int) -> subprocess.Popen[str]:
+        arguments = (f'--share={index}', f'--shares={SEARCHER_PROCESSES}')
+        return self._start_standin('searchers', *arguments)
 
     def _start_standin(self, part: str, *extra: str) -> subprocess.Popen[str]:
         plan = self.plan
-        words = (
+        arguments = (
             'standins',
             part,
             f'--deployment={plan.deployment}',
@@ -152,67 +156,71 @@
             f'--data-centres={plan.data_centres}',
             *extra,
         )
-        process = self._spawn(words, f'{part}{extra[0]}')
+        process = self._spawn(arguments, f'{part}{extra[0]}')
         assert process.stdout is not None
         line = process.stdout.readline()
         assert line.startswith('ready'), line
         return process
 
-    def _plan_hosts(self) -> list[Host]:
+    def _write_hosts(self) -> list[Host]:
         plan = self.plan
-        places = layouts.DATA_CENTRES[plan.deployment][: plan.data_centres]
+        data_centres = layouts.DATA_CENTRES[plan.deployment][
+            : plan.data_centres
+        ]
         return [
-            self._plan_host(index * plan.hosts + number, index, place)
-            for index, place in enumerate(places)
+            self._write_host(index * plan.hosts + number, index, data_centre)
+            for index, data_centre in enumerate(data_centres)
             for number in range(plan.hosts)
         ]
 
-    def _plan_host(self, number: int, index: int, place: str) -> Host:
+    def _write_host(self, number: int, index: int, data_centre: str) -> Host:
         plan = self.plan
-        peers = plan.first_port + PEERS
+        peers = plan.first_port + PEERS_OFFSET
         first_seed = peers + index * plan.hosts
         seeds = range(first_seed, first_seed + plan.hosts)
         host = Host(
             f'host-{number}',
-            plan.first_port + CALLERS + number,
+            plan.first_port + CALLERS_OFFSET + number,
             self._folder / f'host-{number}.ini',
         )
         text = SETTINGS.format(
             name=host.name,
-            place=place,
+            place=data_centre,
             port=host.port,
             peer=peers + number,
             seeds=', '.join(f'127.0.0.1:{seed}' for seed in seeds),
             platform=self.platform_ports[index],
         )
         if plan.policy:
-            text += POLICY.format(plan.policy)
+            text += POLICY_SETTINGS.format(plan.policy)
         host.settings.write_text(text, encoding='utf-8')
         return host
 
     def _spawn(
-        self, words: tuple[str, ...], name: str
+        self, arguments: tuple[str, ...], name: str
     ) -> subprocess.Popen[str]:
         log: TextIO = self._stack.enter_context(
             (self._folder / f'{name}.log').open('a', encoding='utf-8')
         )
         process = subprocess.Popen(  # noqa: S603
-            (sys.executable, '-m', *words),
-            stdout=subprocess.PIPE if words[0] == 'standins' else log,
+            (sys.executable, '-m', *arguments),
+            stdout=subprocess.PIPE if arguments[0] == 'standins' else log,
             stderr=log,
             text=True,
         )
-        self._stack.callback(_end, process)
+        self._stack.callback(_stop_process, process)
         return process
 
 
 def find_free_ports() -> Iterator[int]:
     """Find the first ports of ranges that nothing uses."""
-    return filter(_is_free, range(FIRST_RANGE, LAST_RANGE, RANGE))
+    return filter(
+        _is_free, range(MIN_FIRST_PORT, MAX_FIRST_PORT, PORTS_PER_RANGE)
+    )
 
 
 def _is_free(first: int) -> bool:
-    for port in range(first, first + RANGE):
+    for port in range(first, first + PORTS_PER_RANGE):
         with socket.socket() as probe:
             # What closed a moment ago may be bound again, as servers do.
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -223,10 +231,10 @@
     return True
 
 
-def _end(process: subprocess.Popen[str]) -> None:
+def _stop_process(process: subprocess.Popen[str]) -> None:
     process.terminate()
     try:
-        process.wait(END_S)
+        process.wait(MAX_EXIT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
@@ -240,7 +248,7 @@
     except OSError:
         return 0.0
     fields = stat.rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def _read_rss_mib(process: subprocess.Popen[str]) -> float:
@@ -249,4 +257,4 @@
     except OSError:
         return 0.0
     lines = [line for line in text.splitlines() if line.startswith('VmRSS:')]
-    return int(lines[0].split()[1]) / MIB if lines else 0.0
+    return int(lines[0].split()[1]) / KIB_PER_MIB if lines else 0.0
