--- a/bench/trial.py
+++ b/bench/trial.py
@@ -19,25 +19,37 @@
 
 from hdrh import histogram
 
-from bench import model, shapes, targets
+from bench import setups, simulation, targets
 from fuchsiahaven.routing import chunk_assignments
 
-STANDS: Final = 'stands'
+UNCHANGED: Final = 'stands'
 PACKAGE: Final = 'fuchsiahaven.routing'
-LOADS: Final[Mapping[str, targets.Load]] = {
-    'quiet': targets.Load(),
-    'paused': targets.Load(pause=0.25),
-    'lost': targets.Load(pause=0.25, share=0.5, lost=0.4, begins=3, ends=7),
-    'deadly': targets.Load(pause=0.25, deadly=0.002),
-    'slow': targets.Load(pause=0.25, share=0.16, slow=8, begins=3, ends=7),
+LOADS: Final[Mapping[str, targets.TargetLoad]] = {
+    'quiet': targets.TargetLoad(),
+    'paused': targets.TargetLoad(pause_s=0.25),
+    'lost': targets.TargetLoad(
+        pause_s=0.25,
+        troubled_fraction=0.5,
+        lost_fraction=0.4,
+        trouble_start=3,
+        trouble_end=7,
+    ),
+    'deadly': targets.TargetLoad(pause_s=0.25, deadly_fraction=0.002),
+    'slow': targets.TargetLoad(
+        pause_s=0.25,
+        troubled_fraction=0.16,
+        slow_factor=8,
+        trouble_start=3,
+        trouble_end=7,
+    ),
 }
 #: Worth that a late answer keeps, as the users' sheets state it for searches.
 LATE_WORTH: Final = 0.1
-MICROSECONDS: Final = 1_000_000
-BYTES_OF_KB: Final = 1000
-LONGEST_US: Final = 10 * MICROSECONDS
-DIGITS: Final = 2
-P99: Final = 99
+US_PER_S: Final = 1_000_000
+BYTES_PER_KB: Final = 1000
+MAX_LATENCY_US: Final = 10 * US_PER_S
+SIGNIFICANT_DIGITS: Final = 2
+P99_PERCENT: Final = 99
 
 
 class Score(NamedTuple):
@@ -55,69 +67,78 @@
     late: float = 0.0
 
 
-def apply_way(way: str, stack: contextlib.ExitStack) -> None:
+def apply_variant(variant: str, stack: contextlib.ExitStack) -> None:
     """Put a way in force until the stack ends; raises ValueError."""
-    if way == STANDS:
+    if variant == UNCHANGED:
         return
-    for setting in way.split(','):
+    for setting in variant.split(','):
         name, equals, text = setting.partition('=')
         module_name, dot, constant = name.partition('.')
         if not (equals and dot):
             raise ValueError(f'{setting!r} is not module.CONSTANT=value')
         module = importlib.import_module(f'{PACKAGE}.{module_name}')
-        usual = getattr(module, constant)
-        changed = type(usual)(float(text))
+        current = getattr(module, constant)
+        changed = type(current)(float(text))
         stack.enter_context(mock.patch.object(module, constant, changed))
     # What was worked out with other constants is not to be found there.
     chunk_assignments.find_chunks.cache_clear()
     stack.callback(chunk_assignments.find_chunks.cache_clear)
 
 
-def play(
-    way: str, load: targets.Load, shape: shapes.Shape, seed: int, seconds: float
+def run_variant(
+    variant: str,
+    load: targets.TargetLoad,
+    setup: setups.Setup,
+    seed: int,
+    seconds: float,
 ) -> Score:
     """Play one way with one seed."""
     with contextlib.ExitStack() as stack:
-        apply_way(way, stack)
-        played = model.Fleet(shape, load, seed).play(seconds)
-    return weigh(played, shape)
+        apply_variant(variant, stack)
+        result = simulation.Simulation(setup, load, seed).run(seconds)
+    return compute_score(result, setup)
 
 
-def weigh(played: model.Result, shape: shapes.Shape) -> Score:
+def compute_score(result: simulation.Result, setup: setups.Setup) -> Score:
     """Weigh what became of the queries as the users' sheets do."""
-    times = histogram.HdrHistogram(1, LONGEST_US, DIGITS)
+    times = histogram.HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     worth = 0.0
-    for ending in played.endings:
-        times.record_value(max(1, int(ending.took * MICROSECONDS)))
-        kept = 1 if ending.took <= shape.objective else LATE_WORTH
-        worth += kept * ending.covered * ending.covered
-    total = max(1, len(played.endings))
-    failed = sum(1 for it in played.endings if not it.covered)
+    for ending in result.endings:
+        times.record_value(max(1, int(ending.elapsed_s * US_PER_S)))
+        value = 1 if ending.elapsed_s <= setup.objective else LATE_WORTH
+        worth += value * ending.covered * ending.covered
+    queries = max(1, len(result.endings))
+    failed = sum(1 for it in result.endings if not it.covered)
     return Score(
-        worth / total,
-        failed / total,
-        times.get_value_at_percentile(P99) / MICROSECONDS,
-        played.repeats / total,
-        played.crossed_bytes / total / BYTES_OF_KB,
-        played.ends,
-        played.late,
+        worth / queries,
+        failed / queries,
+        times.get_value_at_percentile(P99_PERCENT) / US_PER_S,
+        result.extra_attempts / queries,
+        result.crossed_bytes / queries / BYTES_PER_KB,
+        result.exits,
+        result.late_exits,
     )
 
 
-def tabulate(ways: Sequence[str], scores: Sequence[list[Score]]) -> list[str]:
+def tabulate(
+    variants: Sequence[str], scores: Sequence[list[Score]]
+) -> list[str]:
     """Write the middle and the spread of each figure, a way a line."""
     titles = ''.join(f'{it:>22}' for it in Score._fields)
     rows = [f'{"way":40}{titles}']
-    for way, found in zip(ways, scores, strict=True):
-        cells = ''.join(_write(figures) for figures in zip(*found, strict=True))
-        rows.append(f'{way:40}{cells}')
+    for variant, variant_scores in zip(variants, scores, strict=True):
+        cells = ''.join(
+            _format_spread(figures)
+            for figures in zip(*variant_scores, strict=True)
+        )
+        rows.append(f'{variant:40}{cells}')
     return rows
 
 
-def _write(figures: Sequence[float]) -> str:
-    middle = statistics.median(figures)
+def _format_spread(figures: Sequence[float]) -> str:
+    median = statistics.median(figures)
     spread = f'({min(figures):.3f} to {max(figures):.3f})'
-    return f'{middle:>6.3f}{spread:>16}'
+    return f'{median:>6.3f}{spread:>16}'
 
 
 def main(arguments: list[str] | None = None) -> None:
@@ -127,26 +148,31 @@
     parser.add_argument('--load', choices=LOADS, default='lost')
     parser.add_argument('--seeds', type=int, default=3)
     parser.add_argument('--seconds', type=float, default=10.0)
-    parser.add_argument('--hosts', type=int, default=shapes.Shape().hosts)
-    parser.add_argument('--shards', type=int, default=shapes.Shape().shards)
-    given = parser.parse_args(arguments)
-    shape = shapes.Shape(hosts=given.hosts, shards=given.shards)
-    load = LOADS[given.load]
-    began = time.perf_counter()
-    scores = [list(_play_seeds(way, load, shape, given)) for way in given.ways]
-    took = time.perf_counter() - began
-    sys.stdout.write('\n'.join([*tabulate(given.ways, scores), '']))
-    sys.stdout.write(f'{given.load}, {given.seeds} seeds, {took:.0f} s\n')
-
-
-def _play_seeds(
-    way: str,
-    load: targets.Load,
-    shape: shapes.Shape,
-    given: argparse.Namespace,
+    parser.add_argument('--hosts', type=int, default=setups.Setup().hosts)
+    parser.add_argument('--shards', type=int, default=setups.Setup().shards)
+    options = parser.parse_args(arguments)
+    setup = setups.Setup(hosts=options.hosts, shards=options.shards)
+    load = LOADS[options.load]
+    started_at = time.perf_counter()
+    scores = [
+        list(_run_seeds(variant, load, setup, options))
+        for variant in options.ways
+    ]
+    elapsed_s = time.perf_counter() - started_at
+    sys.stdout.write('\n'.join([*tabulate(options.ways, scores), '']))
+    sys.stdout.write(
+        f'{options.load}, {options.seeds} seeds, {elapsed_s:.0f} s\n'
+    )
+
+
+def _run_seeds(
+    variant: str,
+    load: targets.TargetLoad,
+    setup: setups.Setup,
+    options: argparse.Namespace,
 ) -> Iterator[Score]:
-    for seed in range(given.seeds):
-        yield play(way, load, shape, seed, given.seconds)
+    for seed in range(options.seeds):
+        yield run_variant(variant, load, setup, seed, options.seconds)
 
 
 if __name__ == '__main__':
--- /dev/null
+++ b/bench/work_queues.py
@@ -0,0 +1,67 @@
+"""Keep the new work that waits at each host of a model, in its order."""
+
+from collections.abc import Callable, Sequence
+
+from fuchsiahaven.routing import (
+    contention,
+    events,
+    fair_queues,
+    queued_work,
+    states,
+)
+
+Perform = Callable[[int, events.Action, float], None]
+
+
+class WorkQueues:
+    """Own what waits at each host; `perform` carries refusals out."""
+
+    def __init__(
+        self, routers: Sequence[states.Router], perform_action: Perform
+    ) -> None:
+        """Start with nothing that waits."""
+        self._routers = routers
+        self._perform_action = perform_action
+        self._queues: list[fair_queues.FairQueue[queued_work.NewEvent]] = [
+            fair_queues.FairQueue() for _ in routers
+        ]
+
+    def enqueue(self, host: int, event: object, now: float) -> bool:
+        """Have new work wait at a busy host; tell whether it does."""
+        if not isinstance(
+            event, events.RequestReceived | events.DelegatedRequestReceived
+        ):
+            return False
+        router = self._routers[host]
+        if not contention.is_contended(router.index):
+            return False
+        work = queued_work.make_work(router, event, now)
+        if work is None:
+            return False
+        dropped = self._queues[host].push(work)
+        if dropped is not None:
+            self._refuse(host, dropped, queued_work.QueueRefusal.FULL, now)
+        return True
+
+    def dequeue(self, host: int, now: float) -> queued_work.NewEvent | None:
+        """Take what is next, and refuse what is too late."""
+        for expired in self._queues[host].pop_expired(now):
+            self._refuse(host, expired, queued_work.QueueRefusal.LATE, now)
+        work = self._queues[host].pop()
+        return None if work is None else work.payload
+
+    def has_more(self, host: int) -> bool:
+        """Tell whether anything waits at a host."""
+        return bool(self._queues[host])
+
+    def _refuse(
+        self,
+        host: int,
+        work: queued_work.Work,
+        reason: queued_work.QueueRefusal,
+        now: float,
+    ) -> None:
+        for action in queued_work.refuse(
+            self._routers[host], work, reason, now
+        ):
+            self._perform_action(host, action, now)
--- a/tests/bench/test_balancers.py
+++ b/tests/bench/test_balancers.py
@@ -4,40 +4,40 @@
 import time
 from typing import Any
 
-from bench import balancers, exchanges
+from bench import balancers, http_client
 
-SLOW_S = 0.3
+SLOW_ANSWER_S = 0.3
 BATCH_S = 0.1
-READY = exchanges.Outcome(200, {})
-LEAVING = exchanges.Outcome(503, {})
-SILENT = exchanges.Outcome(0, {'why': exchanges.SILENT})
+READY = http_client.Response(200, {})
+LEAVING = http_client.Response(503, {})
+SILENT = http_client.Response(0, {'why': http_client.NO_ANSWER})
 
 
-class Client(exchanges.Client):
+class FakeClient(http_client.Client):
     """Answer for hosts, each by its port, after a time."""
 
     def __init__(self) -> None:
         """Have the first host answer at once and the second one slowly."""
         super().__init__()
-        self.told = {1: READY, 2: READY}
-        self.waits = {1: 0.0, 2: SLOW_S}
+        self.responses = {1: READY, 2: READY}
+        self.delays_s = {1: 0.0, 2: SLOW_ANSWER_S}
 
     async def send(
         self, port: int, *asked: Any, **more: Any
-    ) -> exchanges.Outcome:
+    ) -> http_client.Response:
         """Answer as the host would when it was asked."""
-        told = self.told[port]
-        await asyncio.sleep(self.waits[port])
-        return told
+        response = self.responses[port]
+        await asyncio.sleep(self.delays_s[port])
+        return response
 
 
-async def play(
-    client: Client, told: exchanges.Outcome, seconds: float
+async def run_balancer(
+    client: FakeClient, readiness: http_client.Response, seconds: float
 ) -> list[int]:
     """Let the first host change its word while batches of requests run."""
     balancer = balancers.Balancer(client, (1, 2))
-    await balancer.ask_all()
-    client.told[1] = told
+    await balancer.probe_all()
+    client.responses[1] = readiness
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         balancer.start()
@@ -45,7 +45,7 @@
     return balancer.list_usable()
 
 
-def test_leaves_a_host_out_that_stops_while_another_is_slow() -> None:
+def test_excludes_a_stopped_host_while_another_is_slow() -> None:
     """Symptom: a rolling restart beside other load cuts requests.
 
     One host stops as planned and closes its port after its lag. The other one
@@ -53,29 +53,29 @@
     requests, and a round that ends with its batch tells nothing: the balancer
     went on sending to the closed port for the whole restart.
     """
-    assert asyncio.run(play(Client(), LEAVING, 1.2)) == [1]
+    assert asyncio.run(run_balancer(FakeClient(), LEAVING, 1.2)) == [1]
 
 
-def test_prefers_a_silent_host_to_one_that_has_left() -> None:
+def test_prefers_a_silent_host_to_an_unreachable_one() -> None:
     """Where none is ready the one that may only be slow is asked."""
-    client = Client()
-    client.told[2] = SILENT
-    assert asyncio.run(play(client, LEAVING, 1.2)) == [1]
+    client = FakeClient()
+    client.responses[2] = SILENT
+    assert asyncio.run(run_balancer(client, LEAVING, 1.2)) == [1]
 
 
-def test_takes_no_earlier_answer_for_news() -> None:
+def test_ignores_a_late_answer_to_an_earlier_probe() -> None:
     """An answer that took long says what was true long ago."""
 
     async def ask() -> list[int]:
-        client = Client()
-        client.waits[1] = SLOW_S
+        client = FakeClient()
+        client.delays_s[1] = SLOW_ANSWER_S
         balancer = balancers.Balancer(client, (1, 2))
-        early = asyncio.create_task(balancer.ask_all())
+        early = asyncio.create_task(balancer.probe_all())
         await asyncio.sleep(0)
-        client.told[1] = LEAVING
-        client.waits[1] = 0.0
-        client.waits[2] = 0.0
-        await balancer.ask_all()
+        client.responses[1] = LEAVING
+        client.delays_s[1] = 0.0
+        client.delays_s[2] = 0.0
+        await balancer.probe_all()
         await early
         return balancer.list_usable()
 
--- a/tests/bench/test_exchanges.py
+++ b/tests/bench/test_http_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bench import exchanges
+from bench import http_client
 from standins import wire
 
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n'
@@ -16,11 +16,11 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def ask_twice(serve: Serve) -> list[exchanges.Outcome]:
+async def send_twice(serve: Serve) -> list[http_client.Response]:
     """Ask a server of one's own for two answers, one after the other."""
     server = await asyncio.start_server(serve, wire.LOOPBACK, 0)
     port = server.sockets[0].getsockname()[1]
-    client = exchanges.Client()
+    client = http_client.Client()
     async with server:
         first = await client.send(port, 'GET', '/')
         second = await client.send(port, 'GET', '/')
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     'field', (CLOSING, b'connection: Close\r\n', b'Connection:close\r\n')
 )
-def test_leaves_a_connection_that_is_told_to_close(field: bytes) -> None:
+def test_does_not_reuse_a_connection_with_close(field: bytes) -> None:
     """Symptom: a caller's request is cut though no host cut one.
 
     A host that closes a connection says so with its last answer there, and its
@@ -41,17 +41,17 @@
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await reader.readuntil(exchanges.HEAD_END)
+        await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER + field + REST)
         # The end comes when the next request is there, which is not answered.
         await reader.read(1)
         writer.close()
 
-    told = asyncio.run(ask_twice(serve))
-    assert [outcome.status for outcome in told] == [200, 200]
+    responses = asyncio.run(send_twice(serve))
+    assert [response.status for response in responses] == [200, 200]
 
 
-def test_keeps_a_connection_that_may_be_kept() -> None:
+def test_reuses_a_connection_without_close() -> None:
     """Each connection answers until it is told otherwise."""
     opened = []
 
@@ -59,48 +59,48 @@
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         opened.append(writer)
-        await reader.readuntil(exchanges.HEAD_END)
+        await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER + REST)
-        await reader.readuntil(exchanges.HEAD_END)
+        await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER + REST)
         writer.close()
 
-    told = asyncio.run(ask_twice(serve))
-    assert [outcome.status for outcome in told] == [200, 200]
+    responses = asyncio.run(send_twice(serve))
+    assert [response.status for response in responses] == [200, 200]
     assert len(opened) == 1
 
 
-def test_tells_how_a_cut_request_ended() -> None:
+def test_reports_how_a_connection_ended() -> None:
     """What came before on the connection tells whose fault a cut is."""
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await reader.readuntil(exchanges.HEAD_END)
+        await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER + REST)
-        await reader.readuntil(exchanges.HEAD_END)
+        await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER[:5])
         writer.close()
 
-    told = asyncio.run(ask_twice(serve))[1]
-    assert told.body['why'] == 'cut'
-    assert '1 answers, told to close: False' in told.body['detail']
-    assert 'bytes of an answer: 5' in told.body['detail']
+    response = asyncio.run(send_twice(serve))[1]
+    assert response.body['why'] == 'cut'
+    assert '1 answers, told to close: False' in response.body['detail']
+    assert 'bytes of an answer: 5' in response.body['detail']
 
 
-def test_a_caller_that_is_cancelled_as_its_answer_comes_ends() -> None:
+def test_cancellation_at_the_answer_is_not_lost() -> None:
     """Symptom: a loop that asks for ever goes on after its end."""
 
-    async def ask_for_ever() -> None:
-        client = exchanges.Client()
-        exchange = exchanges.Exchange()
-        exchange.connection_made(mock.Mock(spec=asyncio.Transport))
-        with mock.patch.object(client, '_take', return_value=exchange):
-            asking = asyncio.create_task(client.send(1, 'GET', '/'))
+    async def send_once() -> None:
+        client = http_client.Client()
+        connection = http_client.Connection()
+        connection.connection_made(mock.Mock(spec=asyncio.Transport))
+        with mock.patch.object(client, '_take', return_value=connection):
+            sending = asyncio.create_task(client.send(1, 'GET', '/'))
             await asyncio.sleep(0)
-            exchange.data_received(ANSWER + REST)
-            asking.cancel()
+            connection.data_received(ANSWER + REST)
+            sending.cancel()
             with pytest.raises(asyncio.CancelledError):
-                await asking
+                await sending
 
-    asyncio.run(ask_for_ever())
+    asyncio.run(send_once())
--- a/tests/bench/test_losses.py
+++ b/tests/bench/test_losses.py
@@ -26,20 +26,20 @@
     return f'{at:9.4f} host-1 {json.dumps(row, separators=(",", ":"))}'
 
 
-def read(*lines: str) -> list[losses.Ending]:
+def read_endings(*lines: str) -> list[losses.Ending]:
     """Read lines."""
     return list(losses.read_endings(lines, {'other': 0.02}))
 
 
 def test_splits_the_loss_by_cause() -> None:
     """A part missing costs by the square; a late answer keeps a tenth."""
-    found = read(
+    found = read_endings(
         write_line(1),
         write_line(1, missing=10),
         write_line(1, took=0.2),
         write_line(1, result='incomplete ran=no'),
     )
-    assert [losses.weigh(it) for it in found] == [
+    assert [losses.compute_loss(it) for it in found] == [
         losses.Loss(),
         losses.Loss(partial=0.75),
         losses.Loss(late=0.9),
@@ -47,9 +47,9 @@
     ]
 
 
-def test_tells_by_time_and_passes_over_other_lines() -> None:
+def test_skips_incomplete_lines_and_other_parts() -> None:
     """Times are the bench's; what is cut or of another part is left out."""
-    found = read(
+    found = read_endings(
         'what happened',
         write_line(3.2, part='news'),
         write_line(3.2)[:-5],
@@ -61,7 +61,7 @@
     assert table[1].split() == ['other', '1', '90.0', '0.0', '0.0']
 
 
-def test_counts_what_was_not_served_by_its_cause() -> None:
+def test_counts_unserved_requests_by_cause() -> None:
     """Names of targets differ in each line, the cause does not."""
     lines = [
         write_line(
@@ -80,13 +80,13 @@
     ]
 
 
-def test_passes_over_what_hosts_gather_for_each_other() -> None:
+def test_skips_delegated_requests() -> None:
     """Symptom: half of what was lost was no request of a caller."""
     lines = [write_line(1), write_line(1, result='abandoned', assists=True)]
-    assert len(read(*lines)) == 1
+    assert len(read_endings(*lines)) == 1
 
 
-def test_gives_no_worth_to_requests_for_services_without_targets(
+def test_excludes_requests_for_services_without_targets(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """They only test which configuration is in force."""
@@ -103,7 +103,7 @@
     assert row.split() == ['search', '1', '0.0', '0.0', '0.0']
 
 
-def test_tells_where_most_was_lost() -> None:
+def test_lists_the_largest_losses_by_data_centre() -> None:
     """Where a host's data centre is named, losses are told by it as well."""
     started = {
         'part': 'process',
@@ -112,7 +112,7 @@
         'settings': [['host-1', '10.0.0.1:1', 'north'], ['north']],
     }
     line = json.dumps(started, separators=(',', ':'))
-    found = read(
+    found = read_endings(
         f'   0.5 host-1 {line}',
         write_line(1),
         write_line(5, took=0.2),
--- a/tests/bench/test_soak.py
+++ b/tests/bench/test_soak.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bench.soak import hosts, play
+from bench.soak import hosts, runs
 
 #: In a run of the first seed a spoilt way to the store, a planned stop, a kill,
 #: a pause and a spoilt way to targets fell into these seconds; in one of the
@@ -16,12 +16,12 @@
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_keeps_every_promise_under_faults_from_outside(
+def test_no_check_fails_under_injected_faults(
     tmp_path: Path, seed: int
 ) -> None:
     """Real hosts, as processes of their own, under one seed's faults."""
-    result = asyncio.run(play.play(seed, SECONDS, HOSTS, tmp_path))
-    assert not result.faults
+    result = asyncio.run(runs.run_seed(seed, SECONDS, HOSTS, tmp_path))
+    assert not result.violations
     assert result.served > 0
 
 
--- a/tests/bench/test_trial.py
+++ b/tests/bench/test_trial.py
@@ -4,85 +4,96 @@
 
 import pytest
 
-from bench import model, shapes, targets, trial
+from bench import setups, simulation, targets, trial
 from fuchsiahaven.routing import delegations
 
 SEED = 1
 SECONDS = 6.0
-SHAPE = shapes.Shape(shards=60)
+SETUP = setups.Setup(shards=60)
 
 
-def test_answers_every_query_whole_while_nothing_happens() -> None:
+def test_answers_completely_while_targets_only_pause() -> None:
     """Pauses of targets are met by second sendings, within the bound."""
-    found = trial.play(
-        trial.STANDS, trial.LOADS['paused'], SHAPE, SEED, SECONDS
+    score = trial.run_variant(
+        trial.UNCHANGED, trial.LOADS['paused'], SETUP, SEED, SECONDS
     )
-    assert found.worth > 0.98
-    assert not found.failed
-    assert found.p99 <= SHAPE.objective
+    assert score.worth > 0.98
+    assert not score.failed
+    assert score.p99 <= SETUP.objective
 
 
-def test_targets_that_lose_answers_fail_few_queries_of_many_hosts() -> None:
+def test_lost_answers_fail_few_queries_of_many_hosts() -> None:
     """Symptom: a third of the queries fail while targets stand ready.
 
     Half of the targets lose two in five answers for four seconds. Each of 63
     hosts may repeat less than once in ten seconds by its own share of the
     bound; the hosts on duty, who see all parts of their chunk, may often.
     """
-    load = targets.Load(pause=0.25, share=0.5, lost=0.4, begins=1, ends=5)
-    found = trial.play(trial.STANDS, load, SHAPE, SEED, SECONDS)
-    assert found.failed < 0.1
-    assert found.worth > 0.85
+    load = targets.TargetLoad(
+        pause_s=0.25,
+        troubled_fraction=0.5,
+        lost_fraction=0.4,
+        trouble_start=1,
+        trouble_end=5,
+    )
+    score = trial.run_variant(trial.UNCHANGED, load, SETUP, SEED, SECONDS)
+    assert score.failed < 0.1
+    assert score.worth > 0.85
 
 
-def test_repeats_of_many_hosts_keep_the_bound() -> None:
+def test_extra_load_of_many_hosts_stays_within_its_limit() -> None:
     """Everything is slow: repeats stay within their share of the requests."""
-    shape = SHAPE._replace(hosts=12, shards=45)
-    load = targets.Load(work=0.15, share=1.0, slow=3.0)
-    played = model.Fleet(shape, load, SEED).play(2)
-    asked = len(played.endings)
-    terms = shape.extra_load
-    allowed = terms.fraction * asked * shape.shards + terms.slack * shape.shards
-    assert played.repeats <= allowed
+    setup = SETUP._replace(hosts=12, shards=45)
+    load = targets.TargetLoad(
+        work_s=0.15, troubled_fraction=1.0, slow_factor=3.0
+    )
+    result = simulation.Simulation(setup, load, SEED).run(2)
+    queries = len(result.endings)
+    limit = setup.extra_load
+    allowed = (
+        limit.fraction * queries * setup.shards + limit.slack * setup.shards
+    )
+    assert result.extra_attempts <= allowed
 
 
-def test_a_query_that_ends_its_targets_stops_reaching_them() -> None:
+def test_deadly_query_stops_reaching_targets() -> None:
     """Symptom: it comes again at any host, and ends targets all day."""
-    shape = SHAPE._replace(hosts=12)
-    load = targets.Load(deadly=0.1)
-    found = trial.play(trial.STANDS, load, shape, SEED, 8)
-    assert found.ends >= 3
-    assert found.late <= 3
+    setup = SETUP._replace(hosts=12)
+    load = targets.TargetLoad(deadly_fraction=0.1)
+    score = trial.run_variant(trial.UNCHANGED, load, setup, SEED, 8)
+    assert score.ends >= 3
+    assert score.late <= 3
 
 
-def test_plays_the_same_for_a_seed() -> None:
+def test_same_seed_gives_the_same_score() -> None:
     """A trial can be told from another by the way alone."""
     load = trial.LOADS['slow']
     first, second = [
-        trial.play(trial.STANDS, load, SHAPE, SEED, 2) for _ in range(2)
+        trial.run_variant(trial.UNCHANGED, load, SETUP, SEED, 2)
+        for _ in range(2)
     ]
     assert first == second
 
 
-def test_puts_a_way_in_force_and_takes_it_back() -> None:
+def test_applies_and_restores_a_variant() -> None:
     """A way is constants with other values."""
     usual = delegations.MAX_PART_SENDINGS
     with contextlib.ExitStack() as stack:
-        trial.apply_way(f'delegations.MAX_PART_SENDINGS={usual + 4}', stack)
+        trial.apply_variant(f'delegations.MAX_PART_SENDINGS={usual + 4}', stack)
         assert delegations.MAX_PART_SENDINGS == usual + 4
     assert usual == delegations.MAX_PART_SENDINGS
 
 
 @pytest.mark.parametrize(
-    'way', ['nonsense', 'delegations.MAX_PART_SENDINGS', 'a=1']
+    'variant', ['nonsense', 'delegations.MAX_PART_SENDINGS', 'a=1']
 )
-def test_refuses_what_is_no_way(way: str) -> None:
+def test_rejects_a_malformed_variant(variant: str) -> None:
     """A slip is told, and not played as what stands."""
     with contextlib.ExitStack() as stack, pytest.raises(ValueError, match='is'):
-        trial.apply_way(way, stack)
+        trial.apply_variant(variant, stack)
 
 
-def test_prints_middle_and_spread(capsys: pytest.CaptureFixture[str]) -> None:
+def test_prints_median_and_spread(capsys: pytest.CaptureFixture[str]) -> None:
     """One line for each way, with all figures."""
     trial.main(['stands', '--load', 'quiet', '--seeds', '2', '--seconds', '1'])
     titles, row, tail = capsys.readouterr().out.splitlines()
@@ -98,15 +109,21 @@
     and for each other host; targets pause for longer than the objective, and
     a quarter of them is slow.
     """
-    load = targets.Load(work=0.0057, pause=0.12, every=3, share=0.25, slow=2.5)
-    shape = shapes.Shape(
+    load = targets.TargetLoad(
+        work_s=0.0057,
+        pause_s=0.12,
+        pause_interval_s=3,
+        troubled_fraction=0.25,
+        slow_factor=2.5,
+    )
+    setup = setups.Setup(
         hosts=99,
         objective=0.059,
         coverage=0.85,
-        part=0.0002,
-        share=0.0012,
-        away=0.01,
+        part_cost=0.0002,
+        delegation_cost=0.0012,
+        caller_delay=0.01,
     )
-    found = trial.play(trial.STANDS, load, shape, SEED, 3)
-    assert found.worth > 0.88
-    assert not found.failed
+    score = trial.run_variant(trial.UNCHANGED, load, setup, SEED, 3)
+    assert score.worth > 0.88
+    assert not score.failed
--- a/tests/scenarios/test_processes.py
+++ b/tests/scenarios/test_processes.py
@@ -19,7 +19,7 @@
 import pytest
 from pytest_bdd import parsers, scenarios, then, when
 
-from bench import callers, mixes, worlds
+from bench import load_generator, mixes, testbeds
 
 scenarios('processes')
 
@@ -35,23 +35,25 @@
     def __init__(self, stack: contextlib.ExitStack) -> None:
         """Start everything; the stack ends it."""
         # Test runs side by side start to look at different places.
-        ports = list(worlds.find_free_ports())
-        plan = worlds.Plan(DEPLOYMENT, ports[os.getpid() % len(ports)])
-        self.world = worlds.World(plan, stack)
+        ports = list(testbeds.find_free_ports())
+        plan = testbeds.Plan(DEPLOYMENT, ports[os.getpid() % len(ports)])
+        self.world = testbeds.Testbed(plan, stack)
         self.runner = stack.enter_context(asyncio.Runner())
         rng = random.Random(1)
         classes = self.world.layout.configuration.classes
-        mix = mixes.Mix(DEPLOYMENT, classes, rng, only_at_most_once=False)
-        self.callers = callers.Callers(self.world, mix, rng)
+        mix = mixes.RequestMix(
+            DEPLOYMENT, classes, rng, only_at_most_once=False
+        )
+        self.callers = load_generator.LoadGenerator(self.world, mix, rng)
         # What was done to which host, and when.
         self.steps: list[tuple[float, str, int]] = []
         stack.callback(self.runner.run, self._close())
-        self.runner.run(self.callers.wait_ready())
+        self.runner.run(self.callers.wait_until_ready())
 
     def run_load_during(self, event: Callable[[], Awaitable[None]]) -> None:
         """Let requests arrive before, during and after an event."""
         self.callers.records.clear()
-        self.callers.cuts.clear()
+        self.callers.connection_errors.clear()
         self.steps.clear()
         self.runner.run(self._run_load_during(event))
 
@@ -65,10 +67,10 @@
         self._record_step(signum.name, number)
         self.world.send_signal(host, signum)
         loop = asyncio.get_running_loop()
-        await loop.run_in_executor(None, self.world.wait_end, host)
+        await loop.run_in_executor(None, self.world.wait_for_exit, host)
         self._record_step('ended', number)
         self.world.start(host)
-        await self.callers.wait_ready()
+        await self.callers.wait_until_ready()
         self._record_step('ready', number)
 
     def _record_step(self, step: str, number: int) -> None:
@@ -84,17 +86,19 @@
         ):
             await asyncio.sleep(0.05)
         self.world.send_signal(host, signal.SIGCONT)
-        await self.callers.wait_ready()
+        await self.callers.wait_until_ready()
 
     async def _run_load_during(
         self, event: Callable[[], Awaitable[None]]
     ) -> None:
-        await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
+        await self.callers.generate(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
         task = asyncio.ensure_future(event())
         while not task.done():
-            await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
+            await self.callers.generate(
+                CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION
+            )
         await task
-        await self.callers.arrive(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
+        await self.callers.generate(CHUNK_S, REQUESTS_PER_S, REPEAT_FRACTION)
 
     async def _count_runs(self) -> dict[str, collections.Counter[str]]:
         calls = (
@@ -119,10 +123,10 @@
     """Start two hosts among stand-ins for all scenarios of this module."""
     # The callers' balancer asks twice a second who is ready; a busy machine
     # may hold it up.
-    settings = worlds.SETTINGS.replace('lag_s = 1\n', 'lag_s = 2\n')
-    assert settings != worlds.SETTINGS
+    settings = testbeds.SETTINGS.replace('lag_s = 1\n', 'lag_s = 2\n')
+    assert settings != testbeds.SETTINGS
     with contextlib.ExitStack() as stack:
-        stack.enter_context(mock.patch.object(worlds, 'SETTINGS', settings))
+        stack.enter_context(mock.patch.object(testbeds, 'SETTINGS', settings))
         yield Stage(stack)
 
 
@@ -153,7 +157,12 @@
     cut = [record for record in stage.callers.records if record.kind in lost]
     # Which host it was sent to, and when, tell a late balancer from a host
     # that closed too soon.
-    details = (cut, stage.callers.cuts, stage.steps, stage.world.read_logs())
+    details = (
+        cut,
+        stage.callers.connection_errors,
+        stage.steps,
+        stage.world.read_logs(),
+    )
     assert not cut, '\n'.join(map(str, details))
 
 
@@ -185,6 +194,6 @@
 @then('both hosts answer again')
 def check_again(stage: Stage) -> None:
     stage.callers.records.clear()
-    stage.runner.run(stage.callers.arrive(CHUNK_S, REQUESTS_PER_S))
+    stage.runner.run(stage.callers.generate(CHUNK_S, REQUESTS_PER_S))
     hosts = {record.host for record in stage.callers.records if not record.kind}
     assert hosts == {0, 1}, stage.callers.records
