--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform and the targets, for tests, bench and demo."""
+"""Replace the platform and the targets in tests, the bench and the demo."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is interrupted."""
     options = _parse_options()
     serve = _serve_platform if options.part == 'platform' else _serve_fleet
     try:
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,4 +1,4 @@
-"""Build and disturb the answers of a target."""
+"""Build the answers of a target, and corrupt or drop them on request."""
 
 import asyncio
 import json
@@ -13,11 +13,11 @@
 
 
 class Behaviour(NamedTuple):
-    """Hold how one target behaves, its faults included.
+    """Hold how one target behaves, including its injected faults.
 
     `spoil` is one of cross, snapshot, shard, id, truncated, oversized and
-    garbage; `drop` is before or after running. `share` is the part of the
-    answers that `spoil` and `drop` hit. `load` overrides the reported load.
+    garbage; `drop` is before or after running. `share` is the fraction of
+    answers that `spoil` and `drop` affect. `load` replaces the reported load.
     """
 
     median_ms: float = 12.0
@@ -38,7 +38,7 @@
 
 
 class Report(NamedTuple):
-    """Hold what an answer says of its target; the load is JSON text."""
+    """Hold the target status that an answer carries; the load is JSON text."""
 
     state: str
     health_version: int
@@ -46,7 +46,7 @@
 
 
 class Job(NamedTuple):
-    """Hold one sub-request and where its answer goes."""
+    """Hold one sub-request and the connection that its answer is sent on."""
 
     channel: wire.Channel
     search: wire.Json
@@ -54,22 +54,22 @@
 
     @property
     def key(self) -> JobKey:
-        """Identify the sub-request, as a cancellation does."""
+        """Return the key by which a cancellation names the sub-request."""
         return find_key(self.search)
 
 
 def find_key(body: wire.Json) -> JobKey:
-    """Find what identifies a sub-request or its cancellation."""
+    """Return the key of a sub-request, from its body or its cancellation."""
     return body['request_id'], body['shard'], body['attempt']
 
 
 def draws_fault(behaviour: Behaviour, rng: random.Random) -> bool:
-    """Draw whether a fault hits this answer."""
+    """Draw whether a fault affects this answer."""
     return rng.random() < behaviour.share
 
 
 def draw_service_time_s(behaviour: Behaviour, rng: random.Random) -> float:
-    """Draw how long one run takes, in seconds."""
+    """Draw the service time of one run, in seconds."""
     spread = rng.lognormvariate(0, behaviour.spread)
     service_ms = behaviour.median_ms * spread * behaviour.straggle
     if rng.random() < behaviour.slow_share:
@@ -78,7 +78,7 @@
 
 
 def refuse(job: Job, reason: str, state: str, ran: str = 'no') -> None:
-    """Refuse a sub-request and say whether it had started."""
+    """Send a refusal, which states whether the sub-request had started."""
     body = {
         'request_id': job.search['request_id'],
         'attempt': job.search['attempt'],
@@ -91,7 +91,7 @@
 
 
 def build_body(job: Job, holding: snapshots.Holding, report: Report) -> str:
-    """Build the body of an answer, pasting the rows' kept text in."""
+    """Build the body of an answer, embedding the cached JSON of the rows."""
     search = job.search
     query = search['query']
     if search.get('at_most_once'):
@@ -117,7 +117,7 @@
 
 
 def reply_spoiled(fault: str, job: Job, body: str, other_body: str) -> None:
-    """Deliver an answer that is wrong; `other` is another request's."""
+    """Send a faulty answer; `other_body` is another request's answer."""
     answer = json.loads(body)
     match fault:
         case 'cross':
@@ -140,7 +140,7 @@
 
 
 def trickle(channel: wire.Channel, data: bytes, pause_s: float) -> None:
-    """Deliver one byte at a time."""
+    """Send the data one byte at a time."""
     if data:
         channel.write(data[:1])
         loop = asyncio.get_running_loop()
--- a/standins/catalogue.py
+++ b/standins/catalogue.py
@@ -1,4 +1,4 @@
-"""Make the rows that searchers hold: a small seeded catalogue."""
+"""Generate the rows that searchers hold: a small seeded catalogue."""
 
 import functools
 import hashlib
@@ -31,7 +31,7 @@
 
 
 class Row(NamedTuple):
-    """Hold one row; its key's position decides which shard has it."""
+    """Hold one row; the position of its key decides which shard holds it."""
 
     id: str
     rank: float
@@ -40,7 +40,7 @@
 
 
 def find_position(key: str) -> int:
-    """Compute where a key lies in 0..65535."""
+    """Compute the position of a key in the key space, 0 to 65535."""
     return int.from_bytes(hashlib.sha256(key.encode()).digest()[:2], 'big')
 
 
@@ -48,11 +48,11 @@
 def search(
     service: str, low: int, high: int, snapshot: int, text: str, limit: int
 ) -> str:
-    """Search one range and give the rows as JSON text.
+    """Search one range of positions and return the rows as JSON text.
 
     Each row names the snapshot it was read from, so that an answer that
-    mixes two of them shows. The texts are kept: building them again would
-    cost the stand-in more than all else.
+    mixes two snapshots can be detected. The texts are cached, as building
+    them would otherwise be the largest cost of the stand-in.
     """
     words = text.split()
     matches = (
@@ -70,7 +70,7 @@
 
 @functools.lru_cache
 def make_rows(service: str) -> list[Row]:
-    """Make every row of one service, ordered by rank, from a fixed seed."""
+    """Generate all rows of one service from a fixed seed, ordered by rank."""
     rng = random.Random(service)
     has_passes = service in {'turnstile', 'hotel-bundle', 'ropeway-tally'}
     titles = TITLES['passes' if has_passes else 'listings']
--- a/standins/fleets.py
+++ b/standins/fleets.py
@@ -1,4 +1,4 @@
-"""Run the targets of a layout in one process, under control."""
+"""Run the targets of a layout in one process, with a control port."""
 
 import asyncio
 import json
@@ -10,10 +10,10 @@
 
 
 class Fleet:
-    """Own the searchers that one process stands in for."""
+    """Own the searchers that one process runs."""
 
     def __init__(self, layout: layouts.Layout, share: int, shares: int) -> None:
-        """Take every `shares`-th instance of each group."""
+        """Select the searchers of every `shares`-th instance of each group."""
         self.stats = searchers.Stats()
         self.searchers = [
             searchers.Searcher(
@@ -29,7 +29,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, control_port: int) -> None:
-        """Listen on every port."""
+        """Listen on the port of every searcher and on the control port."""
         starts = (searcher.start() for searcher in self.searchers)
         await asyncio.gather(*starts, wire.listen(self, control_port))
 
@@ -37,12 +37,12 @@
         """Accept every connection to the control port."""
 
     def connection_closed(self, channel: wire.Channel) -> None:
-        """Keep nothing of a connection."""
+        """Ignore the end of a connection, which has no state."""
 
     def request_received(
         self, channel: wire.Channel, request: wire.Request
     ) -> None:
-        """Show the counts, or follow an order and say what it reached."""
+        """Reply with the counts, or apply an order and list its targets."""
         if request.path == '/control/runs':
             channel.reply(200, json.dumps(self.stats.to_json()))
             return
@@ -89,7 +89,7 @@
     ) -> None:
         if snapshot is None:
             return
-        # Another number of shards is how a group is repartitioned.
+        # A different number of shards repartitions the group.
         service = searcher.service
         group = next(
             group
@@ -110,7 +110,7 @@
 
 
 def _is_selected(searcher: searchers.Searcher, names: set[str]) -> bool:
-    # A target is named by itself, by its instance or by its group.
+    # An order selects a target by its own name, its instance or its group.
     name = searcher.target.name
     aliases = {
         ALL_TARGETS,
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -1,4 +1,4 @@
-"""Keep keys, changes and leases of a store, so that they can be copied."""
+"""Keep the keys, changes and leases of a store, so that they can be copied."""
 
 import copy
 from typing import Any, NamedTuple
@@ -7,17 +7,17 @@
 
 
 class Lease(NamedTuple):
-    """Hold how long a lease lives and when it ends, in seconds."""
+    """Hold the time to live of a lease and its end, in monotonic seconds."""
 
     ttl_s: float
     ends_at: float
 
 
 class History:
-    """Own one history of a store: numbers count on from what it holds."""
+    """Own one history of a store, with its revision and lease id counters."""
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Start without keys or leases."""
         self.items: dict[str, Row] = {}
         self.events: list[Row] = []
         self.revision = 1
@@ -25,7 +25,7 @@
         self._last_lease_id = 0
 
     def copy(self) -> 'History':
-        """Take a copy; rows are never changed once written."""
+        """Return a copy, sharing the rows, which never change once written."""
         duplicate = copy.copy(self)
         duplicate.items = dict(self.items)
         duplicate.events = list(self.events)
@@ -33,12 +33,12 @@
         return duplicate
 
     def find_revision(self, key: str) -> int:
-        """Find the revision of a key's last change; 0 if it is not there."""
+        """Return the revision of the last write to a key, 0 if it is absent."""
         row = self.items.get(key)
         return 0 if row is None else int(row['revision'])
 
     def put(self, key: str, value: str, lease_id: int) -> None:
-        """Write a key."""
+        """Write a key under a lease, 0 for none."""
         self.revision += 1
         row = {
             'key': key,
@@ -57,13 +57,13 @@
         self.events.append(row)
 
     def open_lease(self, ttl_s: float, now: float) -> int:
-        """Open a lease and return its number."""
+        """Open a lease and return its id."""
         self._last_lease_id += 1
         self.leases[self._last_lease_id] = Lease(ttl_s, now + ttl_s)
         return self._last_lease_id
 
     def renew_lease(self, lease_id: int, now: float) -> None:
-        """Let a lease last on."""
+        """Extend a lease by its time to live."""
         lease = self.leases[lease_id]
         self.leases[lease_id] = lease._replace(ends_at=now + lease.ttl_s)
 
@@ -75,11 +75,11 @@
                 self.remove(key)
 
     def discard_leases(self) -> None:
-        """Give out again the numbers above the leases that are left."""
+        """Reuse the ids above the highest lease that remains."""
         self._last_lease_id = max(self.leases, default=0)
 
     def expire_leases(self, now: float) -> None:
-        """End the leases that have run out."""
+        """End the leases that have expired, and remove their keys."""
         for lease_id, lease in tuple(self.leases.items()):
             if lease.ends_at <= now:
                 self.end_lease(lease_id)
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -1,7 +1,7 @@
-"""Lay out the two deployments of today as targets and a configuration.
+"""Lay out the two current deployments as targets and a configuration.
 
-Every data centre that is asked for gets the whole layout: each has targets
-of its own, and has to go on serving when it is cut off.
+Every requested data centre gets the whole layout: each has its own targets
+and must keep serving when it is cut off.
 """
 
 from typing import Final, NamedTuple
@@ -10,7 +10,7 @@
 from fuchsiahaven.core.targets import snapshots
 
 KEY_SPACE_SIZE: Final = 65_536
-# The first ports of a range control the processes that share the targets.
+# The first ports of a range are the control ports of the fleet processes.
 CONTROL_PORT_COUNT: Final = 8
 FIRST_SNAPSHOT: Final = 12
 DATA_CENTRES: Final = {
@@ -25,12 +25,12 @@
 
 
 def _make_single_run_class(name: str) -> configurations.RequestClass:
-    # What runs at most once has nothing to hedge, and `class set` says so.
+    # A class that runs at most once cannot hedge; `class set` stores 0 for it.
     return RequestClass(name, 800, COMPLETE, AT_MOST_ONCE, KEYED, hedge_share=0)
 
 
 class Service(NamedTuple):
-    """Hold the sizes of one service in one data centre."""
+    """Hold the dimensions of one service in one data centre."""
 
     name: str
     kind: str
@@ -122,10 +122,10 @@
 def assign_shards(
     service: Service, shards: int, snapshot: int
 ) -> list[tuple[snapshots.Holding, ...]]:
-    """Say what each searcher of a service holds of a snapshot, in order.
+    """Assign the shards of a snapshot to the searchers of a service, in order.
 
-    The replicas of a shard are on different instances, so that one lost
-    instance loses no shard.
+    The replicas of a shard are on different instances, so that the loss of
+    one instance loses no shard.
     """
     count = service.instances * service.searchers
     holdings: list[list[snapshots.Holding]] = [[] for _ in range(count)]
@@ -141,7 +141,7 @@
 
 
 def make_holding(snapshot: int, shard: int, shards: int) -> snapshots.Holding:
-    """Build the holding of one shard out of equal ranges."""
+    """Build the holding of one of several shards with equal ranges."""
     low = shard * KEY_SPACE_SIZE // shards
     high = (shard + 1) * KEY_SPACE_SIZE // shards
     return snapshots.Holding(snapshot, shard, shards, low, high)
@@ -150,14 +150,14 @@
 def encode_keys(
     configuration: configurations.Configuration,
 ) -> dict[str, str]:
-    """Write a configuration as keys and values of the platform."""
+    """Encode a configuration as keys and values of the platform."""
     encoded = manifests.encode(configuration)
     assert isinstance(encoded, manifests.Encoded), encoded
     return {**encoded.part_texts, manifests.MANIFEST_KEY: encoded.text}
 
 
 def list_hosts(layout: Layout) -> list[dict[str, object]]:
-    """List the targets as the platform's host list does."""
+    """List the targets in the form of the platform's host list."""
     return [
         {
             'name': target.name,
@@ -190,7 +190,7 @@
 def _make_targets(
     service: Service, data_centres: tuple[str, ...], port: int
 ) -> list[configurations.Target]:
-    # Instances are numbered through, so that a name tells them apart.
+    # Instance numbers run across data centres, so that names are unique.
     numbers = range(service.instances * len(data_centres))
     names = (
         (data_centres[number // service.instances], f'{number:02}/{searcher}')
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the metadata store of the users' platform."""
+"""Emulate the metadata store of the users' platform."""
 
 import asyncio
 import base64
@@ -14,33 +14,33 @@
 from standins import histories, store_calls
 
 END_OF_HEAD: Final = b'\r\n\r\n'
-#: How often a call that waits looks for changes.
+#: Interval at which a watch polls for changes.
 POLL_INTERVAL_S: Final = 0.01
 
 
 class ConnectionDropped(Exception):
-    """Report that a call gets no answer."""
+    """Signal that a call gets no answer and its connection is closed."""
 
 
 class Store:
-    """Own what the platform's store holds; it can be taken down.
+    """Own the content of the platform's store, which can be taken down.
 
-    `era` rises with each return from a copy; a store of an earlier version has
-    none.
+    `era` increases with each restore from a copy; it is None for a store of
+    an earlier version, which has no eras.
     """
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Start empty and reachable."""
         self.history = histories.History()
         self.era: int | None = 1
         self.down = False
-        #: Called when a lease has been opened, before that is answered.
+        #: Called when a lease has been opened, before the call is answered.
         self.on_lease_opened: Callable[[int], None] = ignore_lease
         self.calls: collections.Counter[str] = collections.Counter()
 
     @property
     def items(self) -> dict[str, histories.Row]:
-        """Return what the store holds, by key."""
+        """Return the items of the store by key."""
         return self.history.items
 
     @property
@@ -49,7 +49,7 @@
         return self.history.revision
 
     def put(self, key: str, content: Any) -> None:
-        """Write a key."""
+        """Write a key with JSON content, under no lease."""
         text = base64.b64encode(json.dumps(content).encode()).decode()
         self.history.put(key, text, 0)
 
@@ -60,7 +60,7 @@
     def put_target(
         self, name: str, service: str, address: str, state: str = 'ready'
     ) -> None:
-        """Enter a target."""
+        """Write the entry of a target."""
         entry = {
             'service': service,
             'address': address,
@@ -73,18 +73,18 @@
         self.put(f'servers/{name}', entry)
 
     def copy(self) -> histories.History:
-        """Take a copy that the store can come back from."""
+        """Return a copy of the history for `restore`."""
         return self.history.copy()
 
     def restore(self, copy: histories.History, eras: int = 1) -> None:
-        """Come back from a copy, so many eras later."""
+        """Restore the history from a copy and increase the era by `eras`."""
         self.history = copy.copy()
         self.era = (self.era or 0) + eras
 
     async def answer_call(
         self, head: bytes, body: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer one call."""
+        """Answer one call, or abort the connection."""
         method, target, _ = head.decode('latin-1').split(' ', 2)
         path, _, query = target.partition('?')
         self.calls[path] += 1
@@ -139,7 +139,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
                     self._check_reachable()
         if self.history is not watched:
-            # A store that comes back has lost its connections.
+            # A restored store has lost its connections.
             raise ConnectionDropped
         events = [it for it in watched.events if it['revision'] > after]
         body = {'events': events, 'store_revision': self.revision}
@@ -153,7 +153,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer one connection."""
+        """Serve one connection until it ends."""
         with contextlib.suppress(
             OSError, asyncio.IncompleteReadError, asyncio.CancelledError
         ):
@@ -165,7 +165,7 @@
 
 
 def ignore_lease(lease: int) -> None:
-    """Do nothing about a lease that was opened."""
+    """Ignore a lease that was opened."""
 
 
 def _parse_content_length(head: bytes) -> int:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,8 @@
-"""Stand in for the platform's key-value service and host list.
+"""Emulate the platform's key-value service and host list.
 
-`Platform.call` answers one request as `docs/PROTOCOL.md` says, without
-sockets, so that a test can use it directly; `serve` puts it on a port. An
-answer says itself how it is to be delivered: late, or not at all.
+`Platform.call` answers one request as specified in `docs/PROTOCOL.md`,
+without sockets, so that a test can use it directly; `serve` listens on ports.
+A reply states how it is to be delivered: with a delay, or not at all.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Entry(NamedTuple):
-    """Hold one stored value; it goes when its lease ends."""
+    """Hold one stored value; it is removed when its lease ends."""
 
     value: str
     revision: int
@@ -29,14 +29,14 @@
 
 
 class Lease(NamedTuple):
-    """Hold how long a lease lives and when it ends."""
+    """Hold the time to live of a lease and its end on the clock in seconds."""
 
     ttl_s: float
     ends_at: float
 
 
 class Reply(NamedTuple):
-    """Hold an answer, how late it comes, and whether it gets lost."""
+    """Hold an answer, its delay, and whether it is lost."""
 
     status: int
     body: wire.Json | None = None
@@ -45,10 +45,11 @@
 
 
 class Faults(NamedTuple):
-    """Hold the faults in force.
+    """Hold the injected faults.
 
-    `lose_writes` answers are lost after the write took effect, and the
-    next `late_writes` come `late_s` late. A silent watch never answers.
+    The answers to the next `lose_writes` writes are lost after the write took
+    effect; those to the `late_writes` after them are delayed by `late_s`. A
+    silent watch never answers.
     """
 
     down: bool = False
@@ -62,7 +63,7 @@
 
 
 class Rates(NamedTuple):
-    """Hold how many calls a second the service takes."""
+    """Hold the rate limits of the service, in calls per second."""
 
     writes: float = 400.0
     reads: float = 2000.0
@@ -72,7 +73,7 @@
 
 
 class Platform:
-    """Keep keys, leases, the host list, the faults and the call counts."""
+    """Own the keys, leases, host list, faults and call counts."""
 
     def __init__(
         self,
@@ -98,7 +99,7 @@
         params: Mapping[str, str] = NO_PARAMS,
         body: wire.Json | None = None,
     ) -> Reply:
-        """Answer one request; a waiting watch answers 204 at once."""
+        """Answer one request; a watch without a change answers 204 at once."""
         kind = classify(method, path)
         self.calls[kind] += 1
         if self.faults.down:
@@ -112,7 +113,7 @@
         return self._apply_faults(reply) if kind == 'writes' else reply
 
     def control(self, orders: wire.Json) -> wire.Json:
-        """Change faults; `hosts`, `save` and `restore` change contents."""
+        """Change the faults; `hosts`, `save` and `restore` set the content."""
         faults = self.faults._asdict()
         faults.update(
             {name: value for name, value in orders.items() if name in faults}
@@ -129,7 +130,7 @@
         return {'calls': self.calls, 'faults': faults}
 
     def set_host_list(self, hosts: list[wire.Json]) -> None:
-        """Set the host list, which shows after the set lag."""
+        """Set the host list, which becomes visible after `hosts_lag_s`."""
         self._hosts.append((self._clock(), hosts))
 
     def _take_token(self, kind: str) -> bool:
@@ -172,7 +173,7 @@
     def route(
         self, method: str, path: str, params: Mapping[str, str], body: wire.Json
     ) -> Reply:
-        """Answer one request by its path, without faults or counts."""
+        """Answer one request by its path, without faults, limits or counts."""
         match (method, *path.strip('/').split('/', 2)):
             case ['GET', 'v1', 'keys']:
                 reply = self._list_keys(params.get('prefix', ''))
@@ -261,10 +262,10 @@
 
 
 class Server:
-    """Put a platform on a port, acting out how its answers arrive."""
+    """Serve a platform on a port, applying the delay or loss of its replies."""
 
     def __init__(self, platform: Platform, port: int) -> None:
-        """Answer for one port, which a fault can cut off."""
+        """Serve one port, which the fault `cut_ports` can cut off."""
         self._platform = platform
         self._port = port
 
@@ -272,12 +273,12 @@
         """Accept every connection."""
 
     def connection_closed(self, channel: wire.Channel) -> None:
-        """Keep nothing of a connection."""
+        """Ignore the end of a connection, which has no state."""
 
     def request_received(
         self, channel: wire.Channel, request: wire.Request
     ) -> None:
-        """Answer one request of the service, or of its control."""
+        """Answer one request to the service or to its control path."""
         url = urls.urlsplit(request.path)
         path = urls.unquote(url.path)
         if path == '/control':
--- a/standins/searchers.py
+++ b/standins/searchers.py
@@ -1,8 +1,8 @@
-"""Stand in for one target: its port, connections, slots and holdings.
+"""Emulate one target: its port, connections, slots and holdings.
 
-A target has slots and a short queue, closes connections past its cap
-unread, and counts for itself how often each request ran, so that what the
-tier claims can be checked against what happened.
+A target has slots and a short queue, and closes connections above its limit
+without reading them. It counts how often each request ran, so that the
+tier's reports can be checked against the actual runs.
 """
 
 import asyncio
@@ -24,17 +24,17 @@
 
 
 class Stats:
-    """Count what the targets of one process have done."""
+    """Count the events of the targets in one process."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with all counts at zero."""
         self.counts: collections.Counter[str] = collections.Counter()
         self.runs: collections.Counter[str] = collections.Counter()
         self.single_runs: collections.Counter[str] = collections.Counter()
         self.after_leaving_s: dict[str, float] = {}
 
     def record_run(self, search: wire.Json) -> None:
-        """Count one run, apart for a request that may not be repeated."""
+        """Count one run, and separately if it may run at most once."""
         request_id = search['request_id']
         self.counts['runs'] += 1
         self.runs[request_id] += 1
@@ -42,7 +42,7 @@
             self.single_runs[request_id] += 1
 
     def to_json(self) -> wire.Json:
-        """Give every count as JSON."""
+        """Return all counts as a JSON object."""
         return {
             'counts': self.counts,
             'runs': self.runs,
@@ -52,7 +52,7 @@
 
 
 class StatusReports:
-    """Say of a target what lags: its state and its load."""
+    """Build status reports, in which the state and load of a target lag."""
 
     def __init__(self) -> None:
         """Start live and idle."""
@@ -64,7 +64,7 @@
         self._measured_at = -REPORT_LAG_S
 
     def record_state_change(self, old_state: str) -> None:
-        """Go on showing the old state for a while; a restart starts over."""
+        """Report the old state for REPORT_LAG_S; reset after a restart."""
         self._old_state = old_state
         self._changed_at = time.monotonic()
         if old_state == 'dead':
@@ -72,7 +72,7 @@
             self._sequence = 0
 
     def report_load(self, in_flight: int, queued: int, slots: int) -> str:
-        """Give the load as JSON, as it was a while ago."""
+        """Return the load as JSON text, up to REPORT_LAG_S old."""
         now = time.monotonic()
         if now - self._measured_at >= REPORT_LAG_S:
             self._measured_at = now
@@ -87,7 +87,7 @@
         load: str,
         holdings: list[snapshots.Holding],
     ) -> str:
-        """Give the health report as JSON."""
+        """Return the health report as JSON text."""
         self._sequence += 1
         is_lagging = time.monotonic() - self._changed_at < REPORT_LAG_S
         reported = self._old_state if is_lagging else state
@@ -105,7 +105,7 @@
     def compute_version(
         self, state: str, holdings: list[snapshots.Holding]
     ) -> int:
-        """Number what a report says, but for the load."""
+        """Compute a checksum of a report without its load."""
         return zlib.crc32(repr((self._started_at, state, holdings)).encode())
 
 
@@ -145,7 +145,7 @@
         self._server = await wire.listen(self, port)
 
     def stop(self) -> None:
-        """Refuse connects and break every connection, as a lost target."""
+        """Stop listening and abort every connection, as a crash would."""
         if self._server is not None:
             self._server.close()
         for channel in tuple(self._channels):
@@ -165,7 +165,7 @@
         self.state = state
 
     def update_behaviour(self, changes: wire.Json) -> None:
-        """Change the behaviour; a thaw answers what a freeze held back."""
+        """Change the behaviour; unfreezing answers the requests held back."""
         self.behaviour = self.behaviour._replace(**changes)
         if not self.behaviour.frozen:
             requests = tuple(self._frozen_requests)
@@ -174,7 +174,7 @@
                 self.request_received(channel, request)
 
     def connection_opened(self, channel: wire.Channel) -> None:
-        """Close what exceeds the cap; a new connection costs its time."""
+        """Abort a connection above the limit; delay reading from others."""
         self.stats.counts['connections'] += 1
         if len(self._channels) >= self.service.connections:
             self.stats.counts['connections_refused'] += 1
@@ -186,7 +186,7 @@
         loop.call_later(self.service.connect_ms / 1000, _resume, channel)
 
     def connection_closed(self, channel: wire.Channel) -> None:
-        """Forget a connection; what it asked for runs on."""
+        """Discard a connection; its requests keep running."""
         self._channels.discard(channel)
 
     def request_received(
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -1,4 +1,4 @@
-"""Run jobs in the slots of one target, with a short queue before them."""
+"""Run jobs in the slots of one target, with a short queue."""
 
 import asyncio
 import collections
@@ -12,21 +12,21 @@
 
 
 class Running(NamedTuple):
-    """Hold a job in a slot and the timer that ends it."""
+    """Hold a job in a slot and the timer that finishes it."""
 
     job: answers.Job
     timer: asyncio.TimerHandle
 
 
 class RefuseJob(Protocol):
-    """Describe how a job is refused, and whether it had started."""
+    """Describe the callback that refuses a job; `ran` says if it started."""
 
     def __call__(self, job: answers.Job, reason: str, ran: str = 'no') -> None:
         """Refuse the job."""
 
 
 class Slots:
-    """Own the jobs that run or wait."""
+    """Own the running and queued jobs."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         finish: Callable[[answers.Job], None],
         refuse: RefuseJob,
     ) -> None:
-        """Start empty; `start` gives how long a job runs, in seconds."""
+        """Start empty; `start` returns the run time of a job in seconds."""
         self.running: dict[answers.JobKey, Running] = {}
         self.queue: collections.deque[answers.Job] = collections.deque()
         self._size = size
@@ -44,7 +44,7 @@
         self._refuse = refuse
 
     def add(self, job: answers.Job) -> None:
-        """Run a job, queue it, or shed it."""
+        """Run a job, queue it, or shed it if the queue is full."""
         if len(self.queue) >= MAX_QUEUED_JOBS:
             self._refuse(job, 'shed')
             return
@@ -52,7 +52,7 @@
         self._start_queued()
 
     def cancel(self, key: answers.JobKey) -> None:
-        """Refuse a job at once, whether it waits or runs."""
+        """Refuse a queued or running job at once."""
         for queued in tuple(self.queue):
             if queued.key == key:
                 self.queue.remove(queued)
@@ -64,7 +64,7 @@
             self._start_queued()
 
     def clear(self) -> None:
-        """Forget every job, as a lost target does."""
+        """Discard every job without an answer, as a crash would."""
         for running in self.running.values():
             running.timer.cancel()
         self.running.clear()
--- a/standins/store_calls.py
+++ b/standins/store_calls.py
@@ -1,4 +1,4 @@
-"""Answer the calls that read and change a store's history at once."""
+"""Answer the calls that read or change a store's history immediately."""
 
 import time
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold the answer to a call; one may be of an `era` that has ended."""
+    """Hold the answer to a call; `era` is set if it is not the current one."""
 
     status: HTTPStatus
     body: Mapping[str, Any]
@@ -21,7 +21,7 @@
 def list_items(
     history: histories.History, query: Mapping[str, list[str]]
 ) -> Answer:
-    """List the items whose keys begin alike."""
+    """List the items whose keys have a prefix."""
     prefix = query.get('prefix', [''])[0]
     items = [it for key, it in history.items.items() if key.startswith(prefix)]
     body = {'items': items, 'has_more': False}
@@ -40,7 +40,7 @@
 
 
 def commit(history: histories.History, call: Mapping[str, Any]) -> Answer:
-    """Write all or nothing."""
+    """Apply a transaction if all expected revisions match."""
     expected = {it['key']: it['revision'] for it in call['expected_rev']}
     if any(history.find_revision(key) != it for key, it in expected.items()):
         items = [history.items[key] for key in expected if key in history.items]
@@ -63,7 +63,7 @@
 
 
 def use_lease(history: histories.History, call: str) -> Answer:
-    """Renew a lease or end it."""
+    """Renew or end a lease."""
     name, _, number = call.rpartition('/')
     lease = int(number)
     if lease not in history.leases:
--- a/standins/wire.py
+++ b/standins/wire.py
@@ -1,7 +1,7 @@
-"""Serve HTTP/1.1 with JSON cheaply from one event loop.
+"""Serve HTTP/1.1 with JSON at low cost from one event loop.
 
-A stand-in shares the machine with what it measures, so a request costs it
-some ten microseconds here instead of the hundreds of a full HTTP server.
+A stand-in shares the machine with the system under test. A request costs
+some ten microseconds here, and hundreds in a full HTTP server.
 """
 
 import asyncio
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple, Protocol
 
 LOOPBACK = '127.0.0.1'
-# Many hosts connect at once after a restart; a short listen queue would
-# show up as connects that hang for a second, as if a target were slow.
+# Many hosts connect at once after a restart. With a short listen queue some
+# connects would hang for a second, as if a target were slow.
 BACKLOG = 1024
 REASONS = {200: 'OK', 204: 'No Content', 503: 'Unavailable'}
 
@@ -26,44 +26,44 @@
     body: bytes
 
     def parse_body(self) -> Json:
-        """Parse the body as a JSON object; an empty body is an empty one."""
+        """Parse the body as a JSON object; an empty body is an empty object."""
         return dict(json.loads(self.body)) if self.body else {}
 
 
 class Application(Protocol):
-    """Describe what a server has to answer to."""
+    """Describe the callbacks of a server."""
 
     def connection_opened(self, channel: 'Channel') -> None:
-        """Take note of a new connection."""
+        """Handle a new connection."""
 
     def request_received(self, channel: 'Channel', request: Request) -> None:
         """Answer one request, now or later."""
 
     def connection_closed(self, channel: 'Channel') -> None:
-        """Take note of a connection that has ended."""
+        """Handle the end of a connection."""
 
 
 class Channel(asyncio.Protocol):
-    """Own one connection of a caller."""
+    """Own one connection of a client."""
 
     def __init__(self, application: Application) -> None:
-        """Tie the connection to what answers it."""
+        """Pass the requests of the connection to an application."""
         self._application = application
         self._buffer = b''
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start on a new connection."""
+        """Record the transport and report the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._application.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End with the connection."""
+        """Report the end of the connection."""
         self._application.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on every request that is whole."""
+        """Pass on every complete request."""
         self._buffer += data
         while not self.transport.is_closing():
             request = self._next_request()
@@ -72,11 +72,11 @@
             self._application.request_received(self, request)
 
     def reply(self, status: int, body: str = '') -> None:
-        """Write one answer."""
+        """Write one response."""
         self.write(encode_response(status, body))
 
     def write(self, data: bytes) -> None:
-        """Write bytes, unless the connection has gone."""
+        """Write bytes, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
@@ -93,7 +93,7 @@
 
 
 def encode_response(status: int, body: str) -> bytes:
-    """Build the bytes of one answer."""
+    """Encode one response."""
     payload = body.encode()
     reason = REASONS.get(status, 'Answer')
     head = (
@@ -114,7 +114,7 @@
 
 
 def parse_content_length(head: bytes) -> int:
-    """Find how long a body is, from a head in lower case."""
+    """Return the body length from a head in lower case, 0 if not stated."""
     start = head.find(b'content-length:')
     if start < 0:
         return 0
--- a/tests/standins/test_metadata_store.py
+++ b/tests/standins/test_metadata_store.py
@@ -1,4 +1,4 @@
-"""Test the store's stand-in as its clients see it."""
+"""Test the emulated metadata store through its clients."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class Response(NamedTuple):
-    """Hold what a call was answered."""
+    """Hold the answer to a call."""
 
     status: int
     era: int | None
@@ -24,25 +24,25 @@
     """Own a connection to a store."""
 
     def __init__(self, client: clients.Client) -> None:
-        """Take the connection."""
+        """Use an open connection."""
         self._client = client
 
     async def call(self, method: str, target: str, **fields: Any) -> Response:
-        """Make a call."""
+        """Send a call with JSON fields and return its answer."""
         body = json.dumps(fields).encode() if fields else b''
         answer = await self._client.call(calls.Call(method, target, body), 5)
         era = calls.decode_era(answer.fields)
         return Response(answer.status, era, json.loads(answer.body))
 
     async def open_lease(self, ttl_ms: int = 30_000) -> int:
-        """Open a lease."""
+        """Open a lease and return its id."""
         response = await self.call('POST', '/kv-lease', ttl_ms=ttl_ms)
         return int(response.body['lease'])
 
     async def put(
         self, key: str, lease: int = 0, expected: tuple[Any, ...] = ()
     ) -> int:
-        """Write a key; return the status."""
+        """Write a key and return the status."""
         put = {'key': key, 'value': '', 'lease': lease}
         response = await self.call(
             'POST', '/kv-txn', expected_rev=expected, puts=[put], remove=[]
@@ -50,14 +50,14 @@
         return response.status
 
     async def watch(self, after: int, wait_ms: int = 50) -> Response:
-        """Watch all keys after a revision."""
+        """Watch all keys for changes after a revision."""
         query = f'prefix=&after={after}&wait_ms={wait_ms}'
         return await self.call('GET', f'/kv-watch?{query}')
 
 
 @contextlib.asynccontextmanager
 async def connect(store: metadata_store.Store) -> AsyncIterator[Client]:
-    """Serve a store and connect to it."""
+    """Serve a store and yield a client connected to it."""
     server = await asyncio.start_server(store.serve, servers.LOOPBACK, 0)
     host, port = server.sockets[0].getsockname()
     client = clients.Client(f'{host}:{port}')
@@ -69,7 +69,7 @@
 
 
 def test_restores_an_older_copy() -> None:
-    """What was written since is gone, and its revisions are given out again."""
+    """Later writes are lost, and their revisions are assigned again."""
 
     async def check() -> None:
         store = metadata_store.Store()
@@ -83,7 +83,7 @@
             assert store.items['op/config'] == copy.items['op/config']
             store.put('op/config', 3)
             assert store.revision == last
-            # Nothing but the era tells that this is another change.
+            # Only the era shows that this is a different change.
             response = await client.watch(last)
             assert (response.status, response.body['events'], response.era) == (
                 200,
@@ -95,7 +95,7 @@
 
 
 def test_sends_its_era_in_each_answer() -> None:
-    """Refusals bear the header too; a store of before has none."""
+    """Refusals carry the header too; a store of an earlier version has none."""
 
     async def check() -> None:
         store = metadata_store.Store()
@@ -112,7 +112,7 @@
 
 
 def test_loses_leases_opened_after_the_copy() -> None:
-    """Neither a renewal nor a write under such a lease does anything."""
+    """A renewal of such a lease and a write under it are refused."""
 
     async def check() -> None:
         store = metadata_store.Store()
@@ -129,9 +129,10 @@
 
 
 def test_reuses_lease_ids_after_a_restore() -> None:
-    """Symptom: a renewal is answered 200, and the entry is gone.
+    """A renewal succeeds although the entry of its lease is gone.
 
-    The lease was opened after the copy; its number is somebody else's now.
+    The lease was opened after the copy, and its id now belongs to the lease
+    of another client.
     """
 
     async def check() -> None:
@@ -152,7 +153,7 @@
 
 
 def test_ends_leases_with_their_keys() -> None:
-    """Watchers learn of the keys that go."""
+    """Watches report the keys that are removed with their lease."""
 
     async def check() -> None:
         store = metadata_store.Store()
@@ -166,7 +167,7 @@
 
 
 def test_writes_on_a_condition() -> None:
-    """A revision that the key has no longer writes nothing."""
+    """A write that expects an outdated revision is refused."""
 
     async def check() -> None:
         store = metadata_store.Store()
@@ -179,7 +180,7 @@
 
 
 def test_drops_watches_on_a_restore() -> None:
-    """A watch of before the return is not answered from the copy."""
+    """A watch opened before the restore gets no answer from the copy."""
 
     async def check() -> None:
         store = metadata_store.Store()
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""Test the platform's stand-in without sockets."""
+"""Test the emulated platform without sockets."""
 
 import json
 
@@ -10,14 +10,14 @@
 
 
 class Clock:
-    """Hold a time that the test moves by hand."""
+    """Hold a time that the test sets."""
 
     def __init__(self) -> None:
-        """Start at nought."""
+        """Start at 0 s."""
         self.now = 0.0
 
     def __call__(self) -> float:
-        """Tell the time."""
+        """Return the time in seconds."""
         return self.now
 
 
@@ -36,13 +36,13 @@
 def write_key(
     store: platform.Platform, value: str, revision: int, lease: str = ''
 ) -> platform.Reply:
-    """Write one key."""
+    """Write the key under test."""
     body = {'value': value, 'revision': revision, 'lease': lease or None}
     return store.call('PUT', KEY, body=body)
 
 
 def read_key(store: platform.Platform) -> str | None:
-    """Read one key."""
+    """Return the value of the key under test, None if absent."""
     reply = store.call('GET', KEY)
     return reply.body['value'] if reply.status == 200 and reply.body else None
 
@@ -56,7 +56,7 @@
 
 
 def test_lost_answer_took_effect(store: platform.Platform) -> None:
-    """The answer to a write is lost although the write took effect."""
+    """The answer to a write is lost, but the write takes effect."""
     store.control({'lose_writes': 1})
     assert write_key(store, 'one', 0).lost
     assert read_key(store) == 'one'
@@ -66,7 +66,7 @@
 def test_key_goes_with_its_lease(
     store: platform.Platform, clock: Clock
 ) -> None:
-    """A holder that paused past its lease finds its key gone."""
+    """A client that pauses until its lease has ended finds its key removed."""
     granted = store.call('POST', '/v1/leases', body={'ttl_s': 5}).body or {}
     keep = f'/v1/leases/{granted["lease"]}'
     write_key(store, 'mine', 0, granted['lease'])
@@ -80,7 +80,7 @@
 
 
 def test_restored_copy_has_older_revisions(store: platform.Platform) -> None:
-    """A platform that comes back from an older copy counts again from it."""
+    """A platform restored from an older copy assigns its revisions again."""
     write_key(store, 'old', 0)
     store.control({'save': True})
     write_key(store, 'new', 1)
--- a/tests/standins/test_searchers.py
+++ b/tests/standins/test_searchers.py
@@ -1,4 +1,4 @@
-"""Test the targets' stand-in over loopback."""
+"""Test the emulated targets over loopback."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 def make_search(request_id: str, **changes: object) -> wire.Json:
-    """Build a sub-request."""
+    """Build the body of a sub-request."""
     search = {
         'request_id': request_id,
         'group': 'desk',
@@ -37,7 +37,7 @@
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Take over the streams."""
+        """Use the streams of an open connection."""
         self.reader = reader
         self._writer = writer
 
@@ -59,23 +59,25 @@
     """Own a target with one slot and the connections to it."""
 
     def __init__(self) -> None:
-        """Take a free port."""
+        """Select a free port."""
         with socket.create_server(('127.0.0.1', 0)) as free:
             self._port = free.getsockname()[1]
         address = f'127.0.0.1:{self._port}'
         target = configurations.Target('desk-00/0', address, 'odori')
-        held = layouts.assign_shards(SERVICE, 1, layouts.FIRST_SNAPSHOT)[0]
+        holdings = layouts.assign_shards(SERVICE, 1, layouts.FIRST_SNAPSHOT)[0]
         self.stats = searchers.Stats()
-        self.searcher = searchers.Searcher(target, SERVICE, held, self.stats)
+        self.searcher = searchers.Searcher(
+            target, SERVICE, holdings, self.stats
+        )
 
     async def connect(self, count: int) -> list[Caller]:
-        """Open connections, once the target listens."""
+        """Start the target and open connections to it."""
         await self.searcher.start()
         opens = (self._open() for _ in range(count))
         return await asyncio.gather(*opens)
 
     async def wait_for_count(self, name: str, count: int) -> None:
-        """Wait until the target has counted so many."""
+        """Wait until a count of the target reaches a value."""
         reached = asyncio.Event()
         loop = asyncio.get_running_loop()
 
@@ -94,7 +96,7 @@
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario, which must not hang."""
+    """Run a scenario with a timeout of 20 s."""
     asyncio.run(asyncio.wait_for(scenario, 20))
 
 
@@ -159,7 +161,7 @@
 def test_dropped_connection_hides_whether_it_ran(
     when: str, runs: dict[str, int]
 ) -> None:
-    """A broken connection looks the same before and after running."""
+    """A connection breaks in the same way before and after the run."""
 
     async def scenario() -> None:
         target = ServedTarget()
--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Test what builds and checks the project."""
+"""Test the tools that build and check the project."""
--- a/tests/tools/test_build_archive.py
+++ b/tests/tools/test_build_archive.py
@@ -1,4 +1,4 @@
-"""Test the build of the one file."""
+"""Test the build of the executable archive."""
 
 from pathlib import Path
 
@@ -11,12 +11,11 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Refuse to ship what cannot run from an archive.
+    """Refuse to build an archive with a compiled module.
 
-    Symptom: a host ends at its start with an import error.
-    Sequence: a library's new release brings a compiled module; it is locked,
-    tested from the clone, where it works, and shipped.
-    Cause: Python loads compiled modules from files, not from archives.
+    Python loads compiled modules from files, not from archives. If a new
+    release of a locked library adds one, the tests still pass on the clone,
+    but a host exits at start with an import error.
     """
     (tmp_path / 'fuchsiahaven').mkdir()
     (tmp_path / 'fuchsiahaven' / 'fast.cpython-311-x86_64.so').touch()
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what builds and checks the project."""
+"""Build and check the project."""
--- a/tools/build_archive.py
+++ b/tools/build_archive.py
@@ -1,4 +1,4 @@
-"""Build the one executable file: the package and its run-time libraries."""
+"""Build the executable archive of the package and its runtime libraries."""
 
 import py_compile
 import shutil
@@ -21,14 +21,14 @@
 ARCHIVE_MODE: Final = 0o755
 STAGING_DIR: Final = Path('build/archive')
 COMPILED_SUFFIXES: Final = frozenset(('.so', '.pyd', '.dll', '.dylib'))
-#: Parts of the libraries that are their own tests or reach outside the stage.
+#: Path parts of library tests and of files outside the staging directory.
 EXCLUDED_PARTS: Final = frozenset(
     ('test', 'tests', 'testing', '..', '__pycache__')
 )
 
 
 def copy_library(name: str, stage: Path) -> None:
-    """Copy the files of an installed library."""
+    """Copy the files of an installed library to the staging directory."""
     for file in metadata.distribution(name).files or ():
         if EXCLUDED_PARTS.isdisjoint(file.parts):
             target = stage / file
@@ -37,11 +37,11 @@
 
 
 def compile_modules(stage: Path) -> None:
-    """Put byte code beside each module, so that no start compiles it.
+    """Compile each module to byte code, so that no start has to compile it.
 
-    An archive cannot cache byte code. It is marked as not to be compared with
-    the source's time, which an archive holds in the zone of the machine that
-    built it; another version of Python passes it over and takes the source.
+    An archive cannot cache byte code. The byte code is marked as unchecked,
+    as an archive stores the source's time in the time zone of the machine
+    that built it. Another version of Python ignores it and uses the source.
     """
     for module in stage.rglob('*.py'):
         py_compile.compile(
@@ -54,14 +54,14 @@
 
 
 def find_compiled(stage: Path) -> list[Path]:
-    """Find what an archive cannot run without unpacking it."""
+    """List the files that cannot be loaded from an archive."""
     return [
         path for path in stage.rglob('*') if path.suffix in COMPILED_SUFFIXES
     ]
 
 
 def main(arguments: list[str]) -> int:
-    """Build the archive at the path given."""
+    """Build the archive at the given path and return the exit code."""
     archive = Path(arguments[0])
     shutil.rmtree(STAGING_DIR, ignore_errors=True)
     shutil.copytree(
@@ -73,7 +73,9 @@
         copy_library(name, STAGING_DIR)
     compiled = find_compiled(STAGING_DIR)
     if compiled:
-        print(f'Compiled files cannot ship: {compiled}')
+        print(
+            f'Python cannot load compiled modules from an archive: {compiled}'
+        )
         return 1
     shutil.copyfile('fuchsiahaven/__main__.py', STAGING_DIR / '__main__.py')
     compile_modules(STAGING_DIR)
--- a/tools/check_archive.py
+++ b/tools/check_archive.py
@@ -1,7 +1,7 @@
 """Import every module of the archive from the archive.
 
-Run with `-I -S`, so that no installed library can stand in for one that the
-archive lacks; a host would notice only when it reaches the import.
+Run with `-I -S`, so that no installed library replaces one that the archive
+lacks. A host would fail only when it reaches the import.
 """
 
 import importlib
@@ -13,7 +13,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Import all that the archive given holds of the package."""
+    """Import every module of the package from the given archive."""
     sys.path.insert(0, arguments[0])
     package = importlib.import_module(PACKAGE)
     modules = pkgutil.walk_packages(package.__path__, f'{PACKAGE}.')
--- a/tools/check_lock.py
+++ b/tools/check_lock.py
@@ -1,6 +1,6 @@
 """Compare installed versions with a lock file.
 
-Only the standard library is used: this runs before anything is installed.
+Uses only the standard library, as it runs before anything is installed.
 """
 
 import sys
@@ -16,7 +16,7 @@
 
 
 def find_stale(pins: list[tuple[str, str]]) -> list[str]:
-    """Find the pinned names whose installed version is another or none."""
+    """List the pinned names that are missing or have another version."""
     installed = {
         _normalize(distribution.metadata['Name']): distribution.version
         for distribution in metadata.distributions()
@@ -29,10 +29,14 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Tell by the exit code whether the environment matches the lock."""
+    """Return 0 if the environment matches the lock file, 1 otherwise."""
     stale = find_stale(read_pins(Path(arguments[0])))
     if stale:
-        print('Not as locked: {0}'.format(', '.join(stale)))
+        print(
+            'Missing or different from the lock file: {0}'.format(
+                ', '.join(stale)
+            )
+        )
     return int(bool(stale))
 
 
