--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -1,4 +1,4 @@
-"""Say what the steps of the scenarios do."""
+"""Implement the steps of the scenarios that set up and disturb a cluster."""
 
 import functools
 import random
@@ -16,11 +16,11 @@
 
 RequestClass = configurations.RequestClass
 CLASS_KINDS: Final[dict[str, Callable[[RequestClass], RequestClass]]] = {
-    'may be partial': lambda one: one,
-    'must be complete': lambda one: one._replace(
+    'may be partial': lambda request_class: request_class,
+    'must be complete': lambda request_class: request_class._replace(
         needs=configurations.Needs.COMPLETE
     ),
-    'runs at most once': lambda one: one._replace(
+    'runs at most once': lambda request_class: request_class._replace(
         needs=configurations.Needs.COMPLETE,
         repeat=configurations.Repeat.AT_MOST_ONCE,
         fan_out=configurations.FanOut.KEYED,
@@ -32,50 +32,50 @@
 LEAVING: Final = messages.TargetState.LEAVING
 
 
-def lose_target(stage: world.World, target: fakes.Target) -> None:
-    stage.lose_target(target.config.name)
+def lose_target(cluster: world.World, target: fakes.Target) -> None:
+    cluster.lose_target(target.config.name)
 
 
-def restore_target(stage: world.World, target: fakes.Target) -> None:
+def restore_target(cluster: world.World, target: fakes.Target) -> None:
     target.restart()
-    stage.lost_targets.discard(target.config.name)
+    cluster.lost_targets.discard(target.config.name)
 
 
-def freeze(stage: world.World, target: fakes.Target) -> None:
+def freeze(cluster: world.World, target: fakes.Target) -> None:
     target.frozen = True
 
 
-def thaw(stage: world.World, target: fakes.Target) -> None:
+def thaw(cluster: world.World, target: fakes.Target) -> None:
     target.thaw()
 
 
-def cross_answers(stage: world.World, target: fakes.Target) -> None:
+def cross_answers(cluster: world.World, target: fakes.Target) -> None:
     target.crosses_answers = True
 
 
-def hide_load(stage: world.World, target: fakes.Target) -> None:
+def hide_load(cluster: world.World, target: fakes.Target) -> None:
     target.reports_load = False
 
 
-def start_leaving(stage: world.World, target: fakes.Target) -> None:
-    target.left_at = stage.clock.now
+def start_leaving(cluster: world.World, target: fakes.Target) -> None:
+    target.left_at = cluster.clock.now
     target.enter_state(LEAVING)
 
 
-def list_as_leaving(stage: world.World, target: fakes.Target) -> None:
-    target.left_at = stage.clock.now
-    stage.publish_host_list(leaving=target.config.name)
+def list_as_leaving(cluster: world.World, target: fakes.Target) -> None:
+    target.left_at = cluster.clock.now
+    cluster.publish_host_list(leaving=target.config.name)
 
 
-def mark_as_leaving(stage: world.World, target: fakes.Target) -> None:
-    target.left_at = stage.clock.now
+def mark_as_leaving(cluster: world.World, target: fakes.Target) -> None:
+    target.left_at = cluster.clock.now
     group = target.config.name.rpartition('-')[0]
-    stage.commit_change(
+    cluster.commit_change(
         'ana', changes.MarkLeaving(group, (target.config.name,))
     )
 
 
-def drop_answers(stage: world.World, target: fakes.Target) -> None:
+def drop_answers(cluster: world.World, target: fakes.Target) -> None:
     target.drops_answers = True
 
 
@@ -94,7 +94,7 @@
     'is marked as leaving': mark_as_leaving,
 }
 
-#: What the platform does, as orders to its stand-in.
+#: Events of the platform, as control orders to its stand-in.
 PLATFORM_ORDERS: Final[Mapping[str, dict[str, object]]] = {
     'goes down': {'down': True},
     'is up again': {'down': False},
@@ -106,135 +106,137 @@
 }
 
 
-@pytest.fixture(name='stage')
-def make_stage(monkeypatch: pytest.MonkeyPatch) -> world.World:
-    """Make an empty world, whose time is also the adapters' time of day."""
-    stage = world.World()
+@pytest.fixture(name='cluster')
+def make_cluster(monkeypatch: pytest.MonkeyPatch) -> world.World:
+    """Create an empty world, whose clock is also the adapters' time of day."""
+    cluster = world.World()
 
     class Time:
-        time = staticmethod(lambda: stage.clock.now)
+        time = staticmethod(lambda: cluster.clock.now)
 
     monkeypatch.setattr(target_protocol, 'time', Time)
-    return stage
+    return cluster
 
 
 def parse_step(text: str) -> Any:
-    """Read the words of a step, with named fields."""
+    """Parse the text of a step with named fields."""
     return parsers.parse(text)
 
 
 def split_names(names: str) -> list[str]:
-    """Read names in a list such as `a, b and c`."""
+    """Split a list of names such as `a, b and c`."""
     return re.split(', | and ', names)
 
 
-def get_target(stage: world.World, group: str, number: int) -> fakes.Target:
-    """Find a target by its number in its group."""
-    return stage.targets[f'{group}-{number:02}']
+def get_target(cluster: world.World, group: str, number: int) -> fakes.Target:
+    """Return a target by its number in its group."""
+    return cluster.targets[f'{group}-{number:02}']
 
 
-def list_targets(stage: world.World, group: str) -> list[fakes.Target]:
+def list_targets(cluster: world.World, group: str) -> list[fakes.Target]:
     """List the targets of a group."""
     return [
         target
-        for name, target in stage.targets.items()
+        for name, target in cluster.targets.items()
         if name.startswith(f'{group}-')
     ]
 
 
-@given(parse_step('a group {name} of {count:d} targets in {place}'))
-def add_group(stage: world.World, name: str, count: int, place: str) -> None:
-    stage.add_group(name, count, count // 2, place)
+@given(parse_step('a group {name} of {count:d} targets in {data_centre}'))
+def add_group(
+    cluster: world.World, name: str, count: int, data_centre: str
+) -> None:
+    cluster.add_group(name, count, count // 2, data_centre)
 
 
 @given(
     parse_step('a class {name} that {kind}, within {ms:d} ms, over {groups}')
 )
 def add_class(
-    stage: world.World, name: str, kind: str, ms: int, groups: str
+    cluster: world.World, name: str, kind: str, ms: int, groups: str
 ) -> None:
-    stage.add_class(
+    cluster.add_class(
         CLASS_KINDS[kind](RequestClass(name, ms)), split_names(groups)
     )
 
 
-@given(parse_step('hosts {names} in {place}'))
-def add_hosts(stage: world.World, names: str, place: str) -> None:
+@given(parse_step('hosts {names} in {data_centre}'))
+def add_hosts(cluster: world.World, names: str, data_centre: str) -> None:
     for name in split_names(names):
-        stage.add_host(name, place)
+        cluster.add_host(name, data_centre)
 
 
 @given('all of it runs')
-def start_all(stage: world.World) -> None:
-    outcome = stage.commit_change(
-        'setup', changes.ReplaceConfiguration(stage.configuration)
+def start_all(cluster: world.World) -> None:
+    outcome = cluster.commit_change(
+        'setup', changes.ReplaceConfiguration(cluster.configuration)
     )
     assert isinstance(outcome, proposals.ChangeAccepted), outcome
-    stage.clock.run(STARTUP_S)
+    cluster.clock.run(STARTUP_S)
 
 
 @when(parse_step('{count:d} {name} queries arrive in {seconds:g} s'))
 def submit_over_time(
-    stage: world.World, count: int, name: str, seconds: float
+    cluster: world.World, count: int, name: str, seconds: float
 ) -> None:
     for number in range(count):
-        submit_next(stage, name, number)
-        stage.clock.run(seconds / count)
+        submit_next(cluster, name, number)
+        cluster.clock.run(seconds / count)
 
 
 @when(parse_step('{count:d} {name} queries are under way'))
-def submit_at_once(stage: world.World, count: int, name: str) -> None:
+def submit_at_once(cluster: world.World, count: int, name: str) -> None:
     for number in range(count):
-        submit_next(stage, name, number)
-    stage.clock.run(IN_FLIGHT_S)
+        submit_next(cluster, name, number)
+    cluster.clock.run(IN_FLIGHT_S)
 
 
-def submit_next(stage: world.World, name: str, number: int) -> None:
-    serving = [host.name for host in stage.hosts.values() if host.alive]
-    stage.submit_query(
+def submit_next(cluster: world.World, name: str, number: int) -> None:
+    serving = [host.name for host in cluster.hosts.values() if host.alive]
+    cluster.submit_query(
         serving[number % len(serving)], name, key=f'key-{number}'
     )
 
 
 @when(parse_step('{seconds:g} s pass'))
-def pass_time(stage: world.World, seconds: float) -> None:
-    stage.clock.run(seconds)
+def pass_time(cluster: world.World, seconds: float) -> None:
+    cluster.clock.run(seconds)
 
 
 @when(parsers.re(r'searcher (?P<number>\d+) of (?P<group>\S+) (?P<event>\D+)$'))
 def apply_target_event(
-    stage: world.World, number: str, group: str, event: str
+    cluster: world.World, number: str, group: str, event: str
 ) -> None:
-    TARGET_EVENTS[event](stage, get_target(stage, group, int(number)))
+    TARGET_EVENTS[event](cluster, get_target(cluster, group, int(number)))
 
 
 @when(
     parse_step('searcher {number:d} of {group} answers {factor:g} times slower')
 )
 def slow_down(
-    stage: world.World, number: int, group: str, factor: float
+    cluster: world.World, number: int, group: str, factor: float
 ) -> None:
-    get_target(stage, group, number).slowdown = factor
+    get_target(cluster, group, number).slowdown = factor
 
 
 @when(parse_step('searcher {number:d} of {group} reports {seconds:g} s late'))
 def delay_reports(
-    stage: world.World, number: int, group: str, seconds: float
+    cluster: world.World, number: int, group: str, seconds: float
 ) -> None:
-    get_target(stage, group, number).report_lag_s = seconds
+    get_target(cluster, group, number).report_lag_s = seconds
 
 
 @when(parse_step('{group} loads snapshot {snapshot:d} in {shards:d} shards'))
 def load_snapshot(
-    stage: world.World, group: str, snapshot: int, shards: int
+    cluster: world.World, group: str, snapshot: int, shards: int
 ) -> None:
-    names = [name for name in stage.targets if name.startswith(group)]
-    stage.load_snapshot(names, snapshot, shards)
+    names = [name for name in cluster.targets if name.startswith(group)]
+    cluster.load_snapshot(names, snapshot, shards)
 
 
 @when(parse_step('{group} drops snapshot {snapshot:d}'))
-def drop_snapshot(stage: world.World, group: str, snapshot: int) -> None:
-    for name, target in stage.targets.items():
+def drop_snapshot(cluster: world.World, group: str, snapshot: int) -> None:
+    for name, target in cluster.targets.items():
         if name.startswith(group):
             target.drop_snapshot(snapshot)
 
@@ -246,14 +248,14 @@
     )
 )
 def restart_in_turn(
-    stage: world.World, group: str, seconds: float, rate: int, name: str
+    cluster: world.World, group: str, seconds: float, rate: int, name: str
 ) -> None:
-    for target in list_targets(stage, group):
-        start_leaving(stage, target)
-        submit_over_time(stage, int(rate * seconds), name, seconds)
-        target.back_at = stage.clock.now
-        lose_target(stage, target)
-        restore_target(stage, target)
+    for target in list_targets(cluster, group):
+        start_leaving(cluster, target)
+        submit_over_time(cluster, int(rate * seconds), name, seconds)
+        target.back_at = cluster.clock.now
+        lose_target(cluster, target)
+        restore_target(cluster, target)
 
 
 @when(
@@ -264,7 +266,7 @@
     )
 )
 def change_in_turn(
-    stage: world.World,
+    cluster: world.World,
     group: str,
     snapshot: int,
     shards: int,
@@ -272,79 +274,79 @@
     rate: int,
     name: str,
 ) -> None:
-    for index, target in enumerate(list_targets(stage, group)):
+    for index, target in enumerate(list_targets(cluster, group)):
         target.drop_snapshot(snapshot - 1)
         target.add_shard(snapshot, index % shards, shards)
-        submit_over_time(stage, int(rate * seconds), name, seconds)
+        submit_over_time(cluster, int(rate * seconds), name, seconds)
 
 
-@when(parse_step('the watchers of {place} are cut off from the platform'))
-def cut_watchers(stage: world.World, place: str) -> None:
-    for host in stage.hosts.values():
-        if host.is_watcher and host.data_centre == place:
-            stage.cut_links.add(frozenset((host.name, world.PLATFORM)))
+@when(parse_step('the watchers of {data_centre} are cut off from the platform'))
+def cut_watchers(cluster: world.World, data_centre: str) -> None:
+    for host in cluster.hosts.values():
+        if host.is_watcher and host.data_centre == data_centre:
+            cluster.cut_links.add(frozenset((host.name, world.PLATFORM)))
 
 
 @when(parse_step('{one} is cut off from {other}'))
-def cut_link(stage: world.World, one: str, other: str) -> None:
-    stage.cut_links.add(frozenset((one, other)))
+def cut_link(cluster: world.World, one: str, other: str) -> None:
+    cluster.cut_links.add(frozenset((one, other)))
 
 
 @when(parse_step('{one} reaches {other} again'))
-def restore_link(stage: world.World, one: str, other: str) -> None:
-    stage.cut_links.discard(frozenset((one, other)))
+def restore_link(cluster: world.World, one: str, other: str) -> None:
+    cluster.cut_links.discard(frozenset((one, other)))
 
 
 @when(parsers.re('the platform (?P<event>.+)$'))
-def order_platform(stage: world.World, event: str) -> None:
-    stage.platform.control(PLATFORM_ORDERS[event])
+def order_platform(cluster: world.World, event: str) -> None:
+    cluster.platform.control(PLATFORM_ORDERS[event])
 
 
 @when(parse_step('host {name} is paused'))
-def pause_host(stage: world.World, name: str) -> None:
-    stage.clock.frozen.add(name)
-    stage.once_paused.add(name)
+def pause_host(cluster: world.World, name: str) -> None:
+    cluster.clock.frozen.add(name)
+    cluster.once_paused.add(name)
 
 
 @when(parse_step('host {name} goes on'))
-def resume_host(stage: world.World, name: str) -> None:
-    stage.hosts[name].resume()
+def resume_host(cluster: world.World, name: str) -> None:
+    cluster.hosts[name].resume()
 
 
 @when(parse_step('host {name} is killed'))
-def kill_host(stage: world.World, name: str) -> None:
-    stage.hosts[name].alive = False
-    stage.clock.kill(name)
+def kill_host(cluster: world.World, name: str) -> None:
+    cluster.hosts[name].alive = False
+    cluster.clock.kill(name)
 
 
 @when(parse_step('host {name} starts anew'))
-def restart_host(stage: world.World, name: str) -> None:
-    stage.add_host(name, stage.hosts[name].data_centre)
+def restart_host(cluster: world.World, name: str) -> None:
+    cluster.add_host(name, cluster.hosts[name].data_centre)
 
 
 @when(parse_step('refund {name} is asked at {host}'))
-def submit_refund(stage: world.World, name: str, host: str) -> None:
-    request_id = stage.request_ids.setdefault(name, stage.make_request_id())
-    stage.submit_query(host, 'refund', request_id, key=name)
+def submit_refund(cluster: world.World, name: str, host: str) -> None:
+    request_id = cluster.request_ids.setdefault(name, cluster.make_request_id())
+    cluster.submit_query(host, 'refund', request_id, key=name)
 
 
 @when(parse_step('the claim of refund {name} is written'))
-def wait_for_claim(stage: world.World, name: str) -> None:
-    while stage.request_ids[name] not in stage.read_claims():
-        stage.clock.run(0.001)
+def wait_for_claim(cluster: world.World, name: str) -> None:
+    while cluster.request_ids[name] not in cluster.read_claims():
+        cluster.clock.run(0.001)
 
 
-@when(parse_step('host {name} starts in {place}'))
-def start_host(stage: world.World, name: str, place: str) -> None:
-    stage.add_host(name, place)
+@when(parse_step('host {name} starts in {data_centre}'))
+def start_host(cluster: world.World, name: str, data_centre: str) -> None:
+    cluster.add_host(name, data_centre)
 
 
 @when(parse_step('operator {name} labels {group} {key}={value}'))
 def label_group(
-    stage: world.World, name: str, group: str, key: str, value: str
+    cluster: world.World, name: str, group: str, key: str, value: str
 ) -> None:
     change = changes.LabelGroup(group, ((key, value),))
-    stage.outcomes[name] = stage.commit_change(name, change)
+    cluster.outcomes[name] = cluster.commit_change(name, change)
 
 
 @when(
@@ -353,69 +355,74 @@
     )
 )
 def label_just_before(
-    stage: world.World, name: str, group: str, key: str, value: str, other: str
+    cluster: world.World,
+    name: str,
+    group: str,
+    key: str,
+    value: str,
+    other: str,
 ) -> None:
     del other
-    stage.operator_pool.before_write = functools.partial(
-        label_group, stage, name, group, key, value
+    cluster.operator_pool.before_write = functools.partial(
+        label_group, cluster, name, group, key, value
     )
 
 
 @when(parse_step('{count:d} failures come in an order drawn from {seed:d}'))
-def inject_failures(stage: world.World, count: int, seed: int) -> None:
+def inject_failures(cluster: world.World, count: int, seed: int) -> None:
     rng = random.Random(seed)
     for number in range(count):
-        rng.choice(FAILURES)(stage, rng)
-        serving = [host.name for host in stage.hosts.values() if host.alive]
-        submit_refund(stage, f'R{number // 3}', rng.choice(serving))
-        submit_next(stage, 'gate-lookup', number)
-        stage.clock.run(rng.choice((0, 0.002, 0.01, 0.3, 4)))
-    for name in tuple(stage.clock.frozen):
-        resume_host(stage, name)
-    stage.cut_links.clear()
-    order_platform(stage, 'is up again')
-    order_platform(stage, 'is quick again')
-    stage.clock.run(STARTUP_S)
-
-
-def disturb_target(stage: world.World, rng: random.Random) -> None:
-    target = stage.targets[rng.choice(list(stage.targets))]
+        rng.choice(FAILURES)(cluster, rng)
+        serving = [host.name for host in cluster.hosts.values() if host.alive]
+        submit_refund(cluster, f'R{number // 3}', rng.choice(serving))
+        submit_next(cluster, 'gate-lookup', number)
+        cluster.clock.run(rng.choice((0, 0.002, 0.01, 0.3, 4)))
+    for name in tuple(cluster.clock.frozen):
+        resume_host(cluster, name)
+    cluster.cut_links.clear()
+    order_platform(cluster, 'is up again')
+    order_platform(cluster, 'is quick again')
+    cluster.clock.run(STARTUP_S)
+
+
+def disturb_target(cluster: world.World, rng: random.Random) -> None:
+    target = cluster.targets[rng.choice(list(cluster.targets))]
     events = [
         event for name, event in TARGET_EVENTS.items() if 'leav' not in name
     ]
-    rng.choice(events)(stage, target)
+    rng.choice(events)(cluster, target)
 
 
-def disturb_platform(stage: world.World, rng: random.Random) -> None:
+def disturb_platform(cluster: world.World, rng: random.Random) -> None:
     order_platform(
-        stage,
+        cluster,
         rng.choice([name for name in PLATFORM_ORDERS if 'cop' not in name]),
     )
 
 
-def disturb_host(stage: world.World, rng: random.Random) -> None:
-    name = rng.choice(list(stage.hosts))
-    if name in stage.clock.frozen:
-        resume_host(stage, name)
-    elif stage.hosts[name].alive:
-        rng.choice((pause_host, pause_host, kill_host))(stage, name)
+def disturb_host(cluster: world.World, rng: random.Random) -> None:
+    name = rng.choice(list(cluster.hosts))
+    if name in cluster.clock.frozen:
+        resume_host(cluster, name)
+    elif cluster.hosts[name].alive:
+        rng.choice((pause_host, pause_host, kill_host))(cluster, name)
     else:
-        restart_host(stage, name)
+        restart_host(cluster, name)
 
 
-def cut_random_link(stage: world.World, rng: random.Random) -> None:
-    places = (world.PLATFORM, 'Odori', *stage.hosts)
-    cut_link(stage, *rng.sample(places, 2))
+def cut_random_link(cluster: world.World, rng: random.Random) -> None:
+    sites = (world.PLATFORM, 'Odori', *cluster.hosts)
+    cut_link(cluster, *rng.sample(sites, 2))
 
 
-def replace_snapshot(stage: world.World, rng: random.Random) -> None:
-    # A number stands for one partition of one index for ever.
+def replace_snapshot(cluster: world.World, rng: random.Random) -> None:
+    # A snapshot number always means the same partition of the same index.
     snapshots = {
-        key[0] for target in stage.targets.values() for key in target.holdings
+        key[0] for target in cluster.targets.values() for key in target.holdings
     }
     newest = max(snapshots, default=1)
-    load_snapshot(stage, 'turnstile', newest + 1, rng.choice((2, 3, 4)))
-    drop_snapshot(stage, 'turnstile', newest - 1)
+    load_snapshot(cluster, 'turnstile', newest + 1, rng.choice((2, 3, 4)))
+    drop_snapshot(cluster, 'turnstile', newest - 1)
 
 
 FAILURES: Final = (
--- a/tests/scenarios/fakes.py
+++ b/tests/scenarios/fakes.py
@@ -1,7 +1,7 @@
-"""Stand in for targets whose answers can be checked against what they hold.
+"""Emulate targets whose answers can be checked against their holdings.
 
-Each group has the same listings at fixed positions, in every snapshot and in
-any number of shards; a row says of which snapshot it is and who asked.
+Each group has the same listings at fixed positions, in every snapshot and for
+any number of shards. A row names its snapshot and the id of the request.
 """
 
 import collections
@@ -25,7 +25,7 @@
 
 
 class Job(NamedTuple):
-    """Hold one sub-request, as its bytes say, and where its answer goes."""
+    """Hold one decoded sub-request and the callback for its answer."""
 
     search: dict[str, Any]
     deadline: float
@@ -33,20 +33,20 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Tell attempts apart as the protocol does."""
+        """Return the key by which the protocol identifies an attempt."""
         search = self.search
         return search['request_id'], search['shard'], search['attempt']
 
 
 class Run(NamedTuple):
-    """Remember that a request was run, and when."""
+    """Record that a request was run, and when."""
 
     request_id: str
     started_at: float
 
 
 class Target:
-    """Own what one searcher holds, runs and says of itself."""
+    """Own the holdings, jobs and reports of one searcher."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         group: configurations.Group,
         clock: networks.Network,
     ) -> None:
-        """Start live, holding nothing."""
+        """Start live, without a snapshot."""
         self.config = config
         self.holdings: dict[tuple[int, int], snapshots.Holding] = {}
         self.slowdown = 1.0
@@ -80,15 +80,15 @@
 
     @property
     def state(self) -> messages.TargetState:
-        """Say how it truly is now."""
+        """Return the current state, which reports show late."""
         return self.states[-1][1]
 
     def enter_state(self, state: messages.TargetState) -> None:
-        """Change the state, which reports show late."""
+        """Enter a state."""
         self.states.append((self._clock.now, state))
 
     def add_shard(self, snapshot: int, shard: int, shards: int) -> None:
-        """Add one shard of a snapshot."""
+        """Add the holding of one shard of a snapshot."""
         low = shard * 65_536 // shards
         high = (shard + 1) * 65_536 // shards
         self.holdings[snapshot, shard] = snapshots.Holding(
@@ -96,7 +96,7 @@
         )
 
     def drop_snapshot(self, snapshot: int) -> None:
-        """Drop a snapshot, also from under what runs on it."""
+        """Drop a snapshot, even if jobs are running on it."""
         self.holdings = {
             key: holding
             for key, holding in self.holdings.items()
@@ -104,7 +104,7 @@
         }
 
     def restart(self) -> None:
-        """Start anew as another process that has run nothing."""
+        """Restart as a new process without jobs."""
         self._started_at = self._clock.now
         self._sequence = 0
         self._running.clear()
@@ -112,7 +112,7 @@
         self.states = [(self._clock.now, messages.TargetState.LIVE)]
 
     def thaw(self) -> None:
-        """Go on with what has come, and what has ended, meanwhile."""
+        """Unfreeze, and handle the requests and finished jobs held back."""
         self.frozen = False
         events = tuple(self._frozen_events)
         self._frozen_events.clear()
@@ -120,7 +120,7 @@
             handle()
 
     def handle_search(self, request: bytes, answer: Answer) -> None:
-        """Take a sub-request as bytes: run it, queue it or refuse it."""
+        """Run, queue or refuse an encoded sub-request."""
         if self.frozen:
             self._frozen_events.append(
                 functools.partial(self.handle_search, request, answer)
@@ -139,7 +139,7 @@
         self._start_queued()
 
     def cancel(self, key: tuple[str, int, int]) -> None:
-        """Refuse a job at once, whether it waits or runs."""
+        """Refuse a queued or running job at once."""
         if self.frozen:
             self._frozen_events.append(functools.partial(self.cancel, key))
             return
@@ -153,7 +153,7 @@
             self._start_queued()
 
     def report_health(self) -> frames.Frame:
-        """Tell its health as it was a while ago."""
+        """Return the health report, with the state of `report_lag_s` ago."""
         self._sequence += 1
         as_of = self._clock.now - self.report_lag_s
         visible = [state for since, state in self.states if since <= as_of]
@@ -205,7 +205,7 @@
             body = self._build_answer(job.search, holding)
             sent = self._last_body if self.crosses_answers else body
             self._last_body = body
-            # A connection that breaks in the middle leaves no whole answer.
+            # A connection that breaks midway delivers a truncated answer.
             job.answer(
                 TRUNCATED_ANSWER
                 if self.drops_answers
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -1,12 +1,15 @@
-"""Drive the decisions of one host by hand, without threads or sockets."""
+"""Run the state machines of one host without threads or sockets."""
 
 import functools
 import random
 from collections.abc import Callable
 from typing import Final, Protocol
 
-from fuchsiahaven.core.configuration import patches, revisions
-from fuchsiahaven.core.configuration import revision_messages as wording
+from fuchsiahaven.core.configuration import (
+    patches,
+    revision_messages,
+    revisions,
+)
 from fuchsiahaven.core.members import member_messages
 from fuchsiahaven.core.queries import dispatch, states
 from fuchsiahaven.core.targets import messages
@@ -31,7 +34,7 @@
 
 
 class Environment(Protocol):
-    """State what a host needs of the world round it."""
+    """Describe what a host needs from its environment."""
 
     clock: networks.Network
     hosts: dict[str, 'Host']
@@ -39,14 +42,14 @@
     lost_targets: set[str]
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether two places cannot reach each other now."""
+        """Return whether two hosts, targets or sites are cut off."""
 
     def record_reply(self, host: str, reply: messages.Reply) -> None:
-        """Hand a reply to its caller."""
+        """Record a reply for its caller."""
 
 
 class Host:
-    """Hold one host: its state machines and what they wait for."""
+    """Own one host: its state machines and their pending requests."""
 
     def __init__(
         self,
@@ -55,12 +58,12 @@
         pool: pools.PlatformPool,
         world: Environment,
     ) -> None:
-        """Start with nothing known."""
+        """Start without a configuration or members."""
         self.name = name
         self.data_centre = data_centre
         self.alive = True
         self.in_force: list[int] = []
-        self.faults: set[wording.Fault] = set()
+        self.faults: set[revision_messages.Fault] = set()
         self._world = world
         self._clock = world.clock
         self._pool = pool
@@ -76,7 +79,7 @@
         self._claims = self._open_claims()
 
     def handle_query_event(self, event: messages.Event) -> None:
-        """Hand an event to the dispatch and do what it asks for."""
+        """Pass an event to the dispatch and perform its actions."""
         if self._defer_if_paused(
             functools.partial(self.handle_query_event, event)
         ):
@@ -88,8 +91,8 @@
         for action in actions:
             self._perform_query_action(action)
 
-    def handle_revision_event(self, event: wording.Event) -> None:
-        """Hand an event to the choice of the revision in force."""
+    def handle_revision_event(self, event: revision_messages.Event) -> None:
+        """Pass an event to the revision choice and perform its actions."""
         if self._defer_if_paused(
             functools.partial(self.handle_revision_event, event)
         ):
@@ -105,41 +108,45 @@
         self,
         event: member_messages.MembersListed | member_messages.StampReceived,
     ) -> None:
-        """Take what gossip says of the members."""
+        """Pass a change of the members, or a stamp, to the state machines."""
         match event:
             case member_messages.MembersListed(live, staying):
                 self.handle_query_event(
                     messages.MembersChanged(live, self.name)
                 )
-                self.handle_revision_event(wording.MembersListed(staying))
+                self.handle_revision_event(
+                    revision_messages.MembersListed(staying)
+                )
             case member_messages.StampReceived():
-                self.handle_revision_event(wording.StampReceived(*event))
+                self.handle_revision_event(
+                    revision_messages.StampReceived(*event)
+                )
 
     @property
     def is_watcher(self) -> bool:
-        """Tell whether this host watches the platform."""
+        """Return whether this host watches the platform."""
         return revisions.is_watcher(self._revisions)
 
     @property
     def stamp(self) -> patches.Stamp:
-        """Say what is in force here."""
+        """Return the stamp of the configuration in force."""
         return self._revisions.in_force.stamp
 
     def find_patches(self, above: patches.Stamp) -> tuple[patches.Patch, ...]:
-        """List what a member that has a stamp is missing."""
+        """List the patches that a member with a stamp is missing."""
         return revisions.list_patches(self._revisions, above)
 
     def tick(self) -> None:
-        """Let each task have its turn."""
+        """Run one step of each task."""
         if self.alive and self.name not in self._clock.frozen:
             self.handle_query_event(messages.Tick())
-            self.handle_revision_event(wording.Ticked())
+            self.handle_revision_event(revision_messages.Ticked())
             for worker in self._claims._workers:
                 worker._handle_messages(0)
                 worker._run_once()
 
     def resume(self) -> None:
-        """Go on after a pause, with all that has come meanwhile."""
+        """Resume after a pause, and handle the events deferred by it."""
         self._clock.frozen.discard(self.name)
         backlog = tuple(self._backlog)
         self._backlog.clear()
@@ -147,7 +154,7 @@
             handle()
 
     def read_host_list(self) -> None:
-        """Read the platform's host list, which may fail."""
+        """Read the platform's host list; ignore a failure."""
         try:
             listing = host_list.read_host_list(self._store)
         except store.StoreError:
@@ -164,13 +171,13 @@
                 )
 
     def _defer_if_paused(self, callback: Callback) -> bool:
-        paused = self.name in self._clock.frozen
-        if paused:
+        is_paused = self.name in self._clock.frozen
+        if is_paused:
             self._backlog.append(callback)
-        return paused or not self.alive
+        return is_paused or not self.alive
 
     def _open_claims(self) -> claim_task.Task:
-        # The task's own threads are left out: `tick` makes their turns.
+        # The task's threads are not started: `tick` runs their steps.
         task = claim_task.Task(
             lambda: pools.open_store(self._pool, self._clock),
             lambda address, body, timeout_s: None,
@@ -229,7 +236,7 @@
         self._deliver(name, lambda: target.handle_search(payload, answer))
 
     def _finish_send(self, send: messages.Send, event: messages.Event) -> None:
-        # Each exchange ends in exactly one event.
+        # Each attempt ends with exactly one event.
         if self._in_flight.pop(send.part, None) is not None:
             self.handle_query_event(event)
 
@@ -237,9 +244,9 @@
         send = self._in_flight.get(cancel.part)
         if send is not None:
             request = send.request
-            name = request.request_id, request.shard, request.attempt
+            key = request.request_id, request.shard, request.attempt
             target = self._world.targets[cancel.target]
-            self._deliver(cancel.target, lambda: target.cancel(name))
+            self._deliver(cancel.target, lambda: target.cancel(key))
 
     def _probe(self, probe: messages.Probe) -> None:
         name = probe.target.name
@@ -256,7 +263,7 @@
         )
 
     def _deliver(self, target: str, callback: Callback) -> None:
-        """Let a message arrive, unless the target is cut off or lost then."""
+        """Deliver a message unless the target is cut off or lost on arrival."""
 
         def arrive() -> None:
             if self._can_reach(target):
@@ -265,49 +272,57 @@
         self._clock.call_later(NETWORK_DELAY_S, arrive)
 
     def _can_reach(self, target: str) -> bool:
-        cut = self._world.is_cut(self.name, target)
-        return not cut and target not in self._world.lost_targets
+        is_cut = self._world.is_cut(self.name, target)
+        return not is_cut and target not in self._world.lost_targets
 
-    def _perform_revision_action(self, action: wording.Action) -> None:
+    def _perform_revision_action(
+        self, action: revision_messages.Action
+    ) -> None:
         match action:
-            case wording.ReadManifest():
+            case revision_messages.ReadManifest():
                 self._post_store_event(self._reader.read(self._store))
-            case wording.ReadStoreRevision():
+            case revision_messages.ReadStoreRevision():
                 self._post_store_event(self._reader.read_revision(self._store))
-            case wording.WatchManifest(_, wait_s):
+            case revision_messages.WatchManifest(_, wait_s):
                 self._watch(action, self._clock.now + wait_s)
-            case wording.PutInForce(stamped):
+            case revision_messages.PutInForce(stamped):
                 self.in_force.append(stamped.stamp.revision)
                 self.handle_query_event(
                     messages.ConfigurationReceived(stamped.configuration)
                 )
-                enforced = member_messages.ConfigurationInForce(stamped.stamp)
-                self._clock.send(self.name, enforced)
-            case wording.PushPatch(names, patch):
+                in_force = member_messages.ConfigurationInForce(stamped.stamp)
+                self._clock.send(self.name, in_force)
+            case revision_messages.PushPatch(names, patch):
                 for member in names:
                     self._push(member, patch)
-            case wording.PullPatches(name, above):
+            case revision_messages.PullPatches(name, above):
                 self._pull(name, above)
-            case wording.ReportFault(fault):
+            case revision_messages.ReportFault(fault):
                 self.faults.add(fault)
 
     def _push(self, name: str, patch: patches.Patch) -> None:
         member = self._find_reachable(name)
-        event: wording.Event = wording.MemberUnreachable(name, patch)
+        event: revision_messages.Event = revision_messages.MemberUnreachable(
+            name, patch
+        )
         if member is not None:
             member.handle_revision_event(
-                wording.PatchReceived(self.name, patch)
+                revision_messages.PatchReceived(self.name, patch)
             )
-            event = wording.StampReceived(name, member.stamp)
+            event = revision_messages.StampReceived(name, member.stamp)
         self._clock.call_later(
             NETWORK_DELAY_S, lambda: self.handle_revision_event(event)
         )
 
     def _pull(self, name: str, above: patches.Stamp) -> None:
         member = self._find_reachable(name)
-        event: wording.Event = wording.MemberUnreachable(name)
+        event: revision_messages.Event = revision_messages.MemberUnreachable(
+            name
+        )
         if member is not None:
-            event = wording.PullAnswered(name, member.find_patches(above))
+            event = revision_messages.PullAnswered(
+                name, member.find_patches(above)
+            )
         self._clock.call_later(
             NETWORK_DELAY_S, lambda: self.handle_revision_event(event)
         )
@@ -319,14 +334,19 @@
             None if is_silent or self._world.is_cut(self.name, name) else member
         )
 
-    def _post_store_event(self, event: wording.Event) -> None:
+    def _post_store_event(self, event: revision_messages.Event) -> None:
         self._clock.call_later(
             self._pool.last_call_s, lambda: self.handle_revision_event(event)
         )
 
-    def _watch(self, watch: wording.WatchManifest, until: float) -> None:
+    def _watch(
+        self, watch: revision_messages.WatchManifest, until: float
+    ) -> None:
         event = self._reader.watch(self._store, watch)
-        if isinstance(event, wording.WatchEnded) and self._clock.now < until:
+        if (
+            isinstance(event, revision_messages.WatchEnded)
+            and self._clock.now < until
+        ):
             self._clock.call_later(
                 WATCH_POLL_S, lambda: self._watch(watch, until)
             )
--- a/tests/scenarios/pools.py
+++ b/tests/scenarios/pools.py
@@ -1,4 +1,4 @@
-"""Join real platform adapters to the platform's stand-in, without sockets."""
+"""Connect platform adapters to the platform's stand-in, without sockets."""
 
 import io
 import json
@@ -19,17 +19,17 @@
 
 
 class PlatformPool:
-    """Stand where an adapter expects its connections.
+    """Replace the connection pool of an adapter.
 
-    `took` is how long the last call has taken, in seconds: calls are made at
-    once, and what follows from one has to wait for so long. `interrupt` is
-    what happens just before the next write.
+    `last_call_s` is the duration of the last call in seconds. Calls return
+    immediately, so the caller must delay the effects of one by this time.
+    `before_write` is called once, just before the next write.
     """
 
     def __init__(
         self, service: platform.Platform, is_cut: Callable[[], bool]
     ) -> None:
-        """Reach a platform unless the line is cut."""
+        """Connect to a platform unless the link is cut."""
         self.last_call_s = 0.0
         self.before_write: Callable[[], object] | None = None
         self._service = service
@@ -38,7 +38,7 @@
     def urlopen(
         self, method: str, path: str, body: bytes | None, **options: Any
     ) -> urllib3.HTTPResponse:
-        """Make one call."""
+        """Send one call; raise on a cut link or a lost answer."""
         callback = self.before_write
         if callback is not None and method == 'PUT':
             self.before_write = None
@@ -63,10 +63,10 @@
         )
 
     def close(self) -> None:
-        """Do nothing: there is nothing to close."""
+        """Do nothing, as no connection is open."""
 
 
 def open_store(pool: PlatformPool, clock: networks.Network) -> store.Store:
-    """Make an adapter on a line."""
+    """Create an adapter on a pool."""
     with mock.patch.object(urllib3, 'connection_from_url', return_value=pool):
         return store.Store('http://platform', clock=lambda: clock.now)
--- a/tests/scenarios/test_processes.py
+++ b/tests/scenarios/test_processes.py
@@ -1,7 +1,7 @@
-"""Run the scenarios that take real processes, over loopback.
+"""Run the scenarios that need real processes, over loopback.
 
-The bench starts them, ends them by their ids and judges each answer. Nothing
-here asserts a time: what is waited for is that something has happened.
+The bench starts them, ends them by process id and checks each answer. Nothing
+here asserts a time: the tests wait for events.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 DEPLOYMENT: Final = 'santiago'
 
 
-class Stage:
-    """Own the processes and the callers of one module of scenarios."""
+class Cluster:
+    """Own the processes and callers of the scenarios in this module."""
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
-        """Start everything; the stack ends it."""
-        # Test runs side by side start to look at different places.
+        """Start everything; the stack stops it."""
+        # Concurrent test runs start their port search at different ports.
         ports = list(worlds.find_free_ports())
         plan = worlds.Plan(DEPLOYMENT, ports[os.getpid() % len(ports)])
         self.world = worlds.World(plan, stack)
@@ -43,24 +43,24 @@
         classes = self.world.layout.configuration.classes
         mix = mixes.Mix(DEPLOYMENT, classes, rng, only_at_most_once=False)
         self.callers = callers.Callers(self.world, mix, rng)
-        # What was done to which host, and when.
+        # Time, step and host number of each step.
         self.steps: list[tuple[float, str, int]] = []
         stack.callback(self.runner.run, self._close())
         self.runner.run(self.callers.wait_ready())
 
     def run_load_during(self, event: Callable[[], Awaitable[None]]) -> None:
-        """Let requests arrive before, during and after an event."""
+        """Send requests before, during and after an event."""
         self.callers.records.clear()
         self.callers.cuts.clear()
         self.steps.clear()
         self.runner.run(self._run_load_during(event))
 
     def count_runs(self) -> dict[str, collections.Counter[str]]:
-        """Ask the targets how often each request was run."""
+        """Return the run counts that the targets report."""
         return self.runner.run(self._count_runs())
 
     async def restart_host(self, number: int, signum: signal.Signals) -> None:
-        """End a host by a signal and start it anew."""
+        """End a host by a signal, restart it and wait until it is ready."""
         host = self.world.hosts[number]
         self._record_step(signum.name, number)
         self.world.send_signal(host, signum)
@@ -75,12 +75,12 @@
         self.steps.append((time.monotonic(), step, number))
 
     async def freeze_host(self, number: int) -> None:
-        """Stop a host's process until requests to it have gone unanswered."""
+        """Stop a host's process until a request to it is unanswered."""
         host = self.world.hosts[number]
-        before = len(self.callers.records)
+        first = len(self.callers.records)
         self.world.send_signal(host, signal.SIGSTOP)
         while not any(
-            record.kind == 'silent' for record in self.callers.records[before:]
+            record.kind == 'silent' for record in self.callers.records[first:]
         ):
             await asyncio.sleep(0.05)
         self.world.send_signal(host, signal.SIGCONT)
@@ -111,24 +111,24 @@
         self.callers.client.close()
 
 
-Event = Callable[[Stage], Awaitable[None]]
+Event = Callable[[Cluster], Awaitable[None]]
 
 
-@pytest.fixture(scope='module', name='stage')
-def start_stage() -> Iterator[Stage]:
-    """Start two hosts among stand-ins for all scenarios of this module."""
-    # The callers' balancer asks twice a second who is ready; a busy machine
-    # may hold it up.
+@pytest.fixture(scope='module', name='cluster')
+def start_cluster() -> Iterator[Cluster]:
+    """Start two hosts and stand-ins for all scenarios of this module."""
+    # The callers' balancer polls readiness twice a second, and may be
+    # delayed on a busy machine.
     settings = worlds.SETTINGS.replace('lag_s = 1\n', 'lag_s = 2\n')
     assert settings != worlds.SETTINGS
     with contextlib.ExitStack() as stack:
         stack.enter_context(mock.patch.object(worlds, 'SETTINGS', settings))
-        yield Stage(stack)
+        yield Cluster(stack)
 
 
-async def restart_both(stage: Stage) -> None:
-    await stage.restart_host(0, signal.SIGTERM)
-    await stage.restart_host(1, signal.SIGTERM)
+async def restart_both(cluster: Cluster) -> None:
+    await cluster.restart_host(0, signal.SIGTERM)
+    await cluster.restart_host(1, signal.SIGTERM)
 
 
 EVENTS: Final[Mapping[str, Event]] = {
@@ -141,50 +141,57 @@
 
 
 @when(parsers.parse('requests arrive while {event}'))
-def send_requests(stage: Stage, event: str) -> None:
-    stage.run_load_during(functools.partial(EVENTS[event], stage))
+def send_requests(cluster: Cluster, event: str) -> None:
+    cluster.run_load_during(functools.partial(EVENTS[event], cluster))
 
 
 @then('no request is cut')
-def check_uncut(stage: Stage) -> None:
-    # A request that finds the port closed is cut as well: the balancer that
-    # sent it there had been told to trust this host for its lag.
-    lost = {'cut', 'refused', 'silent'}
-    cut = [record for record in stage.callers.records if record.kind in lost]
-    # Which host it was sent to, and when, tell a late balancer from a host
-    # that closed too soon.
-    details = (cut, stage.callers.cuts, stage.steps, stage.world.read_logs())
+def check_no_request_cut(cluster: Cluster) -> None:
+    # A request that finds the port closed counts as cut: a host must accept
+    # requests for the configured lag of the balancer.
+    kinds = {'cut', 'refused', 'silent'}
+    cut = [record for record in cluster.callers.records if record.kind in kinds]
+    # The host and time of each cut show whether the balancer was late or the
+    # host closed its port too early.
+    details = (
+        cut,
+        cluster.callers.cuts,
+        cluster.steps,
+        cluster.world.read_logs(),
+    )
     assert not cut, '\n'.join(map(str, details))
 
 
 @then('every answer is true')
-def check_true(stage: Stage) -> None:
+def check_answers_correct(cluster: Cluster) -> None:
     faults = {
-        record.fault for record in stage.callers.records if not record.kind
+        record.fault for record in cluster.callers.records if not record.kind
     }
     assert faults == {''}
 
 
 @then('what was told as not run has not run')
-def check_not_run(stage: Stage) -> None:
+def check_not_run(cluster: Cluster) -> None:
     by_id: dict[str, list[str]] = {}
-    for record in stage.callers.records:
+    for record in cluster.callers.records:
         by_id.setdefault(record.request_id, []).append(record.ran)
     refused = {
         name for name, reports in by_id.items() if set(reports) == {'no'}
     }
-    assert not refused & stage.count_runs()['runs'].keys()
+    assert not refused & cluster.count_runs()['runs'].keys()
 
 
 @then('no request that may not be repeated has run twice')
-def check_single(stage: Stage) -> None:
-    runs = stage.count_runs()['single_runs']
+def check_single_runs(cluster: Cluster) -> None:
+    runs = cluster.count_runs()['single_runs']
     assert max(runs.values()) == 1
 
 
 @then('both hosts answer again')
-def check_again(stage: Stage) -> None:
-    stage.callers.records.clear()
-    stage.runner.run(stage.callers.arrive(CHUNK_S, REQUESTS_PER_S))
-    hosts = {record.host for record in stage.callers.records if not record.kind}
-    assert hosts == {0, 1}, stage.callers.records
+def check_both_hosts_answer(cluster: Cluster) -> None:
+    cluster.callers.records.clear()
+    cluster.runner.run(cluster.callers.arrive(CHUNK_S, REQUESTS_PER_S))
+    hosts = {
+        record.host for record in cluster.callers.records if not record.kind
+    }
+    assert hosts == {0, 1}, cluster.callers.records
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Judge the scenarios: what every caller, target and host has seen."""
+"""Check what every caller, target and host of a scenario has seen."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -15,23 +15,23 @@
 
 
 def list_replies(
-    stage: world.World,
+    cluster: world.World,
 ) -> Iterator[tuple[world.SubmittedQuery, world.ReceivedReply]]:
-    """List each request whose host lives, with its one reply."""
-    stage.settle()
-    assert stage.submitted
-    for submitted in stage.submitted:
+    """List each request to a host that is alive, with its only reply."""
+    cluster.settle()
+    assert cluster.submitted
+    for submitted in cluster.submitted:
         if submitted.host.alive:
-            (received,) = stage.replies[submitted.token]
+            (received,) = cluster.replies[submitted.token]
             yield submitted, received
 
 
 def list_answers(
-    stage: world.World,
+    cluster: world.World,
 ) -> Iterator[tuple[world.SubmittedQuery, messages.Answer]]:
-    """List the requests that were answered, at least one."""
+    """List the answered requests and check that there is one."""
     count = 0
-    for submitted, received in list_replies(stage):
+    for submitted, received in list_replies(cluster):
         if isinstance(received.reply.outcome, messages.Answer):
             count += 1
             yield submitted, received.reply.outcome
@@ -39,30 +39,30 @@
 
 
 @then('every request has one reply, in time')
-def check_replies(stage: world.World) -> None:
-    for submitted, received in list_replies(stage):
-        if submitted.host.name not in stage.once_paused:
+def check_replies(cluster: world.World) -> None:
+    for submitted, received in list_replies(cluster):
+        if submitted.host.name not in cluster.once_paused:
             assert received.sent_at <= submitted.query.deadline
 
 
 @then('every answer is complete')
-def check_complete(stage: world.World) -> None:
-    for _, received in list_replies(stage):
+def check_complete(cluster: world.World) -> None:
+    for _, received in list_replies(cluster):
         assert isinstance(received.reply.outcome, messages.Answer), received
         assert received.reply.outcome.coverage.complete
-    check_coverage(stage)
+    check_coverage(cluster)
 
 
 @then('every answer comes from one snapshot')
-def check_snapshots(stage: world.World) -> None:
-    for _, answer in list_answers(stage):
-        found = {(row['group'], row['snapshot']) for row in answer.rows}
-        assert found <= set(answer.snapshots.items())
+def check_snapshots(cluster: world.World) -> None:
+    for _, answer in list_answers(cluster):
+        seen = {(row['group'], row['snapshot']) for row in answer.rows}
+        assert seen <= set(answer.snapshots.items())
 
 
 @then('every answer says truly what it covers')
-def check_coverage(stage: world.World) -> None:
-    for submitted, answer in list_answers(stage):
+def check_coverage(cluster: world.World) -> None:
+    for submitted, answer in list_answers(cluster):
         covering = answer.coverage
         listed = list(covering.covered)
         for missing in covering.missing:
@@ -85,7 +85,7 @@
 def check_partition(
     listed: list[coverage.CoveredRange], groups: set[str]
 ) -> None:
-    """Check that the ranges of each group follow each other without a gap."""
+    """Check that each group's ranges cover the key space without gaps."""
     assert {part.group for part in listed} == groups
     for group in groups:
         ranges = sorted(
@@ -96,22 +96,22 @@
 
 
 @then("every answer is its caller's own")
-def check_owners(stage: world.World) -> None:
-    for submitted, answer in list_answers(stage):
+def check_request_ids(cluster: world.World) -> None:
+    for submitted, answer in list_answers(cluster):
         assert answer.request_id == submitted.query.request_id
         assert {row['asked_by'] for row in answer.rows} <= {answer.request_id}
 
 
 @then('some answers name what is missing')
-def check_partial(stage: world.World) -> None:
-    assert any(answer.coverage.missing for _, answer in list_answers(stage))
-    check_coverage(stage)
+def check_some_partial(cluster: world.World) -> None:
+    assert any(answer.coverage.missing for _, answer in list_answers(cluster))
+    check_coverage(cluster)
 
 
 @then('no request is answered in part')
-def check_whole(stage: world.World) -> None:
-    assert list_failures(stage)
-    for _, received in list_replies(stage):
+def check_none_partial(cluster: world.World) -> None:
+    assert list_failures(cluster)
+    for _, received in list_replies(cluster):
         if isinstance(received.reply.outcome, messages.Answer):
             assert received.reply.outcome.coverage.complete
 
@@ -121,9 +121,11 @@
         '{percent:d} in 100 of the last {count:d} replies come within {ms:d} ms'
     )
 )
-def check_tail(stage: world.World, percent: int, count: int, ms: int) -> None:
-    # The time is scripted, so it is the decisions that this measures.
-    recent = list(list_replies(stage))[-count:]
+def check_latency_percentile(
+    cluster: world.World, percent: int, count: int, ms: int
+) -> None:
+    # The clock is scripted, so this measures only the decisions.
+    recent = list(list_replies(cluster))[-count:]
     latencies = sorted(
         received.sent_at - submitted.query.arrived_at
         for submitted, received in recent
@@ -131,55 +133,55 @@
     assert latencies[count * percent // 100 - 1] <= ms / 1000
 
 
-def list_failures(stage: world.World) -> dict[str, errors.Failure]:
-    """List the requests that failed, by their ids."""
+def list_failures(cluster: world.World) -> dict[str, errors.Failure]:
+    """List the failed requests by id."""
     return {
         submitted.query.request_id: received.reply.outcome
-        for submitted, received in list_replies(stage)
+        for submitted, received in list_replies(cluster)
         if isinstance(received.reply.outcome, errors.Failure)
     }
 
 
 @then('some requests are told as not run')
-def check_refused(stage: world.World) -> None:
+def check_refused(cluster: world.World) -> None:
     refused = [
         failure
-        for failure in list_failures(stage).values()
+        for failure in list_failures(cluster).values()
         if failure.ran is errors.Ran.NO
     ]
     assert refused
     assert all(failure.retry_after for failure in refused)
-    check_not_run(stage)
+    check_not_run(cluster)
 
 
 def get_ran(outcome: outcomes.Outcome) -> errors.Ran:
-    """Say what an outcome tells of whether the request ran."""
+    """Return whether a request ran, according to its outcome."""
     if isinstance(outcome, errors.Failure):
         return outcome.ran
     return errors.Ran.YES
 
 
 @then('nothing that ran is told as not run')
-def check_not_run(stage: world.World) -> None:
-    stage.settle()
+def check_not_run(cluster: world.World) -> None:
+    cluster.settle()
     reports_by_id: dict[str, set[errors.Ran]] = {}
-    for submitted in stage.submitted:
-        # What was asked at a host that is dead by now may have run there.
+    for submitted in cluster.submitted:
+        # A request to a host that has died may have run.
         reports = reports_by_id.setdefault(submitted.query.request_id, set())
-        if not stage.replies[submitted.token]:
+        if not cluster.replies[submitted.token]:
             reports.add(errors.Ran.UNKNOWN)
-        for received in stage.replies[submitted.token]:
+        for received in cluster.replies[submitted.token]:
             reports.add(get_ran(received.reply.outcome))
     never = {errors.Ran.NO}
     refused = {name for name, rans in reports_by_id.items() if rans == never}
-    assert not refused & count_runs(stage).keys()
+    assert not refused & count_runs(cluster).keys()
 
 
-def count_runs(stage: world.World) -> Counter[str]:
-    """Count how often each request was run, by its id."""
+def count_runs(cluster: world.World) -> Counter[str]:
+    """Count the runs of each request by id."""
     return Counter(
         run.request_id
-        for target in stage.targets.values()
+        for target in cluster.targets.values()
         for run in target.runs
     )
 
@@ -189,10 +191,10 @@
         'searcher {number:d} of {group} gets no new work after {seconds:g} s'
     )
 )
-def check_left(
-    stage: world.World, number: int, group: str, seconds: float
+def check_no_work_after_leaving(
+    cluster: world.World, number: int, group: str, seconds: float
 ) -> None:
-    target = conftest.get_target(stage, group, number)
+    target = conftest.get_target(cluster, group, number)
     late = [at for at in target.received_at if at > target.left_at + seconds]
     assert target.received_at and not late
 
@@ -202,8 +204,10 @@
         'no searcher of {group} gets new work after {seconds:g} s of its drain'
     )
 )
-def check_all_left(stage: world.World, group: str, seconds: float) -> None:
-    for target in conftest.list_targets(stage, group):
+def check_no_work_while_draining(
+    cluster: world.World, group: str, seconds: float
+) -> None:
+    for target in conftest.list_targets(cluster, group):
         after = target.left_at + seconds
         drain = [at for at in target.received_at if at < target.back_at]
         assert drain
@@ -211,77 +215,85 @@
 
 
 @then(conftest.parse_step('the tier adds at most {percent:g} percent of load'))
-def check_load(stage: world.World, percent: float) -> None:
-    extra = sum(target.extra_attempts for target in stage.targets.values())
-    received = sum(len(target.received_at) for target in stage.targets.values())
+def check_extra_load(cluster: world.World, percent: float) -> None:
+    extra = sum(target.extra_attempts for target in cluster.targets.values())
+    received = sum(
+        len(target.received_at) for target in cluster.targets.values()
+    )
     assert extra <= (received - extra) * percent / 100
 
 
 @then('no request that may not be repeated ran twice')
-def check_single(stage: world.World) -> None:
-    stage.settle()
-    runs = count_runs(stage)
+def check_single_runs(cluster: world.World) -> None:
+    cluster.settle()
+    runs = count_runs(cluster)
     single = {
         submitted.query.request_id
-        for submitted in stage.submitted
-        if submitted.policy.repeat is configurations.Repeat.AT_MOST_ONCE
+        for submitted in cluster.submitted
+        if submitted.request_class.repeat is configurations.Repeat.AT_MOST_ONCE
     }
     assert single & runs.keys()
     assert max(runs[name] for name in single) == 1
 
 
 @then(conftest.parse_step('refund {name} ran {times}'))
-def check_refund(stage: world.World, name: str, times: str) -> None:
+def check_refund_runs(cluster: world.World, name: str, times: str) -> None:
     allowed = {'once': {1}, 'at most once': {0, 1}, 'never': {0}}
-    stage.settle()
-    assert count_runs(stage)[stage.request_ids[name]] in allowed[times]
+    cluster.settle()
+    assert count_runs(cluster)[cluster.request_ids[name]] in allowed[times]
 
 
 @then(conftest.parse_step('the caller of refund {name} is told {kind}'))
-def check_caller_outcome(stage: world.World, name: str, kind: str) -> None:
+def check_caller_outcome(cluster: world.World, name: str, kind: str) -> None:
     replies = [
         reply
-        for submitted, reply in list_replies(stage)
-        if submitted.query.request_id == stage.request_ids[name]
+        for submitted, reply in list_replies(cluster)
+        if submitted.query.request_id == cluster.request_ids[name]
     ]
     outcome = replies[-1].reply.outcome
     if isinstance(outcome, errors.Failure):
         assert outcome.kind == kind, outcome
         return
-    assert outcome.request_id == stage.request_ids[name]
+    assert outcome.request_id == cluster.request_ids[name]
     assert replies[-1].reply.replayed == (kind == 'the answer again')
 
 
 @then(conftest.parse_step('revision {number:d} is in force on every host'))
-def check_revision(stage: world.World, number: int) -> None:
-    found = {
+def check_revision(cluster: world.World, number: int) -> None:
+    in_force = {
         host.name: host.in_force[-1:]
-        for host in stage.hosts.values()
+        for host in cluster.hosts.values()
         if host.alive
     }
-    assert found == dict.fromkeys(found, [number])
-    check_reverts(stage)
+    assert in_force == dict.fromkeys(in_force, [number])
+    check_reverts(cluster)
 
 
-@then(conftest.parse_step('revision {number:d} is still in force in {place}'))
-def check_place(stage: world.World, number: int, place: str) -> None:
-    found = [
+@then(
+    conftest.parse_step(
+        'revision {number:d} is still in force in {data_centre}'
+    )
+)
+def check_data_centre_revision(
+    cluster: world.World, number: int, data_centre: str
+) -> None:
+    in_force = [
         host.in_force[-1]
-        for host in stage.hosts.values()
-        if host.data_centre == place
+        for host in cluster.hosts.values()
+        if host.data_centre == data_centre
     ]
-    assert set(found) == {number}
+    assert set(in_force) == {number}
 
 
 @then('no host has reverted')
-def check_reverts(stage: world.World) -> None:
-    for host in stage.hosts.values():
+def check_reverts(cluster: world.World) -> None:
+    for host in cluster.hosts.values():
         assert host.in_force == sorted(set(host.in_force))
 
 
 @then(conftest.parse_step('operator {name} is told {kind}'))
-def check_operator(stage: world.World, name: str, kind: str) -> None:
-    outcome = stage.outcomes[name]
+def check_operator(cluster: world.World, name: str, kind: str) -> None:
+    outcome = cluster.outcomes[name]
     if isinstance(outcome, errors.Failure):
         assert outcome.kind == kind, outcome
     else:
@@ -290,19 +302,19 @@
 
 
 @then(conftest.parse_step('operator {name} is shown what {other} has changed'))
-def check_conflict_author(stage: world.World, name: str, other: str) -> None:
-    outcome = stage.outcomes[name]
+def check_conflict_author(cluster: world.World, name: str, other: str) -> None:
+    outcome = cluster.outcomes[name]
     assert isinstance(outcome, errors.Failure)
     assert f'by {other}' in outcome.detail
 
 
 @then(conftest.parse_step('some host reports {fault}'))
-def check_faults(stage: world.World, fault: str) -> None:
-    assert any(fault in host.faults for host in stage.hosts.values())
+def check_faults(cluster: world.World, fault: str) -> None:
+    assert any(fault in host.faults for host in cluster.hosts.values())
 
 
 @then(conftest.parse_step('the last answer covers {groups}'))
-def check_groups(stage: world.World, groups: str) -> None:
-    answer = list(list_answers(stage))[-1][1]
+def check_covered_groups(cluster: world.World, groups: str) -> None:
+    answer = list(list_answers(cluster))[-1][1]
     assert set(answer.snapshots) == set(conftest.split_names(groups))
     assert answer.coverage.complete
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -1,7 +1,7 @@
-"""Hold several hosts among small fakes, and let scripted time pass.
+"""Simulate several hosts with fake targets and a scripted clock.
 
-The state machines, and the adapters that read and write bytes, are the real
-ones; connections, threads and clocks are left out.
+The state machines, and the adapters that encode and decode bytes, are the
+real ones; connections, threads and clocks are replaced.
 """
 
 import itertools
@@ -24,7 +24,7 @@
 from tests.scenarios import fakes, hosts, pools
 
 PLATFORM: Final = 'the platform'
-#: Where operators and callers are.
+#: The site of operators and callers.
 OPERATOR_SITE: Final = 'the office'
 TICK_INTERVAL_S: Final = 0.01
 HOST_LIST_INTERVAL_S: Final = 2.0
@@ -32,26 +32,26 @@
 
 
 class SubmittedQuery(NamedTuple):
-    """Remember one request of a caller."""
+    """Record one request of a caller."""
 
     token: int
     host: hosts.Host
     query: messages.Query
-    policy: configurations.RequestClass
+    request_class: configurations.RequestClass
 
 
 class ReceivedReply(NamedTuple):
-    """Remember one reply and when it left."""
+    """Record one reply and when it was sent."""
 
     reply: messages.Reply
     sent_at: float
 
 
 class World:
-    """Own the hosts, the targets, the platform and the time."""
+    """Own the hosts, the targets, the platform and the clock."""
 
     def __init__(self) -> None:
-        """Start without a host or a target."""
+        """Start without hosts or targets."""
         self.clock = networks.Network(0)
         self.clock.is_cut = self.is_cut
         self.clock.notify = lambda name, event: self.hosts[
@@ -63,7 +63,7 @@
         self.hosts: dict[str, hosts.Host] = {}
         self.cut_links: set[frozenset[str]] = set()
         self.lost_targets: set[str] = set()
-        #: Hosts that were paused once, and may have replied late.
+        #: Hosts that have been paused, whose replies may be late.
         self.once_paused: set[str] = set()
         self.request_ids: dict[str, str] = {}
         self.outcomes: dict[str, transactions.Outcome] = {}
@@ -86,7 +86,7 @@
     def add_group(
         self, name: str, count: int, shards: int, data_centre: str
     ) -> None:
-        """Add a group of targets which hold snapshot 1, or add to it."""
+        """Add targets that hold snapshot 1 to a group, which may be new."""
         groups = {group.name: group for group in self.configuration.groups}
         group = groups.get(name) or configurations.Group(
             name, (('kind', name),), ()
@@ -114,16 +114,16 @@
     def load_snapshot(
         self, names: list[str], snapshot: int, shards: int
     ) -> None:
-        """Let targets hold a snapshot, each shard on two of them or more."""
-        copies = max(2, len(names) // shards)
-        for index in range(copies * shards):
+        """Load a snapshot on targets, each shard on at least two of them."""
+        replicas = max(2, len(names) // shards)
+        for index in range(replicas * shards):
             target = self.targets[names[index % len(names)]]
             target.add_shard(snapshot, index % shards, shards)
 
     def add_class(
         self, request_class: configurations.RequestClass, groups: Iterable[str]
     ) -> None:
-        """Add a class of request that reaches some groups."""
+        """Add a class of request that is sent to some groups."""
         expression = 'kind in ({0})'.format(','.join(groups))
         selector = configurations.Selector(
             request_class.name, request_class.name, expression
@@ -134,7 +134,7 @@
         )
 
     def add_host(self, name: str, data_centre: str) -> None:
-        """Start a host, or one anew under the name of another."""
+        """Start a host, replacing one of the same name."""
         self._locations[name] = data_centre
         pool = pools.PlatformPool(
             self.platform, lambda: self.is_cut(name, PLATFORM)
@@ -150,7 +150,7 @@
     def commit_change(
         self, operator: str, change: changes.Change, base: int | None = None
     ) -> transactions.Outcome:
-        """Let an operator make a change; `base` is what was seen before."""
+        """Commit a change by an operator; `base` is the revision it read."""
         number = next(self._counter)
         request = proposals.ChangeRequest(
             f'{operator}-{number}', operator, change
@@ -166,7 +166,7 @@
         )
 
     def publish_host_list(self, leaving: str = '') -> None:
-        """Let the platform list all targets, one of them as leaving."""
+        """Set the platform's host list to all targets, one as leaving."""
         rows = [
             {
                 'name': name,
@@ -180,7 +180,7 @@
         self.platform.set_host_list(rows)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether two places cannot reach each other now."""
+        """Return whether two hosts, targets or sites are cut off."""
         return any(
             frozenset((near, far)) in self.cut_links
             for near in (one, self._locations[one])
@@ -188,7 +188,7 @@
         )
 
     def lose_target(self, name: str) -> None:
-        """Let a target end without a word; its connections break."""
+        """Stop a target without notice and break its connections."""
         self.lost_targets.add(name)
         for host in self.hosts.values():
             host.break_connections(name)
@@ -197,8 +197,8 @@
     def submit_query(
         self, host: str, class_name: str, request_id: str = '', key: str = ''
     ) -> None:
-        """Let a caller ask a host."""
-        (policy,) = (
+        """Submit a query to a host."""
+        (request_class,) = (
             each
             for each in self.configuration.classes
             if each.name == class_name
@@ -210,11 +210,11 @@
             {'limit': 1000},
             key or None,
             now,
-            now + policy.deadline_ms / 1000,
+            now + request_class.deadline_ms / 1000,
         )
         token = next(self._counter)
         self.submitted.append(
-            SubmittedQuery(token, self.hosts[host], query, policy)
+            SubmittedQuery(token, self.hosts[host], query, request_class)
         )
         self.replies[token] = []
         self.hosts[host].handle_query_event(
@@ -222,12 +222,12 @@
         )
 
     def make_request_id(self) -> str:
-        """Make the id of a request of now."""
+        """Create a request id with the current time."""
         bits = self._rng.getrandbits(request_ids.RANDOM_BITS)
         return request_ids.make_request_id(self.clock.now, bits)
 
     def read_claims(self) -> str:
-        """Read all claims that the platform holds."""
+        """Return all claims on the platform as JSON text."""
         listing = self.platform.route(
             'GET', '/v1/keys', {'prefix': 'claims/'}, {}
         )
@@ -240,11 +240,11 @@
         return json.dumps([reply.body for reply in replies])
 
     def record_reply(self, host: str, reply: messages.Reply) -> None:
-        """Hand a reply to its caller."""
+        """Record a reply for its caller."""
         self.replies[reply.token].append(ReceivedReply(reply, self.clock.now))
 
     def settle(self) -> None:
-        """Let all that is under way come to its end, once."""
+        """Run until requests in flight have ended, once per point in time."""
         if self.clock.now > self._settled_at:
             self.clock.run(SETTLE_TIME_S)
             self._settled_at = self.clock.now
