--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Test the project; the folders mirror the package."""
+"""Test the project; the folders mirror those of the package."""
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Make certificates for tests of TLS."""
+"""Create certificates for tests of TLS."""
 
 import datetime
 import ipaddress
@@ -15,7 +15,7 @@
     """Sign certificates for hosts on loopback."""
 
     def __init__(self, folder: Path, name: str = 'authority') -> None:
-        """Make the authority and write its certificate."""
+        """Create the authority and write its certificate."""
         self.path = folder / f'{name}.pem'
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name(
@@ -29,7 +29,7 @@
         self.path.write_bytes(_encode_pem(certificate))
 
     def issue(self, folder: Path, name: str = 'host') -> tuple[Path, Path]:
-        """Write a certificate for 127.0.0.1 and its key; give the paths."""
+        """Write a certificate for 127.0.0.1 and its key; return both paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name(
             [x509.NameAttribute(x509.NameOID.COMMON_NAME, name)]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,12 +2,12 @@
 
 from typing import Final, NamedTuple
 
-#: More than this is a backlog, not a list of what is mended first next time.
+#: Listed faults are to be fixed first; a longer list would be a backlog.
 MAX_ENTRIES: Final = 3
 
 
 class Entry(NamedTuple):
-    """Name a red test, why it fails and the issue that mends it."""
+    """Hold a known failure: the test id, its cause and the issue to fix it."""
 
     test: str
     cause: str
@@ -15,7 +15,10 @@
 
 
 def read_entries(text: str) -> list[Entry]:
-    """Read lines of `test id, cause, issue`; raise ValueError on any other."""
+    """Parse lines of `test id, cause, issue`.
+
+    Raises ValueError for any other line and for more than MAX_ENTRIES lines.
+    """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_ENTRIES:
         raise ValueError(
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Hold the decisions to the steady clock."""
+"""Check that decisions use only the monotonic clock."""
 
 import ast
 from collections.abc import Iterator
@@ -9,24 +9,24 @@
 
 ROOT: Final = Path(fuchsiahaven.__file__).parent
 PACKAGES: Final = ('core', 'routing', 'platform', 'relay')
-#: Readings of the time of day, which a correction moves in either direction.
+#: Functions that read the time of day, which can jump in both directions.
 WALL_CLOCK_READS: Final = frozenset(('time', 'time_ns', 'localtime', 'gmtime'))
-#: Readings of a clock that is named by a number. Only the one that counts the
-#: time for which the machine was suspended is read so, in one place.
+#: Functions that read a clock by its id. Only the boot clock, which counts the
+#: time during which the machine was suspended, is read so, in one module.
 CLOCK_ID_READS: Final = frozenset(('clock_gettime', 'clock_gettime_ns'))
 BOOT_CLOCK_MODULE: Final = 'core/boot_clock.py'
 BOOT_CLOCK_ID: Final = 'time.CLOCK_BOOTTIME'
-#: Each line of the log carries the time of day, for people.
+#: Each log line carries the time of day for its readers.
 ALLOWED: Final = {'relay/journal.py'}
 
 
 def reads_time_of_day(path: Path) -> bool:
-    """Tell whether a module reads the time of day."""
+    """Return whether a module reads the time of day."""
     return any(list_readings(ast.parse(path.read_text())))
 
 
 def list_readings(tree: ast.Module) -> Iterator[bool]:
-    """Go through what could read it."""
+    """Yield for each candidate node whether it reads the time of day."""
     for node in ast.walk(tree):
         match node:
             case ast.Attribute(value=ast.Name(id='time'), attr=attr):
@@ -38,11 +38,11 @@
 
 
 def test_decisions_use_the_monotonic_clock() -> None:
-    """Symptom: a corrected clock ends requests early, or never.
+    """A clock correction must neither end requests early nor keep them open.
 
-    The time of day jumps by seconds in either direction when it is set right.
-    A deadline or the age of news that is counted on it would be over at once
-    or never; the steady clock goes on.
+    A correction moves the time of day by seconds in either direction. A
+    deadline or the age of a report measured with it would expire at once or
+    never. The monotonic clock does not jump.
     """
     found = {
         str(path.relative_to(ROOT))
@@ -54,7 +54,7 @@
 
 
 def list_named_clocks(path: Path) -> Iterator[str]:
-    """List the clocks that a module reads by their number."""
+    """List the clocks that a module reads by id."""
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.Call(func=ast.Attribute(attr=attr), args=[clock, *_]):
@@ -65,10 +65,10 @@
 
 
 def test_only_the_boot_clock_is_read_by_its_id() -> None:
-    """Symptom: the same, by a reading that goes under another name.
+    """The time of day must not be read by its clock id either.
 
-    The age of what is known of keys has to count the time for which the
-    machine was suspended; the time of day counts it too, and jumps.
+    The age of the known keys must include the time during which the machine
+    was suspended. The time of day includes it as well, but it can jump.
     """
     found = {
         str(path.relative_to(ROOT)): set(list_named_clocks(path))
--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -1,4 +1,4 @@
-"""Test that comments tell today's reader what is, not how it came about."""
+"""Test that comments describe the present code, not its history."""
 
 import io
 import pathlib
@@ -12,7 +12,7 @@
 import fuchsiahaven
 
 PACKAGE: Final = pathlib.Path(fuchsiahaven.__file__).parent
-#: How a value was tuned, dates, issues and days of a bench belong in the
+#: The tuning of a value, dates, issues and bench scenarios belong in the
 #: commit message or in docs/CAPACITY.md.
 CLEAR_CASES: Final = re.compile(
     r"""
@@ -30,7 +30,7 @@
 
 
 def list_comments(source: str) -> Iterator[tuple[int, str]]:
-    """List comments and strings by line; doc comments are strings."""
+    """List comments and strings with their lines; doc comments are strings."""
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type in {tokenize.COMMENT, tokenize.STRING}:
             yield token.start[0], token.string
@@ -40,7 +40,7 @@
     'path', sorted(PACKAGE.rglob('*.py')), ids=lambda it: it.stem
 )
 def test_comments_hold_no_tuning_history(path: pathlib.Path) -> None:
-    """A reader of today's code has no use for how a value was found."""
+    """How a value was tuned does not help a reader of the present code."""
     found = [
         (line, match.group())
         for line, comment in list_comments(path.read_text())
@@ -59,6 +59,6 @@
     ],
 )
 def test_finds_the_clear_cases(remark: str) -> None:
-    """The check itself is checked."""
+    """The pattern matches known cases."""
     ((_, comment),) = list_comments(remark)
     assert CLEAR_CASES.search(comment)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Test that the list of known red tests cannot hide more than agreed."""
+"""Test that the list of known failures cannot hide more than allowed."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def test_entry_keeps_commas_of_the_cause() -> None:
-    """Read a parametrised id and a cause with a comma in it."""
+    """A parametrised id and a cause with a comma are parsed."""
     line = 'tests/test_x.py::test_y[1], late, then lost, issue 7\n\n'
     assert known_red.read_entries(line) == [
         known_red.Entry(
@@ -17,6 +17,6 @@
 
 @pytest.mark.parametrize('text', ['a, b, c\n' * 4, 'tests/test_x.py::test_y'])
 def test_list_is_refused(text: str) -> None:
-    """Refuse a fourth entry, and an entry without cause and issue."""
+    """A fourth entry and an entry without cause and issue are rejected."""
     with pytest.raises(ValueError, match='KNOWN-RED'):
         known_red.read_entries(text)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Hold the packages to imports in one direction."""
+"""Check that the packages import each other in one direction only."""
 
 import ast
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 ROOT: Final = Path(fuchsiahaven.__file__).parent
 PACKAGE_NAME: Final = 'fuchsiahaven'
-#: What each package may import of the others, besides itself.
+#: The other packages that each package may import.
 ALLOWED: Final = {
     'core': set(),
     'core.customers': {'core'},
@@ -41,7 +41,7 @@
 
 
 def list_imports(path: Path) -> Iterator[str]:
-    """List the modules of this project that a module imports."""
+    """List the modules and names of this project that a module imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             if node.module.split('.')[0] == PACKAGE_NAME:
@@ -51,7 +51,7 @@
 
 
 def find_package(module: str) -> str:
-    """Find the package of a module, without the project's name."""
+    """Return the package of a module, without the project's name."""
     parts = module.split('.')[1:]
     folder = ROOT.joinpath(*parts)
     inside = parts if folder.is_dir() else parts[:-1]
@@ -59,7 +59,7 @@
 
 
 def list_crossings(package: str) -> Iterator[tuple[str, str]]:
-    """List which other packages the modules of a package import."""
+    """List the imports of other packages, with the importing file."""
     for path in sorted(ROOT.joinpath(*package.split('.')).glob('*.py')):
         for module in list_imports(path):
             if find_package(module) != package:
@@ -67,7 +67,7 @@
 
 
 def test_imports_go_one_way() -> None:
-    """Symptom: to read one module a newcomer has to read all of them."""
+    """With cyclic imports a reader of one module has to read them all."""
     wrong = [
         (package, *crossing)
         for package, allowed in ALLOWED.items()
@@ -78,7 +78,7 @@
 
 
 def test_each_core_package_declares_its_imports() -> None:
-    """A new package must say what it may import."""
+    """A new package must declare its allowed imports."""
     packages = {
         f'core.{path.parent.name}' for path in ROOT.glob('core/*/__init__.py')
     }
