--- a/standins/answers.py
+++ b/standins/answers.py
@@ -55,10 +55,10 @@
     @property
     def key(self) -> JobKey:
         """Return the key by which a cancellation names the sub-request."""
-        return find_key(self.search)
+        return get_key(self.search)
 
 
-def find_key(body: wire.Json) -> JobKey:
+def get_key(body: wire.Json) -> JobKey:
     """Return the key of a sub-request, from its body or its cancellation."""
     return body['request_id'], body['shard'], body['attempt']
 
--- a/standins/searchers.py
+++ b/standins/searchers.py
@@ -203,7 +203,7 @@
                 self._handle_search(answers.Job(channel, search, deadline))
             case '/v1/cancel':
                 self.stats.counts['cancels'] += 1
-                self._slots.cancel(answers.find_key(request.parse_body()))
+                self._slots.cancel(answers.get_key(request.parse_body()))
                 channel.reply(204)
             case '/v1/health':
                 self.stats.counts['health'] += 1
@@ -226,13 +226,13 @@
         ):
             job.channel.transport.abort()
             return
-        reason = self._find_refusal(job.search)
+        reason = self._find_refusal_reason(job.search)
         if reason:
             self._refuse(job, reason)
         else:
             self._slots.add(job)
 
-    def _find_refusal(self, search: wire.Json) -> str:
+    def _find_refusal_reason(self, search: wire.Json) -> str:
         not_after = search.get('not_after_epoch') or math.inf
         is_held = (search['snapshot'], search['shard']) in self.holdings
         if self.behaviour.refuse:
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -41,7 +41,7 @@
     targets: dict[str, fakes.Target]
     lost_targets: set[str]
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_cut(self, site: str, other_site: str) -> bool:
         """Return whether two hosts, targets or sites are cut off."""
 
     def record_reply(self, host: str, reply: messages.Reply) -> None:
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -179,12 +179,12 @@
         ]
         self.platform.set_host_list(rows)
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_cut(self, site: str, other_site: str) -> bool:
         """Return whether two hosts, targets or sites are cut off."""
         return any(
             frozenset((near, far)) in self.cut_links
-            for near in (one, self._locations[one])
-            for far in (other, self._locations[other])
+            for near in (site, self._locations[site])
+            for far in (other_site, self._locations[other_site])
         )
 
     def lose_target(self, name: str) -> None:
--- a/tests/standins/test_layouts.py
+++ b/tests/standins/test_layouts.py
@@ -22,7 +22,7 @@
                 site = (target.data_centre, holding.shard)
                 instances[site].add(target.name.rpartition('/')[0])
         assert len(instances) == service.shards * data_centres
-        assert {len(found) for found in instances.values()} == {
+        assert {len(holders) for holders in instances.values()} == {
             service.replicas
         }
 
@@ -40,7 +40,11 @@
 def test_repartition_covers_all_positions() -> None:
     service = layouts.SERVICES['santiago'][0]
     assigned = layouts.assign_shards(service, 25, 13)
-    ranges = {(one.low, one.high) for each in assigned for one in each}
+    ranges = {
+        (holding.low, holding.high)
+        for holdings in assigned
+        for holding in holdings
+    }
     lows = sorted(low for low, _ in ranges)
     highs = sorted(high for _, high in ranges)
     assert lows == [0, *highs[:-1]]
--- a/tests/standins/test_metadata_store.py
+++ b/tests/standins/test_metadata_store.py
@@ -172,9 +172,9 @@
     async def check() -> None:
         store = metadata_store.Store()
         async with connect(store) as client:
-            new = {'key': 'one', 'revision': 0}
-            assert await client.put('one', 0, (new,)) == 200
-            assert await client.put('one', 0, (new,)) == 412
+            absent = {'key': 'one', 'revision': 0}
+            assert await client.put('one', 0, (absent,)) == 200
+            assert await client.put('one', 0, (absent,)) == 412
 
     servers.run(check())
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -44,13 +44,13 @@
     deadline or the age of a report measured with it would expire at once or
     never. The monotonic clock does not jump.
     """
-    found = {
+    modules = {
         str(path.relative_to(ROOT))
         for package in PACKAGES
         for path in ROOT.joinpath(package).rglob('*.py')
         if reads_time_of_day(path)
     }
-    assert found == ALLOWED
+    assert modules == ALLOWED
 
 
 def list_named_clocks(path: Path) -> Iterator[str]:
@@ -67,13 +67,13 @@
 def test_only_the_boot_clock_is_read_by_its_id() -> None:
     """The time of day must not be read by its clock id either.
 
-    The age of the known keys must include the time during which the machine
+    The age of the stored keys must include the time during which the machine
     was suspended. The time of day includes it as well, but it can jump.
     """
-    found = {
+    clocks = {
         str(path.relative_to(ROOT)): set(list_named_clocks(path))
         for package in PACKAGES
         for path in ROOT.joinpath(package).rglob('*.py')
     }
-    assert found.pop(BOOT_CLOCK_MODULE) == {BOOT_CLOCK_ID}
-    assert not any(found.values())
+    assert clocks.pop(BOOT_CLOCK_MODULE) == {BOOT_CLOCK_ID}
+    assert not any(clocks.values())
--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -41,16 +41,16 @@
 )
 def test_comments_hold_no_tuning_history(path: pathlib.Path) -> None:
     """How a value was tuned does not help a reader of the present code."""
-    found = [
+    matches = [
         (line, match.group())
         for line, comment in list_comments(path.read_text())
         if (match := CLEAR_CASES.search(comment))
     ]
-    assert not found
+    assert not matches
 
 
 @pytest.mark.parametrize(
-    'remark',
+    'text',
     [
         '# With 3 ms it was 2 % less.',
         '# Seen on trouble-2.',
@@ -58,7 +58,7 @@
         '# 4 ms instead of 50.',
     ],
 )
-def test_finds_the_clear_cases(remark: str) -> None:
+def test_finds_the_clear_cases(text: str) -> None:
     """The pattern matches known cases."""
-    ((_, comment),) = list_comments(remark)
+    ((_, comment),) = list_comments(text)
     assert CLEAR_CASES.search(comment)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -68,13 +68,13 @@
 
 def test_imports_go_one_way() -> None:
     """With cyclic imports a reader of one module has to read them all."""
-    wrong = [
+    violations = [
         (package, *crossing)
         for package, allowed in ALLOWED.items()
         for crossing in list_crossings(package)
         if crossing[1] not in allowed
     ]
-    assert not wrong
+    assert not violations
 
 
 def test_each_core_package_declares_its_imports() -> None:
