--- a/tests/scenarios/fakes.py
+++ b/tests/scenarios/fakes.py
@@ -131,7 +131,7 @@
         job = Job(search, deadline, answer)
         self.received_at.append(self._clock.now)
         self.extra_attempts += search['attempt'] > 1
-        reason = self._find_refusal(search)
+        reason = self._find_refusal_reason(search)
         if reason:
             self._refuse(job, reason)
             return
@@ -170,7 +170,7 @@
             }
         )
 
-    def _find_refusal(self, search: dict[str, Any]) -> str:
+    def _find_refusal_reason(self, search: dict[str, Any]) -> str:
         not_after = search['not_after_epoch']
         if not_after is not None and self._clock.now > not_after:
             return 'deadline'
