--- a/standins/histories.py
+++ b/standins/histories.py
@@ -74,7 +74,7 @@
             if row['lease'] == lease_id:
                 self.remove(key)
 
-    def discard_leases(self) -> None:
+    def reset_lease_ids(self) -> None:
         """Reuse the ids above the highest lease that remains."""
         self._last_lease_id = max(self.leases, default=0)
 
--- a/tests/relay/clusters.py
+++ b/tests/relay/clusters.py
@@ -163,7 +163,7 @@
         if key.startswith(prefix):
             copy.items.pop(key)
             copy.leases.pop(row['lease'], None)
-    copy.discard_leases()
+    copy.reset_lease_ids()
     return copy
 
 
