--- a/fuchsiahaven/core/configuration/manifest_schemas.py
+++ b/fuchsiahaven/core/configuration/manifest_schemas.py
@@ -48,7 +48,7 @@
 
 
 def _mapping_of(pattern: str, row: Schema) -> Schema:
-    """Return the schema of an object whose keys have one form."""
+    """Return the schema of an object whose keys match a pattern."""
     return {
         'type': 'object',
         'propertyNames': {'pattern': pattern},
@@ -61,8 +61,8 @@
 
     A field that this release does not know would be lost when the manifest is
     next written, and with it a change that was reported as accepted. A new
-    field therefore needs a higher format, which older releases refuse with an
-    error of its own.
+    field therefore needs a higher format number, which older releases refuse
+    with an error of its own (UNKNOWN_FORMAT).
     """
     return {
         'type': 'object',
@@ -136,7 +136,7 @@
     },
     {'priority': _PRIORITY},
 )
-#: Customers are named by the same rules as groups. Targets receive the names.
+#: Customer names follow the rules of group names; they are sent to targets.
 _CUSTOMERS: Final = _mapping_of(NAME_PATTERN, _CUSTOMER)
 _AUDIT_ENTRY: Final = _object_of(
     {
@@ -175,7 +175,8 @@
         **_SELECTORS_AND_CLASSES,
         'changes': {'type': 'array', 'items': _AUDIT_ENTRY},
     },
-    # An empty object could mean "no keys needed" or "no key is valid".
+    # An empty object is invalid, because it could mean "no keys needed" or
+    # "no key is valid".
     {'customers': {**_CUSTOMERS, 'minProperties': 1}},
 )
 PART: Final = _object_of(
@@ -188,7 +189,7 @@
     }
 )
 ARCHIVED_ENTRY: Final = _object_of({**_FORMAT, 'entry': _AUDIT_ENTRY})
-#: The tree of fields that changes edit; see module `trees`.
+#: The tree whose fields are edited by changes; see module `trees`.
 FIELD_TREE: Final = _object_of(
     {
         'groups': _mapping_of(
--- a/fuchsiahaven/core/suspects.py
+++ b/fuchsiahaven/core/suspects.py
@@ -17,11 +17,11 @@
 
 #: A request with this many crashes is quarantined.
 MIN_QUARANTINE_CRASHES: Final = 3
-#: From this many crashes on a trial excludes sending by other hosts, as its
-#: failure quarantines the request.
+#: From this many crashes on, other hosts do not send the request during a
+#: trial, because a failed trial quarantines it.
 MIN_EXCLUSIVE_CRASHES: Final = 2
-#: The delay before the trial that may quarantine a request. An unrelated cause
-#: that ends many targets is mostly over by then.
+#: The delay before the trial that may quarantine a request. A failure that
+#: crashes many targets for another reason is mostly over by then.
 TRIAL_DELAY_S: Final = 1.0
 #: The duration of a first quarantine, which doubles with each failed trial, and
 #: its upper bound.
@@ -29,8 +29,8 @@
 MAX_QUARANTINE_S: Final = 600.0
 #: How long other hosts wait for the result of a trial.
 TRIAL_TIMEOUT_S: Final = 1.0
-#: A request that crashes its target is lost later than this after it was sent:
-#: it takes a round trip to the farthest data centre, and time to run.
+#: The least time between sending a request and losing it to a crash that it
+#: causes: a round trip to the farthest data centre, and time to run.
 MIN_RUN_S: Final = 0.005
 #: Smaller differences between waits are due to the delay between hosts.
 WAIT_TOLERANCE_S: Final = 0.2
@@ -43,7 +43,7 @@
 #: Targets and services recorded for each request, for operators to look up.
 MAX_NAMES: Final = 4
 #: The rate of reports of first crashes to other hosts. A rack that fails causes
-#: many, nearly all of innocent requests.
+#: many reports, nearly all of requests that did not cause the crash.
 REPORTS_PER_S: Final = 4
 REPORT_BURST: Final = 16
 REPORT_RATE: Final = rates.Rate(REPORTS_PER_S, REPORT_BURST)
@@ -82,7 +82,7 @@
     """Report a suspect request to other hosts or to operators.
 
     `crashes` counts its crashes since it was last cleared, `clears` how often
-    it was cleared. It must not be sent for `wait_s` seconds. `targets` and
+    it was cleared. It must not be sent for `wait` seconds. `targets` and
     `services` name some of those that crashed. `host` runs its trial or is
     about to; it may be empty.
     """
@@ -134,7 +134,7 @@
 
     def __init__(self) -> None:
         """Start without suspects."""
-        #: The ids of what waits for the trial of a request.
+        #: Numbers of the active requests that wait for a trial, by identity.
         self.waiting_ids: dict[request_identities.Identity, set[int]] = {}
         self.offers = trial_offers.Offers(REPORT_RATE)
         self._suspects: dict[request_identities.Identity, Suspect] = {}
@@ -395,7 +395,11 @@
 def _evict_one(
     suspects: dict[request_identities.Identity, Suspect], customer: str
 ) -> None:
-    """Evict a suspect of a customer that has too many, or has the most."""
+    """Make room for a suspect of a customer.
+
+    Evicts one of this customer's suspects if the customer is at its limit. If
+    the whole table is full, evicts one of the customer with the most suspects.
+    """
     counts = collections.Counter(it.customer for it in suspects)
     if counts[customer] < MAX_CUSTOMER_SUSPECTS:
         if len(suspects) < MAX_SUSPECTS:
@@ -413,7 +417,7 @@
     """Return whether a target's crash counts as a new one.
 
     An attempt sent before the last crash belongs to that crash. So does one
-    that was lost at once, whose target had crashed before the request arrived.
+    that was lost at once: its target had crashed before the request arrived.
     A trial always counts, as it uses a connection that was open after the last
     crash.
     """
@@ -442,7 +446,7 @@
 def is_first_trial(report: News) -> bool:
     """Return whether a report announces a trial after a first crash.
 
-    Most of these requests are innocent, and none is refused for it.
+    Most of these requests did not cause the crash, and none is refused.
     """
     return bool(report.host) and 0 < report.crashes < MIN_EXCLUSIVE_CRASHES
 
--- a/fuchsiahaven/edge/caller_port.py
+++ b/fuchsiahaven/edge/caller_port.py
@@ -22,7 +22,7 @@
 HEALTH_ROUTE: Final = ('GET', '/healthz')
 READINESS_ROUTE: Final = ('GET', '/readyz')
 METRICS_ROUTE: Final = ('GET', '/metrics')
-#: Routes of the caller port and of the metrics port.
+#: Routes served on the caller port, and on the port for metrics.
 CALLER_ROUTES: Final = frozenset(
     (SEARCH_ROUTE, HEALTH_ROUTE, READINESS_ROUTE, METRICS_ROUTE)
 )
--- a/fuchsiahaven/edge/claim_owners.py
+++ b/fuchsiahaven/edge/claim_owners.py
@@ -21,7 +21,7 @@
 
 
 class ClaimOwners:
-    """Own the members that may write claims for this host."""
+    """Choose the members that write claims for this host, and call them."""
 
     def __init__(self, send: SendClaims, clock: Callable[[], float]) -> None:
         """Start empty; `send` posts a body to an address with a timeout."""
--- a/fuchsiahaven/edge/peer_client.py
+++ b/fuchsiahaven/edge/peer_client.py
@@ -11,10 +11,10 @@
 from fuchsiahaven.edge import tls
 
 JSON_HEADERS: Final = {'Content-Type': 'application/json'}
-#: Gossip partners, hosts of the distribution tree and some others.
+#: Enough for gossip partners, hosts of the distribution tree and some others.
 MAX_KEPT_HOSTS: Final = 24
-#: One for gossip, one for configuration and one per bucket of claims, as all
-#: may call concurrently; a new connection takes another handshake.
+#: For each host: one for gossip, one for configuration and one per bucket of
+#: claims, as all may call concurrently. A new connection needs a handshake.
 MAX_KEPT_CONNECTIONS: Final = 2 + claims.BUCKET_COUNT
 _CHUNK_BYTES: Final = 65_536
 _SUCCESS_STATUSES: Final = frozenset(
@@ -72,7 +72,7 @@
     def send_claims(
         self, address: str, body: bytes, timeout_s: float
     ) -> bytes | None:
-        """Send claims to a member to write; None if it does not answer."""
+        """Send claims to the member that writes them; None if it fails."""
         return self.call(
             Request('POST', address, '/v1/claims', body, timeout_s)
         )
@@ -80,10 +80,10 @@
     def _read_body(
         self, response: urllib3.BaseHTTPResponse, deadline: float
     ) -> bytes | None:
-        """Read an answer within its limits of bytes and seconds.
+        """Read an answer; return None if it is too long or too slow.
 
-        Each byte of a trickled answer restarts the socket's timeout, so
-        without a limit in total it could block the thread for ever.
+        Each byte received restarts the socket's timeout, so without a limit
+        on the total time a slow answer could block the thread for ever.
         """
         parts: list[bytes] = []
         size = 0
--- a/fuchsiahaven/operate/command_selector.py
+++ b/fuchsiahaven/operate/command_selector.py
@@ -27,7 +27,7 @@
         '--data-centres',
         type=value_parsing.parse_names,
         metavar='A,B',
-        help='other data centres for when the own cannot serve; may be empty',
+        help='other data centres to use if the own cannot serve; may be empty',
     )
     verbs.add_change_verb(subparsers, 'delete', 'delete one')
 
--- a/fuchsiahaven/operate/command_status.py
+++ b/fuchsiahaven/operate/command_status.py
@@ -1,4 +1,4 @@
-"""Show the revision in force on each host, and what was not reached."""
+"""Show the revision in force on each host, and what could not be reached."""
 
 import argparse
 import contextlib
@@ -57,14 +57,14 @@
 def find_anomalies(
     accepted_revision: int | None, hosts: tuple[statuses.HostStatus, ...]
 ) -> list[str]:
-    """Describe a newer revision on hosts, and an empty list of hosts."""
+    """Report hosts with a newer revision than the platform, or no hosts."""
     reporting = [status for status in hosts if status.revision is not None]
     newest = max((status.revision or 0 for status in reporting), default=0)
     anomalies: list[str] = []
     if accepted_revision is not None and newest > accepted_revision:
         anomalies.append(
             f'the platform has revision {accepted_revision}, but hosts have '
-            f'{newest} in force: its copy is older and is not followed'
+            f'{newest} in force: its copy is older, so hosts ignore it'
         )
     if not hosts:
         anomalies.append('no host is known')
--- a/fuchsiahaven/operate/connections.py
+++ b/fuchsiahaven/operate/connections.py
@@ -1,4 +1,4 @@
-"""Resolve where the platform and the hosts answer, and connect to them."""
+"""Resolve the addresses of the platform and hosts, and connect to them."""
 
 import argparse
 import contextlib
@@ -70,7 +70,7 @@
 
 
 def find_endpoints(arguments: argparse.Namespace) -> Endpoints | None:
-    """Resolve the endpoints; print what is wrong and return None if any is."""
+    """Resolve the endpoints; on an error print it and return None."""
     platform = _parse_addresses(arguments.platform)
     hosts = _parse_addresses(arguments.hosts)
     if platform is None or hosts is None:
--- a/fuchsiahaven/platform/http_codecs.py
+++ b/fuchsiahaven/platform/http_codecs.py
@@ -91,11 +91,11 @@
 
 
 def decode_request(
-    message: Message, now: float, distance_s: float = 0.0
+    message: Message, now: float, transit_s: float = 0.0
 ) -> events.Request:
     """Decode a caller's request.
 
-    `distance_s` is the time that the request and its answer spend outside this
+    `transit_s` is the time that the request and its answer spend outside this
     host, in seconds.
     """
     fields = dict(message.fields)
@@ -115,7 +115,7 @@
             message.body,
             now,
             now + _decode_wait(fields.get(headers.DEADLINE_MS)),
-            distance_s,
+            transit_s,
             key_digest=_decode_key_digest(key_fields),
             credentials=credentials,
         )
--- a/fuchsiahaven/platform/records.py
+++ b/fuchsiahaven/platform/records.py
@@ -158,7 +158,8 @@
 def _decode_rate(value: object) -> float:
     """Decode a rate; one that is not finite and 0 or more is malformed.
 
-    Fractions of the rate are later converted to whole requests.
+    Fractions of the rate are later rounded to whole requests, which would fail
+    for infinity or NaN.
     """
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         if math.isfinite(value) and value >= 0:
@@ -186,8 +187,8 @@
         # The field `type` states only whether a request may be repeated.
         REPEAT_BY_TYPE[row['type']],
         row['timeout_ms'] / MS_PER_S,
-        # Not a mean latency, as the name suggests, but also the time within
-        # which a merged answer has its full value.
+        # Despite its name not a mean latency: a merged answer has its full
+        # value only within this time.
         row['target_latency_ms'] / MS_PER_S,
         int(row.get('max_attempts', 1)),
         int(row.get('priority', 0)),
@@ -237,14 +238,14 @@
 def _decode_quarantine(digest: str, row: Mapping[str, Any]) -> suspects.News:
     report = suspect_codecs.decode_report(row)
     if report.identity.digest != digest:
-        raise ValueError('the entry is of another request')
+        raise ValueError('the digest in the entry does not match its key')
     return report
 
 
 def _decode_text(value: object) -> str:
     if isinstance(value, str) and value:
         return value
-    raise ValueError(f'not a text or empty: {value!r}')
+    raise ValueError(f'not a non-empty string: {value!r}')
 
 
 def _decode_integer(value: object) -> int:
--- a/fuchsiahaven/platform/settings.py
+++ b/fuchsiahaven/platform/settings.py
@@ -11,7 +11,7 @@
 PATH_VARIABLE: Final = 'FUCHSIAHAVEN_SETTINGS'
 MS_PER_S: Final = 1000
 BYTES_PER_MEGABIT: Final = 125_000
-#: Writes a second that the store accepts, where the file does not state it.
+#: Writes a second that the store accepts, if the file does not state it.
 DEFAULT_WRITES_PER_S: Final = 400.0
 #: Keys that every settings file must have.
 REQUIRED_KEYS: Final = (
@@ -28,9 +28,9 @@
     'bounds.grace_s',
     'heartbeat_ms',
 )
-#: Keys of deployments that limit requests to cold targets.
+#: Optional keys: the limit on requests to cold targets.
 WARM_UP_KEYS: Final = ('bounds.warmup_overage', 'bounds.warmup_slack')
-#: Keys of deployments that limit customers' requests.
+#: Optional keys: by how much customers' quotas may be exceeded.
 QUOTA_KEYS: Final = (
     'bounds.quota_window_s',
     'bounds.quota_overage',
@@ -103,8 +103,8 @@
     values: Mapping[str, str], numbers: Mapping[str, float]
 ) -> deployments.Settings:
     ports = values['internal_ports'].split(',')
-    # The seeds are listed with their control ports, so this host answers
-    # other hosts at its own control port.
+    # Other hosts list this host as a seed by its control port, so it has to
+    # answer them there.
     peer_address = values.get('listen.control') or f'{values["ip"]}:{ports[0]}'
     return deployments.Settings(
         deployments.Host(
--- a/fuchsiahaven/platform/tenants.py
+++ b/fuchsiahaven/platform/tenants.py
@@ -70,7 +70,7 @@
 
 def _compute_digest(key: object) -> str:
     if not isinstance(key, str) or not key:
-        raise ValueError('a key is not a text or is empty')
+        raise ValueError('a key is not a non-empty string')
     try:
         return keys.compute_digest(key)
     except UnicodeEncodeError:
--- a/fuchsiahaven/relay/journal.py
+++ b/fuchsiahaven/relay/journal.py
@@ -1,7 +1,7 @@
 """Write the log as JSON lines to standard output without blocking.
 
-A separate thread writes a bounded queue. If the reader of the output is
-stuck, lines are dropped and counted, and requests are served on.
+A separate thread writes the lines of a bounded queue. If the reader of the
+output is stuck, lines are dropped and counted, and requests are not delayed.
 """
 
 import json
@@ -19,7 +19,7 @@
 MAX_REQUEST_LINES_PER_S: Final = 100
 #: How long the end of the process waits for the last lines.
 FLUSH_TIMEOUT_S: Final = 0.3
-#: How long lines are gathered for one write.
+#: How long lines are collected for one write.
 BATCH_DELAY_S: Final = 0.2
 
 
--- a/fuchsiahaven/relay/peer_polls.py
+++ b/fuchsiahaven/relay/peer_polls.py
@@ -22,9 +22,9 @@
 )
 
 PART: Final = 'news'
-#: Connect timeout of a host that has just started. After a power loss of all
-#: hosts the polled one may still be down, and opening a connection takes 16 ms
-#: between the farthest data centres.
+#: Connect timeout while this host has no view of the store yet. After a power
+#: loss of all hosts the polled one may still be down. Opening a connection
+#: takes 16 ms between the farthest data centres.
 START_CONNECT_TIMEOUT_S: Final = 0.04
 ANSWER_TIMEOUT_S: Final = 0.4
 POLL_TIMEOUT_S: Final = long_polls.MAX_HOLD_S + ANSWER_TIMEOUT_S
--- a/fuchsiahaven/relay/process.py
+++ b/fuchsiahaven/relay/process.py
@@ -46,12 +46,12 @@
 #: How long a stopping host still accepts requests: the balancer polls once a
 #: second, and removes a host after two responses other than 200.
 BALANCER_LAG_S: Final = 2.6
-#: Margin before the platform kills the process, for an orderly end.
+#: How long before the platform kills the process its shutdown must end.
 GRACE_MARGIN_S: Final = 0.7
 STOP_CHECK_INTERVAL_S: Final = 0.05
 #: How often the settings file is checked for changes.
 SETTINGS_CHECK_INTERVAL_S: Final = 2.0
-#: Fields that log lines have only for requests with keys.
+#: Log fields that are omitted if empty: only requests with keys have them.
 CUSTOMER_FIELDS: Final = ('customer', 'why')
 
 
@@ -114,7 +114,7 @@
             self.runner.traffic_counts,
             self.runner.post,
         )
-        self.readiness = readiness.Readiness(self._find_obstacle, log)
+        self.readiness = readiness.Readiness(self._find_router_obstacle, log)
         self.caller_listener = listeners.Listener(
             listeners.ListenerOptions(
                 self._handle_request,
@@ -184,7 +184,7 @@
             self._host_entry.handle_restore()
             self.quarantine_entries.handle_restore()
 
-    def _find_obstacle(self) -> str:
+    def _find_router_obstacle(self) -> str:
         if self._stop_requested.is_set():
             return STOPPING
         return dispatch.find_obstacle(self.router, time.monotonic())
@@ -211,9 +211,9 @@
     async def _stop(self) -> None:
         """Stop without breaking a request.
 
-        The balancer sends requests until its lag has passed; they are
-        served, and each response ends its connection. Idle connections are
-        closed only after that, when a new request on one is unlikely.
+        The balancer keeps sending requests until BALANCER_LAG_S has passed.
+        They are served, and each response closes its connection. Idle
+        connections are closed after that, when a new request is unlikely.
         """
         began_at = time.monotonic()
         deadline = began_at + self.settings.grace_s - GRACE_MARGIN_S
--- a/fuchsiahaven/relay/target_pools.py
+++ b/fuchsiahaven/relay/target_pools.py
@@ -36,7 +36,7 @@
         self._get_pool(attempt.instance).send(attempt)
 
     def cancel(self, key: events.AttemptKey, *, also_sent: bool) -> None:
-        """Withdraw an unsent attempt; with `also_sent` end a sent one soon."""
+        """Cancel an unsent attempt; with `also_sent` end a sent one early."""
         attempt = self._router.in_flight.get(key)
         if attempt is not None and attempt.instance in self._pools:
             self._pools[attempt.instance].cancel(key, also_sent=also_sent)
@@ -45,11 +45,11 @@
         """Close the pools of removed targets once they are unused.
 
         Attempts in flight at a leaving target may finish there. A target
-        that has restarted under its id has lost its attempts in flight: if
-        its connections were not reset, waiting would cost callers their
-        deadline. Queued attempts are returned to be sent elsewhere, because
-        a connection may come free only seconds later, when the target must
-        not get any more requests.
+        that has restarted under its id has lost its attempts in flight. Its
+        pool is closed at once: if the connections were not reset, the
+        requests would wait until their deadlines. Queued attempts are
+        returned to be sent elsewhere, because a connection may become free
+        only seconds later, when the target must not get any more requests.
         """
         current = self._router.directory.by_name
         current_ids = {instance.id for instance in current.values()}
--- a/fuchsiahaven/routing/active_requests.py
+++ b/fuchsiahaven/routing/active_requests.py
@@ -63,8 +63,8 @@
 class PartAttempt(NamedTuple):
     """Describe one attempt at a part that is in flight.
 
-    `instance` is empty if a helper sends it and has not reported to which
-    target.
+    `instance` is empty if the part is delegated to another host that has not
+    yet reported the target.
     """
 
     number: int
@@ -118,8 +118,8 @@
     later one with more of them. At `reply_deadline` the caller gets whatever
     there is. `attempt_log` lists failed attempts for the log. If another host
     delegated the request, `is_delegated` is true, and `reported` holds the
-    parts that were reported to that host, and the empty name after the first
-    report.
+    parts that were reported to that host. After the first report it also holds
+    the empty string, `delegated_requests.FIRST_REPORT_SENT`.
     """
 
     number: int
--- a/fuchsiahaven/routing/budgets.py
+++ b/fuchsiahaven/routing/budgets.py
@@ -1,7 +1,7 @@
 """Bound the extra load on a service, hedges and retries, in a sliding window.
 
-All hosts share one bound. Each host uses the share for its own requests and an
-equal part of the slack, so that no host has to ask another.
+All hosts share one bound. Each host may add a fraction of its own requests and
+an equal part of the slack, so that hosts need not coordinate.
 """
 
 import collections
@@ -9,7 +9,7 @@
 
 from fuchsiahaven.routing import deployments
 
-#: Steps in which a window is counted; more steps would make it more exact.
+#: Time steps in a window; more steps would make the counts more exact.
 WINDOW_STEPS: Final = 20
 #: Fraction of the bound that is used. A request and its retries may fall on
 #: both sides of the window's edge, and the number of hosts changes.
@@ -37,7 +37,7 @@
         self._add(now, requests=1)
 
     def record_extra(self, now: float, count: int = 1) -> None:
-        """Record arrivals after the first of a request; -1 removes one."""
+        """Record attempts after a request's first; -1 takes one back."""
         self._add(now, extra=count)
 
     def count_remaining(self, now: float, hosts: float) -> float:
@@ -69,7 +69,7 @@
         self._steps.append(Step(number, requests, extra))
 
     def _expire_steps(self, now: float) -> None:
-        # One step more than the window, which covers the oldest step in part.
+        # Keep one more step, as the window covers the oldest only in part.
         oldest = self._compute_step_number(now) - WINDOW_STEPS
         while self._steps and self._steps[0].number < oldest:
             self._steps.popleft()
--- a/fuchsiahaven/routing/dispatch.py
+++ b/fuchsiahaven/routing/dispatch.py
@@ -37,7 +37,7 @@
 
 
 def _apply_quota_decisions(router: states.Router, now: float) -> Actions:
-    """Start or refuse the requests on which their quota has decided."""
+    """Start or refuse the requests that their quotas admitted or rejected."""
     actions: Actions = []
     decisions, messages, next_check = router.controls.quotas.pop_output()
     for routed, failure in decisions:
@@ -96,7 +96,7 @@
 def record_reply(
     router: states.Router, reply: events.Reply, now: float
 ) -> None:
-    """Record the delay with which a reply held until its due time left."""
+    """Record how long after its due time a held reply was sent."""
     router.reply_margin.record_delay(now - reply.due)
 
 
@@ -335,7 +335,7 @@
     refusal = admission.refuse_stale(router, active, now)
     if refusal is not None:
         return refusal
-    # Requests that have lost the same shards are tried at different ones.
+    # Different requests that lost the same shards retry different ones first.
     ranked = rendezvous.rank(active.request.identity.digest, lost)
     return [
         *delegations.retry_parts(router, active, ranked, now),
--- a/fuchsiahaven/routing/losses.py
+++ b/fuchsiahaven/routing/losses.py
@@ -1,4 +1,4 @@
-"""Determine whether a target has exited where a connection was lost.
+"""Determine whether a lost connection means that its target has exited.
 
 A lost connection alone shows little: it may have been reset, or the network may
 be cut. A target whose port is closed right after, or that has restarted, has
@@ -12,7 +12,7 @@
 from fuchsiahaven.core import request_identities
 from fuchsiahaven.routing import events, instances
 
-#: How long a loss is kept: a restarted target registers itself within this.
+#: How long a loss is kept: a restarted target registers within it.
 LOSS_RETENTION_S: Final = 5.0
 #: How long a part waits for the check of its target: a connection takes a round
 #: trip and the time that the target needs to accept it.
@@ -25,7 +25,7 @@
 class TargetFate(enum.Enum):
     """Name what is known of the target of a loss.
 
-    EXITED_BEFORE: it had exited before the attempt was sent, which therefore
+    EXITED_BEFORE: it had exited before the attempt was sent, so the attempt
     never ran there.
     """
 
@@ -85,7 +85,7 @@
         return target_losses
 
     def list_restarted(self, directory: instances.Directory) -> list[str]:
-        """List the targets of losses that have restarted under their id."""
+        """List the targets of losses that have restarted with the same id."""
         if not self._losses:
             return []
         current = {
--- a/fuchsiahaven/routing/retry_times.py
+++ b/fuchsiahaven/routing/retry_times.py
@@ -21,7 +21,7 @@
 #: Fraction of its remaining time that a caller is expected to wait.
 MAX_WAIT_FRACTION: Final = 1 / 3
 #: Failures that many callers get at once. Other failures with a Retry-After
-#: know an exact time, that of a quota or of one request.
+#: have an exact time, because it depends on one quota or one request.
 SPREAD_KINDS: Final = frozenset(
     (
         errors.Kind.STALE_KEYS,
@@ -60,8 +60,8 @@
     """Spread the Retry-After of a failure if customers compete.
 
     The failure says when there may be room again. It is returned unchanged if
-    the caller would not wait that long. The spread never exceeds the time that
-    the caller waits, because beyond that it would not follow the advice.
+    the caller would not wait that long. The spread Retry-After never exceeds
+    the time that the caller is expected to wait: it would ignore a longer one.
     """
     min_retry_after = failure.retry_after
     if min_retry_after is None or failure.kind not in SPREAD_KINDS:
@@ -80,7 +80,7 @@
     retry_after = compute_retry_after(
         step, router.draw(), min_retry_after, spread_s
     )
-    # Rounding must not exceed what the caller waits.
+    # Rounding up must not exceed the time that the caller waits.
     retry_after = min(
         retry_after,
         math.floor(max_wait * 10**RETRY_AFTER_DIGITS) / 10**RETRY_AFTER_DIGITS,
@@ -89,7 +89,7 @@
 
 
 def _count_more_urgent(levels: tuple[int, ...], priority: int) -> int:
-    """Count the priorities in force that are more urgent, except the last."""
+    """Count the more urgent priorities in force, at most all but one."""
     more_urgent = sum(1 for it in levels if it < priority)
     return min(more_urgent, len(levels) - 1)
 
--- a/tests/core/claims/test_commits.py
+++ b/tests/core/claims/test_commits.py
@@ -79,8 +79,8 @@
 
     Guards against a refund that runs twice, or that is reported as not run
     and runs. The test interleaves claims, lost and delayed writes, lost
-    forwards, crashes, returns and passed deadlines, and finds rules of claims
-    or commits that trust a write whose outcome is not known.
+    forwards, crashes, returns and passed deadlines. It fails if claims or
+    commits take a write for done, or not done, whose outcome is not known.
     """
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
 
     @stateful.rule(host=HOST_INDEXES)
     def crash(self, host: int) -> None:
-        """Replace a host by one without state, also between claim and send."""
+        """Replace a host by one without state; its claim may be unsent."""
         lost = self.hosts[host]
         self.hosts[host] = Host()
         for other in self.hosts:
--- a/tests/core/members/test_membership.py
+++ b/tests/core/members/test_membership.py
@@ -67,7 +67,7 @@
 
 
 def test_unreachable_member_is_not_suspected_repeatedly() -> None:
-    """Presume a member alive that sends messages but cannot be reached.
+    """Treat a member as alive that sends messages but cannot be reached.
 
     Guards against news of one member that fill all messages while its port
     is cut off: h5 reaches all hosts and refutes, no host reaches h5, and the
@@ -190,7 +190,7 @@
 
 
 def test_stale_news_does_not_bring_back_a_member_that_left() -> None:
-    """Keep a member gone that a host still holds after a pause.
+    """Keep a member removed although a resumed host still lists it.
 
     Guards against connections allocated to a host that left: h3 is paused,
     h5 leaves, h3 resumes and reports h5 as alive, and stale reports are
@@ -227,7 +227,7 @@
 
     Guards against new hosts that are taken for their dead predecessors: all
     hosts are killed, one after another or at once, and started again with
-    the first incarnation, while others hold a higher incarnation as dead.
+    the first incarnation, while others list a higher incarnation as dead.
     """
     network = start_network(8)
     for number in range(8):
--- a/tests/routing/test_balancer_polls.py
+++ b/tests/routing/test_balancer_polls.py
@@ -35,7 +35,7 @@
 
 
 def test_follows_the_poll_period() -> None:
-    """A balancer polls twice a second; a gap in its polls is no period."""
+    """The period is half a second; one long gap does not change it."""
     answers = [(number / 2, True) for number in range(40)]
     polls = poll(*answers, (60.0, True))
     assert balancer_polls.estimate_removal_delay(polls, 60.0) < 1.2
--- a/tests/routing/test_report_codecs.py
+++ b/tests/routing/test_report_codecs.py
@@ -48,7 +48,7 @@
 
 
 def test_encodes_customers_and_public_routes() -> None:
-    """No part is lost, also where no key is valid."""
+    """Decoding restores the report, also if no key is valid or needed."""
     routes = (ROUTE, PUBLIC._replace(public=True))
     for customers in (CUSTOMERS, (), None):
         report = make_report(routes, customers)
--- a/tests/routing/test_split_loads.py
+++ b/tests/routing/test_split_loads.py
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize('shortage', ['full', 'gone', 'evacuated', 'cold'])
 @pytest.mark.parametrize('seed', range(3))
 def test_refuses_excess_without_moving_it(seed: int, shortage: str) -> None:
-    """Shares hold while a part has no capacity, also under new weights.
+    """Shares follow the weights, old and new, while a part has no capacity.
 
     Refused requests have not run, and the refusal says when to retry.
     """
