--- a/fuchsiahaven/core/claims/commits.py
+++ b/fuchsiahaven/core/claims/commits.py
@@ -284,7 +284,7 @@
                 pending,
                 messages.ClaimResult.UNAVAILABLE,
                 maybe_written=bool(pending.uncertainty),
-                detail='too many claims in this time slot',
+                detail='too many claims in these seconds',
             )
     return claim_calls.StepResult(
         pending, messages.ClaimResult.GRANTED, decision.claim
--- a/fuchsiahaven/edge/caller_requests.py
+++ b/fuchsiahaven/edge/caller_requests.py
@@ -133,7 +133,7 @@
         count += len(level)
         if depth > bounds.max_depth or count > bounds.max_items:
             detail = (
-                f'the body may be {bounds.max_depth} levels deep and hold '
+                f'the body may be {bounds.max_depth} deep and hold '
                 f'{bounds.max_items} values'
             )
             raise Refusal(errors.Kind.TOO_LARGE, detail)
--- a/fuchsiahaven/edge/claim_task.py
+++ b/fuchsiahaven/edge/claim_task.py
@@ -141,7 +141,7 @@
                 claim.token,
                 messages.ClaimResult.EXPIRED,
                 start_expired=time_epoch is not None,
-                detail='the id is not a UUIDv7 of the last minutes',
+                detail='the id is no UUIDv7 of the last minutes',
             )
             self._post(expired)
             return
--- a/fuchsiahaven/routing/suspect_codecs.py
+++ b/fuchsiahaven/routing/suspect_codecs.py
@@ -77,7 +77,7 @@
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(repr(error)) from error
     if len(rows) > MAX_NOTICE_REPORTS:
-        raise ValueError(f'too many reports: {len(rows)}')
+        raise ValueError(f'{len(rows)} rows')
     return SuspectNotice(tuple(decode_report(it) for it in rows), hops)
 
 
@@ -86,10 +86,10 @@
     if len(digest) != request_identities.DIGEST_DIGITS or set(digest) - set(
         request_identities.HEX_DIGITS
     ):
-        raise ValueError('digest is not a hexadecimal digest')
+        raise ValueError('no digest')
     wait = row['wait']
     if not isinstance(wait, (int, float)) or not math.isfinite(wait):
-        raise ValueError('wait is not a finite number')
+        raise ValueError('no wait')
     return suspects.News(
         request_identities.Identity(_decode_name(row['customer']), digest),
         _decode_count(row['clears'], MAX_COUNT),
@@ -105,7 +105,7 @@
     if isinstance(value, int) and not isinstance(value, bool):
         if 0 <= value <= maximum:
             return value
-    raise ValueError(f'not a count in range: {value!r}')
+    raise ValueError(f'no count: {value!r}')
 
 
 def _decode_name(value: object) -> str:
@@ -116,5 +116,5 @@
 
 def _decode_names(value: object) -> tuple[str, ...]:
     if not isinstance(value, list) or len(value) > suspects.MAX_NAMES:
-        raise ValueError('not a list of names, or too many')
+        raise ValueError('no names')
     return tuple(_decode_name(name) for name in value)
