--- a/fuchsiahaven/edge/connections.py
+++ b/fuchsiahaven/edge/connections.py
@@ -44,7 +44,7 @@
     def start(self, exchange: exchanges.Exchange, payload: bytes) -> None:
         """Send a request, or as much of it as the socket accepts.
 
-        Raises LinkError.
+        Raises ConnectionBroken.
         """
         self.exchange = exchange
         self.unsent = payload
@@ -53,14 +53,14 @@
     def send_unsent(self) -> None:
         """Send more of a request that the socket did not accept at once.
 
-        Raises LinkError.
+        Raises ConnectionBroken.
         """
         self._send(first=False)
 
     def receive_frame(self, max_body_bytes: int) -> frames.Frame | None:
         """Read available bytes; return the answer once it is complete.
 
-        Raises LinkError and frames.FrameError.
+        Raises ConnectionBroken and frames.FrameError.
         """
         frame = None
         may_have_more = True
--- a/tests/edge/test_dispatch_loop.py
+++ b/tests/edge/test_dispatch_loop.py
@@ -14,7 +14,7 @@
 REFUND = configurations.RequestClass(
     'refund', 60_000, repeat=configurations.Repeat.AT_MOST_ONCE
 )
-GROUP = configurations.Group('desk', (), ())
+GROUP = configurations.Group('catalogo', (), ())
 CONFIGURATION = configurations.Configuration(
     1,
     (GROUP,),
--- a/tests/operate/test_connections.py
+++ b/tests/operate/test_connections.py
@@ -12,7 +12,7 @@
 
 SETTINGS = """
 [host]
-name = desk
+name = odori-1
 data_centre = Odori
 [callers]
 address = 127.0.0.1:1
@@ -35,7 +35,7 @@
 def test_requests_use_the_tls_files_of_the_settings(
     tmp_path: Path,
 ) -> None:
-    path = tmp_path / 'desk.ini'
+    path = tmp_path / 'settings.ini'
     tls_files = test_peer_port.TlsFiles(tmp_path)
     with test_peer_port.serve(tls_files.load_for_server()) as address:
         path.write_text(SETTINGS.format(address=address, files=tls_files.files))
--- a/tests/routing/load_rig.py
+++ b/tests/routing/load_rig.py
@@ -19,7 +19,7 @@
 #: objective of 145 ms.
 MEAN_WORK_S: Final = 0.0225
 WORK_SPREAD: Final = 0.35
-#: One way between two hosts of a data centre, with the queues of both.
+#: One-way delay between two hosts of a data centre, queues of both included.
 ONE_WAY_S: Final = 0.001
 #: Status with which a target answers past its deadline.
 LATE_STATUS: Final = 504
--- a/tests/routing/test_quarantines.py
+++ b/tests/routing/test_quarantines.py
@@ -32,7 +32,7 @@
     for number in range(4)
 )
 REPLICAS: Final = 3
-#: One way to a target, the time to accept a connection, and the work.
+#: One-way delay to a target, the time to accept a connection, and the work.
 ONE_WAY_S: Final = 0.001
 ACCEPT_DELAY_S: Final = 0.006
 WORK_S: Final = 0.02
