--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run real hosts as processes, break things around them, check promises."""
+"""Soak test: real hosts as processes under injected faults."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,7 +1,8 @@
-"""Run the soak: `python -m bench.soak --seed 7 --seconds 20`.
+"""Run the soak test: `python -m bench.soak --seed 7 --seconds 20`.
 
-Each seed draws its own faults, in series and overlapping. Exit code 1 and a
-line for each broken promise; the logs of the hosts stay in the folder named.
+Each seed draws its own faults, in series and overlapping. Violations are
+printed one per line and give exit code 1; the hosts' logs stay in a temporary
+folder, which is printed.
 """
 
 import argparse
@@ -17,7 +18,7 @@
 
 
 def main() -> int:
-    """Play the seeds and tell what was broken."""
+    """Run each seed and print the violations; return the exit code."""
     parser = argparse.ArgumentParser(prog='bench.soak', description=__doc__)
     parser.add_argument('--seed', type=int, action='append', default=[])
     parser.add_argument('--seconds', type=float, default=DEFAULT_SECONDS)
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Ask hosts as callers do, on connections that are kept until they end."""
+"""Send requests to hosts as callers do, on persistent connections."""
 
 import asyncio
 import contextlib
@@ -11,27 +11,27 @@
 
 PATHS: Final = {'search': '/search/1', 'one': '/one/1', 'once': '/once/1'}
 DEADLINE_MS: Final = 1500
-#: A whole answer has to be there by then, good or bad.
+#: A complete answer of any status must arrive within this time.
 MAX_ANSWER_S: Final = 4.0
 MAX_PAUSE_S: Final = 0.05
 PROBE_INTERVAL_S: Final = 0.5
 MAX_FAILED_PROBES: Final = 2
-#: Requests of a hundred that show a key that was never valid.
+#: The percentage of requests with a key that was never valid.
 UNKNOWN_KEY_PERCENT: Final = 4
 
 
 class Balancer:
-    """Own which hosts are in rotation, by asking each whether it is ready."""
+    """Select the hosts in rotation by probing their readiness."""
 
     def __init__(self, all_hosts: list[hosts.Host]) -> None:
-        """Start with every host in rotation."""
+        """Create a balancer with every host in rotation."""
         self.hosts = all_hosts
         self._failed_probes = dict.fromkeys(
             (host.name for host in all_hosts), 0
         )
 
     def list_ready(self) -> list[hosts.Host]:
-        """List the hosts in rotation, or all where none is."""
+        """List the hosts in rotation, or all if none is."""
         ready = [
             it
             for it in self.hosts
@@ -40,7 +40,7 @@
         return ready or self.hosts
 
     async def probe_repeatedly(self) -> None:
-        """Ask each host from time to time, for ever."""
+        """Probe each host at intervals until cancelled."""
         while True:
             await asyncio.gather(*[self._probe(host) for host in self.hosts])
             await asyncio.sleep(PROBE_INTERVAL_S)
@@ -55,12 +55,12 @@
 
 
 class Caller:
-    """Own one connection at a time, and what was seen on them."""
+    """Send requests on one connection at a time and record the answers."""
 
     def __init__(
         self, name: str, balancer: Balancer, seed: int, customer: str = ''
     ) -> None:
-        """Start without a connection; one customer's alone, or any's."""
+        """Create a caller of one customer, or of random ones if empty."""
         self._customer = customer
         self.observations: list[checks.Observation] = []
         self._name = name
@@ -69,7 +69,7 @@
         self._numbers = itertools.count()
 
     async def send_repeatedly(self) -> None:
-        """Ask one request after the other, for ever."""
+        """Send one request after another until cancelled."""
         while True:
             host = self._rng.choice(self._balancer.list_ready())
             with contextlib.suppress(OSError):
@@ -125,7 +125,8 @@
                 sent_at,
                 ended_at,
                 host.stopping and not host.disturbed,
-                # What crosses the end of an idle connection was not read.
+                # A request that crosses the close of an idle connection was
+                # not read by the host.
                 ended_at - sent_at > MAX_PAUSE_S,
                 customer,
             )
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,4 +1,4 @@
-"""Check what callers saw against what was promised to them."""
+"""Check the answers that callers got against the guarantees to them."""
 
 from collections.abc import Collection
 from typing import Final, NamedTuple
@@ -11,12 +11,14 @@
 
 
 class Observation(NamedTuple):
-    """State what a caller saw of one request.
-
-    `status` is 0 where the connection ended without a whole answer. Times are
-    on the monotonic clock; `stopping` tells that its host had been asked to
-    stop, and was neither killed nor paused. `customer` is whose key was shown,
-    empty for one that was never valid.
+    """Hold the answer that a caller got to one request.
+
+    `status` is 0 where the connection ended without a complete answer. Times
+    are of the monotonic clock. `stopping` is whether its host had been asked to
+    stop and was neither killed nor paused. `was_read` is False where the
+    connection ended so soon that the host may not have read the request.
+    `customer` owns the key that was sent, and is empty for a key that was never
+    valid.
     """
 
     request_id: str
@@ -34,7 +36,7 @@
 def check_search(
     observed: Observation, shard_sets: Collection[tuple[str, ...]]
 ) -> list[str]:
-    """Check an answer over shards: own parts, one version, true records."""
+    """Check that a search answer has its own parts, one version, true rows."""
     signatures = observed.fields.get('fuchsiahaven-part-signatures', '')
     parts = [it.strip() for it in signatures.split(',')]
     missing = int(observed.fields.get('fuchsiahaven-missing-parts', '0'))
@@ -61,7 +63,7 @@
 
 
 def check_single(observed: Observation) -> list[str]:
-    """Check that the answer of one target is its own and whole."""
+    """Check that an answer of one target is complete and to this request."""
     signature = observed.fields.get('fuchsiahaven-response-signature', '')
     request_id, _, service = signature.partition('.')
     expected = b''.join(targets.make_records(observed.request_id, service))
@@ -73,7 +75,7 @@
 def check_at_most_once(
     observed: Observation, run_log: targets.RunLog
 ) -> list[str]:
-    """Check what may not be repeated: at most once, and refusals true."""
+    """Check that a request ran at most once, and not if refused as not run."""
     runs = run_log.counts[observed.request_id]
     violations = []
     if runs > 1:
@@ -88,7 +90,7 @@
     shard_sets: Collection[tuple[str, ...]],
     run_log: targets.RunLog,
 ) -> list[str]:
-    """Check all that one request promises."""
+    """Check all guarantees for one request; return the violations."""
     violations = []
     if observed.status == OK and observed.kind == 'search':
         violations.extend(check_search(observed, shard_sets))
@@ -104,7 +106,7 @@
 def check_leaving(
     run_log: targets.RunLog, left: dict[str, float], bound_s: float
 ) -> list[str]:
-    """Check that no target that left got new work after the bound."""
+    """Check that targets got no new work later than the bound after leaving."""
     return [
         f'{run.target} ran {run.request_id} {run.at - left[run.target]:.1f} s'
         ' after it had left'
--- a/bench/soak/customers.py
+++ b/bench/soak/customers.py
@@ -1,4 +1,4 @@
-"""Have callers show keys, and check whose requests the targets were shown."""
+"""Define the customers' keys, and check which customers targets were sent."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -8,26 +8,26 @@
 
 #: The customers' keys, by name.
 KEYS: Final = {'shop': 'key-9d1c', 'bank': 'key-70fe'}
-#: A caller without a customer shows a key that was never valid.
+#: A caller without a customer sends a key that was never valid.
 NO_CUSTOMER: Final = ''
 UNKNOWN_KEY: Final = 'key-none'
 
 
 def make_customers() -> list[dict[str, Any]]:
-    """Write the customers of each version."""
+    """Return the customers in each version of the configuration."""
     rows = [{'name': name, 'api_keys': [key]} for name, key in KEYS.items()]
     return [*rows, quotas.make_customer()]
 
 
 def get_key(customer: str) -> str:
-    """Find the key that a caller of a customer shows."""
+    """Return the key that a caller of a customer sends."""
     if customer == quotas.HOT_CUSTOMER:
         return quotas.HOT_KEY
     return KEYS.get(customer, UNKNOWN_KEY)
 
 
 def check(observed: checks.Observation, run_log: targets.RunLog) -> list[str]:
-    """Check that a request was its customer's wherever it ran."""
+    """Check that a request ran only in the name of its customer."""
     violations = []
     shown_names = run_log.customers.get(observed.request_id, set())
     if shown_names - {observed.customer}:
@@ -45,7 +45,7 @@
 
 
 def check_keys(run_log: targets.RunLog) -> list[str]:
-    """Check that no target was shown a key."""
+    """Check that no target received a key."""
     return [f'{it} was shown a key' for it in sorted(run_log.requests_with_key)]
 
 
@@ -64,9 +64,9 @@
 def check_served(
     observations: Iterable[checks.Observation], since: float
 ) -> list[str]:
-    """Check that each request with a valid key is served when all is well.
+    """Check that each request with a valid key is served after recovery.
 
-    Another customer sends far more than it may all the while.
+    Another customer exceeds its quota by far at the same time.
     """
     return [
         f'{it.kind} {it.request_id}: {it.status} beside a hot customer'
--- a/bench/soak/hosts.py
+++ b/bench/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Start hosts as processes of their own, and signal them by their ids."""
+"""Start hosts as separate processes, and signal them by their ids."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 LOOPBACK: Final = '127.0.0.1'
 DATA_CENTRES: Final = ('north', 'south')
 PORTS: Final = range(18_000, 32_000)
-#: A host that has not ended so long after it was asked to is killed, as the
-#: platform does it.
+#: A host that has not exited this long after it was asked to stop is killed,
+#: as the platform does.
 GRACE_S: Final = 6.0
 
 
@@ -24,10 +24,10 @@
 
 
 class Host:
-    """Own one process and its way to the store."""
+    """Run one host process and its proxy to the store."""
 
     def __init__(self, name: str, data_centre: str, folder: Path) -> None:
-        """Choose ports; nothing runs yet."""
+        """Choose ports without starting the process."""
         self.name = name
         self.data_centre = data_centre
         self.stopping = False
@@ -38,7 +38,7 @@
         self._process: asyncio.subprocess.Process | None = None
 
     def get_address(self, index: int) -> str:
-        """Name one of the addresses: hosts, callers, readiness, metrics."""
+        """Return an address by index: hosts, callers, readiness, metrics."""
         return f'{LOOPBACK}:{self.ports[index]}'
 
     async def start(self, seeds: list[str]) -> None:
@@ -62,12 +62,12 @@
         self.disturbed = False
 
     def signal(self, number: signal.Signals) -> None:
-        """Signal the process, if it runs."""
+        """Send a signal to the process if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     def get_pid(self) -> int:
-        """Find the id of the process that runs."""
+        """Return the id of the process."""
         assert self._process is not None
         return self._process.pid
 
@@ -78,7 +78,7 @@
         await self._wait()
 
     async def stop(self) -> bool:
-        """Ask the process to stop; False if it had to be killed."""
+        """Stop the process gracefully; False if it had to be killed."""
         self.stopping = True
         self.signal(signal.SIGTERM)
         try:
@@ -118,12 +118,12 @@
 
 
 def find_port() -> int:
-    """Find a port that nobody listens at, and that nobody is given.
+    """Return a free port that was not returned before.
 
-    A port of a host that is down would go to a target or a proxy that asks
-    for any free one; these are above the range that is searched here. A port
-    is found before its host listens, so each is found once only: two hosts of
-    eight would have one port in common in one start of thirty.
+    The port of a host that is down must not be taken by a target or a proxy;
+    those use ephemeral ports, which are above this range. Ports are chosen
+    before the hosts listen, so each is returned only once: otherwise two hosts
+    of eight would share a port in one start of thirty.
     """
     while True:
         unused = [port for port in PORTS if port not in _USED_PORTS]
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -1,4 +1,4 @@
-"""Stand between processes on loopback and spoil what passes, by order."""
+"""TCP proxies on loopback that delay, hold or refuse traffic on demand."""
 
 import asyncio
 import contextlib
@@ -7,12 +7,12 @@
 
 MAX_CHUNK_BYTES: Final = 65_536
 DELAY_S: Final = 0.2
-#: How often a held connection looks whether it may go on.
+#: How often a held connection checks whether it may continue.
 POLL_INTERVAL_S: Final = 0.02
 
 
 class Mode(enum.StrEnum):
-    """List what a proxy does with bytes."""
+    """List how a proxy treats traffic."""
 
     PASS = 'pass'
     DELAY = 'delay'
@@ -22,10 +22,10 @@
 
 
 class Proxy:
-    """Own one address that stands for another."""
+    """Forward connections from one address to another."""
 
     def __init__(self, host: str, target: str) -> None:
-        """Prepare without listening; `target` is `ip:port`."""
+        """Create a proxy that does not listen; `target` is `ip:port`."""
         self.address = ''
         self.mode = Mode.PASS
         self._host = host
--- a/bench/soak/quotas.py
+++ b/bench/soak/quotas.py
@@ -1,4 +1,4 @@
-"""Have a customer send far more than it may, and check what its targets ran."""
+"""Define a customer that exceeds its quota, and check what targets ran."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -6,18 +6,18 @@
 
 from bench.soak import checks, targets
 
-#: The customer that has a quota and sends without a pause.
+#: The customer with a quota that sends without a pause.
 HOT_CUSTOMER: Final = 'hot'
 HOT_KEY: Final = 'key-5a11'
 QUOTA_PER_S: Final = 4.0
 QUOTA_BURST: Final = 4.0
-#: What the deployment tolerates beyond, in any window.
+#: The tolerance of the deployment beyond the quota in any window.
 WINDOW_S: Final = 5.0
 OVERAGE_FRACTION: Final = 0.1
 SLACK_REQUESTS: Final = 20.0
-#: Callers that send for it alone.
+#: Callers that send only for this customer.
 HOT_CALLERS: Final = 6
-#: The part of its rate that it gets when all is well.
+#: The fraction of its rate that must be served after recovery.
 MIN_SERVED_FRACTION: Final = 0.5
 SETTINGS: Final = (
     f'bounds.quota_window_s={WINDOW_S}',
@@ -27,7 +27,7 @@
 
 
 def make_customer() -> dict[str, Any]:
-    """Write the customer of each version."""
+    """Return the customer in each version of the configuration."""
     return {
         'name': HOT_CUSTOMER,
         'api_keys': [HOT_KEY],
@@ -37,7 +37,7 @@
 
 
 def count_allowed() -> float:
-    """Count the requests that targets may run for it in any window."""
+    """Return how many of its requests targets may run in any window."""
     quota = QUOTA_PER_S * WINDOW_S + QUOTA_BURST
     return quota * (1 + OVERAGE_FRACTION) + SLACK_REQUESTS
 
@@ -47,7 +47,7 @@
     run_log: targets.RunLog,
     recovered_at: float,
 ) -> list[str]:
-    """Check all requests of a run; the last fault was over at `settled`."""
+    """Check all requests of a run; faults ended before `recovered_at`."""
     violations = [
         f'{it.request_id}: refused for a quota and has run'
         for it in observations
@@ -82,11 +82,11 @@
 def count_most_in_window(
     observations: Sequence[checks.Observation], run_log: targets.RunLog
 ) -> int:
-    """Count the most requests that ran in a window, by targets' own counts.
+    """Count the most requests that ran in a window, by the targets' records.
 
-    Each counts once, however many targets ran parts of it. It was taken in
-    after it was sent and before it first ran, so those with both in a
-    window were taken in within it, whatever held up the others.
+    Each counts once, however many targets ran parts of it. A request is
+    admitted after it was sent and before it first ran, so one with both times
+    in a window was admitted in that window, whatever delayed other requests.
     """
     sent_at = {
         it.request_id: it.sent_at
--- a/bench/soak/runs.py
+++ b/bench/soak/runs.py
@@ -1,4 +1,4 @@
-"""Play one seed: start everything, break things, check what was promised."""
+"""Run one seed: start a cluster, inject faults and check the guarantees."""
 
 import asyncio
 import contextlib
@@ -27,22 +27,22 @@
 SINGLE_SERVICES: Final = ('c1', 'c2')
 CALLERS: Final = 12
 REPLICAS: Final = 2
-#: A target that has left gets no new work after this; longer than the 3 s of
-#: the promise by what a busy machine takes to schedule the processes.
+#: A target that has left gets no new work after this. The guarantee is 3 s; the
+#: rest allows for the scheduling of processes on a busy machine.
 MAX_LEAVING_S: Final = 4.5
-#: A change is in force everywhere after this, with the store as it should be.
+#: A change is in force everywhere after this while the store works.
 MAX_IN_FORCE_S: Final = 4.5
 MAX_START_S: Final = 10.0
 RECOVERY_S: Final = 6.0
-#: What a store that came back from a copy has lost is written again by then.
+#: Writers repeat the lost writes of a restored store within this time.
 MAX_REWRITE_DELAY_S: Final = 2.0
-#: Seconds from one fault to the next, and how long each lasts.
+#: Ranges of the time between two faults and of the duration of a fault.
 FAULT_INTERVALS_S: Final = (0.2, 1.2)
 FAULT_DURATIONS_S: Final = (0.3, 3.0)
 
 
 class Result(NamedTuple):
-    """Hold what a run showed."""
+    """Hold the result of a run."""
 
     sent: int
     served: int
@@ -50,17 +50,17 @@
 
 
 class TargetEntry(NamedTuple):
-    """Hold what a target has entered of itself."""
+    """Hold the store entry of a target."""
 
     service: str
     address: str
 
 
 class Cluster:
-    """Own all that one run consists of."""
+    """Run the store, targets, proxies and hosts of one run."""
 
     def __init__(self, seed: int, count: int, folder: Path) -> None:
-        """Prepare without starting."""
+        """Create the cluster without starting it."""
         self.rng = random.Random(seed)
         self.store = metadata_store.Store()
         self.run_log = targets.RunLog()
@@ -108,7 +108,7 @@
         stack.push_async_callback(host.kill)
 
     async def add_target(self, service: str) -> None:
-        """Start a target and enter it."""
+        """Start a target with its proxy and add its entry to the store."""
         self._last_number += 1
         name = f'i-{self._last_number}'
         target = targets.Target(name, service, self.run_log)
@@ -121,7 +121,7 @@
         self.store.put_target(name, service, proxy.address)
 
     def remove_entry(self, name: str) -> None:
-        """Take a target's entry out of the store."""
+        """Remove the entry of a target from the store."""
         self.entries.pop(name, None)
         if f'servers/{name}' in self.store.items:
             self.store.remove(f'servers/{name}')
@@ -129,7 +129,7 @@
                 self.left_at[name] = time.monotonic()
 
     def change_configuration(self) -> None:
-        """Put another version in force: other shards, another service."""
+        """Store another version: other shards, another service."""
         self.version += 1
         self._put_configuration()
 
@@ -143,7 +143,7 @@
         )
 
     def rewrite_store(self) -> None:
-        """Write what the store has lost, and remove what is back in it."""
+        """Repeat the writes that the store lost, and remove stale entries."""
         self._put_configuration()
         for name, entry in self.entries.items():
             if f'servers/{name}' not in self.store.items:
@@ -152,7 +152,7 @@
             self.remove_entry(name)
 
     async def restart(self, host: hosts.Host) -> None:
-        """Start a host that has ended."""
+        """Start a host that has exited."""
         await host.start(self._list_seeds())
 
     def _list_seeds(self) -> list[str]:
@@ -172,7 +172,7 @@
 
 
 async def stop_host(cluster: Cluster, duration_s: float) -> None:
-    """Stop a host as planned and start it again."""
+    """Stop a host gracefully and start it again."""
     host = cluster.rng.choice(cluster.hosts)
     if host.stopping or host.disturbed:
         return
@@ -182,7 +182,7 @@
 
 
 async def pause_host(cluster: Cluster, duration_s: float) -> None:
-    """Have a host stand still."""
+    """Suspend a host."""
     host = cluster.rng.choice(cluster.hosts)
     if not host.stopping and not host.disturbed:
         host.disturbed = True
@@ -193,7 +193,7 @@
 
 
 async def disturb_store_proxies(cluster: Cluster, duration_s: float) -> None:
-    """Spoil the way of some hosts to the store."""
+    """Disturb the connections of some hosts to the store."""
     mode = cluster.rng.choice(tuple(proxies.Mode)[1:])
     chosen = cluster.rng.sample(cluster.hosts, len(cluster.hosts) // 2)
     store_proxies = [host.store for host in chosen if host.store is not None]
@@ -206,7 +206,7 @@
 
 
 async def disturb_target_proxies(cluster: Cluster, duration_s: float) -> None:
-    """Spoil the ways to some targets."""
+    """Disturb the connections to some targets."""
     mode = cluster.rng.choice(tuple(proxies.Mode)[1:])
     chosen = cluster.rng.sample(sorted(cluster.target_proxies), 4)
     for name in chosen:
@@ -217,19 +217,19 @@
 
 
 async def corrupt_answers(cluster: Cluster, duration_s: float) -> None:
-    """Have some targets spoil answers, or take long."""
+    """Have some targets corrupt answers or answer slowly."""
     chosen = cluster.rng.sample(sorted(cluster.targets), 5)
     for name in chosen:
-        cluster.targets[name].spoilt_fraction = 0.2
+        cluster.targets[name].corrupted_fraction = 0.2
         cluster.targets[name].slow_factor = cluster.rng.choice((1.0, 30.0))
     await asyncio.sleep(duration_s)
     for name in chosen:
-        cluster.targets[name].spoilt_fraction = 0
+        cluster.targets[name].corrupted_fraction = 0
         cluster.targets[name].slow_factor = 1.0
 
 
 async def replace_target(cluster: Cluster, duration_s: float) -> None:
-    """Have a target leave, with a word or without, and another one come."""
+    """Add a target, remove the entry of another and crash that later."""
     name = cluster.rng.choice(sorted(set(cluster.targets) - cluster.replaced))
     cluster.replaced.add(name)
     service = cluster.targets[name].service
@@ -240,7 +240,7 @@
 
 
 async def change_configuration(cluster: Cluster, duration_s: float) -> None:
-    """Put another version in force, or several in quick succession."""
+    """Store three versions, the last two at once."""
     cluster.change_configuration()
     await asyncio.sleep(duration_s / 10)
     cluster.change_configuration()
@@ -248,14 +248,14 @@
 
 
 async def take_store_down(cluster: Cluster, duration_s: float) -> None:
-    """Have the store refuse everybody."""
+    """Have the store refuse all requests."""
     cluster.store.down = True
     await asyncio.sleep(duration_s)
     cluster.store.down = False
 
 
 async def restore_store(cluster: Cluster, duration_s: float) -> None:
-    """Have the store come back from a copy; its writers write again."""
+    """Restore the store from a copy; its writers then repeat their writes."""
     copy = cluster.store.copy()
     await asyncio.sleep(duration_s)
     cluster.store.down = True
@@ -283,7 +283,7 @@
 def make_configuration(
     version: int, shards: tuple[str, ...], single: str
 ) -> dict[str, Any]:
-    """Write a version of the operator."""
+    """Return a version of the configuration."""
     common = {
         'host': 'shop.example',
         'timeout_ms': 1200,
@@ -319,7 +319,7 @@
 async def run_seed(
     seed: int, seconds: float, count: int, folder: Path
 ) -> Result:
-    """Play one seed."""
+    """Run one seed and return the result."""
     cluster = Cluster(seed, count, folder)
     balancer = callers.Balancer(cluster.hosts)
     all_callers = [
@@ -348,7 +348,7 @@
 
 
 async def _run_faults(cluster: Cluster, seconds: float) -> float:
-    """Break things, let them settle; return when the last change was made."""
+    """Inject faults and wait for recovery; return when a change was made."""
     await _inject_faults(cluster, seconds)
     await asyncio.sleep(RECOVERY_S)
     changed_at = time.monotonic()
@@ -404,7 +404,7 @@
 def _check_recovery(
     cluster: Cluster, observations: list[checks.Observation], changed_at: float
 ) -> list[str]:
-    """Check that the last version is in force and that all is served again."""
+    """Check that the last version is in force and all requests are served."""
     late = [
         it
         for it in observations
--- a/bench/soak/targets.py
+++ b/bench/soak/targets.py
@@ -1,4 +1,4 @@
-"""Stand in for targets that keep account of what they ran."""
+"""Stand-ins for targets that record what they run."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 
 
 class Run(NamedTuple):
-    """State that a target ran a request, and when."""
+    """Record that a target ran a request, and when."""
 
     request_id: str
     target: str
@@ -23,14 +23,14 @@
 
 
 class RunLog:
-    """Own what all targets ran.
+    """Record what all targets ran.
 
-    `customers` are those that targets were shown with a request, `keys` the
-    requests with which they were shown a key.
+    `customers` are those that targets received with each request;
+    `requests_with_key` are the requests that reached targets with a key.
     """
 
     def __init__(self) -> None:
-        """Start with nothing run."""
+        """Create an empty record."""
         self.runs: list[Run] = []
         self.requests_without_id: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
@@ -38,7 +38,7 @@
         self.requests_with_key: set[str] = set()
 
     def record_run(self, fields: dict[str, str], target: str) -> None:
-        """Note that a target runs a request with these fields."""
+        """Record that a target runs a request with these fields."""
         request_id = fields['fuchsiahaven-request-id']
         self.runs.append(Run(request_id, target, time.monotonic()))
         self.counts[request_id] += 1
@@ -49,7 +49,7 @@
 
 
 def make_records(request_id: str, service: str) -> list[bytes]:
-    """Make the records that every target of a service answers a request."""
+    """Return the records that each target of a service has for a request."""
     return [
         hashlib.sha256(f'{request_id} {service} {number}'.encode()).digest()[
             :RECORD_BYTES
@@ -59,15 +59,15 @@
 
 
 class Target:
-    """Own one target process's port; it can be told to misbehave."""
+    """Serve as one target, which can be set to misbehave."""
 
     def __init__(self, name: str, service: str, run_log: RunLog) -> None:
-        """Prepare without listening."""
+        """Create a target that does not listen."""
         self.name = name
         self.service = service
         self.address = ''
         self.slow_factor = 1.0
-        self.spoilt_fraction = 0.0
+        self.corrupted_fraction = 0.0
         self._run_log = run_log
         self._rng = random.Random(name)
         self._server: asyncio.Server | None = None
@@ -80,7 +80,7 @@
         self.address = f'{host}:{port}'
 
     def crash(self) -> None:
-        """End as a killed process does."""
+        """Close all sockets as a killed process does."""
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
@@ -125,8 +125,8 @@
             '\r\n'
         )
         answer = head.encode() + body
-        if self._rng.random() < self.spoilt_fraction:
-            # Half of an answer, twice an answer, or none at all.
+        if self._rng.random() < self.corrupted_fraction:
+            # A truncated answer, a doubled one, or none.
             variants = (answer[:-20], answer * 2, b'')
             writer.write(self._rng.choice(variants))
             writer.close()
@@ -136,7 +136,7 @@
 
 
 def decode_fields(head: bytes) -> dict[str, str]:
-    """Read the header fields of a message."""
+    """Decode the header fields of a message."""
     fields = {}
     for line in head.decode('latin-1').split('\r\n')[1:]:
         name, _, value = line.partition(':')
