--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Test the bench."""
+"""Tests of the bench."""
--- a/tests/bench/test_balancers.py
+++ b/tests/bench/test_balancers.py
@@ -1,4 +1,4 @@
-"""Test which hosts the bench's balancer sends callers to."""
+"""Test which hosts the balancer of the bench selects."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 
 
 class FakeClient(http_client.Client):
-    """Answer for hosts, each by its port, after a time."""
+    """Answer probes for hosts, by port, after a delay."""
 
     def __init__(self) -> None:
         """Have the first host answer at once and the second one slowly."""
@@ -25,7 +25,7 @@
     async def send(
         self, port: int, *asked: Any, **more: Any
     ) -> http_client.Response:
-        """Answer as the host would when it was asked."""
+        """Return the response that the host had at the time of the call."""
         response = self.responses[port]
         await asyncio.sleep(self.delays_s[port])
         return response
@@ -34,7 +34,7 @@
 async def run_balancer(
     client: FakeClient, readiness: http_client.Response, seconds: float
 ) -> list[int]:
-    """Let the first host change its word while batches of requests run."""
+    """Change the first host's readiness while batches of requests run."""
     balancer = balancers.Balancer(client, (1, 2))
     await balancer.probe_all()
     client.responses[1] = readiness
@@ -48,23 +48,23 @@
 def test_excludes_a_stopped_host_while_another_is_slow() -> None:
     """Symptom: a rolling restart beside other load cuts requests.
 
-    One host stops as planned and closes its port after its lag. The other one
-    answers so slowly that no round of questions to both ends within a batch of
-    requests, and a round that ends with its batch tells nothing: the balancer
-    went on sending to the closed port for the whole restart.
+    One host stops gracefully and closes its port after the balancer lag. The
+    other answers so slowly that no round of probes to both completes within a
+    batch of requests. If rounds ended with their batch, the balancer would send
+    to the closed port during the whole restart.
     """
     assert asyncio.run(run_balancer(FakeClient(), LEAVING, 1.2)) == [1]
 
 
 def test_prefers_a_silent_host_to_an_unreachable_one() -> None:
-    """Where none is ready the one that may only be slow is asked."""
+    """If no host is ready, one that may only be slow is selected."""
     client = FakeClient()
     client.responses[2] = SILENT
     assert asyncio.run(run_balancer(client, LEAVING, 1.2)) == [1]
 
 
 def test_ignores_a_late_answer_to_an_earlier_probe() -> None:
-    """An answer that took long says what was true long ago."""
+    """A late answer to an earlier probe must not replace a newer state."""
 
     async def ask() -> list[int]:
         client = FakeClient()
--- a/tests/bench/test_checks.py
+++ b/tests/bench/test_checks.py
@@ -1,4 +1,4 @@
-"""Test that the bench sees an untrue answer."""
+"""Test that the bench detects incorrect answers."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 def make_answer(**changes: object) -> wire.Json:
-    """Make a true partial answer that covers the lower half."""
+    """Return a correct partial answer that covers the lower half."""
     rows = catalogue.search('turnstile', 0, HALF, 12, 'tram pass', 5)
     answer = {
         'request_id': 'a',
--- a/tests/bench/test_fairness.py
+++ b/tests/bench/test_fairness.py
@@ -1,4 +1,4 @@
-"""Test what customers get of shared targets while there is little room."""
+"""Test the service of customers that share overloaded targets."""
 
 import functools
 
@@ -6,11 +6,11 @@
 
 from bench import fairness, setups, simulation, targets
 
-#: The usual of three customers, the last with the least time.
+#: The normal traffic of three customers; the last has the shortest objective.
 HOT = setups.Flow('hot', 6.0, 0.2, 2.5, 0.95)
 CALM = setups.Flow('calm', 16.0, 0.2, 2.5, 0.95)
 URGENT = setups.Flow('urgent', 14.0, 0.05, 1.0, 0.85, 0, 0.33)
-#: Hosts of half a core; targets have two slots each.
+#: Processor costs as of hosts with half a core; targets have two slots each.
 SETUP = setups.Setup(
     hosts=73, part_cost=0.0002, delegation_cost=0.0012, caller_delay=0.01
 )
@@ -25,7 +25,7 @@
 def simulate(
     flows: tuple[setups.Flow, ...], load: targets.TargetLoad, seconds: float
 ) -> simulation.Result:
-    """Play each seed; the outcomes of all of them count together."""
+    """Simulate each seed; return the combined result."""
     setup = SETUP._replace(flows=flows)
     results = [
         simulation.Simulation(setup, load, it).run(seconds) for it in SEEDS
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize('times', [4.0, 7.0])
 def test_a_hot_customer_starves_nobody(times: float) -> None:
-    """Symptom: queries of others fail while one asks for many times more."""
+    """Symptom: queries fail while another customer sends many times more."""
     ends = BURST_START + 4
     hot = HOT._replace(
         burst_factor=times, burst_start=BURST_START, burst_end=ends
@@ -67,7 +67,7 @@
 
 
 def test_customer_without_a_quota_starves_nobody() -> None:
-    """Symptom: most queries are one customer's, and those of others fail."""
+    """Symptom: most queries are of one customer, and those of others fail."""
     overloaded = simulate(
         (LARGE_CUSTOMER, CALM, URGENT, *SMALL_CUSTOMERS),
         LOAD,
@@ -81,7 +81,7 @@
 
 
 def test_many_small_customers_are_not_starved() -> None:
-    """Symptom: customers that ask once in two seconds get no turn."""
+    """Symptom: customers with a query per two seconds are never scheduled."""
     overloaded = simulate(
         (LARGE_CUSTOMER, CALM, URGENT, *SMALL_CUSTOMERS),
         LOAD,
@@ -101,10 +101,10 @@
 
 
 def test_goodput_survives_a_burst_on_slow_targets() -> None:
-    """Symptom: more is asked, and less than before is answered in time.
+    """Symptom: with more queries, fewer than before are answered in time.
 
-    For five seconds 2.4 times as much is asked while one target in six is
-    slow by eight.
+    For five seconds the rate is 2.4 times as high, while one target in six
+    takes eight times as long.
     """
     ends = BURST_START + BURST_S
     load = LOAD._replace(
@@ -136,7 +136,7 @@
         assert after.in_time_fraction >= without.in_time_fraction
 
 
-#: Half of the targets are slow by twelve for eight seconds.
+#: Half of the targets take twelve times as long for eight seconds.
 SLOW_TARGETS = targets.TargetLoad(
     troubled_fraction=0.5, slow_factor=12.0, trouble_start=1.0, trouble_end=9.0
 )
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_urgent_queries_lose_least_and_service_recovers(seed: int) -> None:
-    """Symptom: what room is left goes to who can wait, and slowness lasts."""
+    """Symptom: capacity goes to queries that can wait, and delays persist."""
     setup = SETUP._replace(hosts=24, shards=30, flows=LIGHT_FLOWS)
     result = simulation.Simulation(setup, SLOW_TARGETS, seed).run(
         SLOW_TARGETS.trouble_end + 4
--- a/tests/bench/test_http_client.py
+++ b/tests/bench/test_http_client.py
@@ -1,4 +1,4 @@
-"""Test how the bench's callers use their connections."""
+"""Test how the HTTP client of the bench uses its connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,7 @@
 
 
 async def send_twice(serve: Serve) -> list[http_client.Response]:
-    """Ask a server of one's own for two answers, one after the other."""
+    """Send two requests in turn to a new server."""
     server = await asyncio.start_server(serve, wire.LOOPBACK, 0)
     port = server.sockets[0].getsockname()[1]
     client = http_client.Client()
@@ -34,8 +34,8 @@
 def test_does_not_reuse_a_connection_with_close(field: bytes) -> None:
     """Symptom: a caller's request is cut though no host cut one.
 
-    A host that closes a connection says so with its last answer there, and its
-    end comes a moment later. What a caller sends in between is never read.
+    A host announces the close of a connection in its last answer, and closes it
+    a moment later. A request that is sent in between is never read.
     """
 
     async def serve(
@@ -43,7 +43,7 @@
     ) -> None:
         await reader.readuntil(http_client.HEAD_END)
         writer.write(ANSWER + field + REST)
-        # The end comes when the next request is there, which is not answered.
+        # The connection closes when the next request arrives, unanswered.
         await reader.read(1)
         writer.close()
 
@@ -52,7 +52,7 @@
 
 
 def test_reuses_a_connection_without_close() -> None:
-    """Each connection answers until it is told otherwise."""
+    """A connection without `Connection: close` is reused."""
     opened = []
 
     async def serve(
@@ -71,7 +71,7 @@
 
 
 def test_reports_how_a_connection_ended() -> None:
-    """What came before on the connection tells whose fault a cut is."""
+    """The history of a connection shows which side caused a cut."""
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -89,13 +89,15 @@
 
 
 def test_cancellation_at_the_answer_is_not_lost() -> None:
-    """Symptom: a loop that asks for ever goes on after its end."""
+    """Symptom: a loop of requests continues after its cancellation."""
 
     async def send_once() -> None:
         client = http_client.Client()
         connection = http_client.Connection()
         connection.connection_made(mock.Mock(spec=asyncio.Transport))
-        with mock.patch.object(client, '_take', return_value=connection):
+        with mock.patch.object(
+            client, '_open_connection', return_value=connection
+        ):
             sending = asyncio.create_task(client.send(1, 'GET', '/'))
             await asyncio.sleep(0)
             connection.data_received(ANSWER + REST)
--- a/tests/bench/test_imbalance.py
+++ b/tests/bench/test_imbalance.py
@@ -1,4 +1,4 @@
-"""Test how evenly load lies on targets and data centres."""
+"""Test how evenly load is spread over targets and data centres."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def test_measures_the_busiest_data_centre_and_target() -> None:
-    """Two data centres, one of which does three times as much."""
+    """Two data centres, one of which has three times the load."""
     busy_s = {'shard-0-0': 1.0, 'shard-1-0': 5.0, 'shard-0-1': 2.0}
     ending = simulation.Ending(0.1, 1.0)
     result = simulation.Result((ending, ending), 0, 30, busy_s=busy_s)
@@ -17,10 +17,11 @@
 
 
 def test_balances_callers_without_local_targets() -> None:
-    """Symptom: one data centre carries all callers of one that has no target.
+    """Symptom: one data centre serves all callers of one without targets.
 
-    Four data centres, the one most asked without targets of its own; demand
-    swings by 0.55 in 17 s, and targets are of unlike speed and slow at times.
+    Of four data centres the one with most queries has no targets. The rate
+    varies by 0.55 with a period of 17 s; targets differ in speed, and some are
+    slow.
     """
     setup = setups.Setup(
         hosts=60,
--- a/tests/bench/test_losses.py
+++ b/tests/bench/test_losses.py
@@ -1,4 +1,4 @@
-"""Test the tables of worth that was lost."""
+"""Test the tables of lost worth."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def write_line(at: float, **changed: Any) -> str:
-    """Write a line as a bench prints it, with its own time before it."""
+    """Return a log line as a bench prints it, with its time as prefix."""
     row = {
         'part': 'request',
         'host': 'host-1',
@@ -27,12 +27,12 @@
 
 
 def read_endings(*lines: str) -> list[losses.Ending]:
-    """Read lines."""
+    """Read the endings in log lines."""
     return list(losses.read_endings(lines, {'other': 0.02}))
 
 
 def test_splits_the_loss_by_cause() -> None:
-    """A part missing costs by the square; a late answer keeps a tenth."""
+    """Worth is the square of coverage; a late answer keeps a tenth of it."""
     found = read_endings(
         write_line(1),
         write_line(1, missing=10),
@@ -48,7 +48,7 @@
 
 
 def test_skips_incomplete_lines_and_other_parts() -> None:
-    """Times are the bench's; what is cut or of another part is left out."""
+    """Times are the bench's; truncated lines and other parts are skipped."""
     found = read_endings(
         'what happened',
         write_line(3.2, part='news'),
@@ -62,7 +62,7 @@
 
 
 def test_counts_unserved_requests_by_cause() -> None:
-    """Names of targets differ in each line, the cause does not."""
+    """Causes are counted without the names of targets."""
     lines = [
         write_line(
             1, result='incomplete ran=no', lacking=[f'{name}: unreachable']
@@ -81,7 +81,7 @@
 
 
 def test_skips_delegated_requests() -> None:
-    """Symptom: half of what was lost was no request of a caller."""
+    """Symptom: half of the lost worth was not of callers' requests."""
     lines = [write_line(1), write_line(1, result='abandoned', assists=True)]
     assert len(read_endings(*lines)) == 1
 
@@ -89,7 +89,7 @@
 def test_excludes_requests_for_services_without_targets(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """They only test which configuration is in force."""
+    """Such requests only test which configuration is in force."""
     lines = [
         write_line(1),
         write_line(1, result='no_route ran=no', lacking=['a: no_replica']),
@@ -104,7 +104,7 @@
 
 
 def test_lists_the_largest_losses_by_data_centre() -> None:
-    """Where a host's data centre is named, losses are told by it as well."""
+    """Losses are grouped by data centre where a host has logged it."""
     started = {
         'part': 'process',
         'text': 'started',
--- a/tests/bench/test_records.py
+++ b/tests/bench/test_records.py
@@ -1,4 +1,4 @@
-"""Test how the bench turns records into figures."""
+"""Test how the bench computes figures from records."""
 
 from bench import records
 
@@ -12,7 +12,7 @@
 
 
 def make_record(name: str, at: float, **changes: object) -> records.Record:
-    """Make a record that was due at `at` and took 0.1 s."""
+    """Return a record that was due at `at` and took 0.1 s."""
     fields = {
         'class_name': 'gate-lookup',
         'request_id': name,
@@ -29,12 +29,12 @@
 
 
 def summarise(*found: records.Record) -> records.Figures:
-    """Work out the figures of these records."""
+    """Return the figures of these records."""
     return records.summarise('standard', found, TARGETS, USAGE)
 
 
 def test_wait_before_sending_counts_as_latency() -> None:
-    """A stalled sender must not hide the latency that callers would see."""
+    """Symptom: a stalled sender hides the latency that callers would see."""
     figures = summarise(make_record('b', 0.0, sent=2.0, done=2.1))
     assert figures.p50_ms > 2000
     assert figures.goodput == 0
@@ -68,7 +68,7 @@
 
 
 def test_revert_is_seen_only_after_a_higher_answer() -> None:
-    """Answers that overlap may come in either order; later ones may not."""
+    """Overlapping requests may be answered in any order, later ones not."""
     first = make_record('a', 0.0, revision=2)
     overlapping = make_record('b', 0.05, revision=1)
     other_host = make_record('c', 1.0, revision=1, host=1)
--- a/tests/bench/test_soak_checks.py
+++ b/tests/bench/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Test that each check of the soak fails where its promise is broken."""
+"""Test that each check of the soak test reports a broken guarantee."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 def make_search(
     services: tuple[str, ...], missing: int, **changed: object
 ) -> checks.Observation:
-    """Make an answer over shards that keeps every promise, then change it."""
+    """Return a correct answer over shards with some fields changed."""
     records = [
         it for name in services for it in targets.make_records('id-1', name)
     ]
@@ -40,7 +40,7 @@
     [(('a1', 'a2', 'a3'), 0), (('a1', 'a3'), 1), (('b2',), 1)],
 )
 def test_accepts_a_true_answer(services: tuple[str, ...], missing: int) -> None:
-    """Whole answers and honest parts pass."""
+    """Complete answers and correct partial answers pass."""
     observed = make_search(services, missing)
     assert not checks.check(observed, SHARD_SETS, targets.RunLog())
 
@@ -59,13 +59,13 @@
 def test_reports_an_untrue_answer(
     observed: checks.Observation, violation: str
 ) -> None:
-    """Mixed versions, false counts, doubled parts, other records, cuts."""
+    """Mixed versions, wrong counts, repeated parts, other records and cuts."""
     violations = checks.check(observed, SHARD_SETS, targets.RunLog())
     assert any(violation in it for it in violations)
 
 
 def test_reports_a_second_run_and_a_run_after_refusal() -> None:
-    """A request that may run once ran two times; a refused one ran."""
+    """An at-most-once request ran twice, and a refused one ran."""
     run_log = targets.RunLog()
     run_log.counts['id-1'] = 2
     observed = make_search(('a1',), 2, kind='once', status=502)
@@ -78,7 +78,7 @@
 
 
 def test_reports_work_at_a_target_that_has_left() -> None:
-    """Work soon after the word is allowed, later work is not."""
+    """Work soon after a target left is allowed, later work is not."""
     run_log = targets.RunLog()
     run_log.runs.append(targets.Run('id-1', 'i-1', 12.0))
     assert not checks.check_leaving(run_log, {'i-1': 9.0}, 4.0)
@@ -86,7 +86,7 @@
 
 
 def test_reports_an_answer_to_another_request() -> None:
-    """The signature and the body have to be those of the request."""
+    """The signature and the body must belong to the request."""
     body = b''.join(targets.make_records('id-1', 'c1'))
     fields = {'fuchsiahaven-response-signature': 'id-1.c1'}
     observed = make_search(('a1',), 2, kind='one', fields=fields, body=body)
@@ -110,7 +110,7 @@
 def test_reports_a_request_of_the_wrong_customer(
     shown: str, customer: str, status: int, violation: str
 ) -> None:
-    """Other names, valid keys refused, strangers served."""
+    """Other customers, refused valid keys, and served unknown keys."""
     run_log = targets.RunLog()
     if shown or status == checks.OK:
         run_log.customers['id-1'] = {shown}
@@ -121,7 +121,7 @@
 
 
 def test_reports_a_key_sent_to_a_target() -> None:
-    """Whatever else the request was."""
+    """A request with a key is reported whatever its other fields are."""
     run_log = targets.RunLog()
     fields = {'fuchsiahaven-request-id': 'id-1', 'authorization': 'Token k'}
     run_log.record_run(fields, 'i-1')
@@ -135,7 +135,7 @@
     interval_s: float,
     status: int = checks.OK,
 ) -> list[checks.Observation]:
-    """Make requests of the hot customer that run on two targets each."""
+    """Return requests of the hot customer that run on two targets each."""
     observations = []
     for number in range(count):
         observed = make_search((), 0)._replace(
@@ -155,7 +155,7 @@
 
 
 def test_counts_a_request_once_and_by_windows() -> None:
-    """What a quota allows passes, however often its parts run."""
+    """Requests within the quota pass, however many targets run parts."""
     run_log = targets.RunLog()
     observations = make_hot_requests(
         40, run_log, interval_s=1 / quotas.QUOTA_PER_S
@@ -189,7 +189,7 @@
 
 
 def test_reports_unserved_customers_after_recovery() -> None:
-    """A hot customer starves neither itself nor others."""
+    """Unserved requests after recovery are reported, of either customer."""
     run_log = targets.RunLog()
     observations = make_hot_requests(
         40, run_log, interval_s=1 / quotas.QUOTA_PER_S, status=429
--- a/tests/bench/test_trial.py
+++ b/tests/bench/test_trial.py
@@ -1,4 +1,4 @@
-"""Test loads on the decisions of many hosts at once, in simulated time."""
+"""Test the decisions of many hosts under load, in simulated time."""
 
 import contextlib
 
@@ -13,7 +13,7 @@
 
 
 def test_answers_completely_while_targets_only_pause() -> None:
-    """Pauses of targets are met by second sendings, within the bound."""
+    """Hedges and retries within the limit make up for pauses of targets."""
     score = trial.run_variant(
         trial.UNCHANGED, trial.LOADS['paused'], SETUP, SEED, SECONDS
     )
@@ -23,11 +23,12 @@
 
 
 def test_lost_answers_fail_few_queries_of_many_hosts() -> None:
-    """Symptom: a third of the queries fail while targets stand ready.
+    """Symptom: a third of the queries fail while targets are ready.
 
-    Half of the targets lose two in five answers for four seconds. Each of 63
-    hosts may repeat less than once in ten seconds by its own share of the
-    bound; the hosts on duty, who see all parts of their chunk, may often.
+    Half of the targets lose two in five answers for four seconds. With an equal
+    share of the extra load limit each of 63 hosts could retry less than once in
+    ten seconds; the delegate hosts, which see all parts of their chunk, can
+    retry often.
     """
     load = targets.TargetLoad(
         pause_s=0.25,
@@ -42,7 +43,7 @@
 
 
 def test_extra_load_of_many_hosts_stays_within_its_limit() -> None:
-    """Everything is slow: repeats stay within their share of the requests."""
+    """All targets are slow: extra load stays within its limit."""
     setup = SETUP._replace(hosts=12, shards=45)
     load = targets.TargetLoad(
         work_s=0.15, troubled_fraction=1.0, slow_factor=3.0
@@ -57,7 +58,7 @@
 
 
 def test_deadly_query_stops_reaching_targets() -> None:
-    """Symptom: it comes again at any host, and ends targets all day."""
+    """Symptom: the query is sent again to any host and crashes targets."""
     setup = SETUP._replace(hosts=12)
     load = targets.TargetLoad(deadly_fraction=0.1)
     score = trial.run_variant(trial.UNCHANGED, load, setup, SEED, 8)
@@ -66,7 +67,7 @@
 
 
 def test_same_seed_gives_the_same_score() -> None:
-    """A trial can be told from another by the way alone."""
+    """Scores of one seed differ only by the variant."""
     load = trial.LOADS['slow']
     first, second = [
         trial.run_variant(trial.UNCHANGED, load, SETUP, SEED, 2)
@@ -76,7 +77,7 @@
 
 
 def test_applies_and_restores_a_variant() -> None:
-    """A way is constants with other values."""
+    """A variant changes constants until its stack ends."""
     usual = delegations.MAX_PART_SENDINGS
     with contextlib.ExitStack() as stack:
         trial.apply_variant(f'delegations.MAX_PART_SENDINGS={usual + 4}', stack)
@@ -88,13 +89,13 @@
     'variant', ['nonsense', 'delegations.MAX_PART_SENDINGS', 'a=1']
 )
 def test_rejects_a_malformed_variant(variant: str) -> None:
-    """A slip is told, and not played as what stands."""
+    """A typing error is reported rather than run as the unchanged code."""
     with contextlib.ExitStack() as stack, pytest.raises(ValueError, match='is'):
         trial.apply_variant(variant, stack)
 
 
 def test_prints_median_and_spread(capsys: pytest.CaptureFixture[str]) -> None:
-    """One line for each way, with all figures."""
+    """The table has one row for each variant, with all figures."""
     trial.main(['stands', '--load', 'quiet', '--seeds', '2', '--seconds', '1'])
     titles, row, tail = capsys.readouterr().out.splitlines()
     assert 'worth' in titles
@@ -103,11 +104,11 @@
 
 
 def test_fast_queries_are_in_time_on_small_hosts() -> None:
-    """Symptom: of 90 parts with an objective of 59 ms most come too late.
+    """Symptom: of 90 parts with an objective of 59 ms most are late.
 
-    Hosts of a third of a core take a fraction of a millisecond for each part
-    and for each other host; targets pause for longer than the objective, and
-    a quarter of them is slow.
+    Hosts with a third of a core need a fraction of a millisecond per
+    sub-request and per message to another host. Targets pause for longer than
+    the objective, and a quarter of them is slow.
     """
     load = targets.TargetLoad(
         work_s=0.0057,
--- a/tests/bench/test_uneven.py
+++ b/tests/bench/test_uneven.py
@@ -1,8 +1,8 @@
-"""Test hosts of unlike cores behind one balancer, in simulated time."""
+"""Test hosts with different cores behind one balancer, in simulated time."""
 
 from bench import setups, simulation, targets, trial
 
-#: Two large hosts in each of four data centres; they ask and are asked for
+#: Two large hosts in each of four data centres; they delegate and are delegated
 #: parts of queries with a short objective.
 SETUP = setups.Setup(
     hosts=40,
@@ -18,19 +18,19 @@
 )
 LOAD = targets.TargetLoad(work_s=0.011, pause_s=0.12, pause_interval_s=3.0)
 SECONDS = 2.0
-#: The large hosts of the first data centre, by the order of hosts.
+#: Numbers of the large hosts of the first data centre.
 LARGE_HOSTS = frozenset((0, 4))
 
 
 def score_setup(setup: setups.Setup, seed: int) -> trial.Score:
-    """Play a shape; weigh its answers."""
+    """Simulate a setup and return its score."""
     return trial.compute_score(
         simulation.Simulation(setup, LOAD, seed).run(SECONDS), setup
     )
 
 
 def test_hosts_that_announce_cores_answer_sooner() -> None:
-    """Symptom: the smallest hosts are the slowest part of every answer."""
+    """Symptom: the smallest hosts delay every answer."""
     seeds = range(2)
     announced = [score_setup(SETUP, seed).worth for seed in seeds]
     unannounced = [
@@ -41,9 +41,9 @@
 
 
 def test_losing_all_large_hosts_costs_no_more_with_announced_cores() -> None:
-    """Symptom: those that take over from both at once are not asked.
+    """Symptom: hosts that replace two failed ones at once get no requests.
 
-    Where work does not go by cores, the same two have few chunks between them.
+    If work is not assigned by cores, the same two hosts have few chunks.
     """
     losing_power = SETUP._replace(
         power_loss_at=0.7, powerless_hosts=LARGE_HOSTS
@@ -58,7 +58,7 @@
 
 
 def test_a_host_twice_as_large_is_not_overloaded_first() -> None:
-    """Symptom: answers fail at a load that hosts bear without cores told."""
+    """Symptom: answers fail at a load that is served if no cores are known."""
     setup = SETUP._replace(rate=150.0, cores=(0.722, 0.361))
     announced = score_setup(setup, 0)
     unannounced = score_setup(setup._replace(announces_cores=False), 0)
