--- a/bench/http_client.py
+++ b/bench/http_client.py
@@ -43,7 +43,7 @@
         # request from a caller that sends on after `Connection: close`.
         detail = (
             f'{exc!r} after {self._answers} answers, '
-            f'told to close: {self._must_close}, '
+            f'close announced: {self._must_close}, '
             f'bytes of an answer: {len(self._buffer)}'
         )
         self._resolve(Response(0, {'why': 'cut', 'detail': detail}))
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -262,7 +262,7 @@
         ),
         Scenario(
             'refunds',
-            'answers are lost, hosts killed, ids asked for twice',
+            'answers are lost, hosts killed, ids sent twice',
             _lose_answers,
             repeat_fraction=0.3,
             only_at_most_once=True,
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -32,8 +32,8 @@
         )
         violations += len(result.violations)
         print(
-            f'seed {seed}: {result.sent} asked, {result.served} served, '
-            f'{len(result.violations)} broken promises, logs in {folder}'
+            f'seed {seed}: {result.sent} sent, {result.served} served, '
+            f'{len(result.violations)} violations, logs in {folder}'
         )
         for violation in result.violations:
             print(f'  {violation}')
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -81,7 +81,7 @@
     if runs > 1:
         violations.append(f'ran {runs} times')
     if observed.status in NOT_RUN_STATUSES and runs:
-        violations.append(f'told {observed.status} and has run')
+        violations.append(f'refused with {observed.status} and has run')
     return violations
 
 
--- a/bench/soak/quotas.py
+++ b/bench/soak/quotas.py
@@ -74,7 +74,7 @@
     ended_at = max((it.ended_at for it in observations), default=recovered_at)
     if served < MIN_SERVED_FRACTION * QUOTA_PER_S * (ended_at - recovered_at):
         violations.append(
-            f'{served} requests of {HOT_CUSTOMER} served when all is well'
+            f'{served} requests of {HOT_CUSTOMER} served after recovery'
         )
     return violations
 
--- a/bench/soak/runs.py
+++ b/bench/soak/runs.py
@@ -421,11 +421,11 @@
         services = {it.partition('.')[2] for it in signatures.split(', ') if it}
         if observed.status != checks.OK:
             violations.append(
-                f'{observed.request_id}: {observed.status} when all is well'
+                f'{observed.request_id}: {observed.status} after recovery'
             )
         elif not services <= expected:
             violations.append(f'{observed.request_id}: an older version')
     violations.extend(
         checks.check_leaving(cluster.run_log, cluster.left_at, MAX_LEAVING_S)
     )
-    return violations if late else ['nothing was asked at the end']
+    return violations if late else ['no search was sent after recovery']
--- a/tests/bench/test_http_client.py
+++ b/tests/bench/test_http_client.py
@@ -84,7 +84,7 @@
 
     response = asyncio.run(send_twice(serve))[1]
     assert response.body['why'] == 'cut'
-    assert '1 answers, told to close: False' in response.body['detail']
+    assert '1 answers, close announced: False' in response.body['detail']
     assert 'bytes of an answer: 5' in response.body['detail']
 
 
--- a/tests/bench/test_soak_checks.py
+++ b/tests/bench/test_soak_checks.py
@@ -73,7 +73,7 @@
     run_log.counts['id-1'] = 1
     refused = observed._replace(status=503)
     assert checks.check(refused, SHARD_SETS, run_log) == [
-        'told 503 and has run'
+        'refused with 503 and has run'
     ]
 
 
@@ -195,8 +195,7 @@
         40, run_log, interval_s=1 / quotas.QUOTA_PER_S, status=429
     )
     assert (
-        'served when all is well'
-        in quotas.check(observations, run_log, 0.0)[-1]
+        'served after recovery' in quotas.check(observations, run_log, 0.0)[-1]
     )
     other = observations[-1]._replace(customer='shop')
     assert customers.check_served([other], other.sent_at - 1)
