--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure, and show the whole path."""
+"""Benchmarks, simulations and a demonstration of the whole request path."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Work out from measured slopes what each role costs at the size aimed at.
+"""Extrapolate the cost of each role to the intended size.
 
-`python -m bench capacity` reads `bench/slopes.json` and prints the table of
-docs/CAPACITY.md. Every line shows its arithmetic.
+`python -m bench capacity` reads the measured slopes in `bench/slopes.json` and
+prints the table of docs/CAPACITY.md. Each row shows its arithmetic.
 """
 
 import json
@@ -14,9 +14,9 @@
 DAY_S: Final = 86_400
 KIB: Final = 1024
 MIB: Final = 1024 * 1024
-#: The deal of seats gives each host this many replicas of a shard.
+#: The allocator connects each host to this many replicas of a shard.
 REPLICAS_PER_HOST: Final = 2
-#: The platform takes several hundred writes a second.
+#: The platform accepts several hundred writes per second.
 CLAIM_WRITES_PER_S: Final = 300
 
 
@@ -28,7 +28,7 @@
 
 
 class CapacityTarget(NamedTuple):
-    """Hold the size that the users aim at."""
+    """State the deployment size that the users intend to reach."""
 
     nodes: int = 3100
     searchers: int = 91_000
@@ -41,28 +41,28 @@
 
     @property
     def hosts(self) -> float:
-        """Count the hosts of one data centre."""
+        """Return the mean number of hosts per data centre."""
         return self.nodes / self.data_centres
 
     @property
     def targets(self) -> float:
-        """Count the targets of one data centre."""
+        """Return the mean number of targets per data centre."""
         return self.searchers / self.data_centres
 
     @property
     def changes_per_s(self) -> float:
-        """Count the changes of configuration in a second."""
+        """Return the configuration changes per second."""
         return self.changes_per_day / DAY_S
 
     @property
     def member_events_per_s(self) -> float:
-        """Count joins and leaves in one data centre in a second."""
+        """Return the joins and leaves per second in one data centre."""
         events = self.failures_per_day * 2 + self.restarts_per_day * 2
         return events / self.data_centres / DAY_S
 
 
 class TableRow(NamedTuple):
-    """Hold one line of the table."""
+    """Hold one row of the table."""
 
     role: str
     quantity: str
@@ -71,7 +71,7 @@
 
 
 def main(write: Callable[[str], None]) -> None:
-    """Print the table."""
+    """Print the capacity table as Markdown."""
     slopes = json.loads(SLOPES_PATH.read_text(encoding='utf-8'))
     write('| role | what | arithmetic | at that size |\n|---|---|---|---|')
     for row in list_rows(CapacityTarget(), slopes):
@@ -79,14 +79,14 @@
 
 
 def list_rows(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
-    """Work out every line."""
+    """Compute every row of the table."""
     yield from _list_serving(size, slopes)
     yield from _list_control(size, slopes)
     yield from _list_platform(size, slopes)
 
 
 def extrapolate(points: dict[str, float], size: float) -> float:
-    """Extend measured points by a straight line; one point stands alone."""
+    """Extrapolate measured points linearly; a single point is a constant."""
     sizes = [float(place) for place in points]
     if len(sizes) < 2:
         return statistics.mean(points.values())
@@ -188,7 +188,7 @@
 
 def _list_watcher(size: CapacityTarget, slopes: Slopes) -> Iterator[TableRow]:
     # A watcher reads the whole manifest for each change, so its costs grow
-    # with the targets that stand in it: here those of one data centre.
+    # with the number of targets in it: here those of one data centre.
     role = 'host, watcher'
     change_ms = extrapolate(
         slopes['change_cpu_ms_watcher']['value'], size.targets
--- a/bench/checks.py
+++ b/bench/checks.py
@@ -1,4 +1,4 @@
-"""Check one answer against what the searchers hold."""
+"""Check an answer against the rows that the searchers hold."""
 
 import functools
 import itertools
@@ -13,7 +13,7 @@
 
 
 def find_fault(request: mixes.Request, answer: wire.Json) -> str:
-    """Name what is untrue of an answer; empty where nothing is."""
+    """Return the kind of fault in an answer, or an empty text."""
     request_id = request.body['request_id']
     if answer['request_id'] != request_id:
         return 'another_request'
@@ -38,7 +38,7 @@
 
 
 def measure_coverage(answer: wire.Json) -> float:
-    """Measure the share of shards that an answer covers."""
+    """Return the fraction of shards that an answer covers."""
     coverage = answer['coverage']
     shards = coverage['shards']
     return 1 - len(coverage['missing']) / shards if shards else 0.0
@@ -47,7 +47,7 @@
 def _list_expected_ids(
     coverage_entries: list[wire.Json], query: wire.Json
 ) -> list[str]:
-    # What a true merge of the covered ranges gives, read from the catalogue.
+    # The ids of a correct merge of the covered ranges, from the catalogue.
     rows: list[wire.Json] = []
     for entry in coverage_entries:
         matching = _search(entry['group'], query['text'])
--- a/bench/deals.py
+++ b/bench/deals.py
@@ -1,4 +1,4 @@
-"""Measure the deal of connection seats: its time, and what a change moves.
+"""Measure the connection allocator: its time, and what a joining host moves.
 
 Run as `python -m bench.deals`.
 """
@@ -89,7 +89,7 @@
 
 
 def _measure_time(size: Size) -> float:
-    """Return the median processor time of one shard's deal, in ms."""
+    """Return the median processor time of allocating one shard, in ms."""
     hosts = _make_names('host', size.hosts)
     shards = _make_shards(size, SHARDS)
     return statistics.median(
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,7 @@
-"""Show the whole path: ask two deployments, each through a host of its own.
+"""Demonstrate the whole request path: query two deployments, each by a host.
 
 This script starts stand-ins and hosts as separate processes, because no
-program of the project starts another, and ends each by its process id.
+program of the project starts another, and stops each by its process id.
 """
 
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class DemoQuery(NamedTuple):
-    """Hold one question, and the deployment that it is put to."""
+    """Hold one query and the deployment that it is sent to."""
 
     deployment: str
     body: host_client.JsonObject
@@ -48,7 +48,7 @@
 
 
 def main() -> int:
-    """Put each question and tell by the exit code whether all was answered."""
+    """Run each query; return 0 if all answers are complete, else 1."""
     ports = testbeds.find_free_ports()
     with contextlib.ExitStack() as stack:
         running = [
@@ -69,7 +69,7 @@
 
 def _run_query(query: DemoQuery, host: addresses.Address) -> bool:
     if not _wait_until_ready(host):
-        print(f'{query.deployment}: the host did not get ready')
+        print(f'{query.deployment}: the host did not become ready')
         return False
     response = host_client.send_request(
         host, 'POST', '/v1/search', body=query.body
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,15 +1,15 @@
-"""Tell what each of several customers on the same shards was given."""
+"""Measure the service that each of several customers on one cluster gets."""
 
 from typing import Final, NamedTuple
 
 from bench import setups, simulation
 
-#: Share of the answers that are as fast or faster.
+#: The fraction of answers that are at most as slow as the percentile.
 P99_FRACTION: Final = 0.99
 
 
 class CustomerOutcome(NamedTuple):
-    """Hold what became of a customer's queries; `p99` is in seconds."""
+    """Summarise a customer's requests; `p99_s` is a latency in seconds."""
 
     requests: int
     served_fraction: float
@@ -20,7 +20,7 @@
 def summarise_customer(
     result: simulation.Result, flow: setups.Flow, start: float, end: float
 ) -> CustomerOutcome:
-    """Weigh the queries of a customer that were asked in a time."""
+    """Summarise the queries of a customer that arrived in an interval."""
     endings = [
         it
         for it in result.endings
--- a/bench/silent_partners.py
+++ b/bench/silent_partners.py
@@ -1,4 +1,4 @@
-"""Compare suspicion with and without other traffic as a sign of life.
+"""Compare failure detection with and without other traffic as a sign of life.
 
 Simulated time: `python -m bench.silent_partners [--hosts N] [--seeds N]`.
 """
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Print the median of each figure, with and without."""
+    """Print the median of each figure, with and without other traffic."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--hosts', type=int, default=30)
     parser.add_argument('--seeds', type=int, default=5)
@@ -31,7 +31,7 @@
 def run(
     hosts: int, seed: int, timings: member_states.Timings
 ) -> dict[str, float]:
-    """Disturb hosts in four ways, and kill some; count what is told."""
+    """Disturb and kill hosts; return suspicions and convergence times."""
     network = networks.Network(hosts, seed, timings)
     wait_until_converged(network)
     figures: dict[str, float] = {}
@@ -62,7 +62,7 @@
 
 
 def count_suspicions(network: networks.Network, seconds: float) -> int:
-    """Let time pass and count suspicions that hosts take up."""
+    """Run the network and count the suspicions that hosts report."""
     network.reports.clear()
     network.run(seconds)
     texts = [report.text for _, _, report in network.reports]
@@ -71,7 +71,7 @@
 
 
 def wait_until_converged(network: networks.Network) -> float:
-    """Wait until all agree; give the seconds."""
+    """Run the network until all hosts agree; return the seconds."""
     started_at = network.now
     while not network.has_converged():
         network.run(0.25)
--- a/bench/work_queues.py
+++ b/bench/work_queues.py
@@ -1,4 +1,4 @@
-"""Keep the new work that waits at each host of a model, in its order."""
+"""Queue the new work of each simulated host."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,12 +14,12 @@
 
 
 class WorkQueues:
-    """Own what waits at each host; `perform` carries refusals out."""
+    """Hold a fair queue per host; refusals go to `perform_action`."""
 
     def __init__(
         self, routers: Sequence[states.Router], perform_action: Perform
     ) -> None:
-        """Start with nothing that waits."""
+        """Create an empty queue for each router."""
         self._routers = routers
         self._perform_action = perform_action
         self._queues: list[fair_queues.FairQueue[queued_work.NewEvent]] = [
@@ -27,7 +27,7 @@
         ]
 
     def enqueue(self, host: int, event: object, now: float) -> bool:
-        """Have new work wait at a busy host; tell whether it does."""
+        """Queue new work at a contended host; return whether it was queued."""
         if not isinstance(
             event, events.RequestReceived | events.DelegatedRequestReceived
         ):
@@ -44,14 +44,14 @@
         return True
 
     def dequeue(self, host: int, now: float) -> queued_work.NewEvent | None:
-        """Take what is next, and refuse what is too late."""
+        """Refuse expired work; return the event of the next work, if any."""
         for expired in self._queues[host].pop_expired(now):
             self._refuse(host, expired, queued_work.QueueRefusal.LATE, now)
         work = self._queues[host].pop()
         return None if work is None else work.payload
 
     def has_more(self, host: int) -> bool:
-        """Tell whether anything waits at a host."""
+        """Return whether any work is queued at a host."""
         return bool(self._queues[host])
 
     def _refuse(
